--- /dev/null
+++ b/tests/test_golden.py
@@ -0,0 +1,631 @@
+"""Recorded bytes of messages and stored files, read and written again byte for byte.
+
+Stored data and messages between versions must stay readable: routers, ledgers and lease servers of two
+versions run side by side during an upgrade, and a new version starts on the files of the old one.  So a
+field that is renamed in the code keeps its old name on the wire and on the disk.  `golden/` holds what the
+code wrote before the renaming of types and fields; a difference from it is a change of format, which needs
+more than a new recording.
+
+Objects are built with positional arguments where the types allow it, so that names may change without a
+change here.  `python tests/test_golden.py` records entries whose files are missing; it never overwrites one.
+"""
+
+import json
+import sys
+import tempfile
+from collections.abc import Iterator
+from pathlib import Path
+from typing import Any, get_args
+
+import msgspec
+import orjson
+import pytest
+from click.testing import CliRunner
+
+from quartzrouter.cli import fleet as cli_fleet
+from quartzrouter.cli import lease as cli_lease
+from quartzrouter.cli import plan as cli_plan
+from quartzrouter.cli import purge as cli_purge
+from quartzrouter.drill import wire
+from quartzrouter.drill.host import Instance
+from quartzrouter.interface import Dispatch, Ending, Listed, Outcome, Report, Req, State, Tier, Told
+from quartzrouter.keeper.numbers import Numbers
+from quartzrouter.leases import keeper as lease_keeper
+from quartzrouter.leases import terms as lease_terms
+from quartzrouter.leases import words as lease_words
+from quartzrouter.ledger.disk import RealDisk
+from quartzrouter.ledger.files import Found, Header, Summary, read
+from quartzrouter.ledger.log import Log
+from quartzrouter.ledger.records import records
+from quartzrouter.net import answer
+from quartzrouter.purges import words
+from quartzrouter.purges.fleet import Fleet
+from quartzrouter.purges.follower import Follower
+from quartzrouter.sharing import budget, council, granter, warming
+from quartzrouter.site import purges as site_purges
+from quartzrouter.stand import schedule
+
+GOLDEN = Path(__file__).parent / "golden"
+S = 1_000_000  # us
+WHEN = 1_700_000_000 * S  # us of a wall clock
+
+# -- checksums that two parties compare --------------------------------------------------------------------
+
+BUDGET = budget.Budget("origin", 250.0, 50.0, 40, 3 * S, 0.25, 4, 2 * S)
+COLD = warming.Terms(1 * S, 0.3, 4, 500_000)
+LEASES = lease_terms.Terms(("k1", "k2", "k3"), 2, 4 * S, 150, (("deliver", ("a", "b")), ("sweep", ())))
+FIGURES = {
+    "budget all": BUDGET,
+    "budget defaults": budget.Budget("origin"),
+    "budget renamed": budget.Budget("parent", 250.0, 50.0, 40, 3 * S, 0.25, 4, 2 * S),
+    "budget rate only": budget.Budget("origin", 100.0, 10.0),
+    "budget whole numbers": budget.Budget("origin", 100, 10),
+    "budget slots only": budget.Budget("origin", 0.0, 0.0, 12, 2 * S),
+    "cold-server terms": COLD,
+    "lease terms all": LEASES,
+    "lease terms defaults": lease_terms.Terms(("k1",)),
+    "lease terms other tasks": lease_terms.Terms(("k1", "k2", "k3"), 2, 4 * S, 150),
+}
+
+# -- messages to and from the ledger -----------------------------------------------------------------------
+
+PURGES = (
+    words.Purge(7, WHEN + 7, "tag", ("rose", "tulip"), "media", "north", "key-7"),
+    words.Purge(8, WHEN + 8, "all"),
+    words.Purge(9, WHEN + 9, "pattern", ("media.example/photos/*/\"3\".jpg", "/video/**"), "", "south"),
+    words.Purge(10, WHEN + 10, "object", ("00000000000000a1",), "page", "", "key-10"),
+)  # fmt: skip
+ASKS = (
+    budget.Ask("origin", "t-0", "0123abcd", 5, 120.5, 7.25, 3, 9, 4_000_000_001),
+    budget.Ask("origin/tenant", "t-0", "0123abcd", 6),
+)
+COLD_ASKS = (
+    warming.ColdAsk("n1", "cache", 8, 900_000, 400_000, 50_000, 1_200, 4_000_000_002, 30_000),
+    warming.ColdAsk("p1", "parent", 9, 800_000, 300_000, 0, 900, 4_000_000_003),
+)
+SIGHTS = (council.Sight("n1", True, 10, 3, 2, 14), council.Sight("n2", False))
+JUDGEMENTS = (council.Judgement("n1", 950_000, ("t-0", "t-1"), ("t-2",), 11),)
+COUNTS = (council.Count("n1", 12, 150_000, 4, 3), council.Count("n2", -1, 0, 0, 1))
+GRANTS = (budget.Grant("origin", "0123abcd", 5, 30.125, 9), budget.Grant("fills", "0123abcd", 6, 0.0, 0))
+COLD_GRANTS = (warming.ColdGrant("n1", 8, 250_000),)
+BUDGETS = (
+    budget.State("origin", 250.0, 40, 12.5, 1_000.75, 400_000, (budget.Holding("t-0", 120.5, 9, 80_000),)),
+    budget.State("fills", 0.0, 8, 0.0, 0.0, 0, ()),
+)
+COLD_STATES = (warming.ColdState("n1", 250_000, 900_000, 3),)
+MEMBERS = (
+    words.MemberLine("t-0", "router", 9, True, False, 12_000),
+    words.MemberLine("n1", "cache", 7, False, True, 3_400_000),
+)
+STATUS = words.Status(
+    9, "pattern /video/** at south", WHEN + 9, False, 0, 2 * S, ("t-1", "n1"), 10,
+    {"purges": 10, "p50": 1_500, "p99": 9_000, "highest": 12_000, "missed": 1},
+)  # fmt: skip
+COMPLETE = words.Status(8, "all", WHEN + 8, True, 34_000, 2 * S, (), 10, {})
+
+TO_LEDGER = {
+    "send": words.Send("tag", ("rose", "tulip"), "media", "north", "key-7"),
+    "send_defaults": words.Send("all"),
+    "hello": words.Hello("t-0", "router", "0123abcd", 42, 3, 3_600 * S),
+    "hello_defaults": words.Hello("n1", "cache", "89ef"),
+    "ack": words.Ack(42, 17, True),
+    "ack_defaults": words.Ack(42, 17),
+    "leave": words.Leave(),
+    "ask_status": words.AskStatus(42),
+    "ask_status_defaults": words.AskStatus(),
+    "ask_members": words.AskMembers(),
+    "asks": words.Asks(ASKS, COLD_ASKS),
+    "asks_defaults": words.Asks(()),
+    "sights": words.Sights("north", SIGHTS, 12, True),
+    "sights_defaults": words.Sights("north", (), 12),
+    "ask_views": words.AskViews(),
+    "ask_budgets": words.AskBudgets(),
+}
+FROM_LEDGER = {
+    "taken": words.Taken(7, WHEN + 7, 2 * S, True),
+    "taken_defaults": words.Taken(7, WHEN + 7, 2 * S),
+    "refused": words.Refused("values", "no tag is named", "name one tag or more", 500_000),
+    "refused_defaults": words.Refused("kind", "there is none", "name one"),
+    "welcome": words.Welcome(3, 42, WHEN, 1_500_000, True, True),
+    "welcome_defaults": words.Welcome(3, 42, WHEN, 1_500_000),
+    "purges": words.Purges(PURGES),
+    "purges_none": words.Purges(()),
+    "snapshot": words.Snapshot(10, WHEN, PURGES, False),
+    "snapshot_last": words.Snapshot(10, WHEN, (), True),
+    "beat": words.Beat(3, 42, 17, WHEN),
+    "caught": words.Caught({"n1": 42, "n2": 0}),
+    "status": STATUS,
+    "status_complete": COMPLETE,
+    "members": words.Members(3, 10, MEMBERS),
+    "grants": words.Grants(
+        GRANTS,
+        {"fills": budget.Refusal("figures", "it has others here", "give both the same plan")},
+        COLD_GRANTS,
+    ),
+    "grants_defaults": words.Grants(()),
+    "budgets": words.Budgets(3, BUDGETS, 2, COLD_STATES),
+    "budgets_defaults": words.Budgets(3, (), 0),
+    "judged": words.Judged(JUDGEMENTS, {"n1": 12, "n2": -1}),
+    "judged_defaults": words.Judged(()),
+    "views": words.Views(3, (words.View("north", JUDGEMENTS, COUNTS), words.View("south", (), ()))),
+}  # fmt: skip
+
+# -- messages to and from a lease server -------------------------------------------------------------------
+
+KEEPS = {
+    "k1": lease_terms.Keeps(
+        "k1", 2, 4_000_000_004, 0, 1,
+        (
+            lease_terms.Voted("deliver", "a", "0123abcd", 6, 9 * S, 2 * S, ("b", "c")),
+            lease_terms.Voted("sweep", "", "", 2, 0, 0, ()),
+        ),
+    ),
+    "k2": lease_terms.Keeps(
+        "k2", 2, 4_000_000_004, 0, 0, (lease_terms.Voted("deliver", "a", "0123abcd", 6, 8 * S, 3 * S, ()),)
+    ),
+    "k3": "it hung up",
+}  # fmt: skip
+TO_KEEPER = {
+    "votes": lease_words.Votes(
+        (
+            lease_terms.Vote("deliver", "a", "0123abcd", 4, 6, 4_000_000_004, True),
+            lease_terms.Vote("sweep", "a", "0123abcd", 5, 0, 4_000_000_004),
+        )
+    ),
+    "frees": lease_words.Frees((lease_terms.Free("deliver", "a", "0123abcd", 6),)),
+    "ask_keeps": lease_words.AskKeeps(),
+    "shun": lease_words.Shun("deliver"),
+}
+FROM_KEEPER = {
+    "answers": lease_words.Answers(
+        (
+            lease_terms.Answer("deliver", "k1", "0123abcd", 4, False, 6, 2 * S, "b"),
+            lease_terms.Answer("sweep", "k1", "0123abcd", 5, True, 2),
+        ),
+        {"other": lease_terms.Refusal("task", "there is no such task", "read the plan anew")},
+    ),
+    "answers_defaults": lease_words.Answers(()),
+    "free_again": lease_words.FreeAgain("deliver"),
+    "kept": lease_words.Kept(KEEPS["k1"]),
+    "unheard": lease_words.Unheard("it is no JSON", "mend the sender"),
+}
+
+MESSAGES = [
+    pytest.param(f"{folder}/{name}.json", message, decode, id=f"{folder}-{name}")
+    for folder, messages, decode in (
+        ("to_ledger", TO_LEDGER, words.to_ledger),
+        ("from_ledger", FROM_LEDGER, words.from_ledger),
+        ("to_lease_server", TO_KEEPER, lease_words.to_keeper),
+        ("from_lease_server", FROM_KEEPER, lease_words.from_keeper),
+    )
+    for name, message in messages.items()
+]
+
+# -- stored files ------------------------------------------------------------------------------------------
+
+LOGGED = [
+    words.Purge(1, WHEN + 1, "all"),
+    words.Purge(2, WHEN + 2, "tag", ("rose", "tulip"), "media", "north", "key-2"),
+    words.Purge(3, WHEN + 3, "pattern", ("/video/**",), "", "south"),
+    words.Purge(4, WHEN + 4, "object", ("00000000000000a1",), "page", "", "key-4"),
+]
+NUMBERS = {"deliver": lease_terms.Number(6, "a", "0123abcd"), "sweep": lease_terms.Number(2, "b", "89ef")}
+MARKS = {
+    "router_marks": site_purges.Memo(10, WHEN, tuple((each.when - 500, each) for each in PURGES)),
+    "router_marks_none": site_purges.Memo(0, 0, ()),
+}
+FAULTS = [
+    schedule.Fault(120, "cut", "t-0", 900, 0.25),
+    schedule.Fault(300, "kill", "ledger-1"),
+    schedule.Fault(450, "slots", "shared", 0, 8.0),
+]
+
+
+def logged(folder: Path) -> None:
+    """A purge log of one writer: an epoch file, and two segments, of which the second follows the first."""
+    log = Log(RealDisk(str(folder)))
+    log.append(LOGGED[:2])
+    log.close()
+    log.append(LOGGED[2:])
+    log.close()
+
+
+def compacted(folder: Path) -> None:
+    """The log of a second writer, which has put a snapshot in place of the first purge."""
+    logged(folder)
+    log = Log(RealDisk(str(folder)))
+    log.compact(LOGGED[1:], 1, LOGGED[0].when)
+    log.append([words.Purge(5, WHEN + 5, "tag", ("iris",))])
+    log.close()
+
+
+def numbered(folder: Path) -> None:
+    Numbers(str(folder), "k1", print).write(NUMBERS)
+
+
+def numbered_none(folder: Path) -> None:
+    Numbers(str(folder), "k1", print).write({})
+
+
+FOLDERS = {
+    "ledger": logged,
+    "ledger_compacted": compacted,
+    "lease_server": numbered,
+    "lease_server_none": numbered_none,
+}
+
+# -- refusals: they name fields of the message that was refused ---------------------------------------------
+
+
+def refused_budgets() -> list[Any]:
+    grants, figures, most = granter.Granter([BUDGET], 0), BUDGET.figures, float(2**80)
+    grants.ask(budget.Ask("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, figures), S)
+    return [
+        grants.ask(budget.Ask(*each), S)
+        for each in (
+            ("fills", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, figures),
+            ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, 1),
+            ("origin", "t-0", "0123abcd", 6, most, 0.0, 0, 0, figures),
+            ("origin", "t-0", "0123abcd", 6, 1.0, most, 0, 0, figures),
+            ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, -1, 0, figures),
+            ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, 0, -1, figures),
+            ("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, figures),
+        )
+    ]
+
+
+def refused_colds() -> list[Any]:
+    grants, figures = warming.Warming({"cache": COLD}, 0), COLD.figures
+    grants.ask(warming.ColdAsk("n1", "cache", 5, 9, 9, 0, 1, figures), "t-0", "0123abcd", S)
+    return [
+        grants.ask(warming.ColdAsk(*each), "t-0", "0123abcd", S)
+        for each in (
+            ("n1", "parent", 6, 9, 9, 0, 1, figures),
+            ("n1", "cache", 6, 9, 9, 0, 1, 1),
+            ("", "cache", 6, 9, 9, 0, 1, figures),
+            ("n1", "cache", 6, -1, 9, 0, 1, figures),
+            ("n1", "cache", 6, 9, -1, 0, 1, figures),
+            ("n1", "cache", 6, 9, 9, -1, 1, figures),
+            ("n1", "cache", 6, 9, 9, 0, -1, figures),
+            ("n1", "cache", 6, 9, 9, 0, 1, figures, -1),
+            ("n1", "cache", 5, 9, 9, 0, 1, figures),
+        )
+    ]
+
+
+def refused_votes() -> list[Any]:
+    keeper, figures = lease_keeper.Keeper(LEASES, "k1", 0), LEASES.figures
+    return [
+        keeper.vote(lease_terms.Vote(*each), 9 * S)
+        for each in (
+            ("deliver", "a", "0123abcd", 4, 6, 1),
+            ("", "a", "0123abcd", 4, 6, figures),
+            ("deliver", "", "0123abcd", 4, 6, figures),
+            ("deliver", "a", "", 4, 6, figures),
+            ("other", "a", "0123abcd", 4, 6, figures),
+            ("deliver", "a", "0123abcd", 4, 0, figures),
+        )
+    ]
+
+
+def refused_purges() -> list[Any]:
+    return [
+        words.faulty(each)
+        for each in (
+            words.Send("all", ("rose",)),
+            words.Send("tag", ("rose",), "/"),
+            words.Send("tag", ("rose",), "", "/"),
+            words.Send("tag", ("rose",), "", "", " "),
+        )
+    ]
+
+
+# The texts of a refusal are for people and may change; the field that it names is compared with the asker's.
+REFUSALS = {
+    "budgets": refused_budgets,
+    "cold_servers": refused_colds,
+    "leases": refused_votes,
+    "purges": refused_purges,
+}
+
+
+def refused(name: str) -> bytes:
+    """The fields that are named, one a line."""
+    return "".join(f"{each.place}\n" for each in REFUSALS[name]()).encode()
+
+
+# -- edges: what others read -------------------------------------------------------------------------------
+
+
+def acted(what: str, *arguments: Any) -> bytes:
+    """The drill's line for one action, as its host writes it."""
+    instance = Instance.__new__(Instance)  # its actions need no setup
+    instance.actions = []
+    getattr(instance, what)(*arguments)
+    (action,) = instance.actions
+    return orjson.dumps(action) + b"\n"
+
+
+EDGES = {
+    "answer_done": lambda: answer.done(b"rose"),
+    "answer_still_good": lambda: answer.still_good(),
+    "answer_denied": lambda: answer.denied(1_500),
+    "answer_denied_no_time": lambda: answer.denied(0),
+    "answer_aborted": lambda: answer.aborted(),
+    "answer_refused": lambda: answer.refused(400, "X-Tag is 'x'"),
+    "answer_health_good": lambda: answer.health(True),
+    "answer_health_bad": lambda: answer.health(False),
+    "drill_dispatch.json": lambda: acted(
+        "dispatch", 41, Dispatch(2, "n1", "p1", 3, 60 * S, True, True, 400_000, 9 * S), 8 * S
+    ),
+    "drill_dispatch_plain.json": lambda: acted(
+        "dispatch", 42, Dispatch(0, "n2", "n2", 0, 0, False, False, 400_000, 9 * S), 8 * S
+    ),
+    "drill_call_off.json": lambda: acted("call_off", 41, 2, 8 * S),
+    "drill_deny.json": lambda: acted("deny", 41, 250_000),
+    "drill_abort.json": lambda: acted("abort", 41),
+    "drill_probe.json": lambda: acted("probe", "n1", 300_000),
+    "drill_subscribe.json": lambda: acted("subscribe"),
+    "drill_timer.json": lambda: acted("timer", 9 * S, 8 * S, 5),
+}  # fmt: skip
+
+ANSWERS = {
+    words.AskStatus: STATUS,
+    words.AskMembers: words.Members(3, 10, MEMBERS),
+    words.AskBudgets: words.Budgets(3, BUDGETS, 2, COLD_STATES),
+    words.AskViews: words.Views(3, (words.View("north", JUDGEMENTS, COUNTS),)),
+}
+COMMANDS = {
+    "purge_send": (["purge", "send", "--tag", "rose", "--key", "k", "--json"], 0),
+    "purge_status": (["purge", "status", "9", "--json"], 1),
+    "purge_members": (["purge", "members", "--json"], 0),
+    "fleet_status": (["fleet", "status", "--json"], 0),
+    "fleet_budgets": (["fleet", "budgets", "--json"], 0),
+    "fleet_judgements": (["fleet", "judgements", "--json"], 0),
+    "fleet_counts": (["fleet", "counts", "--json"], 0),
+    "lease_list": (["lease", "list", "main.plan", "--json"], 0),
+    "plan_check": (["plan", "check", "main.plan", "--json"], 0),
+    "plan_check_broken": (["plan", "check", "broken.plan", "--json"], 1),
+    "plan_diff": (["plan", "diff", "main.plan", "other.plan", "--json"], 1),
+    "plan_explain": (["plan", "explain", "main.plan", "GET x.example/stock/rose", "--json"], 0),
+    "plan_compile": (["plan", "compile", "main.plan"], 0),
+}
+
+
+def answered(ask: Any, ledgers: Any, said: Any) -> Any:
+    """What a ledger answers, without one."""
+    return [words.Taken(7, WHEN + 7, 2 * S, True)] if isinstance(said, list) else ANSWERS[type(said)]
+
+
+def printed(name: str, patch: pytest.MonkeyPatch) -> bytes:
+    for module in (cli_purge, cli_fleet):
+        patch.setattr(module, "ran", answered)
+    patch.setattr(cli_lease, "_ask", lambda path: (LEASES, KEEPS))
+    arguments, status = COMMANDS[name]
+    groups = {
+        "purge": cli_purge.purge, "fleet": cli_fleet.fleet, "lease": cli_lease.lease, "plan": cli_plan.plan,
+    }  # fmt: skip
+    patch.chdir(GOLDEN / "plans")
+    result = CliRunner().invoke(groups[arguments[0]], arguments[1:])
+    assert result.exit_code == status, result.output
+    return result.output.encode()
+
+
+# -- tests -------------------------------------------------------------------------------------------------
+
+
+def same(found: Any, built: Any) -> None:
+    """Equal, and of the same types all the way down: tuples compare equal whatever their names."""
+    assert found == built
+    assert repr(found) == repr(built)
+
+
+def contents(folder: Path) -> dict[str, bytes]:
+    return {path.name: path.read_bytes() for path in sorted(folder.iterdir())}
+
+
+@pytest.mark.parametrize("path, message, decode", MESSAGES)
+def test_message_bytes(path, message, decode):
+    recorded = (GOLDEN / path).read_bytes()
+    assert recorded.endswith(b"\n") and recorded.count(b"\n") == 1
+    same(decode(recorded[:-1]), message)
+    assert words.line(message) == recorded
+
+
+@pytest.mark.parametrize("name, default", [("welcome", "welcome_defaults"), ("budgets", "budgets_defaults")])
+def test_message_of_older_ledger_is_read(name, default):
+    """Fields that were added since are always written, and may be missing in what is read."""
+    recorded = (GOLDEN / "from_older" / f"{name}.json").read_bytes()
+    same(words.from_ledger(recorded[:-1]), FROM_LEDGER[default])
+
+
+def parts(value: Any) -> Iterator[Any]:
+    """A message and all that is nested in it."""
+    if isinstance(value, msgspec.Struct):
+        yield value
+        value = [getattr(value, name) for name in value.__struct_fields__]
+    elif isinstance(value, dict):
+        value = list(value.values())
+    elif hasattr(value, "_fields"):
+        yield value
+    if isinstance(value, list | tuple):
+        for each in value:
+            yield from parts(each)
+
+
+@pytest.mark.parametrize(
+    "union, messages",
+    [
+        pytest.param(words.ToLedger, TO_LEDGER, id="to_ledger"),
+        pytest.param(words.FromLedger, FROM_LEDGER, id="from_ledger"),
+        pytest.param(lease_words.ToKeeper, TO_KEEPER, id="to_lease_server"),
+        pytest.param(lease_words.FromKeeper, FROM_KEEPER, id="from_lease_server"),
+    ],
+)
+def test_every_message_and_optional_field_is_recorded(union, messages):
+    assert {type(each) for each in messages.values()} == set(get_args(union))
+    optional: dict[tuple[type, str], set[bool]] = {}
+    for part in (part for each in messages.values() for part in parts(each)):
+        if isinstance(part, msgspec.Struct):
+            fields = msgspec.structs.fields(part)
+            defaults = {
+                each.name: each.default if each.default is not msgspec.NODEFAULT else each.default_factory()
+                for each in fields
+                if not each.required
+            }
+        else:
+            defaults = part._field_defaults
+        for name, default in defaults.items():
+            optional.setdefault((type(part), name), set()).add(getattr(part, name) == default)
+    assert [key for key, seen in optional.items() if seen != {True, False}] == []
+
+
+@pytest.mark.parametrize("name", FOLDERS)
+def test_stored_folder_bytes(name, tmp_path):
+    FOLDERS[name](tmp_path)
+    assert contents(tmp_path) == contents(GOLDEN / "stored" / name)
+
+
+def test_purge_log_is_read():
+    disk = RealDisk(str(GOLDEN / "stored" / "ledger"))
+    assert disk.names() == ["00000001-00000001.log", "00000001-00000002.log", "epoch-00000001"]
+    length = len(disk.read("00000001-00000002.log"))
+    same(read(disk), Found(LOGGED, 0, 0, "00000001-00000002.log", length, 0, []))
+    first = len(disk.read("00000001-00000001.log"))
+    headers = {"00000001-00000001.log": Header(1, 1, "", 0, 0)}
+    headers["00000001-00000002.log"] = Header(1, 1, "00000001-00000001.log", first, 2)
+    for name, header in headers.items():
+        data = disk.read(name)
+        same(msgspec.msgpack.decode(next(records(data, len(data))).payload, type=Header), header)
+
+
+def test_purge_log_snapshot_is_read():
+    disk = RealDisk(str(GOLDEN / "stored" / "ledger_compacted"))
+    assert disk.names() == [
+        "0000000000000004.snapshot", "00000002-00000001.log", "epoch-00000001", "epoch-00000002",
+    ]  # fmt: skip
+    length = len(disk.read("00000002-00000001.log"))
+    purges = [*LOGGED[1:], words.Purge(5, WHEN + 5, "tag", ("iris",))]
+    same(read(disk), Found(purges, 1, WHEN + 1, "00000002-00000001.log", length, 0, []))
+    data = disk.read("0000000000000004.snapshot")
+    summary = next(records(data, len(data))).payload
+    same(msgspec.msgpack.decode(summary, type=Summary), Summary(1, 4, 1, WHEN + 1))
+
+
+@pytest.mark.parametrize("name, numbers", [("lease_server", NUMBERS), ("lease_server_none", {})])
+def test_lease_numbers_are_read(name, numbers):
+    said = []
+    same(Numbers(str(GOLDEN / "stored" / name), "k1", said.append).found, numbers)
+    assert said == []
+
+
+@pytest.mark.parametrize("name", MARKS)
+def test_router_marks_file(name, tmp_path):
+    path, memo = GOLDEN / "stored" / name, MARKS[name]
+    same(msgspec.msgpack.decode(path.read_bytes(), type=site_purges.Memo), memo)
+    fleet = Fleet(2 * S, 3_600 * S, 1_000, 1_000, 0, True)
+    follower = Follower("t-0", "router", "0123abcd", fleet.lease)
+    assert site_purges.resume(str(path), fleet, follower, WHEN + S) == ""
+    same(site_purges.memo(fleet, follower.held), memo)
+    site_purges.save(str(tmp_path / name), memo)
+    assert (tmp_path / name).read_bytes() == path.read_bytes()
+
+
+def test_fault_schedule_file(tmp_path):
+    path = GOLDEN / "stored" / "faults.jsonl"
+    same(schedule.read(path), FAULTS)
+    schedule.write(tmp_path / "faults", FAULTS)
+    assert (tmp_path / "faults").read_bytes() == path.read_bytes()
+
+
+@pytest.mark.parametrize("name", FIGURES)
+def test_terms_checksum(name):
+    recorded = json.loads((GOLDEN / "checksums.json").read_bytes())
+    assert set(recorded) == set(FIGURES)
+    assert FIGURES[name].figures == recorded[name]
+
+
+@pytest.mark.parametrize("name", REFUSALS)
+def test_refusals_name_fields(name):
+    assert refused(name) == (GOLDEN / "refusals" / name).read_bytes()
+
+
+@pytest.mark.parametrize("name", EDGES)
+def test_edge_bytes(name):
+    assert EDGES[name]() == (GOLDEN / "edges" / name).read_bytes()
+
+
+@pytest.mark.parametrize("name", COMMANDS)
+def test_command_json_output(name, monkeypatch):
+    assert printed(name, monkeypatch) == (GOLDEN / "commands" / f"{name}.json").read_bytes()
+
+
+DRILL_READ = {
+    "drill_listed.json": (
+        lambda event: wire.listed(event, Tiers()),
+        Listed("n1", "north", Tier.CACHE, "box", 3, State.DRAINING, 2.5, WHEN),
+    ),
+    "drill_req.json": (wire.req, Req(41, "page", "00a1", 7, 2, 12.5, 3 * S, "acme")),
+    "drill_req_defaults.json": (wire.req, Req(42, "page", "00a2", None, 0, 0.0, 3 * S)),
+    "drill_outcome.json": (
+        lambda event: wire.outcome(event, ["busy", "x1", "rif"]),
+        Outcome(2, Ending.FULL, 34_000, Told(1), True, Report(12_000, 0.75, 1.25)),
+    ),
+    "drill_outcome_defaults.json": (
+        lambda event: wire.outcome(event, []),
+        Outcome(0, Ending.DONE, 34_000),
+    ),
+}  # fmt: skip
+
+
+class Tiers:
+    """All of a briefing that a listed cache needs."""
+
+    def tier(self, kind: str) -> Tier:
+        assert kind == "box"
+        return Tier.CACHE
+
+
+@pytest.mark.parametrize("name", DRILL_READ)
+def test_drill_event_is_read(name):
+    decode, built = DRILL_READ[name]
+    same(decode(orjson.loads((GOLDEN / "edges" / name).read_bytes())), built)
+
+
+# -- recording ---------------------------------------------------------------------------------------------
+
+
+def record() -> None:
+    """Writes the files that are missing; those that are there stay as they are."""
+
+    def put(path: str, data: bytes) -> None:
+        if not (GOLDEN / path).exists():
+            (GOLDEN / path).parent.mkdir(parents=True, exist_ok=True)
+            (GOLDEN / path).write_bytes(data)
+            print(f"{path}: {len(data)} bytes", file=sys.stderr)
+
+    for entry in MESSAGES:
+        put(entry.values[0], words.line(entry.values[1]))
+    with tempfile.TemporaryDirectory() as made:
+        for name, make in FOLDERS.items():
+            make(Path(made) / name)
+            for file, data in contents(Path(made) / name).items():
+                put(f"stored/{name}/{file}", data)
+        for name, memo in MARKS.items():
+            site_purges.save(f"{made}/{name}", memo)
+            put(f"stored/{name}", Path(made, name).read_bytes())
+        schedule.write(Path(made, "faults"), FAULTS)
+        put("stored/faults.jsonl", Path(made, "faults").read_bytes())
+    figures = {name: terms.figures for name, terms in FIGURES.items()}
+    put("checksums.json", json.dumps(figures, indent=2).encode() + b"\n")
+    for name, make in EDGES.items():
+        put(f"edges/{name}", make())
+    for name in REFUSALS:
+        put(f"refusals/{name}", refused(name))
+    with pytest.MonkeyPatch.context() as patch:
+        for name in COMMANDS:
+            put(f"commands/{name}.json", printed(name, patch))
+
+
+if __name__ == "__main__":
+    record()
