--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -10,18 +10,18 @@
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
 
-from quartzrouter.leases.claim import Ask, Claim
-from quartzrouter.leases.keeper import Keeper
-from quartzrouter.leases.terms import Answer, Free, Terms
-from quartzrouter.rehearse.leases import Fault, Shape, play
-from quartzrouter.stand import checks
+from quartzrouter.fault_harness import history_checks
+from quartzrouter.fault_scenarios.leases import Fault, ScenarioSize, play
+from quartzrouter.leases.acceptor import Acceptor
+from quartzrouter.leases.proposer import Proposer, SendToAcceptors
+from quartzrouter.leases.terms import LeaseTerms, VoteRelease, VoteReply
 
 S = 1_000_000
 STEP = 5_000  # us
 SECONDS = 20
 PLAYS = 3  # of each kind
 FAULTS = 5  # in one play
-SHAPE = Shape(keepers=5, claimants=4, length="1s", drift=200, spoil=0.0, seconds=5.0 * FAULTS)
+SHAPE = ScenarioSize(keepers=5, claimants=4, length="1s", drift=200, spoil=0.0, seconds=5.0 * FAULTS)
 KINDS = {
     "killed": ("kill", 500),
     "stopped": ("stop", 2_500),
@@ -32,10 +32,10 @@
 
 def words() -> None:
     """Five keepers, 20 tasks, 200 claimants that all want all: decisions alone, at true time."""
-    terms = Terms(tuple(f"k{n}" for n in range(5)), tasks=tuple((f"t{n}", ()) for n in range(20)))
+    terms = LeaseTerms(tuple(f"k{n}" for n in range(5)), tasks=tuple((f"t{n}", ()) for n in range(20)))
     now, said = 10 * S, 0
-    keepers = [Keeper(terms, name, 0) for name in terms.keepers]
-    claims = [Claim(terms, task, f"c{n}", f"x{n}", now) for n in range(200) for task, _ in terms.tasks]
+    keepers = [Acceptor(terms, name, 0) for name in terms.keepers]
+    claims = [Proposer(terms, task, f"c{n}", f"x{n}", now) for n in range(200) for task, _ in terms.tasks]
     began, cpu = now, time.process_time()
     held = 0
     while now < began + SECONDS * S:
@@ -46,14 +46,14 @@
             todo = list(claim.tick(now, now // 1000))
             while todo:
                 effect = todo.pop(0)
-                if not isinstance(effect, Ask):
+                if not isinstance(effect, SendToAcceptors):
                     continue
                 for keeper in keepers:
                     said += 1
-                    if isinstance(effect.said, Free):
+                    if isinstance(effect.said, VoteRelease):
                         for name in keeper.free(effect.said, now):
                             next(c for c in claims if (c.name, c.task) == (name, effect.said.task)).freed(now)
-                    elif isinstance(answer := keeper.vote(effect.said, now), Answer):
+                    elif isinstance(answer := keeper.vote(effect.said, now), VoteReply):
                         todo += claim.answer(answer, now)
     held = sum(claim.held(now) for claim in claims)
     took = time.process_time() - cpu
@@ -78,7 +78,7 @@
     for seed in range(PLAYS):
         faults = [Fault(1_500 + 5_000 * n, "holder", kind, lasts) for n in range(FAULTS)]
         seen = play(random.Random(seed), SHAPE, faults)
-        acts = checks.acts(seen.fleet.history)
+        acts = history_checks.acts(seen.fleet.history)
         for each in (one for one in seen.fleet.history.of("fault") if one.told["kind"] == kind):
             before = [act for act in acts if act.who == each.who and act.began < each.at + 200_000]
             number = before[-1].number if before else 0
--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -11,17 +11,17 @@
 import time
 import tracemalloc
 
-from quartzrouter.briefing import Configuration
-from quartzrouter.control import Router
-from quartzrouter.force.force import Force
-from quartzrouter.force.ruling import vhost_name
-from quartzrouter.interface import Ending, Listed, Outcome, Req, State, Tier
-from quartzrouter.plan.compile import compiled
-from quartzrouter.plan.load import load
-from quartzrouter.plan.matcher import Matcher, plain
-from quartzrouter.plan.model import Route
-from quartzrouter.plan.patterns import METHODS, pattern
-from quartzrouter.plan.sets import Asked, Box, Lang
+from quartzrouter.config.loader import load
+from quartzrouter.config.matcher import Matcher, plain
+from quartzrouter.config.model import Route
+from quartzrouter.config.patterns import METHODS, pattern
+from quartzrouter.config.platform_json import compiled
+from quartzrouter.config.request_sets import Asked, Box, Lang
+from quartzrouter.configuration import Configuration
+from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
+from quartzrouter.pool_routing.route_selection import vhost_name
+from quartzrouter.routing.model import AttemptResult, AttemptStatus, Endpoint, EndpointState, Request, Tier
+from quartzrouter.routing.router import Router
 
 HEAD = """deployment: { name: "big", home: "s1" }, stores: { s1: { hub: "h" } }, hubs: { h: {} },
   caches: {
@@ -115,9 +115,11 @@
         print(f"| {count:,} | {build * 1e3:.1f} | {memory:.1f} | {tree * 1e6:.1f} | {slow * 1e6:.1f} |")
 
 
-def listed(plan) -> list[Listed]:
+def listed(plan) -> list[Endpoint]:
     return [
-        Listed(name, cache["at"], Tier(cache["tier"]), cache["kind"], 0, State.UP, cache["weight"], 0)
+        Endpoint(
+            name, cache["at"], Tier(cache["tier"]), cache["kind"], 0, EndpointState.UP, cache["weight"], 0
+        )
         for name, cache in plan.caches.items()
     ]
 
@@ -129,34 +131,42 @@
     plan = load("main", lambda path: text).plan
     arguments = Configuration(compiled(plan), {}, journal_needed=False).briefing.arguments
     router = Router(**arguments)
-    router.heard(listed(plan), True, 0)
+    router.update_endpoints(listed(plan), True, 0)
 
     def bare(n: int, now: int) -> None:
-        answer = router.route(Req(n, "page", f"{n % 500:016x}", None, 0, 0.0, 3_000_000), now)
-        router.after(n, Outcome(answer.hop, Ending.DONE, 9_000, over=True), now + 9_000)
-        router.wait(now)
+        answer = router.route(Request(n, "page", f"{n % 500:016x}", None, 0, 0.0, 3_000_000), now)
+        router.attempt_finished(
+            n, AttemptResult(answer.attempt_number, AttemptStatus.SUCCEEDED, 9_000, final=True), now + 9_000
+        )
+        router.maintenance(now)
 
     print(f"| the module alone | {timed(bare):.1f} |")
     for count in (1, 1_000, 5_000):
         text = template(count)
         plan = load("main", lambda path, text=text: text).plan
-        force = Force(plan, arguments)
-        force.heard(listed(plan), True, 0)
+        force = MultiPoolRouter(plan, arguments)
+        force.update_endpoints(listed(plan), True, 0)
 
         def planned(n: int, now: int, force=force, count=count) -> None:
             at = n % count
             ruling = force.rule(Asked("s1", f"h{at}.example", f"/area/sub{at}/{n % 500}"), "10.0.0.7")
             assert force.admit(n, ruling, now) is None
-            told = Req(n, vhost_name(ruling.route), ruling.obj, None, 0, 0.0, 3_000_000)
+            told = Request(n, vhost_name(ruling.route), ruling.obj, None, 0, 0.0, 3_000_000)
             answer = force.route(told, now)
-            force.after(n, Outcome(answer.hop, Ending.DONE, 9_000, over=True), now + 9_000)
+            force.attempt_finished(
+                n,
+                AttemptResult(answer.attempt_number, AttemptStatus.SUCCEEDED, 9_000, final=True),
+                now + 9_000,
+            )
             force.release(n)
-            force.wait(now)
+            force.maintenance(now)
 
         print(f"| under a plan of {count:,} routes | {timed(planned):.1f} |")
-    started = [imported("quartzrouter.net.serve"), imported("quartzrouter.site.serve")]
-    print(f"\nImports at start: {started[0][0]} modules and {started[0][1]} MB for `python -m quartzrouter`, "
-          f"{started[1][0]} and {started[1][1]} MB for `quartzrouter run`.")  # fmt: skip
+    started = [imported("quartzrouter.server.process"), imported("quartzrouter.standalone.process")]
+    print(
+        f"\nImports at start: {started[0][0]} modules and {started[0][1]} MB for `python -m quartzrouter`, "
+        f"{started[1][0]} and {started[1][1]} MB for `quartzrouter run`."
+    )
 
 
 def timed(play, count: int = 20_000) -> float:
--- a/benchmarks/purges.py
+++ b/benchmarks/purges.py
@@ -12,18 +12,18 @@
 
 import anyio
 
-from quartzrouter.ledger.disk import RealDisk
-from quartzrouter.ledger.log import Log
-from quartzrouter.ledger.serve import Ledger
-from quartzrouter.ledger.wire import Client, lines
-from quartzrouter.net.report import Report
-from quartzrouter.net.loop import LOOP
-from quartzrouter.net.serve import clock
-from quartzrouter.purges import words
-from quartzrouter.purges.follower import Apply, Follower, Say
-from quartzrouter.purges.lease import Lease, lease
-from quartzrouter.purges.marks import Asked, Marks
-from quartzrouter.purges.words import Purge, Send
+from quartzrouter.purge_log.disk import RealDisk
+from quartzrouter.purge_log.line_connection import QueryClient, lines
+from quartzrouter.purge_log.log import PurgeLog
+from quartzrouter.purge_log.server import PurgeLogServer
+from quartzrouter.purges import messages
+from quartzrouter.purges.freshness_lease import FreshnessLease, lease
+from quartzrouter.purges.messages import Purge, PurgeRequest
+from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
+from quartzrouter.purges.replica import ApplyPurges, PurgeReplica, SendMessage
+from quartzrouter.server.event_loop import LOOP
+from quartzrouter.server.process import wall_clock
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 GRACE = 300_000
 LIFE = 3_600_000_000
@@ -55,7 +55,7 @@
         else:
             (self.objects if purge.kind == "object" else self.tags)[value] = when
 
-    def newest(self, asked: Asked, tags, store: str) -> int:
+    def newest(self, asked: PurgeLookup, tags, store: str) -> int:
         best = max([self.objects.get(asked.obj, 0), *(self.tags.get(tag, 0) for tag in tags)])
         for expression, when in self.patterns:
             if when > best and expression.fullmatch(asked.path):
@@ -63,8 +63,8 @@
         return best
 
 
-def filled(name: str, purges: list[Purge]) -> "Marks | Plain":
-    held = Marks(LIFE, 10_000_000) if name == "own" else Plain()
+def filled(name: str, purges: list[Purge]) -> "PurgeIndex | Plain":
+    held = PurgeIndex(LIFE, 10_000_000) if name == "own" else Plain()
     for purge in purges:
         held.add(purge, purge.when)
     return held
@@ -87,7 +87,7 @@
             added = time.perf_counter() - began
             looks = LOOKS if count < 100_000 or name == "own" else 50
             asked = [
-                Asked("page", f"o{chance.randrange(count)}", "x", f"/p{n % 977}/rose-{n}/1")
+                PurgeLookup("page", f"o{chance.randrange(count)}", "x", f"/p{n % 977}/rose-{n}/1")
                 for n in range(looks)
             ]
             began = time.perf_counter()
@@ -101,14 +101,14 @@
 
 def req() -> None:
     """Bound and judgement of one req under live marks, in us."""
-    from quartzrouter.purges.fleet import Copy, Fleet
+    from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
 
     for count in (0, 1_000, 100_000):
-        fleet, chance = Fleet(GRACE, LIFE, 1_000_000, 65_536), random.Random(1)
+        fleet, chance = FleetPurges(GRACE, LIFE, 1_000_000, 65_536), random.Random(1)
         fleet.lease.renew(10**9)
-        fleet.apply(Apply(tuple(made(count, chance)), 0), count, 10**9)
-        asked = [Asked("page", f"x{n}", "x", f"/p{n % 977}/rose-{n}/1") for n in range(LOOKS)]
-        copy = Copy(0, 5, ("t-a", "t-b"))
+        fleet.apply(ApplyPurges(tuple(made(count, chance)), 0), count, 10**9)
+        asked = [PurgeLookup("page", f"x{n}", "x", f"/p{n % 977}/rose-{n}/1") for n in range(LOOKS)]
+        copy = CachedCopy(0, 5, ("t-a", "t-b"))
         began = time.perf_counter()
         for each in asked:
             fleet.oldest(each, "north", ("c", "p"), 8_000_000, 10**9)
@@ -119,7 +119,7 @@
 async def _ledger() -> None:
     with tempfile.TemporaryDirectory() as folder:
         disk = RealDisk(folder)
-        log, n = Log(disk), 0
+        log, n = PurgeLog(disk), 0
         for each in (1, 16, 256, 4_096):
             began, rounds = time.perf_counter(), 50 if each < 4_096 else 10
             for _ in range(rounds):
@@ -137,17 +137,19 @@
             async with anyio.create_task_group() as tasks:
                 ledger, at = await _start(tasks, folder)
                 began = time.perf_counter()
-                await Client([at], 30).ask_all([Send("tag", (f"t{n}",), key=f"k{n}") for n in range(many)])
+                await QueryClient([at], 30).ask_all(
+                    [PurgeRequest("tag", (f"t{n}",), key=f"k{n}") for n in range(many)]
+                )
                 print(f"ledger: {many} purges at once: {many / (time.perf_counter() - began):.0f} purges/s")
                 for back in (100, 1_000, 10_000):
-                    follower = Follower("r", "watcher", "t", Lease(lease(GRACE)), many - back)
+                    follower = PurgeReplica("r", "watcher", "t", FreshnessLease(lease(GRACE)), many - back)
                     began = time.perf_counter()
-                    held, pieces = Marks(LIFE, 1 << 30), 0
+                    held, pieces = PurgeIndex(LIFE, 1 << 30), 0
                     stream = await anyio.connect_tcp(*at)
-                    await stream.send(words.line(follower.begin(0)))
+                    await stream.send(messages.encode_line(follower.begin(0)))
                     async for data in lines(stream):
-                        for given in follower.take(words.from_ledger(data), clock()):
-                            if isinstance(given, Apply):
+                        for given in follower.take(messages.decode_from_purge_log(data), wall_clock()):
+                            if isinstance(given, ApplyPurges):
                                 for purge in given.purges:
                                     held.add(purge, purge.when)
                                     pieces += 1
@@ -161,7 +163,7 @@
 async def _start(tasks, folder):
     listeners = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
     at = ("127.0.0.1", listeners.extra(anyio.abc.SocketAttribute.local_port))
-    ledger = Ledger(RealDisk(folder), GRACE, Report("ledger", clock))
+    ledger = PurgeLogServer(RealDisk(folder), GRACE, RateLimitedLog("ledger", wall_clock))
     tasks.start_soon(ledger.run, list(listeners.listeners))
     return ledger, at
 
@@ -174,25 +176,27 @@
                 ledger, at = await _start(tasks, folder)
 
                 async def member(n: int, at=at) -> None:
-                    follower = Follower(f"r{n}", "router", "t", Lease(lease(GRACE)))
+                    follower = PurgeReplica(f"r{n}", "router", "t", FreshnessLease(lease(GRACE)))
                     stream = await anyio.connect_tcp(*at)
-                    await stream.send(words.line(follower.begin(clock())))
+                    await stream.send(messages.encode_line(follower.begin(wall_clock())))
                     async for data in lines(stream):
-                        for given in follower.take(words.from_ledger(data), clock()):
-                            if isinstance(given, Say):
-                                await stream.send(words.line(given.said))
+                        for given in follower.take(messages.decode_from_purge_log(data), wall_clock()):
+                            if isinstance(given, SendMessage):
+                                await stream.send(messages.encode_line(given.said))
 
                 for n in range(count):
                     tasks.start_soon(member, n)
                 await anyio.sleep(0.5)
-                client = Client([at])
+                client = QueryClient([at])
                 for n in range(500):
-                    await client.ask(Send("tag", ("rose",), key=f"k{n}"))
+                    await client.ask(PurgeRequest("tag", ("rose",), key=f"k{n}"))
                     await anyio.sleep(0.004)
                 await anyio.sleep(0.3)
                 told = {k: round(v / 1000, 1) for k, v in ledger.book.told_delays().items() if k[0] in "ph"}
-                print(f"{count:3} routers: ms from taking to the last acknowledgement {told}, "
-                      f"promised {ledger.book.promise / 1000:.0f}, missed {ledger.book.missed}")  # fmt: skip
+                print(
+                    f"{count:3} routers: ms from taking to the last acknowledgement {told}, "
+                    f"promised {ledger.book.promise / 1000:.0f}, missed {ledger.book.missed}"
+                )
                 tasks.cancel_scope.cancel()
 
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -16,8 +16,8 @@
 import time
 from pathlib import Path
 
-from quartzrouter.net import fastcgi
-from quartzrouter.standin.loopback import PORTS, Client, begin
+from quartzrouter.fakes.loopback import PORTS, Client, begin
+from quartzrouter.server import fastcgi
 
 ROUTERS = 20
 PARTS = "interpreter", "imports", "configuration", "service", "loop", "list, listener", "health"
@@ -29,8 +29,8 @@
 came = [time.monotonic()]
 from quartzrouter.signals import Signals
 signals = Signals().__enter__()
-from quartzrouter.briefing import Configuration, read
-from quartzrouter.net import serve
+from quartzrouter.configuration import Configuration, read
+from quartzrouter.server import serve
 import anyio
 note = lambda: came.append(time.monotonic())
 note()
@@ -53,19 +53,31 @@
 def configuration() -> dict:
     """A deployment of 160 caches, told at start."""
     members = [
-        {"id": f"s-{n:08x}", "host_port": f"127.0.0.1:{9 + n}", "locality": "north", "cell": 0, "size": 6,
-         "flavor": {0: "origin", 1: "parent"}.get(n, "box"), "phase": "SERVING", "up_since_ms": 0}
+        {
+            "id": f"s-{n:08x}",
+            "host_port": f"127.0.0.1:{9 + n}",
+            "locality": "north",
+            "cell": 0,
+            "size": 6,
+            "flavor": {0: "origin", 1: "parent"}.get(n, "box"),
+            "phase": "SERVING",
+            "up_since_ms": 0,
+        }
         for n in range(162)
-    ]  # fmt: skip
+    ]
     return {
-        "journal": "127.0.0.1:9", "seed": "7", "limits": {"sockets": 512},
+        "journal": "127.0.0.1:9",
+        "seed": "7",
+        "limits": {"sockets": 512},
         "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": members}}]},
         "settings": {
-            "zone": "north", "zones": ["north"], "models": ["box", "parent", "origin"],
+            "zone": "north",
+            "zones": ["north"],
+            "models": ["box", "parent", "origin"],
             "categories": [{"name": "page", "effect": "retryable", "deadline_us": 3_000_000}],
             "family_info": {"shield_kind": 1, "store_kind": 2},
         },
-    }  # fmt: skip
+    }
 
 
 def health(port: int) -> bool:
--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -9,20 +9,20 @@
 from dataclasses import replace
 from functools import partial
 
-from quartzrouter.purges import words as lines
-from quartzrouter.purges.words import Asks, Grants, Judged, Sights
-from quartzrouter.rehearse.sharing import FEW, RATE, play
-from quartzrouter.sharing.budget import Ask, Budget
-from quartzrouter.sharing.council import TELL_EVERY, Council, Sight
-from quartzrouter.sharing.granter import Granter
-from quartzrouter.sharing.warming import ColdAsk, Terms, Warming
-from quartzrouter.stand import checks
-from quartzrouter.stand.schedule import Fault
+from quartzrouter.fault_harness import history_checks
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_scenarios.sharing import FEW, RATE, play
+from quartzrouter.fleet_health.aggregator import TELL_EVERY, CacheObservation, HealthAggregator
+from quartzrouter.purges import messages as lines
+from quartzrouter.purges.messages import EjectionVerdicts, HealthReport, QuotaGrants, QuotaRequests
+from quartzrouter.quota.allocator import QuotaAllocator
+from quartzrouter.quota.budget import Budget, QuotaRequest
+from quartzrouter.quota.slow_start import SlowStartAllocator, SlowStartRequest, SlowStartTerms
 
 S = 1_000_000
 SECONDS = 4
 BUDGETS = [Budget(f"b{n}", rate=100.0, burst=20.0, slots=40, hold=S, routers=200) for n in range(4)]
-TERMS = Terms(S, 0.2, 200, 500_000)
+TERMS = SlowStartTerms(S, 0.2, 200, 500_000)
 CACHES, BUSY, COLD = 40, 10, 2  # of a store, in use at one router, cold
 SHAPE = replace(FEW, rate=80, burst=16, demand=120.0, uneven=1 / 6, slots=4_000, slot_floors="100%", askers=0)
 
@@ -31,7 +31,11 @@
     """A ledger's work for N routers in a second: lines read, decided and written, in one process."""
     print("members  lines/s in, out  ms of CPU a second: read, decide, write")
     for members in (12, 24, 200):
-        granter, warming, council = Granter(BUDGETS, 0, alone=True), Warming({"cache": TERMS}, 0), Council()
+        granter, warming, council = (
+            QuotaAllocator(BUDGETS, 0, alone=True),
+            SlowStartAllocator({"cache": TERMS}, 0),
+            HealthAggregator(),
+        )
         spent, counted, now, numbers = [0.0, 0.0, 0.0], [0, 0], 100 * S, 0
         for tick in range(SECONDS * 20):
             now += 50_000
@@ -40,29 +44,31 @@
                 if tick % 5 == n % 5:  # four asks a second, for four budgets
                     numbers += 1
                     told = (f"r{n}", "t", numbers, 20.0, 1.0, 2, 5)
-                    asks = tuple(Ask(b.name, *told, b.figures) for b in BUDGETS)
+                    asks = tuple(QuotaRequest(b.name, *told, b.figures) for b in BUDGETS)
                     cold = (S, S, 0, 50_000, TERMS.figures)
-                    colds = tuple(ColdAsk(f"n{c}", "cache", numbers, *cold) for c in range(COLD))
-                    said.append(lines.line(Asks(asks, colds)))
+                    colds = tuple(SlowStartRequest(f"n{c}", "cache", numbers, *cold) for c in range(COLD))
+                    said.append(lines.encode_line(QuotaRequests(asks, colds)))
                 if tick % 4 == n % 4:
-                    sights = tuple(Sight(f"n{(n + c) % CACHES}", False, 4, 0, 1, 4) for c in range(BUSY))
-                    said.append(lines.line(Sights("north", sights, CACHES, True)))
+                    sights = tuple(
+                        CacheObservation(f"n{(n + c) % CACHES}", False, 4, 0, 1, 4) for c in range(BUSY)
+                    )
+                    said.append(lines.encode_line(HealthReport("north", sights, CACHES, True)))
                 for line in said:
                     counted[0] += 1
                     began = time.process_time()
-                    heard = lines.to_ledger(line)
+                    heard = lines.decode_to_purge_log(line)
                     read = time.process_time()
                     answer = None
-                    if isinstance(heard, Asks):
+                    if isinstance(heard, QuotaRequests):
                         given = tuple(granter.ask(each, now) for each in heard.asks)
                         parts = tuple(warming.ask(each, f"r{n}", "t", now) for each in heard.colds)
-                        answer = Grants(given, {}, parts)
+                        answer = QuotaGrants(given, {}, parts)
                     else:
                         council.hear(f"r{n}", "t", heard.store, heard.sights, now, heard.caches)
                     decided = time.process_time()
                     if answer:
                         counted[1] += 1
-                        lines.line(answer)
+                        lines.encode_line(answer)
                     spent[0] += read - began
                     spent[1] += decided - read
                     spent[2] += time.process_time() - decided
@@ -73,7 +79,7 @@
                 decided = time.process_time()
                 for _ in range(members):
                     counted[1] += 1
-                    lines.line(Judged(judged, loads))
+                    lines.encode_line(EjectionVerdicts(judged, loads))
                 spent[1] += decided - began
                 spent[2] += time.process_time() - decided
         ms = [each / SECONDS * 1000 for each in spent]
@@ -88,9 +94,9 @@
         shape = replace(SHAPE, seconds=lasts + 12.0)
         faults = [Fault(5_000, "cut", f"r{n}", lasts * 1000) for n in range(6)]
         seen = play(random.Random(1), shape, faults)
-        reqs, at = checks.let_through(seen.fleet.history, RATE), seen.began + 5 * S
+        reqs, at = history_checks.let_through(seen.fleet.history, RATE), seen.began + 5 * S
         heals = at + lasts * S
-        used = partial(checks.rate, reqs)
+        used = partial(history_checks.rate, reqs)
         before = used(at - 2 * S, at)
         steps = range(0, 6 * S, 50_000)
         back = next((n for n in steps if used(heals + n, heals + n + S) >= 0.9 * before), None)
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -24,7 +24,12 @@
         ("class", 0): dict(name="seat-maps", share="[2.1, 3.0]", aim_ms="300", deadline_ms="1500", worth="1"),
         ("class", 1): dict(name="lists", share="[4.0, 5.5]", aim_ms="250", deadline_ms="1200", worth="1.5"),
         ("class", 2): dict(
-            name="bookings", share="[0.5, 0.8]", effect="unsafe", deadline_ms="2000", worth="6", group=None,
+            name="bookings",
+            share="[0.5, 0.8]",
+            effect="unsafe",
+            deadline_ms="2000",
+            worth="6",
+            group=None,
             window_ms=None,
         ),
         ("allow", 0): dict(max_attempts="3"),
@@ -43,7 +48,7 @@
         ("fam", 0): dict(purges="[1.0, 2.0]", purge_grace_ms="200", parent_fall_multiple="1.5"),
         ("tier.conn", 0): dict(idle_s="30", connect_timeout_ms="900"),
     },
-}  # fmt: skip
+}
 
 
 class Unwritable(Exception):
--- a/quartzrouter/__main__.py
+++ b/quartzrouter/__main__.py
@@ -7,7 +7,7 @@
 
 signals = Signals().__enter__()  # to the end, and ahead of imports that take 0.1 s
 
-from quartzrouter.net.serve import main  # noqa: E402
+from quartzrouter.server.process import main  # noqa: E402
 
 status = main(os.environ, signals)
 signals.ignore()
--- a/quartzrouter/cli/explore.py
+++ b/quartzrouter/cli/explore.py
@@ -11,13 +11,14 @@
 @click.option("--seconds", default=60.0, show_default=True, help="For each case, at most.")
 def explore(name: str, states: int, seconds: float) -> None:
     """Explore a protocol over the real decisions; exit with 1 and the shortest trace if a property breaks."""
-    from quartzrouter.explore import leases, purges, sharing
-    from quartzrouter.explore.search import explore as search
+    from quartzrouter.model_checking import lease_model, purge_model, quota_model
+    from quartzrouter.model_checking.checker import explore as search
 
     model, played = {
-        "purges": (purges.PurgeModel, purges.PLAYED), "sharing": (sharing.SharingModel, sharing.PLAYED),
-        "leases": (leases.LeaseModel, leases.PLAYED),
-    }[name]  # fmt: skip
+        "purges": (purge_model.PurgeModel, purge_model.PLAYED),
+        "sharing": (quota_model.SharingModel, quota_model.PLAYED),
+        "leases": (lease_model.LeaseModel, lease_model.PLAYED),
+    }[name]
     broken = False
     for case, bounds in played.items():
         found = search(model(bounds), states, seconds)
--- a/quartzrouter/cli/fleet.py
+++ b/quartzrouter/cli/fleet.py
@@ -17,9 +17,9 @@
 @AS_JSON
 def status(ledgers, as_json: bool) -> None:
     """Tell who grants, which routers are there, and what was not obeyed; exit with 1 if no ledger answers."""
-    from quartzrouter.purges.words import AskBudgets, AskMembers
+    from quartzrouter.purges.messages import MembersQuery, QuotaQuery
 
-    members, told = ran(ask, ledgers, AskMembers()), ran(ask, ledgers, AskBudgets())
+    members, told = ran(ask, ledgers, MembersQuery()), ran(ask, ledgers, QuotaQuery())
     routers = [each for each in members.members if each.kind == "router"]
     silent = [each.name for each in routers if not each.live]
     if as_json:
@@ -36,9 +36,9 @@
 @AS_JSON
 def budgets(ledgers, as_json: bool) -> None:
     """List the shared limits: what is granted, to whom, and what each router would use."""
-    from quartzrouter.purges.words import AskBudgets
+    from quartzrouter.purges.messages import QuotaQuery
 
-    told = ran(ask, ledgers, AskBudgets())
+    told = ran(ask, ledgers, QuotaQuery())
     if as_json:
         click.echo(json.dumps([_plain(each) for each in told.budgets]))
         return
@@ -93,9 +93,9 @@
 
 
 def _views(ledgers):
-    from quartzrouter.purges.words import AskViews
+    from quartzrouter.purges.messages import HealthQuery
 
-    return ran(ask, ledgers, AskViews()).views
+    return ran(ask, ledgers, HealthQuery()).views
 
 
 def _plain(state) -> dict:
--- a/quartzrouter/cli/lease.py
+++ b/quartzrouter/cli/lease.py
@@ -20,7 +20,7 @@
 @AS_JSON
 def list_(path: str, as_json: bool) -> None:
     """List tasks with holder, number and votes; exit with 1 where no majority of keepers answers."""
-    from quartzrouter.leases.views import held, shown
+    from quartzrouter.leases.status import held, shown
 
     terms, found = _ask(path)
     views, silent = held(terms, found), {name: why for name, why in found.items() if isinstance(why, str)}
@@ -36,7 +36,7 @@
 @click.argument("task")
 def why(path: str, task: str) -> None:
     """Tell who holds a task, since when, who voted for whom; or why nobody holds it."""
-    from quartzrouter.leases.views import why as lines
+    from quartzrouter.leases.status import why as lines
 
     terms, found = _ask(path)
     if task not in dict(terms.tasks):
@@ -51,7 +51,7 @@
     """Tell of each change until it is interrupted."""
     import time
 
-    from quartzrouter.leases.views import held, shown
+    from quartzrouter.leases.status import held, shown
 
     before: dict[str, tuple] = {}
     try:
@@ -74,13 +74,13 @@
     """Take a task from its holder once its lease is over: keepers vote for others first, for three leases."""
     import anyio
 
-    from quartzrouter.keeper.wire import ask_all
-    from quartzrouter.leases.words import Shun
+    from quartzrouter.lease_service.queries import ask_all
+    from quartzrouter.leases.messages import RevokeHolder
 
     terms, addresses = _told(path)
     if task not in dict(terms.tasks):
         raise click.UsageError(f"there is no task {task!r} in {path}; there are {_names(terms)}")
-    found = anyio.run(ask_all, addresses, Shun(task))
+    found = anyio.run(ask_all, addresses, RevokeHolder(task))
     heard = sum(not isinstance(said, str) for said in found.values())
     click.echo(f"{task}: {heard} of {len(terms.keepers)} keepers vote for others first now")
     sys.exit(heard < terms.majority)
@@ -88,11 +88,11 @@
 
 def _told(path: str):
     from quartzrouter.cli.plan import checked
-    from quartzrouter.keeper.told import Untold, terms
+    from quartzrouter.lease_service.plan_terms import LeasesNotConfigured, terms
 
     try:
         return terms(checked(path))
-    except Untold as error:
+    except LeasesNotConfigured as error:
         click.echo(f"quartzrouter: {path}: {error}", err=True)
         sys.exit(1)
 
@@ -100,7 +100,7 @@
 def _ask(path: str):
     import anyio
 
-    from quartzrouter.keeper.wire import ask_all
+    from quartzrouter.lease_service.queries import ask_all
 
     told, addresses = _told(path)
     return told, anyio.run(ask_all, addresses)
--- a/quartzrouter/cli/ledger.py
+++ b/quartzrouter/cli/ledger.py
@@ -4,7 +4,7 @@
 
 import click
 
-from quartzrouter.cli.kinds import ADDRESS, TIME
+from quartzrouter.cli.parameter_types import ADDRESS, TIME
 
 FOLDER = click.argument("folder", metavar="FOLDER")
 
@@ -35,18 +35,23 @@
 @click.option("--task", help="Grant shares only while this task of the plan's `leases` is held here.")
 @click.option("--name", help="With --task: the claimant's name, one for each process.")
 def run(
-    folder: str, listen: tuple[str, int], grace: int, plan: str | None, standby: tuple[str, int] | None,
-    task: str | None, name: str | None,
-) -> None:  # fmt: skip
+    folder: str,
+    listen: tuple[str, int],
+    grace: int,
+    plan: str | None,
+    standby: tuple[str, int] | None,
+    task: str | None,
+    name: str | None,
+) -> None:
     """Take purges and hand them to the fleet until SIGTERM; exit with 3 if another ledger took over."""
     import anyio
 
-    from quartzrouter.ledger import serve
-    from quartzrouter.net.loop import LOOP
-    from quartzrouter.net.clock import clock, steady
-    from quartzrouter.site.logs import Structured, logger
+    from quartzrouter.purge_log import server
+    from quartzrouter.server.clock import steady_clock, wall_clock
+    from quartzrouter.server.event_loop import LOOP
+    from quartzrouter.standalone.structured_log import StructuredLog, logger
 
-    report, budgets = Structured("ledger", clock, logger()), budgets_of(plan) if plan else None
+    report, budgets = StructuredLog("ledger", wall_clock, logger()), budgets_of(plan) if plan else None
     try:
         claims = None
         if task and not plan:
@@ -56,12 +61,12 @@
             from quartzrouter.cli.purge import claims_of
 
             claims = claims_of(checked(plan), plan, task, name, report)
-        told = (folder, listen, grace, report, standby, clock, budgets, steady, claims, task or "")
-        sys.exit(anyio.run(serve.serve, *told, backend_options=LOOP))
+        told = (folder, listen, grace, report, standby, wall_clock, budgets, steady_clock, claims, task or "")
+        sys.exit(anyio.run(server.serve, *told, backend_options=LOOP))
     except Faulty as error:
         click.echo(f"quartzrouter: {error}", err=True)
         sys.exit(1)
-    except serve.FAULTS as error:
+    except server.FAULTS as error:
         click.echo(f"quartzrouter: {folder}: {error}", err=True)
         sys.exit(1)
 
@@ -72,8 +77,8 @@
 
 def budgets_of(path: str):
     """Reads a plan's budgets and the terms of cold servers, each time it is called.  Raises Faulty."""
-    from quartzrouter.force.shared import budgets, terms
-    from quartzrouter.plan.load import load
+    from quartzrouter.config.loader import load
+    from quartzrouter.pool_routing.shared_limits import budgets, terms
 
     def read():
         loaded = load(path)
@@ -90,12 +95,12 @@
 @FOLDER
 def check(folder: str) -> None:
     """Read a folder whole, and say what it holds; exit with 1 if it is damaged."""
-    from quartzrouter.ledger.files import Damaged, highest_epoch, read
+    from quartzrouter.purge_log.segments import LogDamaged, highest_epoch, read
 
     disk = _disk(folder)
     try:
         found = read(disk)
-    except Damaged as damage:
+    except LogDamaged as damage:
         click.echo(f"{folder}: {damage}", err=True)
         sys.exit(1)
     click.echo(
@@ -108,12 +113,12 @@
 @FOLDER
 def repair(folder: str) -> None:
     """Give up what follows the first damage.  It may have been promised, so purge all afterwards."""
-    from quartzrouter.ledger.files import Damaged
-    from quartzrouter.ledger.files import repair as mend
+    from quartzrouter.purge_log.segments import LogDamaged
+    from quartzrouter.purge_log.segments import repair as mend
 
     try:
         click.echo(f"{folder}: {mend(_disk(folder))}")
-    except Damaged as damage:
+    except LogDamaged as damage:
         click.echo(f"{folder}: {damage}", err=True)
         sys.exit(1)
 
@@ -121,7 +126,7 @@
 def _disk(folder: str):
     from pathlib import Path
 
-    from quartzrouter.ledger.disk import RealDisk
+    from quartzrouter.purge_log.disk import RealDisk
 
     if not Path(folder).is_dir():
         raise click.UsageError(f"there is no folder {folder!r}")
--- a/quartzrouter/cli/main.py
+++ b/quartzrouter/cli/main.py
@@ -45,11 +45,11 @@
 def run(path: str, form: str, level: str) -> None:
     """Serve under a plan until SIGTERM; SIGHUP reads it anew, all or nothing."""
     from quartzrouter.cli.plan import checked
-    from quartzrouter.site import serve
-    from quartzrouter.site.logs import logger
+    from quartzrouter.standalone import process
+    from quartzrouter.standalone.structured_log import logger
 
     with Signals() as signals:  # ahead of a plan that takes seconds to read
-        sys.exit(serve.run(path, checked(path), logger(level, form), signals))
+        sys.exit(process.run(path, checked(path), logger(level, form), signals))
 
 
 @cli.command(epilog="Example: quartzrouter rehearse plan --seed 7")
@@ -64,7 +64,7 @@
 @click.option("--shrink", is_flag=True, help="sharing: cut down what breaks, for some minutes.")
 def rehearse(name: str | None, seed: int, as_json: bool, schedule: str | None, shrink: bool) -> None:
     """Play a direction's hard cases, print its figures, and exit with 1 if anything broke."""
-    from quartzrouter.rehearse import NAMES, play
+    from quartzrouter.fault_scenarios import NAMES, play
 
     if name is None:
         click.echo("\n".join(f"{known}: {what}" for known, what in NAMES.items()))
--- a/quartzrouter/cli/kinds.py
+++ b/quartzrouter/cli/parameter_types.py
@@ -9,11 +9,11 @@
     def convert(self, value, param, ctx) -> tuple[str, int]:
         if isinstance(value, tuple):
             return value
-        from quartzrouter.briefing import Unusable, address
+        from quartzrouter.configuration import ConfigurationError, address
 
         try:
             return address(value, "it")
-        except Unusable as error:
+        except ConfigurationError as error:
             self.fail(f"{error}: write it as 127.0.0.1:7700", param, ctx)
 
 
@@ -23,7 +23,7 @@
     name = "duration"
 
     def convert(self, value, param, ctx) -> int:
-        from quartzrouter.plan.quantity import Duration, Wrong, quantity
+        from quartzrouter.config.quantity import Duration, Wrong, quantity
 
         if isinstance(value, int):
             return value
--- a/quartzrouter/cli/plan.py
+++ b/quartzrouter/cli/plan.py
@@ -7,11 +7,11 @@
 
 import click
 
-from quartzrouter.plan.fault import Broken, Fault, Faults, Source, Weight
+from quartzrouter.config.problems import Broken, Fault, Faults, Source, Weight
 
 if TYPE_CHECKING:  # each command imports what it needs, so that the others start sooner
-    from quartzrouter.plan.load import Loaded
-    from quartzrouter.plan.model import Plan
+    from quartzrouter.config.loader import Loaded
+    from quartzrouter.config.model import Plan
 
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON, for editors and CI.")
 PLAN = click.argument("path", metavar="PLAN")
@@ -19,7 +19,7 @@
 
 def read(path: str) -> "Loaded":
     """The plan at a path, `-` for standard input."""
-    from quartzrouter.plan.load import from_disk, load
+    from quartzrouter.config.loader import from_disk, load
 
     if path == "-":
         return load("-", from_disk(sys.stdin.buffer.read().decode(errors="surrogateescape")))
@@ -77,9 +77,9 @@
 @click.option("--check", "only", is_flag=True, help="Change nothing; exit with 1 if a file would change.")
 def fmt(paths: tuple[str, ...], only: bool) -> None:
     """Lay files out in the one layout; `-` reads standard input and prints."""
-    from quartzrouter.plan.evaluate import Unreadable
-    from quartzrouter.plan.layout import layout
-    from quartzrouter.plan.load import from_disk
+    from quartzrouter.config.evaluator import Unreadable
+    from quartzrouter.config.formatter import layout
+    from quartzrouter.config.loader import from_disk
 
     bad = False
     for path in paths:
@@ -122,7 +122,7 @@
 @AS_JSON
 def diff(old: str, new: str, reqs: str | None, as_json: bool) -> None:
     """Say which reqs would route differently; exit with 1 if any would."""
-    from quartzrouter.plan.diff import Diff
+    from quartzrouter.config.diff import Diff
 
     found = Diff(checked(old), checked(new))
     counts, stray = ({}, {}) if reqs is None else found.replay(_recorded(reqs))
@@ -149,7 +149,7 @@
 
 
 def _recorded(path: str):
-    from quartzrouter.plan.sets import Asked
+    from quartzrouter.config.request_sets import Asked
 
     with open(path) as file:
         for at, line in enumerate(file, 1):
@@ -174,7 +174,7 @@
 @PLAN
 def show(path: str) -> None:
     """Print a plan as evaluated: one record, as JSON, without templates and includes."""
-    from quartzrouter.plan.values import POISON, plain
+    from quartzrouter.config.values import POISON, plain
 
     loaded = read(path)
     if loaded.value is POISON:
@@ -187,7 +187,7 @@
 @PLAN
 def compile_(path: str) -> None:
     """Print the platform's JSON, for NODE_CONFIG and `python -m quartzrouter`."""
-    from quartzrouter.plan.compile import compiled
+    from quartzrouter.config.platform_json import compiled
 
     made = checked(path)
     if not made.deployment["journal"]:
@@ -211,7 +211,7 @@
 @AS_JSON
 def explain(path: str, req: str, store: str | None, headers: tuple[str, ...], as_json: bool) -> None:
     """Say what a req gets, and from which line each value came."""
-    from quartzrouter.plan.explain import asked, explain
+    from quartzrouter.config.explain import asked, explain
 
     made = checked(path)
     for header in headers:
@@ -239,6 +239,6 @@
 @plan.command(epilog="Example: quartzrouter plan reference > docs/plan-reference.md")
 def reference() -> None:
     """Print the reference page of all keys."""
-    from quartzrouter.plan.reference import reference
+    from quartzrouter.config.reference import reference
 
     click.echo(reference(), nl=False)
--- a/quartzrouter/cli/purge.py
+++ b/quartzrouter/cli/purge.py
@@ -6,17 +6,22 @@
 
 import click
 
-from quartzrouter.cli.kinds import ADDRESS, TIME
+from quartzrouter.cli.parameter_types import ADDRESS, TIME
 
 if TYPE_CHECKING:
-    from quartzrouter.purges import words
+    from quartzrouter.purges import messages
 
 MANY = 100  # purges sent, from which progress is shown
 LOOK_EVERY = 0.02  # s between questions whether a purge is complete
 LEDGERS = click.option(
-    "--ledger", "ledgers", type=ADDRESS, multiple=True, default=("127.0.0.1:7700",), show_default=True,
+    "--ledger",
+    "ledgers",
+    type=ADDRESS,
+    multiple=True,
+    default=("127.0.0.1:7700",),
+    show_default=True,
     help="Where a ledger listens; may be repeated.",
-)  # fmt: skip
+)
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
@@ -47,28 +52,28 @@
     """Send purges; exit with 1 if one is refused, with 2 if --wait runs out."""
     import secrets
 
-    from quartzrouter.purges.words import Refused, Send
+    from quartzrouter.purges.messages import PurgeRequest, RequestRejected
 
     sends = [
-        Send(kind, tuple(values), vhost, store, key and f"{key}-{kind}")
+        PurgeRequest(kind, tuple(values), vhost, store, key and f"{key}-{kind}")
         for kind, values in (("object", objects), ("tag", tags), ("pattern", patterns))
         if values
     ]
-    sends += [Send("all", (), vhost, store, key and f"{key}-all")] if whole else []
+    sends += [PurgeRequest("all", (), vhost, store, key and f"{key}-all")] if whole else []
     for at, line in enumerate(file or (), 1):
         kind, _, value = line.strip().partition(" ")
         if kind not in ("object", "tag", "pattern") or not value.strip():
             raise click.UsageError(f"{file.name}:{at}: no purge: write object, tag or pattern, and its value")
-        sends.append(Send(kind, tuple(value.split()), vhost, store, key and f"{key}-{at}"))
+        sends.append(PurgeRequest(kind, tuple(value.split()), vhost, store, key and f"{key}-{at}"))
     if not sends:
         raise click.UsageError("nothing to purge: give --object, --tag, --pattern, --all or --from")
     for each in sends:
         each.key = each.key or secrets.token_hex(8)  # asked again, it is still one purge
     answers = ran(_send, ledgers, sends)
-    refused = [answer for answer in answers if isinstance(answer, Refused)]
+    refused = [answer for answer in answers if isinstance(answer, RequestRejected)]
     for answer in refused:
         click.echo(f"refused: {answer.place}: {answer.reason}; {answer.remedy}", err=True)
-    taken = [answer for answer in answers if not isinstance(answer, Refused)]
+    taken = [answer for answer in answers if not isinstance(answer, RequestRejected)]
     if as_json:
         click.echo(
             json.dumps([{"number": t.number, "promise_us": t.promise, "again": t.again} for t in taken])
@@ -87,24 +92,24 @@
     sys.exit(1 if refused else 2 if complete is not None and not complete.complete else 0)
 
 
-async def _send(ledgers, sends: "list[words.Send]") -> list:
-    from quartzrouter.ledger.wire import Client
+async def _send(ledgers, sends: "list[messages.PurgeRequest]") -> list:
+    from quartzrouter.purge_log.line_connection import QueryClient
 
     with click.progressbar(
         length=len(sends), label="sending", file=sys.stderr, hidden=len(sends) < MANY
     ) as bar:
-        return await Client(ledgers).ask_all(sends, bar.update)
+        return await QueryClient(ledgers).ask_all(sends, bar.update)
 
 
-async def _complete(ledgers, number: int, wait: int) -> "words.Status":
+async def _complete(ledgers, number: int, wait: int) -> "messages.PurgeStatus":
     import anyio
 
-    from quartzrouter.ledger.wire import Client
-    from quartzrouter.purges.words import AskStatus
+    from quartzrouter.purge_log.line_connection import QueryClient
+    from quartzrouter.purges.messages import StatusQuery
 
-    client, until = Client(ledgers), anyio.current_time() + wait / 1e6
+    client, until = QueryClient(ledgers), anyio.current_time() + wait / 1e6
     while True:
-        told = await client.ask(AskStatus(number))
+        told = await client.ask(StatusQuery(number))
         if getattr(told, "complete", True) or anyio.current_time() >= until:
             return told
         await anyio.sleep(LOOK_EVERY)
@@ -116,19 +121,19 @@
 @AS_JSON
 def status(number: int, ledgers, as_json: bool) -> None:
     """Say how far a purge has come, the last where none is named; exit with 1 if it isn't complete."""
-    from quartzrouter.purges.words import AskStatus
+    from quartzrouter.purges.messages import StatusQuery
 
-    told = ran(ask, ledgers, AskStatus(number))
+    told = ran(ask, ledgers, StatusQuery(number))
     _show(told, as_json)
     sys.exit(0 if told.complete else 1)
 
 
-def _show(told: "words.Status", as_json: bool) -> None:
+def _show(told: "messages.PurgeStatus", as_json: bool) -> None:
     import msgspec
 
-    from quartzrouter.purges.words import Refused
+    from quartzrouter.purges.messages import RequestRejected
 
-    if isinstance(told, Refused):
+    if isinstance(told, RequestRejected):
         click.echo(f"refused: {told.place}: {told.reason}; {told.remedy}", err=True)
         sys.exit(1)
     if as_json:
@@ -158,9 +163,9 @@
     """List routers and caches, and how far each has come."""
     import msgspec
 
-    from quartzrouter.purges.words import AskMembers
+    from quartzrouter.purges.messages import MembersQuery
 
-    told = ran(ask, ledgers, AskMembers())
+    told = ran(ask, ledgers, MembersQuery())
     if as_json:
         click.echo(json.dumps(msgspec.to_builtins(told)))
         return
@@ -188,35 +193,35 @@
     import anyio
     import msgspec
 
-    from quartzrouter.ledger.link import Link, Linked, Said
-    from quartzrouter.net.report import Report
-    from quartzrouter.net.clock import clock
-    from quartzrouter.purges.follower import Apply, End, Follower, Say
-    from quartzrouter.purges.lease import Lease
-    from quartzrouter.purges.words import AskStatus
+    from quartzrouter.purge_log.member_client import ConnectionOpened, MemberClient, MessageReceived
+    from quartzrouter.purges.freshness_lease import FreshnessLease
+    from quartzrouter.purges.messages import StatusQuery
+    from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
+    from quartzrouter.server.clock import wall_clock
+    from quartzrouter.server.rate_limited_log import RateLimitedLog
 
     held = after
     if held is None:
-        held = (await ask(ledgers, AskStatus())).head
+        held = (await ask(ledgers, StatusQuery())).head
     token = secrets.token_hex(4)
-    follower = Follower(f"watcher-{token}", "watcher", token, Lease(1), held)
+    follower = PurgeReplica(f"watcher-{token}", "watcher", token, FreshnessLease(1), held)
 
-    def feed(event: Linked | Said) -> None:
-        if isinstance(event, Linked):
-            link.tell(follower.begin(clock()))
+    def feed(event: ConnectionOpened | MessageReceived) -> None:
+        if isinstance(event, ConnectionOpened):
+            link.tell(follower.begin(wall_clock()))
             return
-        for given in follower.take(event.said, clock()):
+        for given in follower.take(event.said, wall_clock()):
             match given:
-                case Apply(purges):
+                case ApplyPurges(purges):
                     for each in purges:
                         click.echo(msgspec.json.encode(each).decode())
                     sys.stdout.flush()
-                case Say(said):
+                case SendMessage(said):
                     link.tell(said)
-                case End(reason, come_back):
+                case EndConnection(reason, come_back):
                     link.hang(reason, come_back)
 
-    link = Link(ledgers, 10_000_000, feed, Report("follow", clock))
+    link = MemberClient(ledgers, 10_000_000, feed, RateLimitedLog("follow", wall_clock))
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(link.run)
 
@@ -231,12 +236,12 @@
     """Bring purges to the caches that a plan lists, by HTTP PURGE, until SIGTERM."""
     import anyio
 
-    from quartzrouter.briefing import address
     from quartzrouter.cli.plan import checked
-    from quartzrouter.ledger.deliver import deliver as run
-    from quartzrouter.net.loop import LOOP
-    from quartzrouter.net.clock import clock
-    from quartzrouter.site.logs import Structured, logger
+    from quartzrouter.configuration import address
+    from quartzrouter.purge_log.delivery import deliver as run
+    from quartzrouter.server.clock import wall_clock
+    from quartzrouter.server.event_loop import LOOP
+    from quartzrouter.standalone.structured_log import StructuredLog, logger
 
     made = checked(path)
     if not made.purges:
@@ -250,7 +255,7 @@
         raise click.UsageError(f"there is no cache {sorted(unknown)[0]!r} in {path}")
     caches = {name: at for name, at in caches.items() if not only or name in only}
     ledgers = [address(at, "purges.ledgers") for at in made.purges["ledgers"]]
-    report = Structured(name or "courier", clock, logger())
+    report = StructuredLog(name or "courier", wall_clock, logger())
     claims = claims_of(made, path, task, name, report) if task else None
     told = (caches, ledgers, made.purges["grace"], report, rate, claims, task)
     anyio.run(run, *told, backend_options=LOOP)
@@ -258,14 +263,14 @@
 
 def claims_of(plan, path: str, task: str, name: str | None, report):
     """What a process claims; refuses a task that the plan doesn't name, with its place."""
-    from quartzrouter.keeper.claims import Claims
-    from quartzrouter.keeper.told import Untold, terms
+    from quartzrouter.lease_service.client import ClusterLeaseClient
+    from quartzrouter.lease_service.plan_terms import LeasesNotConfigured, terms
 
     if not name:
         raise click.UsageError("--task needs --name: claimants are told apart by it")
     try:
         told, addresses = terms(plan)
-    except Untold as error:
+    except LeasesNotConfigured as error:
         click.echo(f"quartzrouter: {path}: {error}", err=True)
         sys.exit(1)
     if task not in dict(told.tasks):
@@ -274,19 +279,19 @@
         where = place or path
         click.echo(f"quartzrouter: {where}: there is no task {task!r}; there are {known}", err=True)
         sys.exit(1)
-    return Claims(told, addresses, name, report)
+    return ClusterLeaseClient(told, addresses, name, report)
 
 
 async def ask(ledgers, said):
-    from quartzrouter.ledger.wire import Client
+    from quartzrouter.purge_log.line_connection import QueryClient
 
-    return await Client(ledgers).ask(said)
+    return await QueryClient(ledgers).ask(said)
 
 
 def ran(what, *arguments):
     import anyio
 
-    from quartzrouter.ledger.wire import Unreachable
+    from quartzrouter.purge_log.line_connection import Unreachable
 
     try:
         return anyio.run(what, *arguments)
--- a/quartzrouter/plan/build.py
+++ b/quartzrouter/config/builder.py
@@ -2,12 +2,12 @@
 
 from typing import Any
 
-from quartzrouter.interface import Effect, VHost
-from quartzrouter.plan import patterns, sets
-from quartzrouter.plan.fault import Place, meant, names
-from quartzrouter.plan.model import Amount, Limit, Plan, Policy, Pool, Route, Split, belongs
-from quartzrouter.plan.schema import BAD, Check, Path
-from quartzrouter.plan.vocabulary import COLD
+from quartzrouter.config import patterns, request_sets
+from quartzrouter.config.keys import COLD
+from quartzrouter.config.model import Amount, Limit, Plan, Policy, Pool, Route, Split, belongs
+from quartzrouter.config.problems import Place, meant, names
+from quartzrouter.config.schema import BAD, Check, Path
+from quartzrouter.routing.model import Idempotency, TrafficClass
 
 DEFAULT_COLD = {name: entry.default for name, entry in COLD.entries.items()}
 POLICY_KEYS = tuple(Policy.__slots__)
@@ -211,7 +211,7 @@
                 also=((self.place("caches", addresses[0], "address"), "the first"),),
             )
 
-    def _vhost(self, name: str, told: dict[str, Any]) -> VHost | None:
+    def _vhost(self, name: str, told: dict[str, Any]) -> TrafficClass | None:
         if any(value is BAD for value in told.values()):
             return None
         target = told["first_byte_target"] or told["client_timeout"]
@@ -223,9 +223,9 @@
                 "range",
                 ((self.place("vhosts", name, "client_timeout"), "the client timeout"),),
             )
-        return VHost(
+        return TrafficClass(
             name,
-            Effect(told["effect"]),
+            Idempotency(told["effect"]),
             told["value"],
             target,
             told["target_stretch"],
@@ -427,10 +427,12 @@
         methods = frozenset(match["method"] or patterns.METHODS)
         heads = {key.lower(): _condition(value) for key, value in match["header"].items()}
         params = {key: _condition(value) for key, value in match["param"].items()}
-        path_lang = _language(match["path"], "/") if match["path"] else sets.HERE
-        hosts = [_language(host.lower(), ".") for host in match["host"] or ()] or [sets.HERE]
+        path_lang = _language(match["path"], "/") if match["path"] else request_sets.HERE
+        hosts = [_language(host.lower(), ".") for host in match["host"] or ()] or [request_sets.HERE]
         boxes = tuple(
-            sets.Box(frozenset(stores or self.known("stores")), methods, host, path_lang, heads, params)
+            request_sets.Box(
+                frozenset(stores or self.known("stores")), methods, host, path_lang, heads, params
+            )
             for host in hosts
         )
         tenant_limits = [n for n in limits if (self.parts["limits"].get(n) or {}).get("per") == "tenant"]
@@ -489,13 +491,13 @@
     return [found[1] for found in patterns.TOKEN.finditer(text) if found[1] is not None]
 
 
-def _language(text: str, sep: str) -> sets.Lang:
-    return sets.Lang((patterns.pattern(text, sep),))
+def _language(text: str, sep: str) -> request_sets.Lang:
+    return request_sets.Lang((patterns.pattern(text, sep),))
 
 
-def _condition(told: str | bool) -> sets.Lang:
+def _condition(told: str | bool) -> request_sets.Lang:
     if isinstance(told, bool):
-        return sets.Lang(absent=not told, present=told)
+        return request_sets.Lang(absent=not told, present=told)
     return _language(told, "")
 
 
--- a/quartzrouter/plan/diff.py
+++ b/quartzrouter/config/diff.py
@@ -9,10 +9,10 @@
 from dataclasses import asdict, dataclass
 from typing import Any
 
-from quartzrouter.plan.matcher import Matcher
-from quartzrouter.plan.model import OF_VHOST, Plan, Policy, Pool, Route
-from quartzrouter.plan.sets import Asked, Box, rest
-from quartzrouter.plan.shadows import Near
+from quartzrouter.config.matcher import Matcher
+from quartzrouter.config.model import POLICY_OVERRIDES, TRAFFIC_CLASS_FIELDS, Plan, Policy, Pool, Route
+from quartzrouter.config.request_sets import Asked, Box, rest
+from quartzrouter.config.shadowing import Near
 
 Pair = tuple[str | None, str | None]  # the old route's name and the new one's; None: no route takes it
 
@@ -62,8 +62,9 @@
             return {"route": None}
         plan = self.plan
         policy = asdict(plan.policies[route.policy]) if route.policy else asdict(Policy())
-        vhost = {k: getattr(plan.vhosts[route.vhost], k) for k in plan.vhosts[route.vhost].__slots__}
-        for key in OF_VHOST:
+        traffic_class = plan.vhosts[route.vhost]
+        vhost = {key: getattr(traffic_class, name) for key, name in TRAFFIC_CLASS_FIELDS.items()}
+        for key in POLICY_OVERRIDES:
             if policy[key] is not None:
                 vhost[key] = policy.pop(key)
             else:
--- a/quartzrouter/plan/evaluate.py
+++ b/quartzrouter/config/evaluator.py
@@ -11,10 +11,10 @@
 from pathlib import PurePosixPath
 from typing import Any
 
-from quartzrouter.plan import quantity, tree
-from quartzrouter.plan.fault import Broken, Fault, Faults, Place, Source, meant, names
-from quartzrouter.plan.parse import parse
-from quartzrouter.plan.values import POISON, Closure, ListOf, Poison, Rec, Slot, kind, shown
+from quartzrouter.config import quantity, syntax_tree
+from quartzrouter.config.parser import parse
+from quartzrouter.config.problems import Broken, Fault, Faults, Place, Source, meant, names
+from quartzrouter.config.values import POISON, Closure, ListOf, Poison, Rec, Slot, kind, shown
 
 STEPS_MOST = 1_000_000  # two seconds; a plan of 5,000 routes from a template takes 120,000
 LEVELS_MOST = 1_000  # of evaluations within evaluations
@@ -100,12 +100,12 @@
 
     # -- bounds --------------------------------------------------------------------------------------
 
-    def grow(self, by: int, node: tree.Node) -> None:
+    def grow(self, by: int, node: syntax_tree.Node) -> None:
         self.size += by
         if self.size > SIZE_MOST:
             raise Exhausted(Fault(node.place, "the plan grows past all bounds", code="bound"))
 
-    def eval(self, node: tree.Node, scope: Scope) -> Any:
+    def eval(self, node: syntax_tree.Node, scope: Scope) -> Any:
         self.steps += 1
         if self.steps > STEPS_MOST:
             raise Exhausted(Fault(node.place, "the plan takes too long to evaluate", code="bound"))
@@ -117,7 +117,7 @@
         finally:
             self.levels -= 1
 
-    def safe(self, node: tree.Node, scope: Scope) -> Any:
+    def safe(self, node: syntax_tree.Node, scope: Scope) -> Any:
         """The value, or POISON and a fault that is kept."""
         try:
             return self.eval(node, scope)
@@ -129,10 +129,10 @@
 
     # -- nodes -----------------------------------------------------------------------------------------
 
-    def _literal(self, node: tree.Literal, scope: Scope) -> Any:
+    def _literal(self, node: syntax_tree.Literal, scope: Scope) -> Any:
         return node.value
 
-    def _text(self, node: tree.Text, scope: Scope) -> Any:
+    def _text(self, node: syntax_tree.Text, scope: Scope) -> Any:
         said = []
         for part in node.parts:
             if isinstance(part, str):
@@ -148,26 +148,26 @@
         self.grow(len(text) // 16, node)
         return text
 
-    def _name(self, node: tree.Name, scope: Scope) -> Any:
+    def _name(self, node: syntax_tree.Name, scope: Scope) -> Any:
         try:
             return scope.find(node.name)
         except KeyError:
             remedy = meant(node.name, scope.names()) or "names are seen only behind their `local`"
             raise _broken(node, f"'{node.name}' isn't known here", remedy, "name") from None
 
-    def _let(self, node: tree.Let, scope: Scope) -> Any:
+    def _let(self, node: syntax_tree.Let, scope: Scope) -> Any:
         return self.eval(node.body, self._locals(node.locals, scope))
 
-    def _locals(self, locals_: list[tree.Local], scope: Scope) -> Scope:
+    def _locals(self, locals_: list[syntax_tree.Local], scope: Scope) -> Scope:
         for local in locals_:
-            if isinstance(local.value, tree.Function):
+            if isinstance(local.value, syntax_tree.Function):
                 value: Any = Closure(local.name, local.value, scope)
             else:
                 value = self.safe(local.value, scope)
             scope = Scope(scope, {local.name: value})
         return scope
 
-    def _if(self, node: tree.If, scope: Scope) -> Any:
+    def _if(self, node: syntax_tree.If, scope: Scope) -> Any:
         test = self.eval(node.test, scope)
         if test is POISON:
             return POISON
@@ -175,7 +175,7 @@
             raise _broken(node.test, f"{kind(test)} where true or false belongs")
         return self.eval(node.yes if test else node.no, scope)
 
-    def _unary(self, node: tree.Unary, scope: Scope) -> Any:
+    def _unary(self, node: syntax_tree.Unary, scope: Scope) -> Any:
         value = self.eval(node.of, scope)
         if value is POISON:
             return POISON
@@ -185,7 +185,7 @@
             return -value
         raise _broken(node, f"'{node.sign}' of {kind(value)}", code="type")
 
-    def _binary(self, node: tree.Binary, scope: Scope) -> Any:
+    def _binary(self, node: syntax_tree.Binary, scope: Scope) -> Any:
         left = self.eval(node.left, scope)
         if node.sign in ("&&", "||"):
             if left is POISON:
@@ -206,7 +206,7 @@
         except quantity.Wrong as error:
             raise _broken(node, str(error), code="range") from None
 
-    def _signed(self, node: tree.Binary, left: Any, right: Any) -> Any:
+    def _signed(self, node: syntax_tree.Binary, left: Any, right: Any) -> Any:
         sign = node.sign
         if sign in ("==", "!="):
             return (plain_equal(left, right)) is (sign == "==")
@@ -234,7 +234,7 @@
             return quantity.add(left, right, -1)
         return quantity.times(left, right) if sign == "*" else quantity.over(left, right)
 
-    def merge(self, left: Rec, right: Rec, node: tree.Node) -> Rec:
+    def merge(self, left: Rec, right: Rec, node: syntax_tree.Node) -> Rec:
         """What is said on the right comes over what is there; a field stays where it first stood."""
         self.grow(len(left.slots) + len(right.slots), node)
         slots = dict(left.slots)
@@ -251,7 +251,7 @@
                 slots[name] = Slot(value, slot.place, there.how, slot.named)
         return Rec(slots)
 
-    def _into(self, name: str, there: Slot, slot: Slot, node: tree.Node) -> Slot:
+    def _into(self, name: str, there: Slot, slot: Slot, node: syntax_tree.Node) -> Slot:
         both = (there.value, slot.value)
         if all(isinstance(value, Rec) for value in both):
             return Slot(self.merge(*both, node), slot.place, there.how, there.named)
@@ -279,7 +279,7 @@
         self.faults.add(Fault(slot.place, reason, remedy, code="unit" if bare else "type", also=also))
         return False
 
-    def _member(self, node: tree.Member, scope: Scope) -> Any:
+    def _member(self, node: syntax_tree.Member, scope: Scope) -> Any:
         of = self.eval(node.of, scope)
         if of is POISON:
             return POISON
@@ -290,7 +290,7 @@
             raise Broken(Fault(node.name_place, f"there is no field '{node.name}'", known, code="name"))
         return of.slots[node.name].value
 
-    def _index(self, node: tree.Index, scope: Scope) -> Any:
+    def _index(self, node: syntax_tree.Index, scope: Scope) -> Any:
         of, at = self.eval(node.of, scope), self.eval(node.at, scope)
         if of is POISON or at is POISON:
             return POISON
@@ -304,7 +304,7 @@
             return of.slots[at].value
         raise _broken(node.at, f"{kind(at)} picks nothing out of {kind(of)}", code="type")
 
-    def _callof(self, node: tree.CallOf, scope: Scope) -> Any:
+    def _callof(self, node: syntax_tree.CallOf, scope: Scope) -> Any:
         of = self.eval(node.of, scope)
         arguments = [self.eval(argument, scope) for argument in node.arguments]
         if of is POISON:
@@ -337,7 +337,7 @@
                 return any(self.holds_function(slot.value) for slot in slots.values())
         return isinstance(value, Closure) or callable(value)
 
-    def _builtin(self, node: tree.CallOf, of: Callable, arguments: list[Any]) -> Any:
+    def _builtin(self, node: syntax_tree.CallOf, of: Callable, arguments: list[Any]) -> Any:
         if any(argument is POISON for argument in arguments):
             return POISON
         try:
@@ -353,15 +353,15 @@
                 slot.place = node.place
         return made
 
-    def _include(self, node: tree.Include, scope: Scope) -> Any:
+    def _include(self, node: syntax_tree.Include, scope: Scope) -> Any:
         here = PurePosixPath(node.place.source.name)
         return self.file(normal(here.parent / node.path), node.place)
 
-    def _items(self, node: tree.Items, scope: Scope) -> Any:
+    def _items(self, node: syntax_tree.Items, scope: Scope) -> Any:
         self.grow(len(node.items), node)
         return ListOf([Slot(self.safe(item, scope), item.place) for item in node.items])
 
-    def _each(self, loop: tree.For, scope: Scope):
+    def _each(self, loop: syntax_tree.For, scope: Scope):
         among = self.eval(loop.among, scope)
         if among is POISON:
             return None
@@ -381,21 +381,21 @@
             found.append(inner)
         return found
 
-    def _itemsfor(self, node: tree.ItemsFor, scope: Scope) -> Any:
+    def _itemsfor(self, node: syntax_tree.ItemsFor, scope: Scope) -> Any:
         scopes = self._each(node.loop, scope)
         if scopes is None:
             return POISON
         self.grow(len(scopes), node)
         return ListOf([Slot(self.safe(node.item, inner), node.item.place) for inner in scopes])
 
-    def _record(self, node: tree.Record, scope: Scope) -> Any:
+    def _record(self, node: syntax_tree.Record, scope: Scope) -> Any:
         self.grow(len(node.fields), node)
         scope, slots = self._locals(node.locals, scope), {}
         for field in node.fields:
             self._put(slots, field, scope)
         return Rec(slots)
 
-    def _recordfor(self, node: tree.RecordFor, scope: Scope) -> Any:
+    def _recordfor(self, node: syntax_tree.RecordFor, scope: Scope) -> Any:
         scopes = self._each(node.loop, scope)
         if scopes is None:
             return POISON
@@ -405,7 +405,7 @@
             self._put(slots, node.field_, inner)
         return Rec(slots)
 
-    def _put(self, slots: dict[str, Slot], field: tree.Field, scope: Scope) -> None:
+    def _put(self, slots: dict[str, Slot], field: syntax_tree.Field, scope: Scope) -> None:
         key = field.key if isinstance(field.key, str) else self.safe(field.key, scope)
         value = self.safe(field.value, scope)
         if key is POISON:
@@ -427,7 +427,7 @@
             slots[key] = Slot(value, field.value.place, field.how, field.place)
 
 
-def _broken(node: tree.Node, reason: str, remedy: str = "", code: str = "type") -> Broken:
+def _broken(node: syntax_tree.Node, reason: str, remedy: str = "", code: str = "type") -> Broken:
     return Broken(Fault(node.place, reason, remedy, code=code))
 
 
--- a/quartzrouter/plan/explain.py
+++ b/quartzrouter/config/explain.py
@@ -4,12 +4,12 @@
 from typing import Any, NamedTuple
 from urllib.parse import parse_qsl
 
-from quartzrouter.plan.fault import Place
-from quartzrouter.plan.matcher import matcher, takes
-from quartzrouter.plan.model import Plan, Route
-from quartzrouter.plan.quantity import Duration
-from quartzrouter.plan.sets import Asked
-from quartzrouter.plan.vocabulary import PLAN
+from quartzrouter.config.keys import PLAN
+from quartzrouter.config.matcher import matcher, takes
+from quartzrouter.config.model import TRAFFIC_CLASS_FIELDS, Plan, Route
+from quartzrouter.config.problems import Place
+from quartzrouter.config.quantity import Duration
+from quartzrouter.config.request_sets import Asked
 
 REQ = re.compile(
     r"(?:(?P<method>[A-Za-z]+)\s+)?(?:https?://)?(?P<host>[^/\s?]*)(?P<path>/[^?\s]*)(?:\?(?P<query>\S*))?"
@@ -56,7 +56,7 @@
         if own is not None:
             lines.append(_value(plan, f"  {key}", own, "policies", route.policy, key))
         else:
-            value = not vhost.never_kept if key == "kept" else getattr(vhost, key)
+            value = not vhost.uncacheable if key == "kept" else getattr(vhost, TRAFFIC_CLASS_FIELDS[key])
             lines.append(_value(plan, f"  {key}", value, "vhosts", route.vhost, key))
     lines += _pool(plan, route)
     if policy:
--- a/quartzrouter/plan/layout.py
+++ b/quartzrouter/config/formatter.py
@@ -4,10 +4,10 @@
 long; each comment stays before or behind the entry that it was written at.
 """
 
-from quartzrouter.plan import tree
-from quartzrouter.plan.fault import Place, Source
-from quartzrouter.plan.parse import parse
-from quartzrouter.plan.values import name_shown
+from quartzrouter.config import syntax_tree
+from quartzrouter.config.parser import parse
+from quartzrouter.config.problems import Place, Source
+from quartzrouter.config.values import name_shown
 
 WIDTH = 100  # columns
 STEP = 2  # columns
@@ -26,7 +26,7 @@
     "/": 5,
 }
 UNARY, POSTFIX, PRIMARY = 6, 7, 8
-Entry = tree.Field | tree.Local | tree.Node
+Entry = syntax_tree.Field | syntax_tree.Local | syntax_tree.Node
 
 
 def layout(source: Source) -> str:
@@ -41,7 +41,7 @@
         self.at = 0
         self.forced: set[int] = set()  # nodes that go over several lines as what they stand in is too long
 
-    def file(self, root: tree.Node) -> str:
+    def file(self, root: syntax_tree.Node) -> str:
         lines = self._entries([root], 0, "")
         lines += self._rest(10**9, 0)
         return "\n".join(line.rstrip() for line in lines) + "\n"
@@ -66,7 +66,7 @@
         token = self._next()
         return token is not None and (token.line, token.column) < (place.line, place.column)
 
-    def _holds(self, node: tree.Node) -> bool:
+    def _holds(self, node: syntax_tree.Node) -> bool:
         """Whether a comment stands inside, on a line before its last."""
         start = (node.place.line, node.place.column)
         return any(
@@ -80,7 +80,7 @@
         last = None  # the source's line where the entry before this one ended
         for entry in entries:
             lead: list[str] = []
-            nested = end == ";" and isinstance(entry, tree.Let)  # names behind names, in parentheses
+            nested = end == ";" and isinstance(entry, syntax_tree.Let)  # names behind names, in parentheses
             first = entry.place.line
             while self._before(entry.place):
                 first = min(first, self._next().line)
@@ -89,7 +89,9 @@
                 self._cat([["("], self._part(entry, indent), [")"]]) if nested else self._lay(entry, indent)
             )
             body[0] = " " * indent + body[0]
-            body[-1] += ";" if isinstance(entry, tree.Local) and end == ";" else end if end != ";" else ""
+            body[-1] += (
+                ";" if isinstance(entry, syntax_tree.Local) and end == ";" else end if end != ";" else ""
+            )
             while (token := self._next()) and token.line < entry.end:
                 lead.append(" " * indent + self._take())  # inside of what has no lines of its own
             behind, closing = [], entry.end
@@ -114,32 +116,32 @@
     def _lay(self, node: Entry, indent: int, head: int = 0) -> list[str]:
         """The lines of a node, behind so many characters on its first."""
         match node:
-            case tree.Field():
+            case syntax_tree.Field():
                 key = self._key(node)
                 return self._cat([[key], self._lay(node.value, indent, len(key))])
-            case tree.Local():
+            case syntax_tree.Local():
                 name = self._local(node)
                 return self._cat([[name], self._lay(body_of(node), indent, len(name))])
-            case tree.Let():
+            case syntax_tree.Let():
                 return self._let(node, indent)
-            case tree.Record():
+            case syntax_tree.Record():
                 return self._container(node, [*node.locals, *node.fields], "{}", indent, head)
-            case tree.Items():
+            case syntax_tree.Items():
                 return self._container(node, node.items, "[]", indent, head)
-            case tree.RecordFor():
+            case syntax_tree.RecordFor():
                 return self._loop(node, node.field_, "{}", indent, head)
-            case tree.ItemsFor():
+            case syntax_tree.ItemsFor():
                 return self._loop(node, node.item, "[]", indent, head)
-            case tree.Binary():
-                level = tree.BINDS[node.sign]
+            case syntax_tree.Binary():
+                level = syntax_tree.BINDS[node.sign]
                 if id(node) in self.forced or indent + head + len(flat(node)) > WIDTH:
                     self.forced.update(id(part) for part in (node.left, node.right))
                 right = self._inside(node.right, level + 1, indent)
-                left_level = level + 1 if level == tree.COMPARES else level
+                left_level = level + 1 if level == syntax_tree.COMPARES else level
                 return self._cat([self._inside(node.left, left_level, indent), [f" {node.sign} "], right])
-            case tree.Unary():
+            case syntax_tree.Unary():
                 return self._cat([[node.sign], self._inside(node.of, UNARY, indent)])
-            case tree.If():
+            case syntax_tree.If():
                 return self._cat(
                     [
                         ["if "],
@@ -150,12 +152,12 @@
                         self._part(node.no, indent),
                     ]
                 )
-            case tree.Member():
+            case syntax_tree.Member():
                 return self._cat([self._inside(node.of, POSTFIX, indent), [f".{node.name}"]])
-            case tree.Index():
+            case syntax_tree.Index():
                 of = self._inside(node.of, POSTFIX, indent)
                 return self._cat([of, ["["], self._part(node.at, indent), ["]"]])
-            case tree.CallOf():
+            case syntax_tree.CallOf():
                 pieces = [self._inside(node.of, POSTFIX, indent), ["("]]
                 for n, argument in enumerate(node.arguments):
                     pieces += [[", "]] if n else []
@@ -170,30 +172,30 @@
             lines += piece[1:]
         return lines
 
-    def _part(self, node: tree.Node, indent: int) -> list[str]:
+    def _part(self, node: syntax_tree.Node, indent: int) -> list[str]:
         """What stands in the middle of a line: names given there stay on it."""
-        return [flat(node)] if isinstance(node, tree.Let) else self._lay(node, indent)
+        return [flat(node)] if isinstance(node, syntax_tree.Let) else self._lay(node, indent)
 
-    def _inside(self, node: tree.Node, level: int, indent: int) -> list[str]:
+    def _inside(self, node: syntax_tree.Node, level: int, indent: int) -> list[str]:
         lines = self._part(node, indent)
         return self._cat([["("], lines, [")"]]) if level_of(node) < level else lines
 
-    def _key(self, node: tree.Field) -> str:
+    def _key(self, node: syntax_tree.Field) -> str:
         how = "override " if node.how == "override" else ""
         return f"{how}{key_text(node)}{'+: ' if node.how == '+:' else ': '}"
 
-    def _local(self, node: tree.Local) -> str:
+    def _local(self, node: syntax_tree.Local) -> str:
         head = f"local {node.name}"
-        if isinstance(node.value, tree.Function):
+        if isinstance(node.value, syntax_tree.Function):
             head += f"({', '.join(node.value.parameters)})"
         return f"{head} = "
 
-    def _let(self, node: tree.Let, indent: int) -> list[str]:
+    def _let(self, node: syntax_tree.Let, indent: int) -> list[str]:
         lines = self._entries([*node.locals, node.body], indent, ";")
         lines[0] = lines[0][indent:] if lines[0].startswith(" " * indent) else lines[0]
         return lines
 
-    def _spreads(self, node: tree.Node, parts: list[Entry], indent: int, head: int) -> bool:
+    def _spreads(self, node: syntax_tree.Node, parts: list[Entry], indent: int, head: int) -> bool:
         if not parts and not self._holds(node):
             return False
         if id(node) in self.forced or getattr(node, "spread", False):
@@ -227,25 +229,25 @@
         return [*lines, " " * indent + marks[1]]
 
 
-def body_of(local: tree.Local) -> tree.Node:
-    return local.value.body if isinstance(local.value, tree.Function) else local.value
+def body_of(local: syntax_tree.Local) -> syntax_tree.Node:
+    return local.value.body if isinstance(local.value, syntax_tree.Function) else local.value
 
 
-def key_text(node: tree.Field) -> str:
+def key_text(node: syntax_tree.Field) -> str:
     if isinstance(node.key, str):
         return name_shown(node.key)
-    return node.key.text if isinstance(node.key, tree.Text) else f"[{flat(node.key)}]"
+    return node.key.text if isinstance(node.key, syntax_tree.Text) else f"[{flat(node.key)}]"
 
 
-def level_of(node: tree.Node) -> int:
+def level_of(node: syntax_tree.Node) -> int:
     match node:
-        case tree.Let() | tree.If():
+        case syntax_tree.Let() | syntax_tree.If():
             return 0
-        case tree.Binary():
-            return tree.BINDS[node.sign]
-        case tree.Unary():
+        case syntax_tree.Binary():
+            return syntax_tree.BINDS[node.sign]
+        case syntax_tree.Unary():
             return UNARY
-        case tree.Member() | tree.Index() | tree.CallOf():
+        case syntax_tree.Member() | syntax_tree.Index() | syntax_tree.CallOf():
             return POSTFIX
     return PRIMARY
 
@@ -253,28 +255,28 @@
 def below(node: Entry) -> list[Entry]:
     """What a node is made of."""
     match node:
-        case tree.Field():
+        case syntax_tree.Field():
             return [node.value] if isinstance(node.key, str) else [node.key, node.value]
-        case tree.Local():
+        case syntax_tree.Local():
             return [body_of(node)]
-        case tree.Let():
+        case syntax_tree.Let():
             return [*node.locals, node.body]
-        case tree.Record():
+        case syntax_tree.Record():
             return [*node.locals, *node.fields]
-        case tree.Items():
+        case syntax_tree.Items():
             return list(node.items)
-        case tree.RecordFor() | tree.ItemsFor():
-            made = node.field_ if isinstance(node, tree.RecordFor) else node.item
+        case syntax_tree.RecordFor() | syntax_tree.ItemsFor():
+            made = node.field_ if isinstance(node, syntax_tree.RecordFor) else node.item
             return [made, node.loop.among, *([node.loop.test] if node.loop.test else [])]
-        case tree.Binary():
+        case syntax_tree.Binary():
             return [node.left, node.right]
-        case tree.Unary() | tree.Member():
+        case syntax_tree.Unary() | syntax_tree.Member():
             return [node.of]
-        case tree.If():
+        case syntax_tree.If():
             return [node.test, node.yes, node.no]
-        case tree.Index():
+        case syntax_tree.Index():
             return [node.of, node.at]
-        case tree.CallOf():
+        case syntax_tree.CallOf():
             return [node.of, *node.arguments]
     return []
 
@@ -282,7 +284,9 @@
 def spread_within(node: Entry) -> bool:
     """Whether a part of it goes over several lines."""
     return (
-        isinstance(node, tree.Let) or getattr(node, "spread", False) or any(map(spread_within, below(node)))
+        isinstance(node, syntax_tree.Let)
+        or getattr(node, "spread", False)
+        or any(map(spread_within, below(node)))
     )
 
 
@@ -294,49 +298,49 @@
 
 def _flat(node: Entry) -> str:
     match node:
-        case tree.Literal() | tree.Text():
+        case syntax_tree.Literal() | syntax_tree.Text():
             return node.text
-        case tree.Name():
+        case syntax_tree.Name():
             return node.name
-        case tree.Include():
+        case syntax_tree.Include():
             return f"include {quoted(node.path)}"
-        case tree.Field():
+        case syntax_tree.Field():
             how = "override " if node.how == "override" else ""
             return f"{how}{key_text(node)}{'+: ' if node.how == '+:' else ': '}{flat(node.value)}"
-        case tree.Local():
-            parameters = node.value.parameters if isinstance(node.value, tree.Function) else None
+        case syntax_tree.Local():
+            parameters = node.value.parameters if isinstance(node.value, syntax_tree.Function) else None
             head = f"local {node.name}" + (f"({', '.join(parameters)})" if parameters is not None else "")
             return f"{head} = {flat(body_of(node))}"
-        case tree.Let():
-            body = f"({flat(node.body)})" if isinstance(node.body, tree.Let) else flat(node.body)
+        case syntax_tree.Let():
+            body = f"({flat(node.body)})" if isinstance(node.body, syntax_tree.Let) else flat(node.body)
             return " ".join([*(flat(local) + ";" for local in node.locals), body])
-        case tree.Record():
+        case syntax_tree.Record():
             inner = ", ".join(flat(part) for part in below(node))
             return f"{{ {inner} }}" if inner else "{}"
-        case tree.Items():
+        case syntax_tree.Items():
             return "[" + ", ".join(flat(item) for item in node.items) + "]"
-        case tree.ItemsFor():
+        case syntax_tree.ItemsFor():
             return f"[{flat(node.item)} {loop_text(node.loop)}]"
-        case tree.RecordFor():
+        case syntax_tree.RecordFor():
             return f"{{ {flat(node.field_)} {loop_text(node.loop)} }}"
-        case tree.Binary():
-            level = tree.BINDS[node.sign]
-            left = flat(node.left, level + 1 if level == tree.COMPARES else level)
+        case syntax_tree.Binary():
+            level = syntax_tree.BINDS[node.sign]
+            left = flat(node.left, level + 1 if level == syntax_tree.COMPARES else level)
             return f"{left} {node.sign} {flat(node.right, level + 1)}"
-        case tree.Unary():
+        case syntax_tree.Unary():
             return f"{node.sign}{flat(node.of, UNARY)}"
-        case tree.If():
+        case syntax_tree.If():
             return f"if {flat(node.test)} then {flat(node.yes)} else {flat(node.no)}"
-        case tree.Member():
+        case syntax_tree.Member():
             return f"{flat(node.of, POSTFIX)}.{node.name}"
-        case tree.Index():
+        case syntax_tree.Index():
             return f"{flat(node.of, POSTFIX)}[{flat(node.at)}]"
-        case tree.CallOf():
+        case syntax_tree.CallOf():
             return f"{flat(node.of, POSTFIX)}({', '.join(flat(argument) for argument in node.arguments)})"
     raise TypeError(type(node).__name__)
 
 
-def loop_text(loop: tree.For) -> str:
+def loop_text(loop: syntax_tree.For) -> str:
     test = f" if {flat(loop.test)}" if loop.test is not None else ""
     return f"for {loop.name} in {flat(loop.among)}{test}"
 
--- a/quartzrouter/plan/vocabulary.py
+++ b/quartzrouter/config/keys.py
@@ -3,8 +3,8 @@
 import ipaddress
 import re
 
-from quartzrouter.plan import patterns
-from quartzrouter.plan.schema import (
+from quartzrouter.config import patterns
+from quartzrouter.config.schema import (
     REQUIRED,
     Choice,
     Either,
--- a/quartzrouter/plan/load.py
+++ b/quartzrouter/config/loader.py
@@ -5,15 +5,15 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from quartzrouter.plan.build import Build
-from quartzrouter.plan.evaluate import Evaluation, Loader, Unreadable
-from quartzrouter.plan.fault import Broken, Faults, Place, Source
-from quartzrouter.plan.model import Plan
-from quartzrouter.plan.parse import TEXT_MOST
-from quartzrouter.plan.schema import BAD, Check
-from quartzrouter.plan.shadows import check_routes
-from quartzrouter.plan.values import POISON, Slot
-from quartzrouter.plan.vocabulary import PLAN
+from quartzrouter.config.builder import Build
+from quartzrouter.config.evaluator import Evaluation, Loader, Unreadable
+from quartzrouter.config.keys import PLAN
+from quartzrouter.config.model import Plan
+from quartzrouter.config.parser import TEXT_MOST
+from quartzrouter.config.problems import Broken, Faults, Place, Source
+from quartzrouter.config.schema import BAD, Check
+from quartzrouter.config.shadowing import check_routes
+from quartzrouter.config.values import POISON, Slot
 
 
 @dataclass
--- a/quartzrouter/plan/matcher.py
+++ b/quartzrouter/config/matcher.py
@@ -8,8 +8,8 @@
 from bisect import insort
 from typing import NamedTuple
 
-from quartzrouter.plan.model import Plan, Route
-from quartzrouter.plan.sets import Asked, Box, Lang
+from quartzrouter.config.model import Plan, Route
+from quartzrouter.config.request_sets import Asked, Box, Lang
 
 NEVER = 1 << 31  # an order that no route has
 
--- a/quartzrouter/plan/model.py
+++ b/quartzrouter/config/model.py
@@ -3,13 +3,29 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from quartzrouter.interface import VHost
-from quartzrouter.plan.fault import Place
-from quartzrouter.plan.sets import Box
-
-
-# what a policy says in place of the vhost
-OF_VHOST = ("fresh_for", "grace_for", "old_share", "first_byte_target", "value")
+from quartzrouter.config.problems import Place
+from quartzrouter.config.request_sets import Box
+from quartzrouter.routing.model import TrafficClass
+
+# The keys of a plan's vhost, and the fields of a traffic class that they set.
+TRAFFIC_CLASS_FIELDS = {
+    "name": "name",
+    "effect": "idempotency",
+    "value": "priority_weight",
+    "first_byte_target": "latency_objective",
+    "target_stretch": "objective_stretch",
+    "client_timeout": "client_timeout",
+    "late_share": "late_value_share",
+    "repeats_within": "deduplication_scope",
+    "repeats_for": "deduplication_window",
+    "fresh_for": "max_age",
+    "grace_for": "stale_grace",
+    "old_share": "stale_value_share",
+    "never_kept": "uncacheable",
+}
+
+# Keys of a vhost that a policy may set in its place.
+POLICY_OVERRIDES = ("fresh_for", "grace_for", "old_share", "first_byte_target", "value")
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +110,7 @@
     stores: dict[str, str]  # its hub
     hubs: dict[str, str | None]  # the one above
     caches: dict[str, dict[str, Any]]
-    vhosts: dict[str, VHost]
+    vhosts: dict[str, TrafficClass]
     policies: dict[str, Policy]
     pools: dict[str, Pool]
     splits: dict[str, Split]
--- a/quartzrouter/plan/parse.py
+++ b/quartzrouter/config/parser.py
@@ -7,8 +7,8 @@
 from lark import Lark, Token, Transformer
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedToken
 
-from quartzrouter.plan import quantity, tree
-from quartzrouter.plan.fault import Broken, Fault, Place, Source
+from quartzrouter.config import quantity, syntax_tree
+from quartzrouter.config.problems import Broken, Fault, Place, Source
 
 DEPTH_MOST = 120  # nested nodes: past what anyone reads, well inside the interpreter's stack
 TEXT_MOST = 1 << 20  # bytes of one file
@@ -39,7 +39,7 @@
 @dataclass
 class Parsed:
     source: Source
-    root: tree.Node
+    root: syntax_tree.Node
     comments: list[Token]
 
 
@@ -60,10 +60,10 @@
 
     def first(self, children: list) -> Place:
         first = children[0]
-        return first.place if isinstance(first, tree.Node) else self.place(first)
+        return first.place if isinstance(first, syntax_tree.Node) else self.place(first)
 
     def node(self, kind: type, children: list, *values: object, place: Place | None = None, **named: object):
-        below = [child for child in children if isinstance(child, tree.Node)]
+        below = [child for child in children if isinstance(child, syntax_tree.Node)]
         depth = 1 + max((child.depth for child in below), default=0)
         place = place or self.first(children)
         if depth > DEPTH_MOST:
@@ -71,7 +71,7 @@
                 Fault(place, f"nested more than {DEPTH_MOST} deep", "give parts of it names", code="depth")
             )
         last = children[-1]
-        end = last.end if isinstance(last, tree.Node) else last.line + self.shift[0]
+        end = last.end if isinstance(last, syntax_tree.Node) else last.line + self.shift[0]
         return kind(place, *values, **named, depth=depth, end=end)
 
     def wrong(self, token: Token, reason: str, remedy: str = "", code: str = "syntax") -> Broken:
@@ -83,7 +83,7 @@
         (token,) = children
         self._short(token)
         try:
-            return self.node(tree.Literal, children, quantity.quantity(token.value), token.value)
+            return self.node(syntax_tree.Literal, children, quantity.quantity(token.value), token.value)
         except quantity.Wrong as error:
             raise self.wrong(token, str(error), code="unit") from None
 
@@ -91,32 +91,32 @@
         (token,) = children
         self._short(token)
         value = quantity.figure(quantity.Fraction(token.value))
-        return self.node(tree.Literal, children, value, token.value)
+        return self.node(syntax_tree.Literal, children, value, token.value)
 
     def _short(self, token: Token) -> None:
         if sum(map(str.isdigit, token.value)) > DIGITS_MOST:
             raise self.wrong(token, f"a figure of more than {DIGITS_MOST} digits", code="range")
 
     def true(self, children):
-        return self.node(tree.Literal, children, True, "true")
+        return self.node(syntax_tree.Literal, children, True, "true")
 
     def false(self, children):
-        return self.node(tree.Literal, children, False, "false")
+        return self.node(syntax_tree.Literal, children, False, "false")
 
     def null(self, children):
-        return self.node(tree.Literal, children, None, "null")
+        return self.node(syntax_tree.Literal, children, None, "null")
 
     def name(self, children):
-        return self.node(tree.Name, children, children[0].value)
+        return self.node(syntax_tree.Name, children, children[0].value)
 
     def string(self, children):
         token = children[0]
         parts = self._parts(token)
-        node = self.node(tree.Text, children, parts, token.value)
-        node.depth += max((part.depth for part in parts if isinstance(part, tree.Node)), default=0)
+        node = self.node(syntax_tree.Text, children, parts, token.value)
+        node.depth += max((part.depth for part in parts if isinstance(part, syntax_tree.Node)), default=0)
         return node
 
-    def _parts(self, token: Token) -> list[str | tree.Node]:
+    def _parts(self, token: Token) -> list[str | syntax_tree.Node]:
         body, parts, text, at = token.value[1:-1], [], "", 0
         while at < len(body):
             if body[at] == "\\":
@@ -136,7 +136,7 @@
                 text, at = text + body[at], at + 1
         return parts + ([text] if text else [])
 
-    def _inside(self, token: Token, text: str, column: int) -> tree.Node:
+    def _inside(self, token: Token, text: str, column: int) -> syntax_tree.Node:
         """What stands in `${...}`, parsed where it stands."""
         place = self.place(token)
         before = self.shift
@@ -157,8 +157,12 @@
         """Operands with signs between them, by what binds before what; from the left among equals."""
         operands, signs = [children[0]], []
         for sign, operand in zip(children[1::2], children[2::2], strict=True):
-            while signs and tree.BINDS[signs[-1].value] >= tree.BINDS[sign.value]:
-                if tree.BINDS[sign.value] == tree.COMPARES == tree.BINDS[signs[-1].value]:
+            while signs and syntax_tree.BINDS[signs[-1].value] >= syntax_tree.BINDS[sign.value]:
+                if (
+                    syntax_tree.BINDS[sign.value]
+                    == syntax_tree.COMPARES
+                    == syntax_tree.BINDS[signs[-1].value]
+                ):
                     raise self.wrong(sign, "comparisons one after the other", "join them with &&")
                 self._join(operands, signs)
             operands.append(operand)
@@ -167,24 +171,24 @@
             self._join(operands, signs)
         return operands[0]
 
-    def _join(self, operands: list[tree.Node], signs: list[Token]) -> None:
+    def _join(self, operands: list[syntax_tree.Node], signs: list[Token]) -> None:
         right, left = operands.pop(), operands.pop()
-        operands.append(self.node(tree.Binary, [left, right], signs.pop().value, left, right))
+        operands.append(self.node(syntax_tree.Binary, [left, right], signs.pop().value, left, right))
 
     def unary(self, children):
         sign, of = children
-        return self.node(tree.Unary, children, sign.value, of)
+        return self.node(syntax_tree.Unary, children, sign.value, of)
 
     def conditional(self, children):
         _, test, _, yes, _, no = children
-        return self.node(tree.If, children, test, yes, no)
+        return self.node(syntax_tree.If, children, test, yes, no)
 
     def let(self, children):
-        return self.node(tree.Let, children, children[:-1], children[-1])
+        return self.node(syntax_tree.Let, children, children[:-1], children[-1])
 
     def local_value(self, children):
         _, name, _, value, _ = children
-        return self.node(tree.Local, children, name.value, value)
+        return self.node(syntax_tree.Local, children, name.value, value)
 
     def local_function(self, children):
         node = self._function(children[:-1])
@@ -193,7 +197,7 @@
 
     def entry_local(self, children):
         _, name, _, value = children
-        return self.node(tree.Local, children, name.value, value)
+        return self.node(syntax_tree.Local, children, name.value, value)
 
     def entry_function(self, children):
         return self._function(children)
@@ -202,28 +206,28 @@
         parameters = [child.value for child in children[2:-1] if getattr(child, "type", "") == "NAME"]
         if len(set(parameters)) < len(parameters):
             raise self.wrong(children[1], "a parameter is named twice", code="duplicate")
-        function = self.node(tree.Function, children, parameters, children[-1])
-        return self.node(tree.Local, children, children[1].value, function)
+        function = self.node(syntax_tree.Function, children, parameters, children[-1])
+        return self.node(syntax_tree.Local, children, children[1].value, function)
 
     def member(self, children):
         of, _, name = children
-        return self.node(tree.Member, children, of, name.value, self.place(name))
+        return self.node(syntax_tree.Member, children, of, name.value, self.place(name))
 
     def index(self, children):
-        return self.node(tree.Index, children, children[0], children[2])
+        return self.node(syntax_tree.Index, children, children[0], children[2])
 
     def call(self, children):
-        arguments = [child for child in children[1:] if isinstance(child, tree.Node)]
-        return self.node(tree.CallOf, children, children[0], arguments)
+        arguments = [child for child in children[1:] if isinstance(child, syntax_tree.Node)]
+        return self.node(syntax_tree.CallOf, children, children[0], arguments)
 
     def merged(self, children):
-        return self.node(tree.Binary, children, "+", *children)
+        return self.node(syntax_tree.Binary, children, "+", *children)
 
     def include(self, children):
         path = self.string(children[1:])
-        if any(isinstance(part, tree.Node) for part in path.parts):
+        if any(isinstance(part, syntax_tree.Node) for part in path.parts):
             raise self.wrong(children[1], "the path of an include can't be put together", "write it out")
-        return self.node(tree.Include, children, "".join(path.parts))
+        return self.node(syntax_tree.Include, children, "".join(path.parts))
 
     def group(self, children):
         inner = children[1]
@@ -231,29 +235,29 @@
         return inner
 
     def items(self, children):
-        items = [child for child in children if isinstance(child, tree.Node)]
-        return self.node(tree.Items, children, items, self._spread(children))
+        items = [child for child in children if isinstance(child, syntax_tree.Node)]
+        return self.node(syntax_tree.Items, children, items, self._spread(children))
 
     def items_for(self, children):
-        return self.node(tree.ItemsFor, children, children[1], children[2], self._spread(children))
+        return self.node(syntax_tree.ItemsFor, children, children[1], children[2], self._spread(children))
 
     def loop(self, children):
         test = children[5] if len(children) > 5 else None
-        return self.node(tree.For, children, children[1].value, children[3], test)
+        return self.node(syntax_tree.For, children, children[1].value, children[3], test)
 
     def record(self, children):
-        entries = [child for child in children if isinstance(child, tree.Node)]
-        locals_ = [entry for entry in entries if isinstance(entry, tree.Local)]
-        fields = [entry for entry in entries if isinstance(entry, tree.Field)]
-        return self.node(tree.Record, children, locals_, fields, self._spread(children))
+        entries = [child for child in children if isinstance(child, syntax_tree.Node)]
+        locals_ = [entry for entry in entries if isinstance(entry, syntax_tree.Local)]
+        fields = [entry for entry in entries if isinstance(entry, syntax_tree.Field)]
+        return self.node(syntax_tree.Record, children, locals_, fields, self._spread(children))
 
     def record_for(self, children):
-        return self.node(tree.RecordFor, children, children[1], children[2], self._spread(children))
+        return self.node(syntax_tree.RecordFor, children, children[1], children[2], self._spread(children))
 
     def _spread(self, children) -> bool:
         """Whether what follows the bracket begins on a line of its own."""
         first = children[1]
-        line = first.place.line if isinstance(first, tree.Node) else first.line + self.shift[0]
+        line = first.place.line if isinstance(first, syntax_tree.Node) else first.line + self.shift[0]
         return line > children[0].line + self.shift[0]
 
     def _field(self, children, how):
@@ -261,7 +265,7 @@
         place = self.first(children) if not isinstance(key, tuple) else key[0]
         if isinstance(key, tuple):
             key = key[1]
-        return self.node(tree.Field, children[-1:], key, how, value, place=place)
+        return self.node(syntax_tree.Field, children[-1:], key, how, value, place=place)
 
     def field_new(self, children):
         return self._field(children, ":")
@@ -277,7 +281,7 @@
 
     def key_string(self, children):
         text = self.string(children)
-        if any(isinstance(part, tree.Node) for part in text.parts):
+        if any(isinstance(part, syntax_tree.Node) for part in text.parts):
             return self.place(children[0]), text
         return self.place(children[0]), "".join(text.parts)
 
@@ -290,7 +294,7 @@
 
 @cache
 def parser() -> Lark:
-    grammar = resources.files("quartzrouter.plan").joinpath("grammar.lark").read_text()
+    grammar = resources.files("quartzrouter.config").joinpath("grammar.lark").read_text()
     return Lark(
         grammar,
         parser="lalr",
--- a/quartzrouter/plan/reference.py
+++ b/quartzrouter/config/reference.py
@@ -1,9 +1,9 @@
 """The reference page of plans, made of the vocabulary; a test keeps docs/plan-reference.md equal to it."""
 
-from quartzrouter.plan.quantity import Duration, Share, Size
-from quartzrouter.plan.schema import REQUIRED, Entry, Kind, MapOf, Quantified, RecordOf
-from quartzrouter.plan.values import shown
-from quartzrouter.plan.vocabulary import PLAN
+from quartzrouter.config.keys import PLAN
+from quartzrouter.config.quantity import Duration, Share, Size
+from quartzrouter.config.schema import REQUIRED, Entry, Kind, MapOf, Quantified, RecordOf
+from quartzrouter.config.values import shown
 
 HEAD = """# Plan reference
 
--- a/quartzrouter/plan/sets.py
+++ b/quartzrouter/config/request_sets.py
@@ -7,7 +7,7 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-from quartzrouter.plan.patterns import Pattern, witness
+from quartzrouter.config.patterns import Pattern, witness
 
 BOXES_MOST = 20_000  # that one set may fall into
 
--- a/quartzrouter/plan/schema.py
+++ b/quartzrouter/config/schema.py
@@ -9,9 +9,9 @@
 from fractions import Fraction
 from typing import Any
 
-from quartzrouter.plan.fault import Fault, Faults, Place, Weight, meant, names
-from quartzrouter.plan.quantity import Duration, Rate, Share, Size, plain
-from quartzrouter.plan.values import POISON, Closure, ListOf, Rec, Slot, kind, shown
+from quartzrouter.config.problems import Fault, Faults, Place, Weight, meant, names
+from quartzrouter.config.quantity import Duration, Rate, Share, Size, plain
+from quartzrouter.config.values import POISON, Closure, ListOf, Rec, Slot, kind, shown
 
 Path = tuple[str, ...]
 REQUIRED = object()
@@ -124,7 +124,7 @@
 
 
 def duration(least: str = "0us", most: str = "30d", **other: Any) -> Quantified:
-    from quartzrouter.plan.quantity import quantity
+    from quartzrouter.config.quantity import quantity
 
     return Quantified(
         least=quantity(least), most=quantity(most), of=Duration, example="250ms", word="a duration", **other
@@ -132,7 +132,7 @@
 
 
 def size(least: str = "0B", most: str = "1000GiB", **other: Any) -> Quantified:
-    from quartzrouter.plan.quantity import quantity
+    from quartzrouter.config.quantity import quantity
 
     return Quantified(
         least=quantity(least), most=quantity(most), of=Size, example="64MiB", word="a size", **other
--- a/quartzrouter/plan/shadows.py
+++ b/quartzrouter/config/shadowing.py
@@ -2,12 +2,12 @@
 
 from bisect import bisect_left
 
-from quartzrouter.plan.matcher import Matcher
-from quartzrouter.plan.model import Plan, Route
-from quartzrouter.plan.patterns import Undecided
-from quartzrouter.plan.schema import Check
-from quartzrouter.plan.fault import Weight
-from quartzrouter.plan.sets import Box, TooMany, rest
+from quartzrouter.config.matcher import Matcher
+from quartzrouter.config.model import Plan, Route
+from quartzrouter.config.patterns import Undecided
+from quartzrouter.config.problems import Weight
+from quartzrouter.config.request_sets import Box, TooMany, rest
+from quartzrouter.config.schema import Check
 
 NAMED_MOST = 3  # routes that one message names
 PAIRS_MOST = 60_000  # looked at for partial overlaps, some seconds
--- a/quartzrouter/plan/tree.py
+++ b/quartzrouter/config/syntax_tree.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from quartzrouter.plan.fault import Place
-from quartzrouter.plan.quantity import Number, Quantity
+from quartzrouter.config.problems import Place
+from quartzrouter.config.quantity import Number, Quantity
 
 # how strongly signs bind; comparisons don't stand one after the other
 BINDS = {"||": 1, "&&": 2, "==": 3, "!=": 3, "<": 3, "<=": 3, ">": 3, ">=": 3, "+": 4, "-": 4, "*": 5, "/": 5}
--- a/quartzrouter/plan/values.py
+++ b/quartzrouter/config/values.py
@@ -5,9 +5,8 @@
 from fractions import Fraction
 from typing import Any
 
-from quartzrouter.plan import quantity, tree
-from quartzrouter.plan.fault import Place
-
+from quartzrouter.config import quantity, syntax_tree
+from quartzrouter.config.problems import Place
 
 WORDS = {"local", "if", "then", "else", "for", "in", "include", "override", "true", "false", "null"}
 BARE = re.compile(r"[A-Za-z_][A-Za-z0-9_]*(-[A-Za-z0-9_]+)*")
@@ -43,7 +42,7 @@
 @dataclass(slots=True)
 class Closure:
     name: str
-    function: tree.Function
+    function: syntax_tree.Function
     scope: Any  # the names that were there before it: so that it can't call itself
 
 
--- a/quartzrouter/briefing.py
+++ b/quartzrouter/configuration.py
@@ -10,17 +10,21 @@
 
 import orjson
 
-from quartzrouter.interface import ColdStart, Effect, Permits, Tier, VHost
+from quartzrouter.routing.model import Capabilities, Idempotency, SlowStart, Tier, TrafficClass
 
-EFFECTS = {"retryable": Effect.REPLAYABLE, "dedup": Effect.UNIQUED, "fragile": Effect.NON_REPLAYABLE}
+EFFECTS = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.IDEMPOTENT_WITH_KEY,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
 NUMBER = (int, float)
 KB = 1_000  # bytes
 HOWS = ("silent", "pull", "piggyback")  # where load reports come: nowhere, in probes, in answers
 BUSY = "busy"  # the field of a load report that the decisions read
-MOST = 1 << 62  # us, or whatever else a whole number counts
+LARGEST_NUMBER = 1 << 62  # us, or whatever else a whole number counts
 
 
-class Unusable(ValueError):
+class ConfigurationError(ValueError):
     """Something told at start that cannot be used."""
 
 
@@ -29,29 +33,38 @@
 
     def __init__(self, told: Any, name: str = ""):
         if not isinstance(told, dict):
-            raise Unusable(f"{name or 'the whole'} is no object")
+            raise ConfigurationError(f"{name or 'the whole'} is no object")
         self.told, self.name = told, name
 
     def key(self, key: str) -> str:
         return f"{self.name}.{key}" if self.name else key
 
-    def need(self, key: str, *kinds: type, least: float = -MOST, most: float = MOST) -> Any:
+    def need(
+        self, key: str, *kinds: type, least: float = -LARGEST_NUMBER, most: float = LARGEST_NUMBER
+    ) -> Any:
         value = self.told.get(key)
         if value is None:
-            raise Unusable(f"{self.key(key)} is missing")
+            raise ConfigurationError(f"{self.key(key)} is missing")
         if not isinstance(value, kinds) or (isinstance(value, bool) and bool not in kinds):
-            raise Unusable(f"{self.key(key)} is {value!r:.60}")
+            raise ConfigurationError(f"{self.key(key)} is {value!r:.60}")
         if isinstance(value, NUMBER) and not least <= value <= most:
-            raise Unusable(f"{self.key(key)} is {value}, out of range")
+            raise ConfigurationError(f"{self.key(key)} is {value}, out of range")
         return value
 
-    def may(self, key: str, default: Any, *kinds: type, least: float = -MOST, most: float = MOST) -> Any:
+    def may(
+        self,
+        key: str,
+        default: Any,
+        *kinds: type,
+        least: float = -LARGEST_NUMBER,
+        most: float = LARGEST_NUMBER,
+    ) -> Any:
         return default if self.told.get(key) is None else self.need(key, *kinds, least=least, most=most)
 
     def count(self, key: str, default: int = 0, least: int = 0) -> int:
         return self.may(key, default, int, least=least)
 
-    def figure(self, key: str, default: float = 0.0, most: float = MOST) -> float:
+    def figure(self, key: str, default: float = 0.0, most: float = LARGEST_NUMBER) -> float:
         return float(self.may(key, default, *NUMBER, least=0, most=most))
 
     def part(self, key: str) -> "Section":
@@ -68,7 +81,7 @@
         )
 
 
-class Briefing:
+class DeploymentSettings:
     """The deployment's figures, as the arguments that a Router takes and what else its host goes by."""
 
     def __init__(self, told: Any, seed: int):
@@ -94,30 +107,30 @@
             "seed": seed,
             "home": home,
             "vhosts": self.vhosts,
-            "permits": Permits(
-                dispatches=limits.count("try_limit", 1, least=1),
+            "permits": Capabilities(
+                max_attempts=limits.count("try_limit", 1, least=1),
                 pass_through=fam.may("pass_through_ok", False, bool),
-                joins=fam.may("shares_fills", True, bool),
+                request_collapsing=fam.may("shares_fills", True, bool),
                 siblings=fam.may("sideways", "silent", str) != "silent",
-                probes=limits.may("probes", False, bool),
-                call_off=limits.may("cancel", False, bool),
-                longest_wait=limits.count("max_retry_after_us") * limits.may("retry_after", False, bool),
-                subscribe=setup.may("discovery", "pushed", str) == "on_request",
-                reports=self.load_report.may("how", "silent", str) == "piggyback"
+                health_checks=limits.may("probes", False, bool),
+                cancellation=limits.may("cancel", False, bool),
+                max_retry_after=limits.count("max_retry_after_us") * limits.may("retry_after", False, bool),
+                discovery_on_request=setup.may("discovery", "pushed", str) == "on_request",
+                load_in_responses=self.load_report.may("how", "silent", str) == "piggyback"
                 and BUSY in self.fields
                 and not limits.may("probes", False, bool),
             ),
-            "cold_cache": ColdStart(
-                floor=rules.figure("cold_from", most=1),
-                ramp=rules.count("ramp_time_us"),
-                multiple=multiple,
+            "cold_cache": SlowStart(
+                initial_share=rules.figure("cold_from", most=1),
+                ramp_time=rules.count("ramp_time_us"),
+                overload_factor=multiple,
                 window=window,
                 routers=max(1, fam.at("zone_balancers", served, 0, int) or everyone),
             ),
-            "cold_parent": ColdStart(
-                floor=fam.figure("parent_floor", most=1),
-                ramp=fam.count("parent_cold_us"),
-                multiple=fam.figure("parent_fall_multiple") or multiple,
+            "cold_parent": SlowStart(
+                initial_share=fam.figure("parent_floor", most=1),
+                ramp_time=fam.count("parent_cold_us"),
+                overload_factor=fam.figure("parent_fall_multiple") or multiple,
                 window=window,
                 routers=everyone,
             ),
@@ -130,35 +143,39 @@
         """Load is told either by probes or in answers; what mixes the two would leave the decisions blind."""
         how, key = self.load_report.may("how", "silent", str), self.load_report.key
         if how not in HOWS:
-            raise Unusable(f"{key('how')} is {how!r:.60}; it may be {', '.join(HOWS)}")
-        probes = self.arguments["permits"].probes
+            raise ConfigurationError(f"{key('how')} is {how!r:.60}; it may be {', '.join(HOWS)}")
+        probes = self.arguments["permits"].health_checks
         if how == "pull" and not probes:
-            raise Unusable(f"{key('how')} is 'pull', which needs settings.limits.probes to be true")
+            raise ConfigurationError(f"{key('how')} is 'pull', which needs settings.limits.probes to be true")
         if how == "piggyback" and probes:
-            raise Unusable(f"settings.limits.probes is true and {key('how')} is 'piggyback': set one of them")
+            raise ConfigurationError(
+                f"settings.limits.probes is true and {key('how')} is 'piggyback': set one of them"
+            )
         if how == "piggyback" and BUSY not in self.fields:
-            raise Unusable(f"{key('fields')} lacks {BUSY!r}, which {key('how')} = 'piggyback' needs")
+            raise ConfigurationError(
+                f"{key('fields')} lacks {BUSY!r}, which {key('how')} = 'piggyback' needs"
+            )
 
     def _model(self, place: int) -> str | None:
         return self.models[place] if 0 <= place < len(self.models) else None
 
     @staticmethod
-    def _vhost(n: int, band: Section, fam: Section) -> VHost:
+    def _vhost(n: int, band: Section, fam: Section) -> TrafficClass:
         timeout = band.count("deadline_us", least=1)
-        return VHost(
+        return TrafficClass(
             name=band.need("name", str),
-            effect=EFFECTS.get(band.may("effect", "", str), Effect.NON_REPLAYABLE),
-            value=band.figure("worth"),
-            first_byte_target=band.count("aim_us") or timeout,
-            target_stretch=band.figure("aim_stretch"),
+            idempotency=EFFECTS.get(band.may("effect", "", str), Idempotency.NON_IDEMPOTENT),
+            priority_weight=band.figure("worth"),
+            latency_objective=band.count("aim_us") or timeout,
+            objective_stretch=band.figure("aim_stretch"),
             client_timeout=timeout,
-            late_share=band.figure("late_share"),
-            repeats_within=band.may("group", "cell", str),
-            repeats_for=band.count("window_us"),
-            fresh_for=fam.at("good_for_us", n, 0, int),
-            grace_for=fam.at("grace_for_us", n, 0, int),
-            old_share=float(fam.at("class_stale_worth", n, 0.0, *NUMBER)),
-            never_kept=fam.at("never_kept", n, False, bool),
+            late_value_share=band.figure("late_share"),
+            deduplication_scope=band.may("group", "cell", str),
+            deduplication_window=band.count("window_us"),
+            max_age=fam.at("good_for_us", n, 0, int),
+            stale_grace=fam.at("grace_for_us", n, 0, int),
+            stale_value_share=float(fam.at("class_stale_worth", n, 0.0, *NUMBER)),
+            uncacheable=fam.at("never_kept", n, False, bool),
         )
 
     def tier(self, kind: str) -> Tier:
@@ -172,9 +189,9 @@
     try:
         ipaddress.ip_address(host.strip("[]"))
     except ValueError:
-        raise Unusable(f"{key} is {text!r:.60}, no address") from None
+        raise ConfigurationError(f"{key} is {text!r:.60}, no address") from None
     if not port.isdecimal() or not 0 < int(port) < 1 << 16:
-        raise Unusable(f"{key} is {text!r:.60}, no port")
+        raise ConfigurationError(f"{key} is {text!r:.60}, no port")
     return host.strip("[]"), int(port)
 
 
@@ -198,30 +215,30 @@
         try:
             self.seed = int(seed, 16)
         except ValueError:
-            raise Unusable(f"seed is {seed!r:.60}") from None
+            raise ConfigurationError(f"seed is {seed!r:.60}") from None
         limits = told.part("limits")
         self.sockets = limits.may("sockets", 1024, int, least=64)
         self.memory = limits.may("memory_mb", 192, int, least=1) << 20
         known = told.part("known")
         self.position = known.count("pos")
         self.known = known.parts("entries")
-        self.briefing = Briefing(told.need("settings", dict), self.seed)
+        self.briefing = DeploymentSettings(told.need("settings", dict), self.seed)
         self.briefing.check_shape()
         if flow := told.figure("flow_bytes_per_s"):  # on the wire; the settings have the simulator's
             self.briefing.arguments["pace"] = flow / KB
         if not self.briefing.vhosts:
-            raise Unusable("settings.categories is empty")
+            raise ConfigurationError("settings.categories is empty")
 
 
 def read(environ: Mapping[str, str]) -> Any:
     """What the file says that NODE_CONFIG names."""
     path = environ.get("NODE_CONFIG")
     if not path:
-        raise Unusable("NODE_CONFIG is missing")
+        raise ConfigurationError("NODE_CONFIG is missing")
     try:
         with open(path, "rb") as file:
             return orjson.loads(file.read())
     except OSError as error:
-        raise Unusable(f"NODE_CONFIG: {path}: {error.strerror}") from None
+        raise ConfigurationError(f"NODE_CONFIG: {path}: {error.strerror}") from None
     except orjson.JSONDecodeError as error:
-        raise Unusable(f"NODE_CONFIG: {path} is not JSON: {error}") from None
+        raise ConfigurationError(f"NODE_CONFIG: {path} is not JSON: {error}") from None
--- a/quartzrouter/drill/host.py
+++ b/quartzrouter/drill/host.py
@@ -7,14 +7,15 @@
 
 import orjson
 
-from quartzrouter import control
-from quartzrouter.briefing import Briefing, Unusable
-from quartzrouter.desk import Desk
+from quartzrouter.configuration import ConfigurationError, DeploymentSettings
 from quartzrouter.drill import wire
-from quartzrouter.interface import Dispatch
+from quartzrouter.routing import LOGGER_NAME
+from quartzrouter.routing.driver import RouterDriver
+from quartzrouter.routing.model import Forward
+from quartzrouter.routing.router import Router
 
 
-class Notes(logging.Handler):
+class LogCapture(logging.Handler):
     """The module's log lines, for the report of the instance that is being called."""
 
     def __init__(self) -> None:
@@ -25,16 +26,16 @@
         self.lines.append(record.getMessage())
 
 
-class Instance(Desk):
+class Instance(RouterDriver):
     def __init__(self, event: dict[str, Any]):
-        self.briefing = Briefing(wire.need(event, "setup", dict), wire.need(event, "prng", int))
-        super().__init__(control.Router(**self.briefing.arguments))
+        self.briefing = DeploymentSettings(wire.need(event, "setup", dict), wire.need(event, "prng", int))
+        super().__init__(Router(**self.briefing.arguments))
         self.actions: list[dict[str, Any]] = []
 
     def act(self, **action: Any) -> None:
         self.actions.append(action)
 
-    def dispatch(self, req_id: int, answer: Dispatch, now: int) -> None:
+    def dispatch(self, req_id: int, answer: Forward, now: int) -> None:
         self.actions.append(wire.dispatch(req_id, answer))
 
     def call_off(self, req_id: int, hop: int, now: int) -> None:
@@ -63,31 +64,33 @@
     def on_directory_update(self, event: dict[str, Any], now: int) -> None:
         how = wire.need(event, "how", str)
         if how == "refused":
-            self.router.list_failed(now)
+            self.router.endpoint_list_failed(now)
         else:
             lines = [wire.listed(entry, self.briefing) for entry in wire.need(event, "nodes_list", list)]
-            self.router.heard(lines, how != "changes", now)
+            self.router.update_endpoints(lines, how != "changes", now)
 
     def on_demand(self, event: dict[str, Any], now: int) -> None:
-        self.take(wire.req(event), now)
+        self.take(wire.request(event), now)
 
     def on_answer(self, event: dict[str, Any], now: int) -> None:
         self.ended(wire.need(event, "op_id", int), wire.outcome(event, self.briefing.fields), now)
 
     def on_begun(self, event: dict[str, Any], now: int) -> None:
-        self.router.begun(wire.need(event, "op_id", int))
+        self.router.response_started(wire.need(event, "op_id", int))
 
     def on_dropped(self, event: dict[str, Any], now: int) -> None:
         self.left(wire.need(event, "op_id", int), now)
 
     def on_superseded(self, event: dict[str, Any], now: int) -> None:
-        self.router.purged(
+        self.router.record_purge(
             event.get("group"), event.get("object") or None, wire.need(event, "oldness_us", int), now
         )
 
     def on_probe_done(self, event: dict[str, Any], now: int) -> None:
         name, ending = wire.need(event, "cache", str), wire.ending(event)
-        self.router.probed(name, ending, wire.report(event.get("load"), self.briefing.fields), now)
+        self.router.record_health_check(
+            name, ending, wire.report(event.get("load"), self.briefing.fields), now
+        )
 
     def on_fired(self, event: dict[str, Any], now: int) -> None:
         self.fired(wire.need(event, "tag", int), now)
@@ -96,10 +99,11 @@
 class Host:
     def __init__(self) -> None:
         self.instances: dict[str, Instance] = {}
-        self.notes = Notes()
-        control.log.addHandler(self.notes)
-        control.log.setLevel(logging.INFO)
-        control.log.propagate = False
+        self.notes = LogCapture()
+        decisions_log = logging.getLogger(LOGGER_NAME)
+        decisions_log.addHandler(self.notes)
+        decisions_log.setLevel(logging.INFO)
+        decisions_log.propagate = False
 
     def play(self, now: int, events: list[dict[str, Any]]) -> list[dict[str, Any]]:
         """The actions that answer one batch, in order."""
@@ -116,8 +120,8 @@
                 if router in self.instances:
                     touched[router] = None
                     self._call(router, replies, "hear", event, now)
-            except (wire.Malformed, Unusable) as error:
-                raise wire.Malformed(f"{event['t']}: {error}") from None
+            except (wire.MalformedEvent, ConfigurationError) as error:
+                raise wire.MalformedEvent(f"{event['t']}: {error}") from None
         for router in touched:
             self._call(router, replies, "ask_wait", now)
         return replies
@@ -126,7 +130,7 @@
         instance = self.instances[router]
         try:
             getattr(instance, what)(*arguments)
-        except (wire.Malformed, Unusable):
+        except (wire.MalformedEvent, ConfigurationError):
             raise
         except Exception as error:
             traceback.print_exc(file=sys.stderr)
@@ -148,16 +152,16 @@
             try:
                 message = orjson.loads(line)
             except orjson.JSONDecodeError as error:
-                raise wire.Malformed(f"a line is not JSON: {error}") from None
+                raise wire.MalformedEvent(f"a line is not JSON: {error}") from None
             kind = message.get("t") if isinstance(message, dict) else None
             if not isinstance(kind, str):
-                raise wire.Malformed("a line has no t")
+                raise wire.MalformedEvent("a line has no t")
             if kind == "CLOCK":
                 if serial is not None:
-                    raise wire.Malformed("CLOCK inside a batch: its GO is missing")
+                    raise wire.MalformedEvent("CLOCK inside a batch: its GO is missing")
                 serial, now = wire.need(message, "serial", int), wire.need(message, "sim_time_us", int)
             elif serial is None:
-                raise wire.Malformed(f"{kind} outside a batch: its CLOCK is missing")
+                raise wire.MalformedEvent(f"{kind} outside a batch: its CLOCK is missing")
             elif kind == "GO":
                 actions = host.play(now, events)
                 actions.append({"t": "FINISHED", "serial": serial})
@@ -167,8 +171,8 @@
             else:
                 events.append(message)
         if serial is not None:
-            raise wire.Malformed("input ended inside a batch: its GO is missing")
-    except wire.Malformed as error:
+            raise wire.MalformedEvent("input ended inside a batch: its GO is missing")
+    except wire.MalformedEvent as error:
         print(f"quartzrouter: batch {serial if serial is not None else '?'}: {error}", file=sys.stderr)
         return 1
     return 0
--- a/quartzrouter/drill/wire.py
+++ b/quartzrouter/drill/wire.py
@@ -2,20 +2,29 @@
 
 from typing import Any
 
-from quartzrouter.briefing import Briefing
-from quartzrouter.interface import Dispatch, Ending, Listed, Outcome, Report, Req, State, Told
-
-STATES = {"Running": State.UP, "Stopping": State.DRAINING, "Deleted": State.GONE}
+from quartzrouter.configuration import DeploymentSettings
+from quartzrouter.routing.model import (
+    AttemptResult,
+    AttemptStatus,
+    Endpoint,
+    EndpointState,
+    FillStatus,
+    Forward,
+    LoadReport,
+    Request,
+)
+
+STATES = {"Running": EndpointState.UP, "Stopping": EndpointState.DRAINING, "Deleted": EndpointState.GONE}
 ENDINGS = {
-    "success": Ending.DONE,
-    "failure": Ending.ERROR,
-    "overloaded": Ending.FULL,
-    "timed_out": Ending.LATE,
-    "unreachable": Ending.NO_CONNECTION,
-    "broken": Ending.CUT,
-    "withdrawn": Ending.CALLED_OFF,
-    "void": Ending.UNSENT,
-    "absent": Ending.LACKING,
+    "success": AttemptStatus.SUCCEEDED,
+    "failure": AttemptStatus.ERROR,
+    "overloaded": AttemptStatus.OVERLOADED,
+    "timed_out": AttemptStatus.TIMED_OUT,
+    "unreachable": AttemptStatus.CONNECTION_REFUSED,
+    "broken": AttemptStatus.CONNECTION_LOST,
+    "withdrawn": AttemptStatus.CANCELLED,
+    "void": AttemptStatus.NOT_SENT,
+    "absent": AttemptStatus.NOT_FOUND,
 }
 LOADS = {
     "rif": "outstanding",
@@ -27,30 +36,30 @@
 }
 
 
-class Malformed(ValueError):
+class MalformedEvent(ValueError):
     """An event that cannot be read."""
 
 
 def need(event: dict[str, Any], key: str, *kinds: type) -> Any:
     value = event.get(key)
     if value is None:
-        raise Malformed(f"{key} is missing")
+        raise MalformedEvent(f"{key} is missing")
     if (kinds and not isinstance(value, kinds)) or (isinstance(value, bool) and bool not in kinds):
-        raise Malformed(f"{key} is {value!r}")
+        raise MalformedEvent(f"{key} is {value!r}")
     return value
 
 
-def listed(entry: dict[str, Any], briefing: Briefing) -> Listed:
+def listed(entry: dict[str, Any], briefing: DeploymentSettings) -> Endpoint:
     kind = entry.get("model") or ""
-    return Listed(
+    return Endpoint(
         name=need(entry, "cache", str),
         location=entry.get("campus") or "",
         tier=briefing.tier(kind),
-        kind=kind,
+        machine_type=kind,
         cell=entry.get("pack") or 0,
-        state=STATES.get(need(entry, "condition", str), State.DRAINING),
-        rating=entry.get("rating") or 1.0,
-        started=entry.get("came_up_us") or 0,
+        state=STATES.get(need(entry, "condition", str), EndpointState.DRAINING),
+        capacity_rating=entry.get("rating") or 1.0,
+        started_at=entry.get("came_up_us") or 0,
     )
 
 
@@ -58,43 +67,43 @@
     return dict(zip((LOADS.get(field, field) for field in fields), load or [], strict=False))
 
 
-def req(event: dict[str, Any]) -> Req:
-    return Req(
+def request(event: dict[str, Any]) -> Request:
+    return Request(
         id=need(event, "op_id", int),
-        vhost=need(event, "band", str),
-        obj=need(event, "object", str),
-        group=event.get("tag"),
-        part=event.get("piece") or 0,
+        traffic_class=need(event, "band", str),
+        object_key=need(event, "object", str),
+        tag=event.get("tag"),
+        chunk=event.get("piece") or 0,
         size_kb=event.get("size_kb") or 0.0,
         timeout=need(event, "time_budget_us", int),
         tenant=event.get("project") or None,
     )
 
 
-def ending(event: dict[str, Any]) -> Ending:
-    return ENDINGS.get(need(event, "how", str), Ending.ERROR)
+def ending(event: dict[str, Any]) -> AttemptStatus:
+    return ENDINGS.get(need(event, "how", str), AttemptStatus.ERROR)
 
 
-def outcome(event: dict[str, Any], fields: list[str]) -> Outcome:
+def outcome(event: dict[str, Any], fields: list[str]) -> AttemptResult:
     note, told = event.get("note") or 0, report(event.get("load"), fields)
-    return Outcome(
-        hop=need(event, "hop", int),
-        ending=ending(event),
+    return AttemptResult(
+        attempt_number=need(event, "hop", int),
+        status=ending(event),
         elapsed=need(event, "time_taken_us", int),
-        told=Told(note) if note in Told._value2member_map_ else Told.NOTHING,
-        over=bool(event.get("ended")),
-        report=Report(event.get("first_byte_us"), told.get("busy"), told.get("x1")),
+        fill_status=FillStatus(note) if note in FillStatus._value2member_map_ else FillStatus.UNKNOWN,
+        final=bool(event.get("ended")),
+        load_report=LoadReport(event.get("first_byte_us"), told.get("busy"), told.get("x1")),
     )
 
 
-def dispatch(req_id: int, answer: Dispatch) -> dict[str, Any]:
+def dispatch(req_id: int, answer: Forward) -> dict[str, Any]:
     return {
         "t": "ANSWER_FROM",
         "op_id": req_id,
-        "cache": answer.be,
-        "fill_from": answer.source,
-        "keep": answer.rank,
-        "oldness_us": answer.oldest,
-        "manner": answer.join + 8 * answer.renew,
+        "cache": answer.endpoint,
+        "fill_from": answer.fill_source,
+        "keep": answer.cache_priority,
+        "oldness_us": answer.max_age,
+        "manner": answer.allow_collapsing + 8 * answer.revalidate_in_background,
         "timeout_us": answer.timeout,
     }
--- a/quartzrouter/standin/boxes.py
+++ b/quartzrouter/fakes/caches.py
@@ -11,10 +11,10 @@
 
 import anyio
 
-from quartzrouter.net.clock import clock
-from quartzrouter.purges.marks import Asked, Marks
-from quartzrouter.purges.words import Purge
-from quartzrouter.standin.loopback import Server, heads, tag
+from quartzrouter.fakes.loopback import Server, heads, tag
+from quartzrouter.purges.messages import Purge
+from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
+from quartzrouter.server.clock import wall_clock
 
 LOST = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
 
@@ -42,14 +42,14 @@
 
     vhost: str
     path: str
-    began: int = field(default_factory=clock)
+    began: int = field(default_factory=wall_clock)
     done: anyio.Event = field(default_factory=anyio.Event)
     copy: Copy | None = None
     outdated: bool = False
 
 
 @dataclass
-class Box(Server):
+class PurgeableCache(Server):
     """One server.
 
     :param above: addresses by name, for fills.
@@ -97,11 +97,11 @@
         if not target.startswith("/x/"):
             return _head(200, {"X-Purged-To": str(self.reached)}, b"")
         self.asked += 1
-        came = clock()
+        came = wall_clock()
         _, _, vhost, obj, part = target.split("/")
         key, bound = (vhost, obj, part), fields.get("x-fresh-ms")
         copy, told = self.copies.get(key), "cached"
-        if copy is None or (bound and copy.aged(clock()) > int(bound) * 1000):
+        if copy is None or (bound and copy.aged(wall_clock()) > int(bound) * 1000):
             joins = "ride" in fields.get("x-opts", "")
             fill = self.fills.get(key) if joins else None
             if fill is not None:
@@ -121,7 +121,7 @@
     async def _fill(self, key: tuple[str, str, str], target: str, fields: dict[str, str]) -> Copy | None:
         path = fields.get("x-path", "")
         if self.origin:
-            made = clock()
+            made = wall_clock()
             await anyio.sleep(self.delay())
             body = f"{path} {made}".encode()
             return Copy(body, made + self.skew, made, self.tags_of(path), key[0], path)
@@ -140,7 +140,7 @@
     async def _fetch(self, key: tuple[str, str, str], target: str, fields: dict[str, str]) -> Copy | None:
         name = fields.get("x-parent", self.source)
         host, _, port = self.above[name if name in self.above else self.source].rpartition(":")
-        asked = clock()
+        asked = wall_clock()
         passed = [f"{n}: {fields[n]}" for n in ("x-fresh-ms", "x-path", "x-opts", "x-rank") if n in fields]
         try:
             async with await anyio.connect_tcp(host, int(port)) as stream:
@@ -161,7 +161,7 @@
         )
 
     def _purge(self, fields: dict[str, str]) -> bytes:
-        now = clock()
+        now = wall_clock()
         self.recent = [at for at in self.recent if now - at < 1_000_000] + [now]
         self.most = max(self.most, len(self.recent))
         if self.chance.random() < self.refuse:
@@ -192,16 +192,16 @@
 
 
 @lru_cache(1_024)
-def _marks(kind: str, values: tuple[str, ...], vhost: str) -> Marks:
+def _marks(kind: str, values: tuple[str, ...], vhost: str) -> PurgeIndex:
     """One purge, to ask what it names."""
-    marks = Marks(1 << 50, 1_000)
+    marks = PurgeIndex(1 << 50, 1_000)
     marks.add(Purge(1, 1, kind, values, vhost), 1)
     return marks
 
 
-def _asked(key: tuple[str, str, str], path: str) -> Asked:
+def _asked(key: tuple[str, str, str], path: str) -> PurgeLookup:
     host, slash, rest = path.partition("/")
-    return Asked(key[0], key[1].lower(), host, slash + rest)
+    return PurgeLookup(key[0], key[1].lower(), host, slash + rest)
 
 
 def _whole(data: bytes) -> bool:
--- a/quartzrouter/standin/loopback.py
+++ b/quartzrouter/fakes/loopback.py
@@ -7,8 +7,8 @@
 
 import anyio
 
-from quartzrouter.net import fastcgi
-from quartzrouter.net.ring import Ring
+from quartzrouter.server import fastcgi
+from quartzrouter.server.ring_buffer import RingBuffer
 
 TAG = b"4be0c1927d55a6f3"
 MARKS = b"X-Tag: " + TAG + b"\r\nX-Minted: 1764576000123\r\n"
@@ -34,17 +34,21 @@
     """Speaks FastCGI, and shows what comes back."""
 
     def __init__(self, stream):
-        self.stream, self.ring, self.said = stream, Ring(1 << 16), {}
-        self.records = fastcgi.Records(self.ring)
+        self.stream, self.ring, self.said = stream, RingBuffer(1 << 16), {}
+        self.records = fastcgi.RecordReader(self.ring)
 
     async def begin(self, id, *arguments, **other):
         await self.stream.send(self.req(id, *arguments, **other))
 
     def req(self, id, path="/rpc/page", body=b"", role=1, whole=True, **other):
         fields = {
-            "SCRIPT_NAME": path, "HTTP_X_CORRELATION_ID": f"{id:016x}", "HTTP_X_DEADLINE_MS": "1000",
-            "HTTP_X_SUBJECT": f"{id:016x}", "HTTP_X_CHUNK": "0", "HTTP_X_TAG": "5",
-        } | other  # fmt: skip
+            "SCRIPT_NAME": path,
+            "HTTP_X_CORRELATION_ID": f"{id:016x}",
+            "HTTP_X_DEADLINE_MS": "1000",
+            "HTTP_X_SUBJECT": f"{id:016x}",
+            "HTTP_X_CHUNK": "0",
+            "HTTP_X_TAG": "5",
+        } | other
         params = b"".join(
             bytes((len(k), len(v))) + k.encode() + v.encode() for k, v in fields.items() if v is not None
         )
--- /dev/null
+++ b/quartzrouter/fault_harness/child_process.py
@@ -0,0 +1,78 @@
+"""Processes of a stand: a router, a ledger, any command; with clocks that are off and guards taken out.
+
+python -m quartzrouter.fault_harness.child_process PAGE router PLAN [GUARD...]
+python -m quartzrouter.fault_harness.child_process PAGE ledger FOLDER HOST:PORT GRACE_US
+    PLAN|- STANDBY|- [GUARD...]
+python -m quartzrouter.fault_harness.child_process PAGE keeper PLAN NAME FOLDER|- [GUARD...]
+python -m quartzrouter.fault_harness.child_process PAGE claimant PLAN TASK NAME WITNESS_PORT [GUARD...]
+python -m quartzrouter.fault_harness.child_process PAGE cli ARGUMENT...
+"""
+
+import sys
+
+import anyio
+
+from quartzrouter.configuration import address
+from quartzrouter.fault_harness.skewed_clocks import clocks
+from quartzrouter.server import process as net
+from quartzrouter.server.event_loop import LOOP
+
+
+def main(page: str, what: str, *told: str) -> int:
+    wall, even = clocks(page)
+    net.wall_clock, net.steady_clock = wall, even
+    if what == "cli":
+        from quartzrouter.cli.main import cli
+
+        return cli(list(told))
+    from quartzrouter.standalone.structured_log import StructuredLog, logger
+
+    if what == "ledger":
+        from quartzrouter.cli.ledger import budgets_of
+        from quartzrouter.purge_log import server
+
+        folder, listen, grace, plan, standby, *guards = told
+        _take_out(guards, wall)
+        report, granted = StructuredLog("ledger", wall, logger()), budgets_of(plan) if plan != "-" else None
+        beside = address(standby, "standby") if standby != "-" else None
+        told = (folder, address(listen, "listen"), int(grace), report, beside, wall, granted, even)
+        return anyio.run(server.serve, *told, backend_options=LOOP)
+    if what == "keeper":
+        from quartzrouter.cli.keeper import reader
+        from quartzrouter.lease_service import server as keeper
+        from quartzrouter.lease_service.token_storage import TokenStorage
+
+        path, name, folder, *guards = told
+        _take_out(guards, wall)
+        report = StructuredLog(name, wall, logger())
+        numbers = (
+            TokenStorage(folder, name, lambda said: report.say("lease", said)) if folder != "-" else None
+        )
+        anyio.run(keeper.serve, name, reader(path, name), report, numbers, even, backend_options=LOOP)
+        return 0
+    if what == "claimant":
+        from quartzrouter.fault_harness.witness import claimant
+
+        path, task, name, port, *guards = told
+        _take_out(guards, wall)
+        report = StructuredLog(name, wall, logger())
+        anyio.run(claimant, path, task, name, int(port), report, even, wall, backend_options=LOOP)
+        return 0
+    from quartzrouter.config.loader import load
+    from quartzrouter.standalone import process as site
+
+    path, *guards = told
+    _take_out(guards, wall)
+    return site.run(path, load(path).plan, logger("info", "json"))
+
+
+def _take_out(names: list[str], wall) -> None:
+    from quartzrouter.fault_harness import mutations
+
+    mutations.clock_of_the_process = wall
+    for name in names:
+        setattr(*mutations.MUTATIONS[name])
+
+
+if __name__ == "__main__":
+    sys.exit(main(*sys.argv[1:]))
--- a/quartzrouter/stand/counting.py
+++ b/quartzrouter/fault_harness/counting_cache.py
@@ -5,9 +5,9 @@
 
 import anyio
 
-from quartzrouter.stand.history import History
-from quartzrouter.standin.boxes import LOST
-from quartzrouter.standin.loopback import WHOLE, Server, tagged
+from quartzrouter.fakes.caches import LOST
+from quartzrouter.fakes.loopback import WHOLE, Server, tagged
+from quartzrouter.fault_harness.history import History
 
 ALIVE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 LOST_ANSWER = b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
--- a/quartzrouter/stand/faults.py
+++ b/quartzrouter/fault_harness/fault_injection.py
@@ -2,15 +2,15 @@
 
 import anyio
 
-from quartzrouter.stand.fleet import Fleet
-from quartzrouter.stand.links import Link, Way
-from quartzrouter.stand.parties import Party
-from quartzrouter.stand.schedule import Fault
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_harness.fleet import Fleet
+from quartzrouter.fault_harness.processes import FleetProcess
+from quartzrouter.fault_harness.proxied_links import LinkDirection, ProxiedLink
 
 S = 1_000_000  # us
 
 
-class Struck(Fleet):
+class FaultInjectedFleet(Fleet):
     """A fleet to which schedules are played; each kind of fault is a method of its name.
 
     `spoil` is the share of lines that are spoilt where no fault says so.
@@ -18,14 +18,14 @@
 
     spoil = 0.0
 
-    def links_of(self, name: str) -> list[Link]:
+    def links_of(self, name: str) -> list[ProxiedLink]:
         """The links that a fault at that name strikes."""
         raise NotImplementedError
 
-    def party(self, name: str) -> Party:
+    def party(self, name: str) -> FleetProcess:
         return next(each for each in self.parties if each.name == name)
 
-    def ways(self, name: str) -> list[Way]:
+    def ways(self, name: str) -> list[LinkDirection]:
         return [way for link in self.links_of(name) for way in link.ways]
 
     async def strike(self, fault: Fault) -> None:
--- a/quartzrouter/stand/schedule.py
+++ b/quartzrouter/fault_harness/fault_schedule.py
@@ -26,9 +26,11 @@
 
 
 def drawn(
-    chance: random.Random, kinds: dict[str, tuple[Sequence[str], tuple[int, int], Sequence[float]]],
-    faults: int, until: int,
-) -> list[Fault]:  # fmt: skip
+    chance: random.Random,
+    kinds: dict[str, tuple[Sequence[str], tuple[int, int], Sequence[float]]],
+    faults: int,
+    until: int,
+) -> list[Fault]:
     """So many faults before a time.
 
     :param kinds: by name: whom it may strike, least and most ms it lasts, how much.
--- a/quartzrouter/stand/fleet.py
+++ b/quartzrouter/fault_harness/fleet.py
@@ -8,13 +8,13 @@
 
 import anyio
 
-from quartzrouter.ledger.wire import Client as LedgerClient
-from quartzrouter.ledger.wire import Unreachable
-from quartzrouter.purges.words import AskMembers
-from quartzrouter.stand.clocks import Page
-from quartzrouter.stand.history import History
-from quartzrouter.stand.links import Link
-from quartzrouter.stand.parties import Party
+from quartzrouter.fault_harness.history import History
+from quartzrouter.fault_harness.processes import FleetProcess
+from quartzrouter.fault_harness.proxied_links import ProxiedLink
+from quartzrouter.fault_harness.skewed_clocks import ClockPage
+from quartzrouter.purge_log.line_connection import QueryClient as LedgerClient
+from quartzrouter.purge_log.line_connection import Unreachable
+from quartzrouter.purges.messages import MembersQuery
 
 UP_WITHIN = 20.0  # s for a process to listen: Python starts in one, many at once on few cores in more
 JOINED_WITHIN = 15.0
@@ -38,21 +38,25 @@
     def __init__(self, folder: Path, chance: random.Random, grace: int = 300_000):
         self.folder, self.chance, self.grace = folder, chance, grace
         self.history = History()
-        self.routers: list[Party] = []
-        self.ledgers: list[Party] = []
-        self.others: list[Party] = []
+        self.routers: list[FleetProcess] = []
+        self.ledgers: list[FleetProcess] = []
+        self.others: list[FleetProcess] = []
         self.ports: list[int] = []  # of routers
         self.ledger_ports: list[int] = []
         self.held: list[socket.socket] = []  # for as long as the fleet is there
-        self.links: list[list[Link]] = []  # of each router, to each ledger
+        self.links: list[list[ProxiedLink]] = []  # of each router, to each ledger
         self.logs = open(folder / "log", "ab")  # noqa: SIM115 - for as long as the children live
 
     # -- parties -------------------------------------------------------------------------------------------
 
     async def add_ledger(
-        self, plan: Path | None = None, standby: int | None = None, clocks: Clocks = TRUE,
-        guards: Sequence[str] = (), folder: str = "ledger",
-    ) -> Party:  # fmt: skip
+        self,
+        plan: Path | None = None,
+        standby: int | None = None,
+        clocks: Clocks = TRUE,
+        guards: Sequence[str] = (),
+        folder: str = "ledger",
+    ) -> FleetProcess:
         """:param standby: the ledger, by its number, that it takes over from."""
         port = self._port()
         beside = f"127.0.0.1:{self.ledger_ports[standby]}" if standby is not None else "-"
@@ -64,21 +68,25 @@
 
     async def add_links(self, tasks: anyio.abc.TaskGroup) -> int:
         """Links from one more router to all ledgers, and that router's port; gives its number."""
-        links = [Link(("127.0.0.1", port), self.chance) for port in self.ledger_ports]
+        links = [ProxiedLink(("127.0.0.1", port), self.chance) for port in self.ledger_ports]
         for link in links:
             await link.start(tasks)
         self.links.append(links)
         self.ports.append(self._port())
         return len(self.links) - 1
 
-    def add_router(self, n: int, plan: str, clocks: Clocks = TRUE, guards: Sequence[str] = ()) -> Party:
+    def add_router(
+        self, n: int, plan: str, clocks: Clocks = TRUE, guards: Sequence[str] = ()
+    ) -> FleetProcess:
         """:param plan: its text; the file may be written anew for a reload."""
         path = self.plan_of(n)
         path.write_text(plan)
         self.routers.append(self._party(f"r{n}", ["router", str(path), *guards], clocks))
         return self.routers[-1]
 
-    def add_keeper(self, name: str, plan: str, clocks: Clocks = TRUE, guards: Sequence[str] = ()) -> Party:
+    def add_keeper(
+        self, name: str, plan: str, clocks: Clocks = TRUE, guards: Sequence[str] = ()
+    ) -> FleetProcess:
         """:param plan: its text, with the address at which it listens."""
         path, folder = self.folder / f"{name}.plan", self.folder / name
         path.write_text(plan)
@@ -87,9 +95,15 @@
         return self.others[-1]
 
     def add_claimant(
-        self, party: str, name: str, plan: str, task: str, witness: int, clocks: Clocks = TRUE,
+        self,
+        party: str,
+        name: str,
+        plan: str,
+        task: str,
+        witness: int,
+        clocks: Clocks = TRUE,
         guards: Sequence[str] = (),
-    ) -> Party:  # fmt: skip
+    ) -> FleetProcess:
         """:param plan: its text, with the addresses at which it reaches keepers.
         :param witness: the port of whoever it acts on.
         """
@@ -100,7 +114,7 @@
         )
         return self.others[-1]
 
-    def add_command(self, name: str, *words: str) -> Party:
+    def add_command(self, name: str, *words: str) -> FleetProcess:
         self.others.append(self._party(name, ["cli", *words], Clocks()))
         return self.others[-1]
 
@@ -115,12 +129,12 @@
     def plan_of(self, n: int) -> Path:
         return self.folder / f"r{n}.plan"
 
-    def _party(self, name: str, told: list[str], clocks: Clocks, folder: Path | None = None) -> Party:
-        page = Page(self.folder / f"{name}.clocks", *clocks)
-        return Party(name, told, page, self.logs, self.history, folder)
+    def _party(self, name: str, told: list[str], clocks: Clocks, folder: Path | None = None) -> FleetProcess:
+        page = ClockPage(self.folder / f"{name}.clocks", *clocks)
+        return FleetProcess(name, told, page, self.logs, self.history, folder)
 
     @property
-    def parties(self) -> list[Party]:
+    def parties(self) -> list[FleetProcess]:
         return [*self.routers, *self.ledgers, *self.others]
 
     def end(self) -> None:
@@ -169,7 +183,7 @@
     @staticmethod
     async def _live(client: LedgerClient) -> int:
         try:
-            members = (await client.ask(AskMembers())).members
+            members = (await client.ask(MembersQuery())).members
         except Unreachable:
             return 0
         return sum(member.live and member.kind == "router" for member in members)
--- a/quartzrouter/stand/history.py
+++ b/quartzrouter/fault_harness/history.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from quartzrouter.net.clock import steady
+from quartzrouter.server.clock import steady_clock
 
 
-class Event(NamedTuple):
+class HistoryEvent(NamedTuple):
     """:param at: us."""
 
     at: int
@@ -20,15 +20,15 @@
 
 class History:
     def __init__(self) -> None:
-        self.events: list[Event] = []
+        self.events: list[HistoryEvent] = []
 
     def add(self, what: str, who: str, **told: Any) -> int:
         """Notes it; gives the time."""
-        at = steady()
-        self.events.append(Event(at, what, who, told))
+        at = steady_clock()
+        self.events.append(HistoryEvent(at, what, who, told))
         return at
 
-    def of(self, *what: str) -> Iterator[Event]:
+    def of(self, *what: str) -> Iterator[HistoryEvent]:
         return (event for event in self.events if event.what in what)
 
     def write(self, path: Path) -> None:
--- a/quartzrouter/stand/checks.py
+++ b/quartzrouter/fault_harness/history_checks.py
@@ -6,9 +6,8 @@
 from dataclasses import dataclass
 from math import inf
 
-from quartzrouter.sharing.budget import Budget, S
-from quartzrouter.stand.history import Event, History
-
+from quartzrouter.fault_harness.history import History, HistoryEvent
+from quartzrouter.quota.budget import Budget, S
 
 HALT = 50_000  # us by which an act may reach its witness after its process was stopped: it was on its way
 
@@ -72,7 +71,7 @@
     return found
 
 
-def unanswered(history: History, within: int) -> list[Event]:
+def unanswered(history: History, within: int) -> list[HistoryEvent]:
     """Reqs without an answer in time; not those whose connection ended with their router."""
     ended = {event.told["path"]: event.at for event in history.of("end", "cut")}
     last = history.events[-1].at
--- a/quartzrouter/stand/linear.py
+++ b/quartzrouter/fault_harness/linearizability.py
@@ -8,12 +8,12 @@
 from collections.abc import Callable, Hashable, Sequence
 from typing import NamedTuple
 
-from quartzrouter.stand.history import History
+from quartzrouter.fault_harness.history import History
 
 STATES_MOST = 200_000  # looked at; beyond, nothing is known
 
 
-class Op(NamedTuple):
+class Operation(NamedTuple):
     """:param called: us when the client's word passed.
     :param back: us when the answer did; None: none came.
     :param what: of it, for the spec.
@@ -30,7 +30,7 @@
 Spec = Callable[[Hashable, tuple], tuple[Hashable, tuple]]
 
 
-def linear(ops: Sequence[Op], spec: Spec, state: Hashable) -> bool | None:
+def is_linearizable(ops: Sequence[Operation], spec: Spec, state: Hashable) -> bool | None:
     """Whether there is an order; None where that isn't found out within bounds."""
     ops = sorted(ops, key=lambda op: op.called)
     never = max((op.back or op.called for op in ops), default=0) + 1
@@ -62,7 +62,7 @@
     return False
 
 
-def _near(ops: Sequence[Op], ends: Sequence[int], over: int, first: int) -> list[int]:
+def _near(ops: Sequence[Operation], ends: Sequence[int], over: int, first: int) -> list[int]:
     """Ops still to come, up to one that is called after another of them has ended: later ones end later."""
     found, soonest = [], None
     for n in range(first, len(ops)):
@@ -81,18 +81,18 @@
     return (seen, ("no", seen)) if number < seen else (number, ("yes", number))
 
 
-def ops_of(history: History) -> list[Op]:
+def operations_of(history: History) -> list[Operation]:
     """What passed between claimants and their witness, one op of each at a time."""
-    found: list[Op] = []
+    found: list[Operation] = []
     open_: dict[str, tuple[int, tuple]] = {}
     for event in history.of("call", "back"):
         if event.what == "call":
             if before := open_.pop(event.who, None):  # its line has ended without an answer
-                found.append(Op(before[0], None, before[1], None))
+                found.append(Operation(before[0], None, before[1], None))
             open_[event.who] = (event.at, (event.told["number"],))
         elif event.who in open_ and event.told["answer"][0] != "fails":
             called, what = open_.pop(event.who)
-            found.append(Op(called, event.at, what, tuple(event.told["answer"])))
+            found.append(Operation(called, event.at, what, tuple(event.told["answer"])))
         else:
             open_.pop(event.who, None)  # what failed has changed nothing
-    return found + [Op(called, None, what, None) for called, what in open_.values()]
+    return found + [Operation(called, None, what, None) for called, what in open_.values()]
--- a/quartzrouter/stand/asking.py
+++ b/quartzrouter/fault_harness/load_generator.py
@@ -5,25 +5,29 @@
 
 import anyio
 
-from quartzrouter.stand.history import History
-from quartzrouter.standin.boxes import LOST
-from quartzrouter.standin.loopback import Client
+from quartzrouter.fakes.caches import LOST
+from quartzrouter.fakes.loopback import Client
+from quartzrouter.fault_harness.history import History
 
 ANSWER = re.compile(r"\d+: Status: (\d+)")
 GIVEN_UP = 6.0  # s: longer than any req may take
 AGAIN = 0.05  # s until a router that isn't there is tried anew
 
 
-class Asker:
+class LoadGenerator:
     """:param path: what all its paths begin with.
     :param pace: s from an answer, or from when it should have come, to the next req.
     :param awake: whether it asks at all for now.
     """
 
     def __init__(
-        self, path: str, history: History, port: int, pace: Callable[[], float],
+        self,
+        path: str,
+        history: History,
+        port: int,
+        pace: Callable[[], float],
         awake: Callable[[], bool] = lambda: True,
-    ):  # fmt: skip
+    ):
         self.path, self.history, self.port, self.pace, self.awake = path, history, port, pace, awake
         self.ends, self.asked = False, 0
 
--- a/quartzrouter/stand/guards.py
+++ b/quartzrouter/fault_harness/mutations.py
@@ -3,36 +3,46 @@
 A guard that no fault finds missing is not proven, so each is taken out once, in tests and in rehearsals.
 """
 
-from quartzrouter.keeper.claims import Claims
-from quartzrouter.leases.claim import Claim
-from quartzrouter.leases.keeper import Keeper
-from quartzrouter.leases.terms import Answer, Terms
-from quartzrouter.ledger.log import Log
-from quartzrouter.ledger.serve import Ledger
-from quartzrouter.net.clock import clock
-from quartzrouter.purges.fleet import Fleet
-from quartzrouter.purges.lease import Lease
-from quartzrouter.purges.marks import Marks
-from quartzrouter.sharing.budget import Budget, S
-from quartzrouter.sharing.granter import Granter
-from quartzrouter.sharing.share import Share
-from quartzrouter.sharing.shares import Shares
-from quartzrouter.sharing.warming import Parts, Pot, Warming
+from quartzrouter.lease_service.client import ClusterLeaseClient
+from quartzrouter.leases.acceptor import Acceptor
+from quartzrouter.leases.proposer import Proposer
+from quartzrouter.leases.terms import LeaseTerms, VoteReply
+from quartzrouter.purge_log.log import PurgeLog
+from quartzrouter.purge_log.server import PurgeLogServer
+from quartzrouter.purges.fleet_purges import FleetPurges
+from quartzrouter.purges.freshness_lease import FreshnessLease
+from quartzrouter.purges.purge_index import PurgeIndex
+from quartzrouter.quota.allocator import QuotaAllocator
+from quartzrouter.quota.budget import Budget, S
+from quartzrouter.quota.client import QuotaClient
+from quartzrouter.quota.local_quota import LocalQuota
+from quartzrouter.quota.slow_start import EndpointAccount, SlowStartAllocator, SlowStartClient
+from quartzrouter.server.clock import wall_clock
 
 # -- of purges -------------------------------------------------------------------------------------------
 
 PURGES = {
-    "lease": (Lease, "bound", lambda self, now: 0),
-    "judge": (Fleet, "good", lambda self, *arguments: True),
-    "marks": (Marks, "newest", lambda self, asked, tags, store, above=0: above),
-    "trust": (Fleet, "trusted", lambda self, held_by: True),
-    "bound": (Fleet, "oldest", lambda self, asked, store, held_by, usual, now: usual),
+    "lease": (FreshnessLease, "bound", lambda self, now: 0),
+    "judge": (FleetPurges, "good", lambda self, *arguments: True),
+    "marks": (PurgeIndex, "newest", lambda self, asked, tags, store, above=0: above),
+    "trust": (FleetPurges, "trusted", lambda self, held_by: True),
+    "bound": (FleetPurges, "oldest", lambda self, asked, store, held_by, usual, now: usual),
 }
 
 # -- of shares -------------------------------------------------------------------------------------------
 
-TAKE_GRANT, ASK, START, SHARES = Share.take_grant, Share.ask, Share.__init__, Shares.__init__
-BEGIN, REFUSAL, HOLDER, GRANTED = Granter.__init__, Granter._refusal, Granter._holder, Ledger._granted
+TAKE_GRANT, ASK, START, SHARES = (
+    LocalQuota.take_grant,
+    LocalQuota.ask,
+    LocalQuota.__init__,
+    QuotaClient.__init__,
+)
+BEGIN, REFUSAL, HOLDER, GRANTED = (
+    QuotaAllocator.__init__,
+    QuotaAllocator._refusal,
+    QuotaAllocator._holder,
+    PurgeLogServer._granted,
+)
 
 
 def late(self, said, now):
@@ -119,7 +129,7 @@
     SHARES(self, budgets, name, token, clock_of_the_process)
 
 
-clock_of_the_process = clock  # the child puts its own in place
+clock_of_the_process = wall_clock  # the child puts its own in place
 
 
 def anybody(self, ask, member):
@@ -128,25 +138,25 @@
 
 SHARED = {
     "a share doesn't end": (Budget, "ends", endless),
-    "a share counts from its answer": (Share, "take_grant", late),
-    "a doubled grant counts twice": (Share, "take_grant", twice),
-    "an answer to an older ask counts": (Share, "take_grant", older),
-    "a router isn't confined by its own word": (Share, "ask", unconfined),
-    "a router doesn't look at the clock for a req": (Shares, "__init__", blind),
-    "shares end by the wall clock": (Shares, "__init__", by_the_wall),
-    "a restarted router has its floor's burst again": (Share, "__init__", two_bursts),
-    "a restarted router has its floor's slots at once": (Share, "__init__", floor_at_once),
+    "a share counts from its answer": (LocalQuota, "take_grant", late),
+    "a doubled grant counts twice": (LocalQuota, "take_grant", twice),
+    "an answer to an older ask counts": (LocalQuota, "take_grant", older),
+    "a router isn't confined by its own word": (LocalQuota, "ask", unconfined),
+    "a router doesn't look at the clock for a req": (QuotaClient, "__init__", blind),
+    "shares end by the wall clock": (QuotaClient, "__init__", by_the_wall),
+    "a restarted router has its floor's burst again": (LocalQuota, "__init__", two_bursts),
+    "a restarted router has its floor's slots at once": (LocalQuota, "__init__", floor_at_once),
     "a slot's req is over with its share": (Budget, "gone", lambda self, at: at + self.life),
-    "a granter starts with a full bucket": (Granter, "__init__", full),
-    "a granter grants slots at once": (Granter, "__init__", at_once),
-    "a granter obeys a late ask": (Granter, "_refusal", any_number),
-    "a granter doesn't compare figures": (Granter, "_refusal", any_figures),
-    "a restarted router's slots are forgotten": (Granter, "_holder", forgets),
-    "a granter doesn't look whether another has begun": (Log, "check", lambda self: None),
+    "a granter starts with a full bucket": (QuotaAllocator, "__init__", full),
+    "a granter grants slots at once": (QuotaAllocator, "__init__", at_once),
+    "a granter obeys a late ask": (QuotaAllocator, "_refusal", any_number),
+    "a granter doesn't compare figures": (QuotaAllocator, "_refusal", any_figures),
+    "a restarted router's slots are forgotten": (QuotaAllocator, "_holder", forgets),
+    "a granter doesn't look whether another has begun": (PurgeLog, "check", lambda self: None),
 }
 # -- of what cold servers may be sent ----------------------------------------------------------------------
 
-GRANTED_COLD, WARM = Parts.granted, Warming.__init__
+GRANTED_COLD, WARM = SlowStartClient.granted, SlowStartAllocator.__init__
 
 
 def cold_twice(self, grants):
@@ -164,13 +174,13 @@
 
 
 COLD = {
-    "a cold server's granter grants at once": (Warming, "__init__", warm_at_once),
-    "a doubled part of a cold server counts twice": (Parts, "granted", cold_twice),
-    "a cold server's granter forgets what it granted": (Pot, "lately", lambda self, since: 0),
+    "a cold server's granter grants at once": (SlowStartAllocator, "__init__", warm_at_once),
+    "a doubled part of a cold server counts twice": (SlowStartClient, "granted", cold_twice),
+    "a cold server's granter forgets what it granted": (EndpointAccount, "lately", lambda self, since: 0),
 }
 # -- of leases ---------------------------------------------------------------------------------------------
 
-KEEPER, VOTE, GAINED, CLAIMS = Keeper.__init__, Keeper.vote, Claim._gained, Claims.__init__
+KEEPER, VOTE, GAINED, CLAIMS = Acceptor.__init__, Acceptor.vote, Proposer._gained, ClusterLeaseClient.__init__
 
 
 def votes_at_once(self, terms, name, now, highest=None):
@@ -193,7 +203,7 @@
 
 def votes_for_names(self, said, now):
     given = VOTE(self, said._replace(token="same"), now)
-    return given._replace(token=said.token) if isinstance(given, Answer) else given
+    return given._replace(token=said.token) if isinstance(given, VoteReply) else given
 
 
 def claims_by_the_wall(self, terms, addresses, name, report, steady, clock):
@@ -201,12 +211,12 @@
 
 
 LEASES = {
-    "a keeper votes right after its start": (Keeper, "__init__", votes_at_once),
-    "a lease counts from its answers": (Claim, "_gained", from_the_answer),
-    "the drift is left out": (Terms, "slack", lambda self, time: 0),
-    "half of the keepers will do": (Terms, "majority", property(lambda self: len(self.keepers) // 2)),
-    "a keeper votes for all": (Keeper, "vote", votes_for_all),
-    "a name is enough": (Keeper, "vote", votes_for_names),
-    "leases end by the wall clock": (Claims, "__init__", claims_by_the_wall),
+    "a keeper votes right after its start": (Acceptor, "__init__", votes_at_once),
+    "a lease counts from its answers": (Proposer, "_gained", from_the_answer),
+    "the drift is left out": (LeaseTerms, "slack", lambda self, time: 0),
+    "half of the keepers will do": (LeaseTerms, "majority", property(lambda self: len(self.keepers) // 2)),
+    "a keeper votes for all": (Acceptor, "vote", votes_for_all),
+    "a name is enough": (Acceptor, "vote", votes_for_names),
+    "leases end by the wall clock": (ClusterLeaseClient, "__init__", claims_by_the_wall),
 }
-GUARDS = PURGES | SHARED | COLD | LEASES
+MUTATIONS = PURGES | SHARED | COLD | LEASES
--- a/quartzrouter/stand/parties.py
+++ b/quartzrouter/fault_harness/processes.py
@@ -7,21 +7,26 @@
 from pathlib import Path
 from typing import IO
 
-from quartzrouter.stand.clocks import Page
-from quartzrouter.stand.history import History
+from quartzrouter.fault_harness.history import History
+from quartzrouter.fault_harness.skewed_clocks import ClockPage
 
 
-class Party:
+class FleetProcess:
     """A process of the program.
 
-    :param arguments: of quartzrouter.stand.child, after the page of its clocks.
+    :param arguments: of quartzrouter.fault_harness.child_process, after the page of its clocks.
     :param folder: what it keeps, if anything.
     """
 
     def __init__(
-        self, name: str, arguments: list[str], page: Page, log: IO, history: History,
+        self,
+        name: str,
+        arguments: list[str],
+        page: ClockPage,
+        log: IO,
+        history: History,
         folder: Path | None = None,
-    ):  # fmt: skip
+    ):
         self.name, self.arguments, self.page = name, arguments, page
         self.log, self.history, self.folder = log, history, folder
         self.process: subprocess.Popen | None = None
@@ -34,7 +39,13 @@
         """Starts it, where it doesn't run: two faults at a time may both want to."""
         if self.runs:
             return
-        words = [sys.executable, "-m", "quartzrouter.stand.child", str(self.page.path), *self.arguments]
+        words = [
+            sys.executable,
+            "-m",
+            "quartzrouter.fault_harness.child_process",
+            str(self.page.path),
+            *self.arguments,
+        ]
         self.process = subprocess.Popen(words, stdout=self.log, stderr=self.log)
         self.history.add("start", self.name)
 
--- a/quartzrouter/stand/links.py
+++ b/quartzrouter/fault_harness/proxied_links.py
@@ -6,8 +6,8 @@
 
 import anyio
 
-from quartzrouter.ledger.wire import lines
-from quartzrouter.standin.boxes import LOST
+from quartzrouter.fakes.caches import LOST
+from quartzrouter.purge_log.line_connection import lines
 
 LOOK_EVERY = 0.005  # s between looks whether a held way is open again
 READ = 1 << 16
@@ -15,7 +15,7 @@
 
 
 @dataclass
-class Way:
+class LinkDirection:
     """One direction.
 
     :param held: nothing passes, and nobody is told.
@@ -30,7 +30,7 @@
     spoilt: int = 0
 
 
-class Link:
+class ProxiedLink:
     """From a client to a server, the same for all its connections.
 
     :param to: the server's address.
@@ -39,16 +39,19 @@
     """
 
     def __init__(
-        self, to: tuple[str, int], chance: random.Random, by_line: bool = True,
+        self,
+        to: tuple[str, int],
+        chance: random.Random,
+        by_line: bool = True,
         tap: Callable[[bool, bytes], None] = lambda down, piece: None,
-    ):  # fmt: skip
+    ):
         self.to, self.chance, self.by_line, self.tap = to, chance, by_line, tap
-        self.up, self.down = Way(), Way()  # to the server, to the client
+        self.up, self.down = LinkDirection(), LinkDirection()  # to the server, to the client
         self.open: set[anyio.CancelScope] = set()
         self.port = 0
 
     @property
-    def ways(self) -> tuple[Way, Way]:
+    def ways(self) -> tuple[LinkDirection, LinkDirection]:
         return self.up, self.down
 
     @property
@@ -95,7 +98,7 @@
             tasks.start_soon(self._carry, client, server, self.up, tasks.cancel_scope)
             await self._carry(server, client, self.down, tasks.cancel_scope)
 
-    async def _carry(self, source, sink, way: Way, scope: anyio.CancelScope) -> None:
+    async def _carry(self, source, sink, way: LinkDirection, scope: anyio.CancelScope) -> None:
         """What is late is under way together: each piece by its own time, none ahead of another."""
         give, take = anyio.create_memory_object_stream(UNDER_WAY)
 
@@ -120,7 +123,7 @@
             pass
         scope.cancel()
 
-    async def _pieces(self, source, way: Way) -> AsyncIterator[bytes]:
+    async def _pieces(self, source, way: LinkDirection) -> AsyncIterator[bytes]:
         """What comes from one side, spoilt."""
         if not self.by_line:
             while True:
@@ -141,6 +144,6 @@
                 yield each + b"\n"
 
 
-async def _opened(way: Way) -> None:
+async def _opened(way: LinkDirection) -> None:
     while way.held:
         await anyio.sleep(LOOK_EVERY)
--- a/quartzrouter/stand/clocks.py
+++ b/quartzrouter/fault_harness/skewed_clocks.py
@@ -5,12 +5,12 @@
 from collections.abc import Callable
 from pathlib import Path
 
-from quartzrouter.net.clock import clock, steady
+from quartzrouter.server.clock import steady_clock, wall_clock
 
 PAGE = struct.Struct("=qq")  # us by which the wall clock is off; parts in a million by which both run fast
 
 
-class Page:
+class ClockPage:
     """What the stand tells of one process's clocks; `off` may be changed while it runs."""
 
     def __init__(self, path: Path, off: int = 0, fast: int = 0):
@@ -31,18 +31,18 @@
     """The process's side: its wall clock and its steady one."""
     with open(path, "r+b") as file:
         told = mmap.mmap(file.fileno(), PAGE.size, access=mmap.ACCESS_READ)
-    began, since = clock(), steady()
+    began, since = wall_clock(), steady_clock()
     fast = PAGE.unpack(told[:])[1]
 
     def gained(time: int) -> int:
         return time * fast // 1_000_000
 
     def wall() -> int:
-        now = clock()
+        now = wall_clock()
         return now + PAGE.unpack(told[:])[0] + gained(now - began)
 
     def even() -> int:
-        now = steady()
+        now = steady_clock()
         return now + gained(now - since)
 
     return wall, even
--- a/quartzrouter/stand/witness.py
+++ b/quartzrouter/fault_harness/witness.py
@@ -13,14 +13,14 @@
 
 import anyio
 
-from quartzrouter.keeper.claims import Claims, Hold
-from quartzrouter.keeper.told import terms
-from quartzrouter.ledger.wire import connect, lines
-from quartzrouter.net.report import Report
-from quartzrouter.plan.load import load
-from quartzrouter.stand.history import History
-from quartzrouter.standin.boxes import LOST
-from quartzrouter.standin.loopback import Server
+from quartzrouter.config.loader import load
+from quartzrouter.fakes.caches import LOST
+from quartzrouter.fakes.loopback import Server
+from quartzrouter.fault_harness.history import History
+from quartzrouter.lease_service.client import ClusterLeaseClient, HeldLease
+from quartzrouter.lease_service.plan_terms import terms
+from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 LOOK_TO_ACT = 0.006  # s: a process is stopped anywhere, also there
 ACT = 0.008  # s
@@ -65,17 +65,22 @@
 
 
 async def claimant(
-    path: str, task: str, name: str, port: int, report: Report, steady: Callable[[], int],
+    path: str,
+    task: str,
+    name: str,
+    port: int,
+    report: RateLimitedLog,
+    steady: Callable[[], int],
     clock: Callable[[], int],
-) -> None:  # fmt: skip
+) -> None:
     """Acts for as long as it holds the task, until SIGTERM; its party's name is the plan's file name."""
     told, addresses = terms(load(path).plan)
-    claims = Claims(told, addresses, name, report, steady, clock)
+    claims = ClusterLeaseClient(told, addresses, name, report, steady, clock)
     party = path.rpartition("/")[2].removesuffix(".plan")
     halts = Event()
     signal.signal(signal.SIGUSR1, lambda number, frame: halts.set())  # stop between a look and its act
 
-    async def work(hold: Hold) -> None:
+    async def work(hold: HeldLease) -> None:
         async with await connect(("127.0.0.1", port)) as stream:
             heard = lines(stream)
 
--- a/quartzrouter/rehearse/__init__.py
+++ b/quartzrouter/fault_scenarios/__init__.py
@@ -15,7 +15,7 @@
 }
 
 
-class Tally:
+class ScenarioReport:
     """Figures by name, and what broke."""
 
     def __init__(self) -> None:
@@ -32,8 +32,8 @@
 
     :param more: what this rehearsal takes besides.
     """
-    tally, began = Tally(), time.monotonic()
-    import_module(f"quartzrouter.rehearse.{name}").rehearse(seed, tally, **more)
+    tally, began = ScenarioReport(), time.monotonic()
+    import_module(f"quartzrouter.fault_scenarios.{name}").rehearse(seed, tally, **more)
     took = round(time.monotonic() - began, 1)
     if as_json:
         told = {"name": name, "seed": seed, "seconds": took, "figures": tally.figures, "broken": tally.broken}
--- a/quartzrouter/rehearse/guards.py
+++ b/quartzrouter/fault_scenarios/guards.py
@@ -1,9 +1,9 @@
 """Each guard of what a fleet shares and of leases taken out, by processes: the checkers must see it."""
 
-from quartzrouter.rehearse import Tally, leases, sharing, warming
+from quartzrouter.fault_scenarios import ScenarioReport, leases, sharing, warming
 
 
-def rehearse(seed: int, tally: Tally) -> None:
+def rehearse(seed: int, tally: ScenarioReport) -> None:
     for guard in sharing.SCENES:
         there, out = sharing.killed(seed, guard)
         _told(tally, guard, there.broken, out.broken, f"{_over(there)}; taken out by {_over(out)}")
@@ -15,7 +15,7 @@
         _told(tally, guard, there.broken, out.broken, f"{_acts(there)}; taken out {_acts(out)}")
 
 
-def _told(tally: Tally, guard: str, there: bool, out: bool, figures: str) -> None:
+def _told(tally: ScenarioReport, guard: str, there: bool, out: bool, figures: str) -> None:
     tally.figures[guard] = figures
     tally.expect(not there, f"{guard}: broken with all guards in place")
     tally.expect(out, f"{guard}: taken out, and no checker sees it")
--- a/quartzrouter/rehearse/hearsay.py
+++ b/quartzrouter/fault_scenarios/hearsay.py
@@ -3,16 +3,27 @@
 import random
 from dataclasses import replace
 
-from quartzrouter.rehearse import Tally
-from quartzrouter.rehearse.sharing import ANSWER_WITHIN, RATE, Seen, Shape, play
-from quartzrouter.stand import checks
-from quartzrouter.stand.schedule import Fault
+from quartzrouter.fault_harness import history_checks
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_scenarios import ScenarioReport
+from quartzrouter.fault_scenarios.sharing import ANSWER_WITHIN, RATE, ScenarioResult, ScenarioSize, play
 
 AT, LASTS = 2_500, 4_000  # ms of the trouble
-SHAPE = Shape(
-    routers=8, rate=4_000, burst=4_000, floors="100%", slots=4_000, slot_floors="100%", demand=240.0,
-    uneven=1 / 8, askers=0, seconds=7.0, spoil=0.0, caches=8, cache_links=True,
-)  # fmt: skip
+SHAPE = ScenarioSize(
+    routers=8,
+    rate=4_000,
+    burst=4_000,
+    floors="100%",
+    slots=4_000,
+    slot_floors="100%",
+    demand=240.0,
+    uneven=1 / 8,
+    askers=0,
+    seconds=7.0,
+    spoil=0.0,
+    caches=8,
+    cache_links=True,
+)
 CASES = {
     "a cache that always fails": [Fault(AT, "bad", "n0", LASTS, 1.0)],
     "a cache that fails six of ten": [Fault(AT, "bad", "n0", LASTS, 0.6)],
@@ -22,7 +33,7 @@
 }
 
 
-def rehearse(seed: int, tally: Tally) -> None:
+def rehearse(seed: int, tally: ScenarioReport) -> None:
     for case, faults in CASES.items():
         told = []
         for hearsay in ("false", "true"):
@@ -39,11 +50,11 @@
         tally.figures[case] = f"{alone} and {together} reqs on n0, {done} and {more} done"
 
 
-def _span(seen: Seen) -> tuple[int, int]:
+def _span(seen: ScenarioResult) -> tuple[int, int]:
     return seen.began + AT * 1000, seen.began + (AT + LASTS) * 1000
 
 
-def _on(seen: Seen, cache: str, but: str = "") -> int:
+def _on(seen: ScenarioResult, cache: str, but: str = "") -> int:
     """Reqs that reached a cache while the trouble lasted, but those of one router."""
     since, until = _span(seen)
     return sum(
@@ -54,5 +65,5 @@
     )
 
 
-def _done(seen: Seen) -> int:
-    return checks.answers(seen.fleet.history, RATE, *_span(seen)).get("200", 0)
+def _done(seen: ScenarioResult) -> int:
+    return history_checks.answers(seen.fleet.history, RATE, *_span(seen)).get("200", 0)
--- a/quartzrouter/rehearse/leases.py
+++ b/quartzrouter/fault_scenarios/leases.py
@@ -15,18 +15,18 @@
 
 import anyio
 
-from quartzrouter.keeper.wire import ask_all
-from quartzrouter.leases.terms import ACT_MOST, Keeps
-from quartzrouter.net import serve
-from quartzrouter.plan.quantity import quantity
-from quartzrouter.rehearse import Tally
-from quartzrouter.stand import checks, schedule
-from quartzrouter.stand.faults import Struck
-from quartzrouter.stand.fleet import Clocks
-from quartzrouter.stand.linear import fenced, linear, ops_of
-from quartzrouter.stand.links import Link
-from quartzrouter.stand.schedule import Fault
-from quartzrouter.stand.witness import Witness
+from quartzrouter.config.quantity import quantity
+from quartzrouter.fault_harness import fault_schedule, history_checks
+from quartzrouter.fault_harness.fault_injection import FaultInjectedFleet
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_harness.fleet import Clocks
+from quartzrouter.fault_harness.linearizability import fenced, is_linearizable, operations_of
+from quartzrouter.fault_harness.proxied_links import ProxiedLink
+from quartzrouter.fault_harness.witness import Witness
+from quartzrouter.fault_scenarios import ScenarioReport
+from quartzrouter.lease_service.queries import ask_all
+from quartzrouter.leases.terms import ACT_MOST, AcceptorStatus
+from quartzrouter.server import process
 
 S = 1_000_000
 TASK = "sweep"
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Shape:
+class ScenarioSize:
     """What is played.
 
     :param drift: parts in a million, of the plan; clocks are off by as much at most.
@@ -69,20 +69,20 @@
     prefer: str = ""
 
 
-DRAWN = Shape()
+DRAWN = ScenarioSize()
 
 
-class LeaseFleet(Struck):
+class LeaseFleet(FaultInjectedFleet):
     """Keepers with folders, claimants with a link to each keeper, and a witness of what they do."""
 
-    def __init__(self, folder: Path, chance: random.Random, shape: Shape, guards: Sequence[str] = ()):
+    def __init__(self, folder: Path, chance: random.Random, shape: ScenarioSize, guards: Sequence[str] = ()):
         super().__init__(folder, chance)
         self.shape, self.spoil, self.out = shape, shape.spoil, [each for each in guards if each != UNCHECKED]
         self.witness = Witness(self.history, UNCHECKED not in guards)
         self.keepers, self.claimants = [], []
         self.keeper_ports: list[int] = []
-        self.ways_of: dict[str, list[Link]] = {}  # of a claimant, to each keeper
-        self.acting: dict[str, Link] = {}  # of a claimant, to the witness
+        self.ways_of: dict[str, list[ProxiedLink]] = {}  # of a claimant, to each keeper
+        self.acting: dict[str, ProxiedLink] = {}  # of a claimant, to the witness
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
         shape = self.shape
@@ -94,7 +94,7 @@
             self.keepers.append(self.add_keeper(f"k{n}", self.plan(own), clocks, self.out))
             self.keepers[-1].start()
         for n in range(shape.claimants):
-            links = [Link(("127.0.0.1", port), self.chance) for port in self.keeper_ports]
+            links = [ProxiedLink(("127.0.0.1", port), self.chance) for port in self.keeper_ports]
             for link in links:
                 await link.start(tasks)
                 for way in link.ways:
@@ -103,7 +103,9 @@
             name = shape.names[n] if shape.names else f"c{n}"
             plan = self.plan([f"127.0.0.1:{link.port}" for link in links])
             clocks = self._clocks(shape.slow and (shape.slow if n == 0 else -shape.slow))
-            acting = Link(("127.0.0.1", self.witness.port), self.chance, tap=partial(self._tap, f"c{n}"))
+            acting = ProxiedLink(
+                ("127.0.0.1", self.witness.port), self.chance, tap=partial(self._tap, f"c{n}")
+            )
             await acting.start(tasks)
             self.acting[f"c{n}"] = acting
             told = (f"c{n}", name, plan, TASK, acting.port, clocks, self.out)
@@ -137,13 +139,13 @@
         with anyio.fail_after(VOTES_WITHIN):
             while True:
                 found = await ask_all(at)
-                if all(isinstance(each, Keeps) and not each.silent for each in found.values()):
+                if all(isinstance(each, AcceptorStatus) and not each.silent for each in found.values()):
                     return
                 await anyio.sleep(0.05)
 
     # -- faults --------------------------------------------------------------------------------------------
 
-    def links_of(self, name: str) -> list[Link]:
+    def links_of(self, name: str) -> list[ProxiedLink]:
         """Of a claimant, as c3, or some of its links, as c3/0,1."""
         claimant, _, keepers = name.partition("/")
         links = self.ways_of[claimant]
@@ -198,7 +200,7 @@
 
     async def _holder(self, fault: Fault) -> None:
         """As the kind that `who` names, at whoever has acted last."""
-        last = checks.acts(self.history)
+        last = history_checks.acts(self.history)
         who = last[-1].who if last else "c0"
         await self.strike(Fault(fault.at, fault.who, who, fault.lasts, fault.much))
 
@@ -209,7 +211,7 @@
         self.witness.failing.discard(fault.who)
 
 
-def drawn(chance: random.Random, shape: Shape, faults: int) -> list[Fault]:
+def drawn(chance: random.Random, shape: ScenarioSize, faults: int) -> list[Fault]:
     """So many faults, most of them at claimants, and each of the hard ones once."""
     keepers, claimants = [f"k{n}" for n in range(shape.keepers)], [f"c{n}" for n in range(shape.claimants)]
     until, length = round(shape.seconds * 1000) - 2_500, quantity(shape.length).us // 1000
@@ -225,12 +227,14 @@
         "holder": (["cut", "stop", "kill", "end", "late", "halt"], (100, 2 * length), (0,)),
         "fail": (claimants, (200, 1_500), (0,)),
     }
-    found = schedule.drawn(chance, kinds, faults, until)
+    found = fault_schedule.drawn(chance, kinds, faults, until)
     minority = " ".join(chance.sample(keepers, len(keepers) - len(keepers) // 2 - 1))
     hard = [
-        Fault(0, "kill", minority, 500, 1.0), Fault(0, "kill", " ".join(keepers), 200),
-        Fault(0, "kill", " ".join(keepers), 100, 1.0), Fault(0, "holder", "stop", 2 * length),
-    ]  # fmt: skip
+        Fault(0, "kill", minority, 500, 1.0),
+        Fault(0, "kill", " ".join(keepers), 200),
+        Fault(0, "kill", " ".join(keepers), 100, 1.0),
+        Fault(0, "holder", "stop", 2 * length),
+    ]
     for n, fault in enumerate(hard):
         at = 1_000 + n * (until - 3_000) // len(hard) + chance.randint(0, 1_000)
         found.append(Fault(at, fault.what, fault.who, fault.lasts, fault.much))
@@ -238,7 +242,7 @@
 
 
 @dataclass
-class Seen:
+class ScenarioResult:
     """What checkers found in one play."""
 
     fleet: LeaseFleet
@@ -248,72 +252,82 @@
 
     @property
     def overlaps(self) -> list:
-        return checks.overlaps(self.fleet.history, quantity(self.fleet.shape.length).us // ACT_MOST)
+        return history_checks.overlaps(self.fleet.history, quantity(self.fleet.shape.length).us // ACT_MOST)
 
     @property
     def falls(self) -> list:
-        return checks.falls(self.fleet.history)
+        return history_checks.falls(self.fleet.history)
 
     @property
     def linear(self) -> bool | None:
-        return linear(ops_of(self.fleet.history), fenced, 0)
+        return is_linearizable(operations_of(self.fleet.history), fenced, 0)
 
     @property
     def acts(self) -> int:
-        return len(checks.acts(self.fleet.history))
+        return len(history_checks.acts(self.fleet.history))
 
     @property
     def broken(self) -> bool:
         return bool(self.overlaps or self.falls)
 
 
-def play(chance: random.Random, shape: Shape, faults: Sequence[Fault], guards: Sequence[str] = ()) -> Seen:
+def play(
+    chance: random.Random, shape: ScenarioSize, faults: Sequence[Fault], guards: Sequence[str] = ()
+) -> ScenarioResult:
     """Plays a schedule once."""
-    return anyio.run(partial(_play, chance, shape, faults, guards), backend_options=serve.LOOP)
+    return anyio.run(partial(_play, chance, shape, faults, guards), backend_options=process.LOOP)
 
 
-async def _play(chance, shape: Shape, faults: Sequence[Fault], guards: Sequence[str]) -> Seen:
+async def _play(
+    chance, shape: ScenarioSize, faults: Sequence[Fault], guards: Sequence[str]
+) -> ScenarioResult:
     with tempfile.TemporaryDirectory() as name, anyio.fail_after(shape.seconds + 60):
         fleet = LeaseFleet(Path(name), chance, shape, guards)
         try:
             async with anyio.create_task_group() as tasks:
                 await fleet.start(tasks)
-                began = serve.steady()
+                began = process.steady_clock()
                 async with anyio.create_task_group() as played:
-                    played.start_soon(schedule.play, faults, fleet.strike)
+                    played.start_soon(fault_schedule.play, faults, fleet.strike)
                     await anyio.sleep(shape.seconds)
-                ended = serve.steady()
+                ended = process.steady_clock()
                 tasks.cancel_scope.cancel()
         finally:
             fleet.end()
-        return Seen(fleet, began, ended, tuple(fleet.faults()))
+        return ScenarioResult(fleet, began, ended, tuple(fleet.faults()))
 
 
 # -- guards, each taken out once ---------------------------------------------------------------------------
 
 UNCHECKED = "whoever is acted on takes any number"  # a guard of the witness, not of a process
-FEW = Shape(keepers=3, claimants=2, length="1s", drift=200, seconds=8.0, spoil=0.0)
+FEW = ScenarioSize(keepers=3, claimants=2, length="1s", drift=200, seconds=8.0, spoil=0.0)
 STOPS = [Fault(2_000 + 2_500 * n, "holder", "halt", 2_200) for n in range(2)]
 
-SCENES: dict[str, tuple[Shape, list[Fault]]] = {
+SCENES: dict[str, tuple[ScenarioSize, list[Fault]]] = {
     "a keeper votes right after its start": (  # c1 is new, and waits for nothing that it was told
         replace(FEW, length="3s"),
-        [Fault(0, "cut", "c1", 1_800), Fault(2_000, "cut", "c0", 6_000), Fault(2_100, "kill", "k0 k1 k2", 0),
-         Fault(2_100, "kill", "c1", 200)],
+        [
+            Fault(0, "cut", "c1", 1_800),
+            Fault(2_000, "cut", "c0", 6_000),
+            Fault(2_100, "kill", "k0 k1 k2", 0),
+            Fault(2_100, "kill", "c1", 200),
+        ],
     ),
     "half of the keepers will do": (
-        replace(FEW, keepers=4), [Fault(0, "cut", "c0/2,3", 8_000), Fault(0, "cut", "c1/0,1", 8_000)],
+        replace(FEW, keepers=4),
+        [Fault(0, "cut", "c0/2,3", 8_000), Fault(0, "cut", "c1/0,1", 8_000)],
     ),
     "a keeper votes for all": (FEW, []),
     "leases end by the wall clock": (
-        FEW, [Fault(2_000, "holder", "jump", 6_000, -10.0), Fault(2_050, "holder", "cut", 5_000)],
+        FEW,
+        [Fault(2_000, "holder", "jump", 6_000, -10.0), Fault(2_050, "holder", "cut", 5_000)],
     ),
     "a name is enough": (replace(FEW, names=("c", "c")), []),
     UNCHECKED: (FEW, STOPS),
-}  # fmt: skip
+}
 
 
-def killed(seed: int, guard: str) -> tuple[Seen, Seen]:
+def killed(seed: int, guard: str) -> tuple[ScenarioResult, ScenarioResult]:
     """A guard's scene with it and without it.  The witness takes all numbers in both, or it would hide the
     guard's lack, but where that is the guard."""
     shape, faults = SCENES[guard]
@@ -324,7 +338,7 @@
 # -- the rehearsal -----------------------------------------------------------------------------------------
 
 
-def rehearse(seed: int, tally: Tally, shape: Shape = DRAWN) -> None:
+def rehearse(seed: int, tally: ScenarioReport, shape: ScenarioSize = DRAWN) -> None:
     chance = random.Random(seed)
     faults = drawn(chance, shape, 26)
     seen = play(chance, shape, faults)
@@ -338,12 +352,14 @@
     ]
     tally.expect(not seen.faults, f"faults: {seen.faults[:1]}")
     tally.figures["faults, keepers, claimants"] = f"{len(faults)}, {shape.keepers}, {shape.claimants}"
-    found = checks.acts(history)
+    found = history_checks.acts(history)
     tally.figures["acts, under numbers, refused"] = (
         f"{len(found)}, {len({each.number for each in found})}, {seen.fleet.witness.refused}"
     )
     length = quantity(shape.length).us
-    gaps = sorted(each for each in checks.pauses(history, seen.began, seen.ended) if each > length // 4)
+    gaps = sorted(
+        each for each in history_checks.pauses(history, seen.began, seen.ended) if each > length // 4
+    )
     tally.figures["without a holder: times, longest, in all"] = (
         f"{len(gaps)}, {max(gaps, default=0) / S:.2f} s, {sum(gaps) / S:.2f} s of {shape.seconds:.0f}"
     )
--- a/quartzrouter/rehearse/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -13,18 +13,18 @@
 
 import anyio
 
-from quartzrouter.net import serve
-from quartzrouter.plan.diff import Diff
-from quartzrouter.plan.evaluate import Unreadable
-from quartzrouter.plan.fault import Broken, Source
-from quartzrouter.plan.layout import layout
-from quartzrouter.plan.load import from_disk, load
-from quartzrouter.plan.matcher import plain
-from quartzrouter.plan.sets import Asked
-from quartzrouter.rehearse import Tally
-from quartzrouter.site.logs import logger
-from quartzrouter.site.serve import Planned
-from quartzrouter.standin.loopback import Cache, Client, free_port
+from quartzrouter.config.diff import Diff
+from quartzrouter.config.evaluator import Unreadable
+from quartzrouter.config.formatter import layout
+from quartzrouter.config.loader import from_disk, load
+from quartzrouter.config.matcher import plain
+from quartzrouter.config.problems import Broken, Source
+from quartzrouter.config.request_sets import Asked
+from quartzrouter.fakes.loopback import Cache, Client, free_port
+from quartzrouter.fault_scenarios import ScenarioReport
+from quartzrouter.server import process
+from quartzrouter.standalone.process import StandaloneProcess
+from quartzrouter.standalone.structured_log import logger
 
 SPOILT = 1_000  # texts made by spoiling a good one
 PAIRS = 40  # of random plans
@@ -43,37 +43,41 @@
 }"""
 CASES = {  # files, and what the one message says
     "include cycle through three": (
-        {"main": 'include "a"', "a": 'include "b"', "b": 'include "main"'}, "main -> a -> b -> main",
+        {"main": 'include "a"', "a": 'include "b"', "b": 'include "main"'},
+        "main -> a -> b -> main",
     ),
     "include missing": ({"main": 'include "base" + include "more"'}, "there is no such file"),
     "duration without a unit": (
-        {"main": 'include "base" + { vhosts+: { page+: { client_timeout: 3 } } }'}, "a duration to a number",
+        {"main": 'include "base" + { vhosts+: { page+: { client_timeout: 3 } } }'},
+        "a duration to a number",
     ),
     "routes that shadow through a glob and an override": (
         {
             "main": 'include "base" + include "routes" + include "local"',
             "routes": '{ routes: { a: { match: { path: "/p/*.jpg" }, vhost: "page", pool: "near" },'
-                      ' b: { match: { path: "/q/**" }, vhost: "page", pool: "far" } } }',
+            ' b: { match: { path: "/q/**" }, vhost: "page", pool: "far" } } }',
             "local": '{ routes+: { b+: { match: { path: "/p/rose-*.jpg" } } } }',
         },
         "route 'b' is never reached: 'a' takes all of it",
     ),
     "merge that changes a type": (
-        {"main": 'include "base" + { limits+: { some+: { rate: "fast" } } }'}, "from a rate to a text",
+        {"main": 'include "base" + { limits+: { some+: { rate: "fast" } } }'},
+        "from a rate to a text",
     ),
     "override of a name that isn't there": (
-        {"main": 'include "base" + { pools+: { override neer: {} } }'}, "there is no 'neer' to override",
+        {"main": 'include "base" + { pools+: { override neer: {} } }'},
+        "there is no 'neer' to override",
     ),
-}  # fmt: skip
+}
 
 
-def rehearse(seed: int, tally: Tally) -> None:
+def rehearse(seed: int, tally: ScenarioReport) -> None:
     chance = random.Random(seed)
     _cases(tally)
     _files(tally)
     _spoilt(chance, tally)
     _pairs(chance, tally)
-    anyio.run(partial(_loopback, chance, tally), backend_options=serve.LOOP)
+    anyio.run(partial(_loopback, chance, tally), backend_options=process.LOOP)
 
 
 def _reader(files: dict[str, str]):
@@ -85,7 +89,7 @@
     return read
 
 
-def _cases(tally: Tally) -> None:
+def _cases(tally: ScenarioReport) -> None:
     for name, (files, said) in CASES.items():
         errors = load("main", _reader({"base": BASE} | files)).faults.errors
         one = len(errors) == 1 and said in errors[0].reason
@@ -93,7 +97,7 @@
     tally.figures["hard cases with their one message"] = len(CASES)
 
 
-def _files(tally: Tally) -> None:
+def _files(tally: ScenarioReport) -> None:
     """Includes that a disk can't give."""
     with tempfile.TemporaryDirectory() as folder:
         root = Path(folder)
@@ -106,7 +110,7 @@
     tally.figures["includes that can't be read"] = 3
 
 
-def _spoilt(chance: random.Random, tally: Tally) -> None:
+def _spoilt(chance: random.Random, tally: ScenarioReport) -> None:
     """A good text with pieces taken out, doubled and swapped: faults or a plan, never anything else."""
     outcomes: Counter[str] = Counter()
     for _ in range(SPOILT):
@@ -139,9 +143,11 @@
 PATHS = ["/a", "/{x}", "/a/**", "/**", "/{x}/b", "/a/{x}", "/a-*"]
 ASKED = [
     Asked(store, host, path, method, {}, {})
-    for store in ("north", "south") for host in ("a", "b.a")
-    for path in ("/a", "/b", "/a/a", "/a/b", "/c/b", "/a-b", "/a/b/c") for method in ("GET", "POST")
-]  # fmt: skip
+    for store in ("north", "south")
+    for host in ("a", "b.a")
+    for path in ("/a", "/b", "/a/a", "/a/b", "/c/b", "/a-b", "/a/b/c")
+    for method in ("GET", "POST")
+]
 
 
 def _random_plan(chance: random.Random):
@@ -169,7 +175,7 @@
             hidden += 1
 
 
-def _pairs(chance: random.Random, tally: Tally) -> None:
+def _pairs(chance: random.Random, tally: ScenarioReport) -> None:
     hidden = sets = differ = 0
     for _ in range(PAIRS):
         (old, out), (new, more) = _random_plan(chance), _random_plan(chance)
@@ -210,7 +216,7 @@
 }}"""
 
 
-async def _loopback(chance: random.Random, tally: Tally) -> None:
+async def _loopback(chance: random.Random, tally: ScenarioReport) -> None:
     caches = {name: Cache(lambda: chance.uniform(0.005, 0.03)) for name in ("n1", "n2", "s1", "p", "o")}
     ends: Counter[str] = Counter()
     with tempfile.TemporaryDirectory() as folder, anyio.fail_after(30):
@@ -225,7 +231,7 @@
                 await anyio.sleep(0.15)
 
             path.write_text(SITE.format(**told))
-            service = Planned(str(path), load(str(path)).plan, logger("info", "json", out))
+            service = StandaloneProcess(str(path), load(str(path)).plan, logger("info", "json", out))
             router = anyio.Event()
 
             async def run() -> None:
