--- a/quartzrouter/rehearse/purges.py
+++ b/quartzrouter/fault_scenarios/purges.py
@@ -14,17 +14,26 @@
 
 import anyio
 
-from quartzrouter.ledger.disk import RealDisk
-from quartzrouter.ledger.files import read
-from quartzrouter.ledger.wire import Client as LedgerClient
-from quartzrouter.ledger.wire import Unreachable
-from quartzrouter.net import serve
-from quartzrouter.purges.marks import Asked, Marks
-from quartzrouter.purges.words import AskMembers, AskStatus, Hello, Purge, Refused, Send, Taken, line
-from quartzrouter.rehearse import Tally
-from quartzrouter.stand.fleet import Clocks, Fleet
-from quartzrouter.standin.boxes import Box
-from quartzrouter.standin.loopback import Client
+from quartzrouter.fakes.caches import PurgeableCache
+from quartzrouter.fakes.loopback import Client
+from quartzrouter.fault_harness.fleet import Clocks, Fleet
+from quartzrouter.fault_scenarios import ScenarioReport
+from quartzrouter.purge_log.disk import RealDisk
+from quartzrouter.purge_log.line_connection import QueryClient as LedgerClient
+from quartzrouter.purge_log.line_connection import Unreachable
+from quartzrouter.purge_log.segments import read
+from quartzrouter.purges.messages import (
+    MemberHello,
+    MembersQuery,
+    Purge,
+    PurgeAccepted,
+    PurgeRequest,
+    RequestRejected,
+    StatusQuery,
+    encode_line,
+)
+from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
+from quartzrouter.server import process
 
 S = 1_000_000
 GRACE = 300_000  # us
@@ -86,20 +95,20 @@
 
     skew: int
     answers: list[Answer] = field(default_factory=list)
-    marks: dict[int, Marks] = field(default_factory=dict)  # of each purge by itself
+    marks: dict[int, PurgeIndex] = field(default_factory=dict)  # of each purge by itself
     ends: Counter = field(default_factory=Counter)
     cut: list[tuple[int | None, int, int]] = field(default_factory=list)  # routers cut off: which, from, to
 
-    def taken(self, send: Send, taken: Taken) -> None:
+    def taken(self, send: PurgeRequest, taken: PurgeAccepted) -> None:
         when = taken.when - self.skew
         kind = "pattern" if send.kind == "object" else send.kind  # objects are named by their paths here
-        marks = self.marks[taken.number] = Marks(1 << 60, 1_000)
+        marks = self.marks[taken.number] = PurgeIndex(1 << 60, 1_000)
         marks.add(Purge(taken.number, when, kind, send.values, send.vhost), when)
 
     def broken(self) -> list[str]:
         found = []
         for answer in self.answers:
-            asked = Asked("photo" if "/photos/" in answer.path else "page", "", "", answer.path)
+            asked = PurgeLookup("photo" if "/photos/" in answer.path else "page", "", "", answer.path)
             tags = [tag.strip() for tag in tags_of(answer.path).split(",")]
             for number, marks in self.marks.items():
                 when = marks.newest(asked, tags, "*")
@@ -129,7 +138,7 @@
         self.guards, self.count, self.cache_count = guards, routers, caches
         self.skew = chance.choice((-3, 2)) * S  # the ledger's clock
         self.checker = Checker(self.skew)
-        self.boxes: dict[str, Box] = {}
+        self.boxes: dict[str, PurgeableCache] = {}
         self.stop = anyio.Event()
         self.lag = 0
 
@@ -138,13 +147,24 @@
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
         above: dict[str, str] = {}
         names = [(f"{store[0]}{n}", store) for store in STORES for n in range(self.cache_count // 2)]
-        tiers = [*((name, "cache", at) for name, at in names), ("h1", "parent", "h"), ("h2", "parent", "h"),
-                 ("o", "origin", "h")]  # fmt: skip
+        tiers = [
+            *((name, "cache", at) for name, at in names),
+            ("h1", "parent", "h"),
+            ("h2", "parent", "h"),
+            ("o", "origin", "h"),
+        ]
         for name, tier, _ in tiers:
             delay = self.made if tier == "origin" else partial(self.chance.uniform, 0.005, 0.06)
-            box = Box(
-                name, above, self.chance, tier == "origin", 3 * S, tags_of, delay, source="o",
-            )  # fmt: skip
+            box = PurgeableCache(
+                name,
+                above,
+                self.chance,
+                tier == "origin",
+                3 * S,
+                tags_of,
+                delay,
+                source="o",
+            )
             await box.start(tasks)
             above[name] = box.address
             self.boxes[name] = box
@@ -175,9 +195,14 @@
 
     def _plan(self, n: int, ledger: int, file: str) -> str:
         return PLAN.format(
-            store=STORES[n % 2], port=self.ports[n], number=n, caches=self.lines, ledger=ledger, file=file,
+            store=STORES[n % 2],
+            port=self.ports[n],
+            number=n,
+            caches=self.lines,
+            ledger=ledger,
+            file=file,
             life=LIFE,
-        )  # fmt: skip
+        )
 
     # -- load ----------------------------------------------------------------------------------------------
 
@@ -191,7 +216,7 @@
             try:
                 if client is None:
                     client = Client(await anyio.connect_tcp("127.0.0.1", self.ports[router]))
-                sent = serve.clock()
+                sent = process.wall_clock()
                 fields = {"HTTP_X_SUBJECT": None, "HTTP_X_CHUNK": None, "HTTP_X_DEADLINE_MS": "3000"}
                 fields["HTTP_X_CORRELATION_ID"] = f"{id:016x}"
                 await client.begin(1, path=path, **fields)
@@ -212,7 +237,7 @@
             status, body = said
             self.checker.ends[status] += 1
             if found := BODY.search(body):
-                self.checker.answers.append(Answer(sent, serve.clock(), path, int(found[2]), router))
+                self.checker.answers.append(Answer(sent, process.wall_clock(), path, int(found[2]), router))
             await anyio.sleep(chance.uniform(0.005, 0.04))
 
     @staticmethod
@@ -228,7 +253,7 @@
 
     # -- purges --------------------------------------------------------------------------------------------
 
-    def some(self) -> Send:
+    def some(self) -> PurgeRequest:
         chance, plant = self.chance, self.chance.randrange(PLANTS)
         kind = chance.choice(("object", "tag", "tag", "pattern"))
         value = {
@@ -236,32 +261,32 @@
             "tag": chance.choice((*TAGS, f"plant{plant}", f"plant{plant}")),
             "pattern": chance.choice((f"/*/p{plant}/**", f"/photos/p{plant}/*", f"/pages/*{plant}/1")),
         }[kind]
-        return Send(kind, (value,), key=f"{chance.random()}")
+        return PurgeRequest(kind, (value,), key=f"{chance.random()}")
 
-    async def purge(self, sends: list[Send]) -> None:
+    async def purge(self, sends: list[PurgeRequest]) -> None:
         client = LedgerClient([("127.0.0.1", self.ledger_port)], 1.0)
-        until = serve.clock() + 5 * S
+        until = process.wall_clock() + 5 * S
         while True:
             try:
                 taken = await client.ask_all(sends)
                 break
             except Unreachable:
-                if serve.clock() > until:
+                if process.wall_clock() > until:
                     raise
                 await anyio.sleep(0.05)
         for send, answer in zip(sends, taken, strict=True):
-            if isinstance(answer, Taken):
+            if isinstance(answer, PurgeAccepted):
                 self.checker.taken(send, answer)
-            elif isinstance(answer, Refused):
+            elif isinstance(answer, RequestRejected):
                 self.checker.ends[f"purge refused: {answer.reason}"] += 1
         await client.close()
 
     async def look_at_lag(self) -> None:
         """How late this process wakes: it plays the network, and must not blame routers for that."""
         while not self.stop.is_set():
-            due = serve.clock() + LAG_EVERY
+            due = process.wall_clock() + LAG_EVERY
             await anyio.sleep(LAG_EVERY / S)
-            self.lag = max(self.lag, serve.clock() - due)
+            self.lag = max(self.lag, process.wall_clock() - due)
 
     async def keep_purging(self) -> None:
         while not self.stop.is_set():
@@ -269,28 +294,30 @@
             await anyio.sleep(self.chance.uniform(0.05, 0.2))
 
 
-def rehearse(seed: int, tally: Tally, guards: tuple[str, ...] = (), seconds: float = SECONDS) -> None:
-    anyio.run(partial(_play, random.Random(seed), tally, guards, seconds), backend_options=serve.LOOP)
+def rehearse(
+    seed: int, tally: ScenarioReport, guards: tuple[str, ...] = (), seconds: float = SECONDS
+) -> None:
+    anyio.run(partial(_play, random.Random(seed), tally, guards, seconds), backend_options=process.LOOP)
 
 
-async def _script(fleet: PurgedFleet, tally: Tally, tasks: anyio.abc.TaskGroup, unit: float) -> None:
+async def _script(fleet: PurgedFleet, tally: ScenarioReport, tasks: anyio.abc.TaskGroup, unit: float) -> None:
     """What goes wrong, in its order; a unit is a sixteenth of the time."""
     chance = fleet.chance
     await anyio.sleep(2 * unit)
-    cut, since = fleet.checker.cut, serve.clock()
+    cut, since = fleet.checker.cut, process.wall_clock()
     fleet.links[0][0].hold()  # a partition, longer than a lease
     await fleet.purge([fleet.some() for _ in range(5)])
     away = fleet.boxes["n1"]
     away.stop()  # a cache drains for longer than marks live, and keeps its disk
     await anyio.sleep(1.2 * unit)
-    await fleet.purge([Send("tag", (TAGS[0],)), Send("tag", ("care",))])
+    await fleet.purge([PurgeRequest("tag", (TAGS[0],)), PurgeRequest("tag", ("care",))])
     fleet.links[0][0].heal()  # healed while purges go on
     await fleet.joined()
-    cut.append((0, since, serve.clock()))
+    cut.append((0, since, process.wall_clock()))
     await anyio.sleep(unit)
     await _kill_ledger(fleet, 0.3 * unit)
     await anyio.sleep(unit)
-    since = serve.clock()
+    since = process.wall_clock()
     fleet.links[1][0].down.spoil, fleet.links[2][0].down.late = 0.1, 0.02
     await _restart(fleet, fleet.count - 1, 0.3 * unit)
     for box in list(fleet.boxes.values())[::3]:
@@ -302,10 +329,10 @@
     fleet.links[1][0].heal()
     fleet.links[2][0].heal()
     await fleet.joined()
-    cut += [(n, since, serve.clock()) for n in (1, 2)]
+    cut += [(n, since, process.wall_clock()) for n in (1, 2)]
     await away.start(tasks)  # with its old copies, while purges keep coming
     await anyio.sleep(unit)
-    await fleet.purge([Send("pattern", ("/**",)), Send("pattern", ("/" + "*a" * 15,))])
+    await fleet.purge([PurgeRequest("pattern", ("/**",)), PurgeRequest("pattern", ("/" + "*a" * 15,))])
     await _twice(fleet, tally)
     await anyio.sleep(unit)
     await _kill_ledger(fleet, 0.0)
@@ -313,40 +340,42 @@
 
 
 async def _kill_ledger(fleet: PurgedFleet, wait: float) -> None:
-    since = serve.clock()
+    since = process.wall_clock()
     fleet.ledgers[0].kill()
     await anyio.sleep(wait)
     fleet.ledgers[0].start()
     await fleet.joined()
-    fleet.checker.cut.append((None, since, serve.clock()))
+    fleet.checker.cut.append((None, since, process.wall_clock()))
 
 
 async def _restart(fleet: PurgedFleet, n: int, wait: float) -> None:
-    since = serve.clock()
+    since = process.wall_clock()
     fleet.routers[n].kill()
     await anyio.sleep(wait)
     fleet.routers[n].start()
     await fleet.joined()
-    fleet.checker.cut.append((n, since, serve.clock()))
+    fleet.checker.cut.append((n, since, process.wall_clock()))
 
 
-async def _twice(fleet: PurgedFleet, tally: Tally) -> None:
+async def _twice(fleet: PurgedFleet, tally: ScenarioReport) -> None:
     """A second process under a name that is in use."""
     client = LedgerClient([("127.0.0.1", fleet.ledger_port)], 1.0)
-    members = await client.ask(AskMembers())
+    members = await client.ask(MembersQuery())
     live = [member.name for member in members.members if member.kind == "router" and member.live]
     if live:
         await client.close()
         await client.connect()
-        await client.stream.send(line(Hello(live[0], "router", "other", epoch=0)))
+        await client.stream.send(encode_line(MemberHello(live[0], "router", "other", epoch=0)))
         said = await client.next()
         tally.expect(
-            isinstance(said, Refused) and said.place == "name", f"a second {live[0]} was told {said}"
+            isinstance(said, RequestRejected) and said.place == "name", f"a second {live[0]} was told {said}"
         )
     await client.close()
 
 
-async def _play(chance: random.Random, tally: Tally, guards: tuple[str, ...], seconds: float) -> None:
+async def _play(
+    chance: random.Random, tally: ScenarioReport, guards: tuple[str, ...], seconds: float
+) -> None:
     with tempfile.TemporaryDirectory() as name, anyio.fail_after(seconds + LONGER + 25):
         fleet = PurgedFleet(chance, Path(name), 6, 12, guards)
         try:
@@ -377,13 +406,13 @@
         tally.expect(not lost, f"{len(lost)} purges were promised and are lost: {lost[:5]}")
 
 
-async def _told(fleet: PurgedFleet, tally: Tally) -> None:
+async def _told(fleet: PurgedFleet, tally: ScenarioReport) -> None:
     """Waits until the last purge is complete, and tells what the ledger says."""
     client = LedgerClient([("127.0.0.1", fleet.ledger_port)], 2.0)
     with anyio.move_on_after(6):
-        while not (told := await client.ask(AskStatus())).complete:
+        while not (told := await client.ask(StatusQuery())).complete:
             await anyio.sleep(0.05)
-    members = (await client.ask(AskMembers())).members
+    members = (await client.ask(MembersQuery())).members
     tally.figures["caches away"] = [m.name for m in members if m.away]
     tally.expect(told.complete, f"purge {told.number} waits for {told.missing}")
     delays = {key: round(value / 1000, 1) for key, value in told.delays.items() if key.startswith(("p", "h"))}
@@ -392,7 +421,7 @@
     tally.figures["promised in ms, missed"] = f"{told.promise / 1000:.0f}, {told.delays['missed']}"
 
 
-def _judged(fleet: PurgedFleet, tally: Tally, faults: list[str]) -> None:
+def _judged(fleet: PurgedFleet, tally: ScenarioReport, faults: list[str]) -> None:
     checker = fleet.checker
     for broken in checker.broken():
         tally.broken.append(broken)
--- a/quartzrouter/rehearse/sharing.py
+++ b/quartzrouter/fault_scenarios/sharing.py
@@ -13,20 +13,20 @@
 
 import anyio
 
-from quartzrouter.briefing import address
-from quartzrouter.force.shared import budgets
-from quartzrouter.net import serve
-from quartzrouter.plan.load import load
-from quartzrouter.plan.quantity import quantity
-from quartzrouter.rehearse import Tally
-from quartzrouter.sharing.budget import Budget
-from quartzrouter.stand import checks, schedule
-from quartzrouter.stand.asking import Asker
-from quartzrouter.stand.counting import CountingCache
-from quartzrouter.stand.faults import Struck
-from quartzrouter.stand.fleet import Clocks
-from quartzrouter.stand.links import Link
-from quartzrouter.stand.schedule import Fault
+from quartzrouter.config.loader import load
+from quartzrouter.config.quantity import quantity
+from quartzrouter.configuration import address
+from quartzrouter.fault_harness import fault_schedule, history_checks
+from quartzrouter.fault_harness.counting_cache import CountingCache
+from quartzrouter.fault_harness.fault_injection import FaultInjectedFleet
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_harness.fleet import Clocks
+from quartzrouter.fault_harness.load_generator import LoadGenerator
+from quartzrouter.fault_harness.proxied_links import ProxiedLink
+from quartzrouter.fault_scenarios import ScenarioReport
+from quartzrouter.pool_routing.shared_limits import budgets
+from quartzrouter.quota.budget import Budget
+from quartzrouter.server import process
 
 S = 1_000_000
 ROUTERS = 12
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True)
-class Shape:
+class ScenarioSize:
     """What is played.
 
     :param uneven: the share of the demand for the rate that comes to router 0.
@@ -106,19 +106,19 @@
     unlisted: int = 0  # caches, the first ones, that no plan lists until a fault `list`
 
 
-DRAWN = Shape()
+DRAWN = ScenarioSize()
 
 
-class SharingFleet(Struck):
+class SharingFleet(FaultInjectedFleet):
     """Two ledgers over one folder, the second stands by; routers with a link to each; caches that count."""
 
-    def __init__(self, folder: Path, chance: random.Random, shape: Shape, guards: Sequence[str] = ()):
+    def __init__(self, folder: Path, chance: random.Random, shape: ScenarioSize, guards: Sequence[str] = ()):
         super().__init__(folder, chance, quantity(shape.grace).us)
         self.shape, self.spoil, self.guards = shape, shape.spoil, guards
         self.caches: list[CountingCache] = []
-        self.askers: list[Asker] = []
+        self.askers: list[LoadGenerator] = []
         self.budgets: dict[str, Budget] = {}
-        self.to_caches: list[list[Link]] = []  # of each router
+        self.to_caches: list[list[ProxiedLink]] = []  # of each router
         self.awake = set(range(shape.routers))  # whose crowd asks
         self.unlisted = shape.unlisted
 
@@ -136,7 +136,7 @@
             await self.add_ledger(shared, standby, clocks, self.guards)
         for _ in range(shape.routers):
             n = await self.add_links(tasks)
-            to_caches = [Link(address(at, "cache"), chance, by_line=False) for at in addresses]
+            to_caches = [ProxiedLink(address(at, "cache"), chance, by_line=False) for at in addresses]
             for link in to_caches if shape.cache_links else ():
                 await link.start(tasks)
             self.to_caches.append(to_caches)
@@ -188,11 +188,13 @@
             several = max(1, round(demand / 20))  # one asker goes on only once it is answered
             for one in range(several):
                 pace = partial(self._evenly, several / demand)
-                self.askers.append(Asker(f"{RATE}r{n}.{one}", self.history, self.ports[n], pace))
+                self.askers.append(LoadGenerator(f"{RATE}r{n}.{one}", self.history, self.ports[n], pace))
             for one in range(shape.askers):
                 pace = partial(self.chance.uniform, 0.05, 0.2)
                 awake = partial(self._awake, n)
-                self.askers.append(Asker(f"{SLOTS}r{n}.{one}", self.history, self.ports[n], pace, awake))
+                self.askers.append(
+                    LoadGenerator(f"{SLOTS}r{n}.{one}", self.history, self.ports[n], pace, awake)
+                )
         for asker in self.askers:
             tasks.start_soon(asker.run)
 
@@ -208,7 +210,7 @@
 
     # -- faults --------------------------------------------------------------------------------------------
 
-    def links_of(self, name: str) -> list[Link]:
+    def links_of(self, name: str) -> list[ProxiedLink]:
         """Of a router, as r3, or its one link to a ledger, as r3/1."""
         router, _, ledger = name[1:].partition("/")
         return self.links[int(router)] if not ledger else [self.links[int(router)][int(ledger)]]
@@ -287,7 +289,7 @@
         self.party(fault.who).reload()
 
 
-def kinds(shape: Shape) -> dict:
+def kinds(shape: ScenarioSize) -> dict:
     """What a drawn schedule is made of; see schedule.drawn."""
     routers = [f"r{n}" for n in range(shape.routers)]
     return {
@@ -302,15 +304,17 @@
     }
 
 
-def drawn(chance: random.Random, shape: Shape, faults: int) -> list[Fault]:
+def drawn(chance: random.Random, shape: ScenarioSize, faults: int) -> list[Fault]:
     """So many faults of routers, and three of the ledgers, each by itself: somebody grants at times."""
     until = round(shape.seconds * 1000) - 1_500
-    found = schedule.drawn(chance, kinds(shape), faults, until - shape.quiet)
+    found = fault_schedule.drawn(chance, kinds(shape), faults, until - shape.quiet)
     third = (until - shape.quiet) // 3
     of_ledgers = [
-        Fault(0, "kill", "ledger0", 300), Fault(0, "stop", "ledger0", 2_500),
-        Fault(0, "kill", "ledger0", 100, 1.0), Fault(0, "kill", "ledger1", 300),
-    ]  # fmt: skip
+        Fault(0, "kill", "ledger0", 300),
+        Fault(0, "stop", "ledger0", 2_500),
+        Fault(0, "kill", "ledger0", 100, 1.0),
+        Fault(0, "kill", "ledger1", 300),
+    ]
     for n, fault in enumerate(chance.sample(of_ledgers, 3)):
         at = n * third + chance.randint(0, third // 2)
         found.append(Fault(at, fault.what, fault.who, fault.lasts, fault.much))
@@ -319,7 +323,7 @@
 
 
 @dataclass
-class Seen:
+class ScenarioResult:
     """What checkers found in one play."""
 
     fleet: SharingFleet
@@ -335,22 +339,26 @@
         return self.over_rate > 0 or self.over_slots > 0
 
 
-def play(chance: random.Random, shape: Shape, faults: Sequence[Fault], guards: Sequence[str] = ()) -> Seen:
+def play(
+    chance: random.Random, shape: ScenarioSize, faults: Sequence[Fault], guards: Sequence[str] = ()
+) -> ScenarioResult:
     """Plays a schedule once, and has the checkers read its history."""
-    return anyio.run(partial(_play, chance, shape, faults, guards), backend_options=serve.LOOP)
+    return anyio.run(partial(_play, chance, shape, faults, guards), backend_options=process.LOOP)
 
 
-async def _play(chance, shape: Shape, faults: Sequence[Fault], guards: Sequence[str]) -> Seen:
+async def _play(
+    chance, shape: ScenarioSize, faults: Sequence[Fault], guards: Sequence[str]
+) -> ScenarioResult:
     with tempfile.TemporaryDirectory() as name, anyio.fail_after(shape.seconds + 60):
         fleet = SharingFleet(Path(name), chance, shape, guards)
         try:
             async with anyio.create_task_group() as tasks:
                 await fleet.start(tasks)
                 await fleet.all_up()
-                began = serve.steady()
+                began = process.steady_clock()
                 async with anyio.create_task_group() as load_:
                     fleet.start_load(load_)
-                    load_.start_soon(schedule.play, faults, fleet.strike)
+                    load_.start_soon(fault_schedule.play, faults, fleet.strike)
                     await anyio.sleep(shape.seconds)
                     fleet.end_load()
                 tasks.cancel_scope.cancel()
@@ -358,28 +366,38 @@
             fleet.end()
             if keep := os.environ.get("QUARTZROUTER_TRACE"):
                 fleet.history.write(Path(f"history-{keep}.jsonl"))
-                schedule.write(Path(f"schedule-{keep}.jsonl"), faults)
+                fault_schedule.write(Path(f"schedule-{keep}.jsonl"), faults)
                 Path(f"log-{keep}").write_text(fleet.log())
         return _seen(fleet, began)
 
 
-def _seen(fleet: SharingFleet, began: int) -> Seen:
+def _seen(fleet: SharingFleet, began: int) -> ScenarioResult:
     history = fleet.history
-    seen = Seen(fleet, began)
-    seen.over_rate, *_ = checks.over(checks.let_through(history, RATE), fleet.budgets["calls"])
-    seen.most, _ = checks.in_hand(history, SLOTS, began + fleet.shape.settled * 1000)
+    seen = ScenarioResult(fleet, began)
+    seen.over_rate, *_ = history_checks.over(
+        history_checks.let_through(history, RATE), fleet.budgets["calls"]
+    )
+    seen.most, _ = history_checks.in_hand(history, SLOTS, began + fleet.shape.settled * 1000)
     seen.over_slots = seen.most - fleet.budgets["crowd"].slots
-    seen.lost = len(checks.unanswered(history, ANSWER_WITHIN))
+    seen.lost = len(history_checks.unanswered(history, ANSWER_WITHIN))
     seen.faults = tuple(fleet.faults())
     return seen
 
 
 # -- guards, each taken out once ---------------------------------------------------------------------------
 
-FEW = Shape(
-    routers=6, rate=40, slots=12, uneven=0.5, demand=20.0, askers=10, seconds=7.0, spoil=0.0, timeout="500ms",
+FEW = ScenarioSize(
+    routers=6,
+    rate=40,
+    slots=12,
+    uneven=0.5,
+    demand=20.0,
+    askers=10,
+    seconds=7.0,
+    spoil=0.0,
+    timeout="500ms",
     delay=(0.15, 0.3),
-)  # fmt: skip
+)
 # reqs that outlive shares and routers; slots are had once what was in hand before the start must be over
 LONG = replace(FEW, timeout="4s", delay=(3.4, 3.8), notices=False, seconds=11.0)
 BURSTS = replace(FEW, rate=5, burst=80, floors="50%", demand=160.0, uneven=1 / 6, askers=0)
@@ -389,36 +407,48 @@
     return Fault(at, "only", who)
 
 
-SCENES: dict[str, tuple[Shape, list[Fault]]] = {
+SCENES: dict[str, tuple[ScenarioSize, list[Fault]]] = {
     "a share doesn't end": (
-        FEW, [_only(0, "r0"), Fault(2000, "cut", "r0", 4000), _only(2100, "r0 r1")],
+        FEW,
+        [_only(0, "r0"), Fault(2000, "cut", "r0", 4000), _only(2100, "r0 r1")],
     ),
     "a share counts from its answer": (
         replace(FEW, grace="2s", demand=160.0, uneven=1 / 6, askers=0),
         [Fault(2000, "cut", f"r{n}", 3000, 2.0) for n in range(6)],
     ),
     "a doubled grant counts twice": (
-        replace(FEW, rate=60, demand=200.0, spoil=0.9, only=("double",), askers=0), [],
+        replace(FEW, rate=60, demand=200.0, spoil=0.9, only=("double",), askers=0),
+        [],
     ),
     "a router isn't confined by its own word": (
         replace(FEW, grace="2s", life="2s", seconds=8.0),
-        [_only(0, "r0"), Fault(4450, "cut", "r0", 3000, 2.0), _only(4500, "r1 r2 r3 r4 r5"),
-         _only(5700, "all")],
+        [
+            _only(0, "r0"),
+            Fault(4450, "cut", "r0", 3000, 2.0),
+            _only(4500, "r1 r2 r3 r4 r5"),
+            _only(5700, "all"),
+        ],
     ),
     "shares end by the wall clock": (
         FEW,
-        [_only(0, "r0"), Fault(2000, "jump", "r0", 4000, -10.0), Fault(2000, "cut", "r0", 4000),
-         _only(2100, "r0 r1")],
+        [
+            _only(0, "r0"),
+            Fault(2000, "jump", "r0", 4000, -10.0),
+            Fault(2000, "cut", "r0", 4000),
+            _only(2100, "r0 r1"),
+        ],
     ),
     "a restarted router has its floor's burst again": (
         replace(BURSTS, seconds=12.0),
         [Fault(at, "kill", f"r{n}", 50) for at in (500, 3000, 5500, 8000) for n in range(6)],
     ),
     "a restarted router has its floor's slots at once": (
-        replace(LONG, slot_floors="100%"), [Fault(6000, "kill", f"r{n}", 50) for n in range(3)],
+        replace(LONG, slot_floors="100%"),
+        [Fault(6000, "kill", f"r{n}", 50) for n in range(3)],
     ),
     "a slot's req is over with its share": (
-        LONG, [_only(0, "r0"), Fault(6000, "cut", "r0", 4000), _only(6100, "r0 r1")],
+        LONG,
+        [_only(0, "r0"), Fault(6000, "cut", "r0", 4000), _only(6100, "r0 r1")],
     ),
     "a granter starts with a full bucket": (
         replace(BURSTS, floors="10%", seconds=9.0),
@@ -426,45 +456,54 @@
     ),
     "a granter grants slots at once": (
         replace(FEW, life="4s", seconds=10.0),
-        [_only(0, "r0"), Fault(5000, "kill", "ledger0", 50), Fault(5000, "cut", "r0", 4500),
-         _only(5100, "r0 r1")],
+        [
+            _only(0, "r0"),
+            Fault(5000, "kill", "ledger0", 50),
+            Fault(5000, "cut", "r0", 4500),
+            _only(5100, "r0 r1"),
+        ],
     ),
     "a granter doesn't compare figures": (
         replace(FEW, settled=3000),
         [Fault(1000, "reload", f"r{n}", 0, 24.0) for n in range(6)],
     ),
     "a restarted router's slots are forgotten": (
-        LONG, [_only(0, "r0"), Fault(6000, "kill", "r0", 50), _only(6100, "r0 r1")],
+        LONG,
+        [_only(0, "r0"), Fault(6000, "kill", "r0", 50), _only(6100, "r0 r1")],
     ),
     "a granter doesn't look whether another has begun": (
         replace(FEW, seconds=11.0),
         [_only(0, "r0 r1"), Fault(0, "cut", "r0/1", 11_000), Fault(2000, "stop", "ledger0", 4500)],
     ),
-}  # fmt: skip
+}
 
 
-def killed(seed: int, guard: str) -> tuple[Seen, Seen]:
+def killed(seed: int, guard: str) -> tuple[ScenarioResult, ScenarioResult]:
     """A guard's scene with it and without it."""
     shape, faults = SCENES[guard]
     return tuple(play(random.Random(seed), shape, faults, out) for out in ((), (guard,)))
 
 
 def rehearse(
-    seed: int, tally: Tally, guards: Sequence[str] = (), shape: Shape = DRAWN, path: str | None = None,
+    seed: int,
+    tally: ScenarioReport,
+    guards: Sequence[str] = (),
+    shape: ScenarioSize = DRAWN,
+    path: str | None = None,
     shrink: bool = False,
-) -> None:  # fmt: skip
+) -> None:
     """:param path: a schedule to play instead of a drawn one.
     :param shrink: cut down a schedule that breaks a budget; it is written to a file either way.
     """
     chance = random.Random(seed)
-    faults = schedule.read(Path(path)) if path else drawn(chance, shape, 24)
+    faults = fault_schedule.read(Path(path)) if path else drawn(chance, shape, 24)
     seen = play(chance, shape, faults, guards)
     if seen.broken:
         if shrink:
             fails = lambda some: play(random.Random(seed), shape, some, guards).broken  # noqa: E731
-            faults = schedule.shrunk(faults, fails, TRIES)
+            faults = fault_schedule.shrunk(faults, fails, TRIES)
         kept = Path(f"schedule-{seed}.jsonl")
-        schedule.write(kept, faults)
+        fault_schedule.write(kept, faults)
         tally.figures["schedule, in faults"] = f"{kept}, {len(faults)}"
     fleet, history = seen.fleet, seen.fleet.history
     calls, crowd = fleet.budgets["calls"], fleet.budgets["crowd"]
@@ -476,13 +515,13 @@
         tally.figures[f"{what}s"] = sum(1 for _ in history.of(what))
     tally.expect(tally.figures["sends"] > 20 * shape.seconds, f"only {tally.figures['sends']} reqs were sent")
     since, until = seen.began + SETTLE * 1000, seen.began + shape.quiet * 1000
-    reqs = checks.let_through(history, RATE)
-    used = checks.rate(reqs, since, until) / calls.rate
+    reqs = history_checks.let_through(history, RATE)
+    used = history_checks.rate(reqs, since, until) / calls.rate
     static = _static(shape) / calls.rate
     tally.figures["use of the rate in quiet, with static parts"] = f"{used:.2f}, {static:.2f}"
-    whole = checks.rate(reqs, since, seen.began + round(shape.seconds * S)) / calls.rate
+    whole = history_checks.rate(reqs, since, seen.began + round(shape.seconds * S)) / calls.rate
     tally.figures["use of the rate in all"] = f"{whole:.2f}"
-    ends = checks.answers(history, RATE, since, seen.began + round(shape.seconds * S))
+    ends = history_checks.answers(history, RATE, since, seen.began + round(shape.seconds * S))
     tally.figures["reqs of the rate: done, denied, aborted"] = [ends.get(n, 0) for n in ("200", "503", "502")]
     tally.figures["reqs below the bound in the worst window"] = f"{-seen.over_rate:.1f}"
     tally.figures["most reqs in hand, of"] = f"{seen.most}, {crowd.slots}"
@@ -490,7 +529,7 @@
     tally.figures["budgets exceeded"] = int(seen.over_rate > 0) + int(seen.over_slots > 0)
 
 
-def _static(shape: Shape) -> float:
+def _static(shape: ScenarioSize) -> float:
     """Reqs a second where each router had an equal part, by the demand."""
     part, rest = shape.rate / shape.routers, (1 - shape.uneven) * shape.demand / (shape.routers - 1)
     return min(part, shape.uneven * shape.demand) + (shape.routers - 1) * min(part, rest)
--- a/quartzrouter/sharing/council.py
+++ b/quartzrouter/fleet_health/aggregator.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from quartzrouter.sharing.budget import S, slack
+from quartzrouter.quota.budget import S, clock_slack
 
 SIGHT_LIFE = 1 * S  # us for which what a router has said counts: five of its words
 TELL_EVERY = SIGHT_LIFE // 5  # us between two words of a router, and of the ledger
@@ -30,7 +30,7 @@
 FIGURE_MOST = 1_000_000  # of one figure in a sight
 
 
-class Sight(NamedTuple):
+class CacheObservation(NamedTuple):
     """What one router knows of one cache, from its own reqs and probes; a cache without news isn't told of.
 
     :param out: it has put the cache out.
@@ -48,7 +48,7 @@
     begun: int = 0
 
 
-class Judgement(NamedTuple):
+class EjectionVerdict(NamedTuple):
     """A cache that is to be left out.
 
     :param ends: us from the saying; the hearer counts them from when it hears of it.
@@ -64,7 +64,7 @@
     failures: int
 
 
-class Count(NamedTuple):
+class CacheLoad(NamedTuple):
     """How busy a cache is, by all routers of its store.
 
     :param in_hand: dispatches that are out; -1: not known, as not all who may use it have told of it lately.
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class RecentOutcomes:
     """What a router has told of one cache, as far as it hasn't faded."""
 
     out: bool = False
@@ -99,20 +99,20 @@
 
 
 @dataclass(slots=True)
-class Voice:
+class RouterObservations:
     """The last word of one router, and what it told before."""
 
     store: str
     token: str
     heard: int
-    sights: dict[str, Sight] = field(default_factory=dict)
+    sights: dict[str, CacheObservation] = field(default_factory=dict)
     every: int = TELL_EVERY  # us between its last two words
-    tallies: dict[str, Tally] = field(default_factory=dict)  # of what hasn't faded
+    tallies: dict[str, RecentOutcomes] = field(default_factory=dict)  # of what hasn't faded
     caches: int = 0  # that it knows
 
 
 @dataclass(slots=True)
-class Case:
+class EjectionRecord:
     """A cache that is or was judged."""
 
     until: int = 0
@@ -120,16 +120,16 @@
     failures: int = 0
 
 
-class Council:
+class HealthAggregator:
     """All times are us of the ledger's steady clock."""
 
     def __init__(self) -> None:
-        self.voices: dict[str, Voice] = {}
-        self.cases: dict[tuple[str, str], Case] = {}  # by store and cache
+        self.voices: dict[str, RouterObservations] = {}
+        self.cases: dict[tuple[str, str], EjectionRecord] = {}  # by store and cache
         self.odd = 0  # words that were not obeyed
 
     def hear(
-        self, name: str, token: str, store: str, sights: tuple[Sight, ...], now: int, caches: int
+        self, name: str, token: str, store: str, sights: tuple[CacheObservation, ...], now: int, caches: int
     ) -> bool:
         """Takes a router's word in; one with odd figures is counted and passed over, as a whole.
 
@@ -142,32 +142,36 @@
             self.odd += 1
             return False
         before = self.voices.pop(name, None)
-        same = before if before and before.token == token else Voice(store, token, now - TELL_EVERY)
+        same = (
+            before if before and before.token == token else RouterObservations(store, token, now - TELL_EVERY)
+        )
         passed = max(1, now - same.heard)
         fades, tallies = 0.5 ** (passed / FADES), {}
         for cache, old in same.tallies.items():
             if (old.good + old.bad) * fades > FADED:
-                tallies[cache] = Tally(False, old.good * fades, old.bad * fades)
+                tallies[cache] = RecentOutcomes(False, old.good * fades, old.bad * fades)
         for sight in sights:
-            old = tallies.get(sight.cache, Tally())
-            tallies[sight.cache] = Tally(sight.out, old.good + sight.good, old.bad + sight.bad)
+            old = tallies.get(sight.cache, RecentOutcomes())
+            tallies[sight.cache] = RecentOutcomes(sight.out, old.good + sight.good, old.bad + sight.bad)
         if len(self.voices) >= ROUTERS_MOST:
             del self.voices[next(iter(self.voices))]
         seen = {each.cache: each for each in sights}
-        self.voices[name] = Voice(store, token, now, seen, min(SIGHT_LIFE, passed), tallies, caches)
+        self.voices[name] = RouterObservations(
+            store, token, now, seen, min(SIGHT_LIFE, passed), tallies, caches
+        )
         return True
 
     def left(self, name: str) -> None:
         """A router has ended."""
         self.voices.pop(name, None)
 
-    def _fresh(self, store: str, now: int) -> dict[str, Voice]:
-        live = now - SIGHT_LIFE - slack(SIGHT_LIFE)
+    def _fresh(self, store: str, now: int) -> dict[str, RouterObservations]:
+        live = now - SIGHT_LIFE - clock_slack(SIGHT_LIFE)
         return {
             name: voice for name, voice in self.voices.items() if voice.store == store and voice.heard >= live
         }
 
-    def judged(self, store: str, now: int) -> tuple[Judgement, ...]:
+    def judged(self, store: str, now: int) -> tuple[EjectionVerdict, ...]:
         """The caches of a store that are to be left out."""
         voices = self._fresh(store, now)
         witnesses = {name: voice for name, voice in sorted(voices.items()) if not _cut_off(voice)}
@@ -184,7 +188,7 @@
             theirs = (all_bad - bad) / max(1.0, all_good + all_bad - good - bad)
             outlier = bad >= ERRORS and bad > max(SHARE, 2 * theirs) * (good + bad)
             case, failures = self.cases.get((store, cache)), round(bad)
-            judgement = Judgement(cache, 0, tuple(by), tuple(against), failures)
+            judgement = EjectionVerdict(cache, 0, tuple(by), tuple(against), failures)
             if len(by) >= WITNESSES and len(by) > len(against) and (out >= WITNESSES or outlier):
                 found.append((len(by) - len(against), judgement))
             elif case and case.until > now:
@@ -195,7 +199,7 @@
         return tuple(self._held(store, *one, now) for one in found[: int(LEFT_OUT * caches)])
 
     @staticmethod
-    def _votes(voices: dict[str, Voice], cache: str) -> tuple[list[str], list[str], int]:
+    def _votes(voices: dict[str, RouterObservations], cache: str) -> tuple[list[str], list[str], int]:
         """Who is hurt by a cache, who is served well, and how many have put it out."""
         by, against, out = [], [], 0
         for name, voice in voices.items():
@@ -209,9 +213,9 @@
                 against.append(name)
         return by, against, out
 
-    def _held(self, store: str, votes: int, judgement: Judgement, now: int) -> Judgement:
+    def _held(self, store: str, votes: int, judgement: EjectionVerdict, now: int) -> EjectionVerdict:
         """Begins a judgement, or goes on with it while it is confirmed."""
-        case = self.cases.setdefault((store, judgement.cache), Case())
+        case = self.cases.setdefault((store, judgement.cache), EjectionRecord())
         if votes > 0:
             if case.until <= now:  # anew: longer, where it was judged a while ago
                 again = case.until and now - case.until < QUIET
@@ -223,7 +227,7 @@
         for key in [key for key, case in self.cases.items() if case.until + QUIET < now]:
             del self.cases[key]
 
-    def counts(self, store: str, now: int) -> tuple[Count, ...]:
+    def counts(self, store: str, now: int) -> tuple[CacheLoad, ...]:
         """How busy the caches of a store are.  What is too old is unknown, and so is a sum that lacks it."""
         voices = self._fresh(store, now)
         silent = sum(voice.store == store for voice in self.voices.values()) - len(voices)
@@ -233,7 +237,7 @@
             age = max(now - voice.heard for voice, _ in of)
             error = sum(-(-sight.begun * (now - voice.heard) // voice.every) for voice, sight in of)
             in_hand = -1 if silent else sum(sight.in_hand for _, sight in of)
-            found.append(Count(cache, in_hand, age, error, len(of)))
+            found.append(CacheLoad(cache, in_hand, age, error, len(of)))
         return tuple(found)
 
     def trim(self, now: int) -> None:
@@ -242,17 +246,17 @@
             del self.voices[name]
 
 
-def _cut_off(voice: Voice) -> bool:
+def _cut_off(voice: RouterObservations) -> bool:
     fails = sum(tally.fails for tally in voice.tallies.values())
     return fails > CUT_OFF * len(voice.tallies) and fails > 1
 
 
-def _well(sight: Sight) -> bool:
+def _well(sight: CacheObservation) -> bool:
     figures = (sight.good, sight.bad, sight.in_hand, sight.begun)
     return bool(sight.cache) and len(sight.cache) <= 64 and all(0 <= each <= FIGURE_MOST for each in figures)
 
 
-def heeded(judgements: tuple[Judgement, ...], caches: int, now: int) -> dict[str, int]:
+def accepted_ejections(judgements: tuple[EjectionVerdict, ...], caches: int, now: int) -> dict[str, int]:
     """What a router makes of what it is told: which caches it leaves out, and until when (us, its own clock).
 
     :param caches: that it knows; whatever is said, few of them are left out, and none for long.
--- a/quartzrouter/keeper/claims.py
+++ b/quartzrouter/lease_service/client.py
@@ -12,26 +12,26 @@
 
 import anyio
 
-from quartzrouter.leases import words
-from quartzrouter.leases.claim import Ask, Claim, Effect, Gained, Lost
-from quartzrouter.leases.terms import NAME_MOST, Free, Terms
-from quartzrouter.ledger.wire import connect, lines
-from quartzrouter.net.clock import clock, steady
-from quartzrouter.net.report import Report
-from quartzrouter.purges.attempts import Attempts
-from quartzrouter.purges.words import line
+from quartzrouter.leases import messages
+from quartzrouter.leases.proposer import Effect, LeaseAcquired, LeaseLost, Proposer, SendToAcceptors
+from quartzrouter.leases.terms import NAME_MOST, LeaseTerms, VoteRelease
+from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.purges.messages import encode_line
+from quartzrouter.purges.reconnect_backoff import ReconnectBackoff
+from quartzrouter.server.clock import steady_clock, wall_clock
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 SILENT_LEASES = 2  # without an answer to what was asked, until a connection is taken for broken
 LAST_WORDS = 0.2  # s for what is given up to be said at the end
 OUT_MOST = 64  # lines to a keeper that takes nothing; older ones count for nothing any more
 
 
-class Keeping:
+class AcceptorConnection:
     """A line to one keeper: connects anew whenever it ends."""
 
-    def __init__(self, name: str, address: tuple[str, int], claims: "Claims"):
+    def __init__(self, name: str, address: tuple[str, int], claims: "ClusterLeaseClient"):
         self.name, self.address, self.claims = name, address, claims
-        self.attempts = Attempts([address], f"{claims.name} {name}")
+        self.attempts = ReconnectBackoff([address], f"{claims.name} {name}")
         self.out: list[bytes] | None = None
         self.wake = anyio.Event()
         self.unanswered = 0  # lines of asks since the last word
@@ -66,7 +66,7 @@
             async for heard in lines(stream):
                 self.unanswered = 0
                 self.attempts.heard()
-                self.claims.heard(self.name, words.from_keeper(heard))
+                self.claims.heard(self.name, messages.decode_from_acceptor(heard))
             raise anyio.EndOfStream("it has closed the connection")
 
     async def _write(self, stream: anyio.abc.ByteStream) -> None:
@@ -87,10 +87,10 @@
                 raise TimeoutError(f"no answer for {within:.1f} s")
 
 
-class Hold:
+class HeldLease:
     """A task that is held, as its work sees it."""
 
-    def __init__(self, claims: "Claims", claim: Claim):
+    def __init__(self, claims: "ClusterLeaseClient", claim: Proposer):
         self.claims, self.claim, self.number = claims, claim, claim.number
 
     def held(self) -> bool:
@@ -102,28 +102,33 @@
         self.claims.perform_all(self.claim, self.claim.passed(number, self.claims.steady()))
 
 
-class Claims:
+class ClusterLeaseClient:
     """:param name: of the claimant, one a process.
     :param steady: reads the monotonic clock, us; and `clock` the wall clock.
     """
 
     def __init__(
-        self, terms: Terms, addresses: dict[str, tuple[str, int]], name: str, report: Report,
-        steady: Callable[[], int] = steady, clock: Callable[[], int] = clock,
-    ):  # fmt: skip
+        self,
+        terms: LeaseTerms,
+        addresses: dict[str, tuple[str, int]],
+        name: str,
+        report: RateLimitedLog,
+        steady: Callable[[], int] = steady_clock,
+        clock: Callable[[], int] = wall_clock,
+    ):
         self.terms, self.name, self.report = terms, name[:NAME_MOST], report
         self.steady, self.clock, self.token = steady, clock, secrets.token_hex(8)
-        self.claims: dict[str, Claim] = {}
+        self.claims: dict[str, Proposer] = {}
         self.changed: dict[str, anyio.Event] = {}
         self.working: set[str] = set()  # tasks whose work is under way
-        self.lines = [Keeping(keeper, at, self) for keeper, at in addresses.items()]
+        self.lines = [AcceptorConnection(keeper, at, self) for keeper, at in addresses.items()]
         self.due = anyio.Event()  # a claim wants to be looked at sooner
 
-    def claim(self, task: str) -> Claim:
+    def claim(self, task: str) -> Proposer:
         """Wants a task from now on; raises KeyError for one that the terms don't name."""
         dict(self.terms.tasks)[task]
         if task not in self.claims:
-            self.claims[task] = Claim(self.terms, task, self.name, self.token, self.steady())
+            self.claims[task] = Proposer(self.terms, task, self.name, self.token, self.steady())
             self.changed[task] = anyio.Event()
             self.due.set()
         return self.claims[task]
@@ -135,7 +140,7 @@
                 tasks.start_soon(each.run)
             while True:
                 now = self.steady()
-                asks: list[Ask] = []
+                asks: list[SendToAcceptors] = []
                 for claim in list(self.claims.values()):
                     asks += self._settle(claim, claim.tick(now, self.clock() // 1000))
                 self._say(asks)
@@ -144,13 +149,13 @@
                 with anyio.move_on_after(max(0.001, wait / 1e6)):
                     await self.due.wait()
 
-    async def perform(self, task: str, work: Callable[[Hold], Awaitable[None]]) -> None:
+    async def perform(self, task: str, work: Callable[[HeldLease], Awaitable[None]]) -> None:
         """Does the work whenever the task is held; one that fails lets another claimant have it."""
         claim = self.claim(task)
         while True:
             while not claim.holding:
                 await self.changed[task].wait()
-            hold, failed = Hold(self, claim), ""
+            hold, failed = HeldLease(self, claim), ""
             self.report.say("lease", f"{task}: held here, number {hold.number}")
             self.working.add(task)
             with anyio.CancelScope() as scope:
@@ -169,7 +174,7 @@
                 self.report.say("lease", f"{task}: {failed or 'done here'}; given up")
                 self.perform_all(claim, claim.failed(self.steady()))
 
-    async def _watch(self, hold: Hold, task: str, scope: anyio.CancelScope) -> None:
+    async def _watch(self, hold: HeldLease, task: str, scope: anyio.CancelScope) -> None:
         while hold.claim.holding and hold.claim.number == hold.number:
             await self.changed[task].wait()
         scope.cancel()
@@ -199,10 +204,10 @@
                 claim.due = min(claim.due, now + self.terms.every // 4)
         self.due.set()
 
-    def heard(self, keeper: str, said: words.FromKeeper) -> None:
+    def heard(self, keeper: str, said: messages.FromAcceptor) -> None:
         now = self.steady()
         match said:
-            case words.Answers(answers, refused):
+            case messages.VoteReplies(answers, refused):
                 for answer in answers:
                     claim = self.claims.get(answer.task)
                     if claim and answer.keeper == keeper:
@@ -211,36 +216,36 @@
                     if claim := self.claims.get(task):
                         claim.refuse(f"{keeper}: {refusal.place}: {refusal.reason}; {refusal.remedy}", now)
                         self.report.say("lease", f"{task}: {claim.refused}")
-            case words.FreeAgain(task):
+            case messages.VoteAvailable(task):
                 if claim := self.claims.get(task):
                     claim.freed(now)
-            case words.Unheard(reason, remedy):
+            case messages.MessageRejected(reason, remedy):
                 self.report.say("lease", f"keeper {keeper} can't read this: {reason}; {remedy}")
         self.due.set()
 
-    def perform_all(self, claim: Claim, effects: list[Effect]) -> None:
+    def perform_all(self, claim: Proposer, effects: list[Effect]) -> None:
         self._say(self._settle(claim, effects))
 
-    def _settle(self, claim: Claim, effects: list[Effect]) -> list[Ask]:
+    def _settle(self, claim: Proposer, effects: list[Effect]) -> list[SendToAcceptors]:
         """What is held has changed, where it has: whoever works is told before any word goes out."""
         asks = []
         for effect in effects:
             match effect:
-                case Ask():
+                case SendToAcceptors():
                     asks.append(effect)
-                case Gained() | Lost():
-                    if isinstance(effect, Lost):
+                case LeaseAcquired() | LeaseLost():
+                    if isinstance(effect, LeaseLost):
                         self.report.say("lease", f"{claim.task}: held no more: {effect.why}")
                     self.changed[claim.task].set()
                     self.changed[claim.task] = anyio.Event()
         self.due.set()
         return asks
 
-    def _say(self, asks: list[Ask]) -> None:
-        frees = tuple(each.said for each in asks if isinstance(each.said, Free))
-        votes = tuple(each.said for each in asks if not isinstance(each.said, Free))
+    def _say(self, asks: list[SendToAcceptors]) -> None:
+        frees = tuple(each.said for each in asks if isinstance(each.said, VoteRelease))
+        votes = tuple(each.said for each in asks if not isinstance(each.said, VoteRelease))
         for each in self.lines:
             if frees:
-                each.tell(line(words.Frees(frees)), False)
+                each.tell(encode_line(messages.VoteReleases(frees)), False)
             if votes:
-                each.tell(line(words.Votes(votes)), True)
+                each.tell(encode_line(messages.VoteRequests(votes)), True)
--- a/quartzrouter/keeper/wire.py
+++ b/quartzrouter/lease_service/queries.py
@@ -2,37 +2,37 @@
 
 import anyio
 
-from quartzrouter.leases import words
-from quartzrouter.leases.terms import Keeps
-from quartzrouter.ledger.wire import connect, lines
-from quartzrouter.net.progress import LOST
-from quartzrouter.purges.words import Unreadable, line
+from quartzrouter.leases import messages
+from quartzrouter.leases.terms import AcceptorStatus
+from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.purges.messages import MalformedMessage, encode_line
+from quartzrouter.server.attempt_failure import CONNECTION_LOST
 
 ANSWER_WITHIN = 1.0  # s
 
 
 async def ask(
-    address: tuple[str, int], within: float = ANSWER_WITHIN, said: words.ToKeeper | None = None
-) -> Keeps | str:
+    address: tuple[str, int], within: float = ANSWER_WITHIN, said: messages.ToAcceptor | None = None
+) -> AcceptorStatus | str:
     """How a keeper stands, or why that isn't known."""
     try:
         with anyio.fail_after(within):
             async with await connect(address) as stream:
-                await stream.send(line(said or words.AskKeeps()))
+                await stream.send(encode_line(said or messages.StatusQuery()))
                 async for heard in lines(stream):
-                    answer = words.from_keeper(heard)
-                    if isinstance(answer, words.Kept):
+                    answer = messages.decode_from_acceptor(heard)
+                    if isinstance(answer, messages.StatusReply):
                         return answer.keeps
         return "it hung up"
-    except (*LOST, TimeoutError, Unreadable, words.Unreadable) as error:
+    except (*CONNECTION_LOST, TimeoutError, MalformedMessage, messages.MalformedMessage) as error:
         return str(error) or type(error).__name__
 
 
 async def ask_all(
-    addresses: dict[str, tuple[str, int]], said: words.ToKeeper | None = None
-) -> dict[str, Keeps | str]:
+    addresses: dict[str, tuple[str, int]], said: messages.ToAcceptor | None = None
+) -> dict[str, AcceptorStatus | str]:
     """All at once, by name."""
-    found: dict[str, Keeps | str] = {}
+    found: dict[str, AcceptorStatus | str] = {}
 
     async def one(name: str) -> None:
         found[name] = await ask(addresses[name], said=said)
--- a/quartzrouter/keeper/serve.py
+++ b/quartzrouter/lease_service/server.py
@@ -5,33 +5,37 @@
 
 import anyio
 
-from quartzrouter.keeper.numbers import Numbers
-from quartzrouter.keeper.wire import ask_all
-from quartzrouter.leases import words
-from quartzrouter.leases.keeper import Keeper
-from quartzrouter.leases.terms import Keeps, Refusal, Terms
-from quartzrouter.ledger.wire import lines
-from quartzrouter.net.clock import steady
-from quartzrouter.net.progress import LOST
-from quartzrouter.net.report import Report
-from quartzrouter.purges.words import Unreadable, line
+from quartzrouter.lease_service.queries import ask_all
+from quartzrouter.lease_service.token_storage import TokenStorage
+from quartzrouter.leases import messages
+from quartzrouter.leases.acceptor import Acceptor
+from quartzrouter.leases.terms import AcceptorStatus, LeaseTerms, VoteRefusal
+from quartzrouter.purge_log.line_connection import lines
+from quartzrouter.purges.messages import MalformedMessage, encode_line
+from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.clock import steady_clock
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 CONNECTIONS_MOST = 4_096
 ANSWERS_MOST = 64  # lines on their way to one claimant; beyond, it is given up: it takes nothing
 WRITE_WITHIN = 2.0  # s
 
 
-class Service:
+class LeaseServer:
     """:param numbers: on the disk; None: it has none, and hears numbers anew after each start.
     :param steady: reads the monotonic clock, us.
     """
 
     def __init__(
-        self, terms: Terms, name: str, report: Report, numbers: Numbers | None = None,
-        steady: Callable[[], int] = steady,
-    ):  # fmt: skip
+        self,
+        terms: LeaseTerms,
+        name: str,
+        report: RateLimitedLog,
+        numbers: TokenStorage | None = None,
+        steady: Callable[[], int] = steady_clock,
+    ):
         self.report, self.numbers, self.steady = report, numbers, steady
-        self.keeper = Keeper(terms, name, steady(), numbers.found if numbers else None)
+        self.keeper = Acceptor(terms, name, steady(), numbers.found if numbers else None)
         self.kept = self.keeper.highest()
         self.heard: dict[str, anyio.abc.ObjectSendStream] = {}  # by claimant: the line it asks on
         self.disk = anyio.Lock()
@@ -45,7 +49,7 @@
         try:
             async with stream:
                 await self._serve(stream)
-        except* (*LOST, TimeoutError, anyio.WouldBlock):
+        except* (*CONNECTION_LOST, TimeoutError, anyio.WouldBlock):
             pass
         except* Exception as group:  # a fault of ours ends at its connection
             self.report.say("fault", "; ".join(f"{type(e).__name__}: {e}" for e in group.exceptions))
@@ -58,38 +62,38 @@
         async def write() -> None:
             async for said in take:
                 with anyio.fail_after(WRITE_WITHIN):
-                    await stream.send(line(said))
+                    await stream.send(encode_line(said))
 
         names: set[str] = set()
         async with anyio.create_task_group() as tasks, give:
             tasks.start_soon(write)
             try:
                 async for heard in lines(stream):
-                    if answer := await self._hear(words.to_keeper(heard), give, names):
+                    if answer := await self._hear(messages.decode_to_acceptor(heard), give, names):
                         give.send_nowait(answer)
-            except (words.Unreadable, Unreadable) as error:
-                give.send_nowait(words.Unheard(str(error), "see docs/leases.md for what is said"))
+            except (messages.MalformedMessage, MalformedMessage) as error:
+                give.send_nowait(messages.MessageRejected(str(error), "see docs/leases.md for what is said"))
             finally:
                 for name in names:
                     if self.heard.get(name) is give:
                         del self.heard[name]
 
-    async def _hear(self, said: words.ToKeeper, give, names: set[str]) -> words.FromKeeper | None:
-        if isinstance(said, words.AskKeeps):
-            return words.Kept(self.keeper.told(self.steady()))
-        if isinstance(said, words.Shun):
+    async def _hear(self, said: messages.ToAcceptor, give, names: set[str]) -> messages.FromAcceptor | None:
+        if isinstance(said, messages.StatusQuery):
+            return messages.StatusReply(self.keeper.told(self.steady()))
+        if isinstance(said, messages.RevokeHolder):
             if holder := self.keeper.shun(said.task, self.steady()):
                 self.report.say("lease", f"{said.task:.60}: an operator takes it from {holder}")
-            return words.Kept(self.keeper.told(self.steady()))
-        if isinstance(said, words.Frees):
-            for free in said.frees[: words.VOTES_MOST]:
+            return messages.StatusReply(self.keeper.told(self.steady()))
+        if isinstance(said, messages.VoteReleases):
+            for free in said.frees[: messages.VOTES_MOST]:
                 for name in self.keeper.free(free, self.steady()):
                     self._tell(name, free.task)
             return None
         answers, refused = [], {}
-        for vote in said.votes[: words.VOTES_MOST]:
+        for vote in said.votes[: messages.VOTES_MOST]:
             given = self.keeper.vote(vote, self.steady())
-            if isinstance(given, Refusal):
+            if isinstance(given, VoteRefusal):
                 refused[vote.task[:60]] = given
                 self.report.say("lease", f"{vote.name:.60}: {given.place}: {given.reason}")
                 continue
@@ -98,12 +102,12 @@
             self.heard[vote.name] = give
         if not await self._keep():
             answers = []  # what isn't kept isn't said: the votes run out by themselves
-        return words.Answers(tuple(answers), refused)
+        return messages.VoteReplies(tuple(answers), refused)
 
     def _tell(self, name: str, task: str) -> None:
         if (line_of := self.heard.get(name)) is not None:
             try:
-                line_of.send_nowait(words.FreeAgain(task))
+                line_of.send_nowait(messages.VoteAvailable(task))
             except (anyio.WouldBlock, anyio.ClosedResourceError, anyio.BrokenResourceError):
                 del self.heard[name]
 
@@ -123,26 +127,30 @@
             self.kept = now
             return True
 
-    async def replace(self, terms: Terms, addresses: dict[str, tuple[str, int]]) -> Refusal | None:
+    async def replace(self, terms: LeaseTerms, addresses: dict[str, tuple[str, int]]) -> VoteRefusal | None:
         """The plan was read anew; gives why it isn't followed."""
         others = {name: at for name, at in addresses.items() if name != self.keeper.name}
         found = await ask_all(others)
-        versions = {name: said.version for name, said in found.items() if isinstance(said, Keeps)}
+        versions = {name: said.version for name, said in found.items() if isinstance(said, AcceptorStatus)}
         return self.keeper.next(terms, versions, self.steady())
 
 
-Told = Callable[[], tuple[Terms, dict[str, tuple[str, int]]]]
+Told = Callable[[], tuple[LeaseTerms, dict[str, tuple[str, int]]]]
 
 
 async def serve(
-    name: str, read: Told, report: Report, numbers: Numbers | None = None, steady: Callable[[], int] = steady
+    name: str,
+    read: Told,
+    report: RateLimitedLog,
+    numbers: TokenStorage | None = None,
+    steady: Callable[[], int] = steady_clock,
 ) -> None:
     """Keeps until SIGTERM; reads the plan anew at SIGHUP.  Raises OSError, ValueError before it votes.
 
     :param read: the terms and where all keepers listen, as the plan has them now; raises ValueError.
     """
     terms, addresses = read()
-    service = Service(terms, name, report, numbers, steady)
+    service = LeaseServer(terms, name, report, numbers, steady)
     where = dict(addresses)
 
     async def reread() -> None:
--- a/quartzrouter/keeper/numbers.py
+++ b/quartzrouter/lease_service/token_storage.py
@@ -6,15 +6,15 @@
 
 import msgspec
 
-from quartzrouter.leases.terms import Number
-from quartzrouter.ledger.disk import write_whole
+from quartzrouter.leases.terms import FencingToken
+from quartzrouter.purge_log.disk import write_whole
 
 FILE = "numbers"
 FORMAT = 1
 SIZE_MOST = 1 << 20  # bytes: 256 tasks take 60 KB
 
 
-class Page(msgspec.Struct):
+class StoredTokens(msgspec.Struct):
     """:param keeper: whose it is.
     :param sum: of the numbers as they stand in the file.
     """
@@ -25,11 +25,11 @@
     numbers: msgspec.Raw
 
 
-class Foreign(ValueError):
+class ForeignFolder(ValueError):
     """The folder is another keeper's."""
 
 
-class Numbers:
+class TokenStorage:
     """:param folder: made if it isn't there; raises OSError where it can't be.
     :param say: takes a line on what was passed over.
     """
@@ -39,27 +39,27 @@
         self.path.parent.mkdir(parents=True, exist_ok=True)
         self.found = self._read(say)
 
-    def _read(self, say: Callable[[str], None]) -> dict[str, Number]:
+    def _read(self, say: Callable[[str], None]) -> dict[str, FencingToken]:
         """Raises Foreign.  What is damaged counts as lost: holders tell their numbers again."""
         try:
             data = self.path.read_bytes()
-            page = msgspec.json.decode(data[:SIZE_MOST], type=Page)
+            page = msgspec.json.decode(data[:SIZE_MOST], type=StoredTokens)
             if page.sum != crc32(page.numbers):
                 raise ValueError("its checksum is wrong")
             if page.format != FORMAT:
                 raise ValueError(f"it is of format {page.format}, this program reads {FORMAT}")
-            numbers = msgspec.json.decode(page.numbers, type=dict[str, Number])
+            numbers = msgspec.json.decode(page.numbers, type=dict[str, FencingToken])
         except FileNotFoundError:
             return {}
         except (ValueError, msgspec.DecodeError, UnicodeDecodeError) as error:
             say(f"{self.path}: {error}; its numbers are heard anew from holders")
             return {}
         if page.keeper != self.keeper:
-            raise Foreign(f"{self.path} is {page.keeper}'s; give {self.keeper} a folder of its own")
+            raise ForeignFolder(f"{self.path} is {page.keeper}'s; give {self.keeper} a folder of its own")
         return numbers
 
-    def write(self, numbers: dict[str, Number]) -> None:
+    def write(self, numbers: dict[str, FencingToken]) -> None:
         """Raises OSError; then no vote may be given that needs it."""
         raw = msgspec.json.encode(numbers)
-        page = Page(FORMAT, self.keeper, crc32(raw), msgspec.Raw(raw))
+        page = StoredTokens(FORMAT, self.keeper, crc32(raw), msgspec.Raw(raw))
         write_whole(self.path, msgspec.json.encode(page))
--- a/quartzrouter/leases/holding.py
+++ b/quartzrouter/leases/handle.py
@@ -3,10 +3,10 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from quartzrouter.leases.claim import Claim
+from quartzrouter.leases.proposer import Proposer
 
 
-class Hold(Protocol):
+class LeaseHandle(Protocol):
     """A task that is held.
 
     :param number: of this lease, to be shown to whoever is acted on.
@@ -23,14 +23,14 @@
         ...
 
 
-class Claims(Protocol):
+class LeaseClient(Protocol):
     """:param steady: reads the monotonic clock by which leases end, us."""
 
     steady: Callable[[], int]
 
-    def claim(self, task: str) -> Claim: ...
+    def claim(self, task: str) -> Proposer: ...
     async def run(self) -> None: ...
-    async def perform(self, task: str, work: Callable[[Hold], Awaitable[None]]) -> None:
+    async def perform(self, task: str, work: Callable[[LeaseHandle], Awaitable[None]]) -> None:
         """Does the work whenever the task is held, and cancels it when it is lost."""
         ...
 
--- a/quartzrouter/leases/words.py
+++ b/quartzrouter/leases/messages.py
@@ -2,86 +2,86 @@
 
 import msgspec
 
-from quartzrouter.leases.terms import Answer, Free, Keeps, Refusal, Vote
+from quartzrouter.leases.terms import AcceptorStatus, VoteRefusal, VoteRelease, VoteReply, VoteRequest
 
 VOTES_MOST = 256  # asks in one line: all tasks of a process
 LINE_MOST = 1 << 17  # bytes: that many, and names of 64 characters
 
 
-class Unreadable(ValueError):
+class MalformedMessage(ValueError):
     """A line that no claimant or keeper of this version writes."""
 
 
 # -- to a keeper -------------------------------------------------------------------------------------------
 
 
-class Votes(msgspec.Struct, tag_field="say", tag="votes"):
+class VoteRequests(msgspec.Struct, tag_field="say", tag="votes"):
     """Vote for these, please."""
 
-    votes: tuple[Vote, ...]
+    votes: tuple[VoteRequest, ...]
 
 
-class Frees(msgspec.Struct, tag_field="say", tag="frees"):
+class VoteReleases(msgspec.Struct, tag_field="say", tag="frees"):
     """These are given up."""
 
-    frees: tuple[Free, ...]
+    frees: tuple[VoteRelease, ...]
 
 
-class AskKeeps(msgspec.Struct, tag_field="say", tag="keeps"):
+class StatusQuery(msgspec.Struct, tag_field="say", tag="keeps"):
     """For whom have you voted?"""
 
 
-class Shun(msgspec.Struct, tag_field="say", tag="shun"):
+class RevokeHolder(msgspec.Struct, tag_field="say", tag="shun"):
     """An operator takes a task from its holder."""
 
     task: str
 
 
-ToKeeper = Votes | Frees | AskKeeps | Shun
+ToAcceptor = VoteRequests | VoteReleases | StatusQuery | RevokeHolder
 
 # -- from a keeper -----------------------------------------------------------------------------------------
 
 
-class Answers(msgspec.Struct, tag_field="say", tag="answers", omit_defaults=True):
+class VoteReplies(msgspec.Struct, tag_field="say", tag="answers", omit_defaults=True):
     """The answer to one line of asks.
 
     :param refused: those not obeyed, by their tasks.
     """
 
-    answers: tuple[Answer, ...]
-    refused: dict[str, Refusal] = {}
+    answers: tuple[VoteReply, ...]
+    refused: dict[str, VoteRefusal] = {}
 
 
-class FreeAgain(msgspec.Struct, tag_field="say", tag="free"):
+class VoteAvailable(msgspec.Struct, tag_field="say", tag="free"):
     """The vote for a task, for which the hearer was turned away, is free."""
 
     task: str
 
 
-class Kept(msgspec.Struct, tag_field="say", tag="kept"):
+class StatusReply(msgspec.Struct, tag_field="say", tag="kept"):
     """How a keeper stands."""
 
-    keeps: Keeps
+    keeps: AcceptorStatus
 
 
-class Unheard(msgspec.Struct, tag_field="say", tag="unheard"):
+class MessageRejected(msgspec.Struct, tag_field="say", tag="unheard"):
     """A line that can't be read; the connection ends."""
 
     reason: str
     remedy: str
 
 
-FromKeeper = Answers | FreeAgain | Kept | Unheard
+FromAcceptor = VoteReplies | VoteAvailable | StatusReply | MessageRejected
 
-_to_keeper = msgspec.json.Decoder(ToKeeper)
-_from_keeper = msgspec.json.Decoder(FromKeeper)
+_to_keeper = msgspec.json.Decoder(ToAcceptor)
+_from_keeper = msgspec.json.Decoder(FromAcceptor)
 
 
-def to_keeper(data: bytes) -> ToKeeper:
+def decode_to_acceptor(data: bytes) -> ToAcceptor:
     return _read(_to_keeper, data)
 
 
-def from_keeper(data: bytes) -> FromKeeper:
+def decode_from_acceptor(data: bytes) -> FromAcceptor:
     return _read(_from_keeper, data)
 
 
@@ -89,4 +89,4 @@
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
+        raise MalformedMessage(str(error)) from None
--- a/quartzrouter/leases/claim.py
+++ b/quartzrouter/leases/proposer.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from quartzrouter.leases.terms import NUMBER_MOST, Answer, Free, Terms, Vote
+from quartzrouter.leases.terms import NUMBER_MOST, LeaseTerms, VoteRelease, VoteReply, VoteRequest
 
 SPREAD = 4  # rounds that found no majority are followed by a draw of up to a quarter of a lease
 YIELD = 2  # of a lease, for which one that isn't preferred leaves a free task to those that are
@@ -16,34 +16,34 @@
 REFUSED_PAUSE = 1_000_000  # us until a keeper that refused a word is asked again
 
 
-class Ask(NamedTuple):
+class SendToAcceptors(NamedTuple):
     """Effect: say this to every keeper."""
 
-    said: Vote | Free
+    said: VoteRequest | VoteRelease
 
 
-class Gained(NamedTuple):
+class LeaseAcquired(NamedTuple):
     """Effect: the task is held, under that number."""
 
     number: int
 
 
-class Lost(NamedTuple):
+class LeaseLost(NamedTuple):
     """Effect: the task is held no more."""
 
     why: str
 
 
-Effect = Ask | Gained | Lost
+Effect = SendToAcceptors | LeaseAcquired | LeaseLost
 
 
 @dataclass
-class Claim:
+class Proposer:
     """:param name: of the claimant, and `token` of its process.
     :param now: us of its monotonic clock; so are all times.
     """
 
-    terms: Terms
+    terms: LeaseTerms
     task: str
     name: str
     token: str
@@ -104,11 +104,11 @@
         self.given, self.answered, self.against = set(), set(), {}
         self.due = now + self.terms.every
         told = (self.name, self.token, self.round, self.number, self.terms.figures, self.holding)
-        return [Ask(Vote(self.task, *told))]
+        return [SendToAcceptors(VoteRequest(self.task, *told))]
 
     # -- hearing -------------------------------------------------------------------------------------------
 
-    def answer(self, said: Answer, now: int) -> list[Effect]:
+    def answer(self, said: VoteReply, now: int) -> list[Effect]:
         """Takes a keeper's answer in.
 
         :param said: from the keeper whose connection it came on.
@@ -141,7 +141,7 @@
                 self.failures = 0  # it has worked for a while
             return []
         self.holding, self.since = True, now
-        return [Gained(self.number)]
+        return [LeaseAcquired(self.number)]
 
     def _settled(self, now: int) -> list[Effect]:
         """Where no majority can come any more, votes that came are given back: others may have them."""
@@ -153,7 +153,11 @@
         low = self.floor > self.number and not pause  # only the number was: the next is higher, at once
         self.due = now if low else now + pause + self._pause()
         self.left = 0
-        return [Ask(Free(self.task, self.name, self.token, self.number))] if self.given else []
+        return (
+            [SendToAcceptors(VoteRelease(self.task, self.name, self.token, self.number))]
+            if self.given
+            else []
+        )
 
     def _pause(self) -> int:
         return self._draw(self.terms.length // SPREAD) + self._yields() + self._penalty()
@@ -188,18 +192,22 @@
         self.wanted = False
         if self.holding:
             return self._release("it was given up", now)
-        return [Ask(Free(self.task, self.name, self.token, self.number))] if self.given else []
+        return (
+            [SendToAcceptors(VoteRelease(self.task, self.name, self.token, self.number))]
+            if self.given
+            else []
+        )
 
     def _release(self, why: str, now: int) -> list[Effect]:
         """Acts end before the word that says so."""
         effects = self._lost(why, now)
-        return [*effects, Ask(Free(self.task, self.name, self.token, self.number))]
+        return [*effects, SendToAcceptors(VoteRelease(self.task, self.name, self.token, self.number))]
 
     def _lost(self, why: str, now: int) -> list[Effect]:
         self.holding, self.until, self.holder, self.given = False, 0, "", set()
         self.round += 1  # what still comes of the last round counts no more
         self.due = now + self._draw(self.terms.length // SPREAD) + self._yields() + self._penalty()
-        return [Lost(why)]
+        return [LeaseLost(why)]
 
     # -- chance --------------------------------------------------------------------------------------------
 
--- a/quartzrouter/leases/views.py
+++ b/quartzrouter/leases/status.py
@@ -3,10 +3,10 @@
 from collections import Counter
 from typing import NamedTuple
 
-from quartzrouter.leases.terms import S, Keeps, Terms, Voted
+from quartzrouter.leases.terms import AcceptorStatus, LeaseTerms, S, VoteStatus
 
 
-class View(NamedTuple):
+class TaskStatus(NamedTuple):
     """One task.
 
     :param holder: nothing: no majority has voted for anybody.
@@ -23,33 +23,33 @@
     waiting: tuple[str, ...]
 
 
-def held(terms: Terms, found: dict[str, Keeps | str]) -> list[View]:
+def held(terms: LeaseTerms, found: dict[str, AcceptorStatus | str]) -> list[TaskStatus]:
     """:param found: what each keeper told, or why it didn't."""
     return [_held(terms, task, _votes(found, task)) for task, _ in terms.tasks]
 
 
-def _votes(found: dict[str, Keeps | str], task: str) -> dict[str, Voted | None]:
+def _votes(found: dict[str, AcceptorStatus | str], task: str) -> dict[str, VoteStatus | None]:
     heard = {name: keeps for name, keeps in found.items() if not isinstance(keeps, str)}
     return {
         name: next((each for each in keeps.votes if each.task == task), None) for name, keeps in heard.items()
     }
 
 
-def _held(terms: Terms, task: str, votes: dict[str, Voted | None]) -> View:
+def _held(terms: LeaseTerms, task: str, votes: dict[str, VoteStatus | None]) -> TaskStatus:
     given = [each for each in votes.values() if each and each.holder]
     waiting = tuple(sorted({name for each in votes.values() if each for name in each.waiting}))
     number = max((each.number for each in votes.values() if each), default=0)
     most = Counter((each.holder, each.token) for each in given).most_common(1)
     if not most or most[0][1] < terms.majority:
-        return View(task, "", number, most[0][1] if most else 0, 0, 0, waiting)
+        return TaskStatus(task, "", number, most[0][1] if most else 0, 0, 0, waiting)
     who, count = most[0]
     of = [each for each in given if (each.holder, each.token) == who]
     since, left = min(each.since for each in of), sorted(each.left for each in of)[-terms.majority]
     number = max(each.number for each in of)
-    return View(task, who[0], number, count, since, left, tuple(n for n in waiting if n != who[0]))
+    return TaskStatus(task, who[0], number, count, since, left, tuple(n for n in waiting if n != who[0]))
 
 
-def shown(view: View) -> str:
+def shown(view: TaskStatus) -> str:
     waiting = f", {len(view.waiting)} wait" if view.waiting else ""
     if not view.holder:
         return f"{view.task:20} nobody{waiting}"
@@ -57,7 +57,7 @@
     return f"{view.task:20} {view.holder}, number {view.number}, {since}, {view.votes} votes{waiting}"
 
 
-def why(terms: Terms, found: dict[str, Keeps | str], task: str) -> list[str]:
+def why(terms: LeaseTerms, found: dict[str, AcceptorStatus | str], task: str) -> list[str]:
     """Who voted for whom, and what that means."""
     votes = _votes(found, task)
     view = _held(terms, task, votes)
@@ -79,7 +79,12 @@
     return lines
 
 
-def _cause(terms: Terms, found: dict[str, Keeps | str], votes: dict[str, Voted | None], view: View) -> str:
+def _cause(
+    terms: LeaseTerms,
+    found: dict[str, AcceptorStatus | str],
+    votes: dict[str, VoteStatus | None],
+    view: TaskStatus,
+) -> str:
     heard = [each for each in found.values() if not isinstance(each, str)]
     if len(heard) < terms.majority:
         return f"{len(heard)} of {len(terms.keepers)} keepers answer, {terms.majority} are needed: start them"
--- a/quartzrouter/leases/terms.py
+++ b/quartzrouter/leases/terms.py
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class LeaseTerms:
     """:param keepers: by name; a majority of them grants.
     :param version: of that list: it changes by one keeper at a time, each time one higher.
     :param length: us of a lease.
@@ -66,7 +66,7 @@
         return -(-2 * time * self.drift // 1_000_000)
 
 
-class Vote(NamedTuple):
+class VoteRequest(NamedTuple):
     """A claimant asks a keeper for its vote, or to go on with it.
 
     :param token: of the process: another one under the same name is another claimant.
@@ -84,7 +84,7 @@
     holds: bool = False
 
 
-class Free(NamedTuple):
+class VoteRelease(NamedTuple):
     """A claimant gives its vote back: it acts no more under that number."""
 
     task: str
@@ -93,7 +93,7 @@
     number: int
 
 
-class Answer(NamedTuple):
+class VoteReply(NamedTuple):
     """A keeper's answer to one ask.
 
     :param given: it has voted for the asker.
@@ -112,7 +112,7 @@
     holder: str = ""
 
 
-class Number(NamedTuple):
+class FencingToken(NamedTuple):
     """The highest number of a task that a keeper knows of, and whose it was."""
 
     number: int
@@ -120,7 +120,7 @@
     token: str
 
 
-class Refusal(NamedTuple):
+class VoteRefusal(NamedTuple):
     """A word that was not obeyed: which field, why, and what to do."""
 
     place: str
@@ -128,7 +128,7 @@
     remedy: str
 
 
-class Voted(NamedTuple):
+class VoteStatus(NamedTuple):
     """For whom a keeper has voted, as it tells operators.
 
     :param holder: nothing: for nobody.
@@ -146,7 +146,7 @@
     waiting: tuple[str, ...]
 
 
-class Keeps(NamedTuple):
+class AcceptorStatus(NamedTuple):
     """A keeper, as it tells operators.
 
     :param silent: us until it votes.
@@ -158,4 +158,4 @@
     figures: int
     silent: int
     refused: int
-    votes: tuple[Voted, ...]
+    votes: tuple[VoteStatus, ...]
--- a/quartzrouter/explore/search.py
+++ b/quartzrouter/model_checking/checker.py
@@ -33,7 +33,7 @@
 
 
 @dataclass
-class Found:
+class SearchResult:
     """:param whole: all states within the model's own bounds were seen."""
 
     states: int = 0
@@ -55,13 +55,13 @@
     return " ".join(map(str, action))
 
 
-def explore(model: Model, most: int, seconds: float = 600.0) -> Found:
+def explore(model: Model, most: int, seconds: float = 600.0) -> SearchResult:
     """Explores until a property is broken or all is seen.
 
     :param most: states; beyond, `whole` is False.
     :param seconds: likewise.
     """
-    found, began = Found(), time.monotonic()
+    found, began = SearchResult(), time.monotonic()
     first = model.start()
     came: list[tuple[int, tuple]] = [(-1, ())]  # by number of a state: from which, by what
     seen = {model.key(first)}
--- a/quartzrouter/explore/leases.py
+++ b/quartzrouter/model_checking/lease_model.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from itertools import combinations
 
-from quartzrouter.leases.claim import Ask, Claim, Effect, Gained
-from quartzrouter.leases.keeper import Keeper
-from quartzrouter.leases.terms import Answer, Free, Refusal, Terms, Vote
+from quartzrouter.leases.acceptor import Acceptor
+from quartzrouter.leases.proposer import Effect, LeaseAcquired, Proposer, SendToAcceptors
+from quartzrouter.leases.terms import LeaseTerms, VoteRefusal, VoteRelease, VoteReply, VoteRequest
 
 LENGTH, DRIFT = 8_000, 125_000
 START = 100 * LENGTH  # by then keepers that were there from the start vote
@@ -43,9 +43,9 @@
 
 @dataclass
 class Claimant:
-    claim: Claim
-    up: dict[int, list[Vote | Free]] = field(default_factory=dict)  # on their way, by keeper
-    down: dict[int, list[Answer]] = field(default_factory=dict)
+    claim: Proposer
+    up: dict[int, list[VoteRequest | VoteRelease]] = field(default_factory=dict)  # on their way, by keeper
+    down: dict[int, list[VoteReply]] = field(default_factory=dict)
     looked: int = 0  # the number under which it was stopped ahead of its act; 0: it runs
     asked: bool = False  # in this step of time
 
@@ -53,7 +53,7 @@
 @dataclass
 class World:
     now: int
-    keepers: list[Keeper]
+    keepers: list[Acceptor]
     claimants: list[Claimant]
     left: dict[str, int]
     seen: int = 0  # the highest number that has acted
@@ -68,13 +68,15 @@
     def __init__(self, bounds: Bounds, checks: bool = True):
         self.bounds, self.checks = bounds, checks
         names = tuple(f"k{n}" for n in range(bounds.keepers))
-        self.terms = Terms(names, 1, LENGTH, DRIFT, (("t", ()),))
+        self.terms = LeaseTerms(names, 1, LENGTH, DRIFT, (("t", ()),))
 
     def start(self) -> World:
         terms = self.terms
-        keepers = [Keeper(terms, name, 0) for name in terms.keepers]
+        keepers = [Acceptor(terms, name, 0) for name in terms.keepers]
         names = ("a", "a") if self.bounds.same else ("a", "b")
-        claimants = [Claimant(Claim(terms, "t", name, f"t{n}", _slow(START))) for n, name in enumerate(names)]
+        claimants = [
+            Claimant(Proposer(terms, "t", name, f"t{n}", _slow(START))) for n, name in enumerate(names)
+        ]
         return World(START, keepers, claimants, {k: v for k, v in vars(self.bounds).items() if k in LEFT})
 
     def actions(self, world: World) -> Iterable[tuple]:
@@ -138,11 +140,11 @@
         """Says what is to be said; to some keepers in that way.  Words on new lines overtake late ones."""
         each = world.claimants[n]
         for effect in effects:
-            if isinstance(effect, Gained):
+            if isinstance(effect, LeaseAcquired):
                 if effect.number <= world.gained and not world.lost:
                     world.fell = f"number {effect.number} is gained after {world.gained}"
                 world.gained = max(world.gained, effect.number)
-            if not isinstance(effect, Ask):
+            if not isinstance(effect, SendToAcceptors):
                 continue
             for k in range(len(world.keepers)):
                 how = way if k in odd else ""
@@ -155,13 +157,13 @@
                     elif answer:
                         self._do(world, n, each.claim.answer(answer, _slow(world.now)))
 
-    def _given(self, world: World, k: int, said: Vote | Free) -> Answer | None:
+    def _given(self, world: World, k: int, said: VoteRequest | VoteRelease) -> VoteReply | None:
         keeper = world.keepers[k]
-        if isinstance(said, Free):
+        if isinstance(said, VoteRelease):
             keeper.free(said, _fast(world.now))
             return None
         given = keeper.vote(said, _fast(world.now))
-        return None if isinstance(given, Refusal) else given
+        return None if isinstance(given, VoteRefusal) else given
 
     def _arrive(self, world: World, n: int, k: int) -> None:
         """A word that was late comes; its answer is, too."""
@@ -176,12 +178,12 @@
     def _fall(self, world: World, k: int) -> None:
         world.left["falls"] -= 1
         keeper = world.keepers[k]
-        world.keepers[k] = Keeper(self.terms, keeper.name, _fast(world.now), keeper.highest())
+        world.keepers[k] = Acceptor(self.terms, keeper.name, _fast(world.now), keeper.highest())
 
     def _lose(self, world: World, k: int) -> None:
         world.left["losses"] -= 1
         world.lost = True
-        world.keepers[k] = Keeper(self.terms, world.keepers[k].name, _fast(world.now))
+        world.keepers[k] = Acceptor(self.terms, world.keepers[k].name, _fast(world.now))
 
     def _stop(self, world: World, n: int) -> None:
         world.left["stops"] -= 1
@@ -224,7 +226,7 @@
     def key(self, world: World) -> tuple:
         fast, slow = _fast(world.now), _slow(world.now)
 
-        def keeper(k: int, it: Keeper) -> tuple:
+        def keeper(k: int, it: Acceptor) -> tuple:
             ballot = it.ballots.get("t")
             silent = max(0, it.from_ - fast)
             left = max(0, ballot.until - fast) if ballot else 0
@@ -232,11 +234,13 @@
             known = (ballot.highest, ballot.by) if ballot else ()
             return silent, vote, known, tuple(line(k, it, each) for each in world.claimants)
 
-        def line(k: int, it: Keeper, each: Claimant) -> tuple:
+        def line(k: int, it: Acceptor, each: Claimant) -> tuple:
             """What lies between a keeper and a claimant; rounds as that one counts them."""
             claim = each.claim
             up = tuple(
-                (said.number, claim.round - said.round, said.holds) if isinstance(said, Vote) else said.number
+                (said.number, claim.round - said.round, said.holds)
+                if isinstance(said, VoteRequest)
+                else said.number
                 for said in each.up.get(k, ())
             )
             down = tuple((claim.round - it.round, it.given, it.highest) for it in each.down.get(k, ()))
--- a/quartzrouter/explore/purges.py
+++ b/quartzrouter/model_checking/purge_model.py
@@ -7,18 +7,26 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from quartzrouter.purges.book import Book
-from quartzrouter.purges.fleet import Copy, Fleet
-from quartzrouter.purges.follower import Apply, End, Follower, Say
-from quartzrouter.purges.lease import lease
-from quartzrouter.purges.marks import Asked
-from quartzrouter.purges.words import Ack, Beat, Purge, Purges, Refused, Send, Welcome
+from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
+from quartzrouter.purges.freshness_lease import lease
+from quartzrouter.purges.messages import (
+    Heartbeat,
+    MemberAck,
+    Purge,
+    PurgeBatch,
+    PurgeRequest,
+    RequestRejected,
+    Welcome,
+)
+from quartzrouter.purges.purge_index import PurgeLookup
+from quartzrouter.purges.registry import PurgeRegistry
+from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
 
 GRACE = 80
 STEP = lease(GRACE)
 START = 1_000
 LIFE = 1_000_000
-ROSE = Asked("page", "rose", "", "/rose")
+ROSE = PurgeLookup("page", "rose", "", "/rose")
 
 
 @dataclass(frozen=True)
@@ -47,7 +55,7 @@
 
 @dataclass
 class Ledger:
-    book: Book
+    book: PurgeRegistry
     alive: bool = True
     prepared: dict[int, int] = field(default_factory=dict)  # by router: the echo of a beat that was checked
 
@@ -65,8 +73,8 @@
 
 @dataclass
 class Router:
-    follower: Follower
-    fleet: Fleet
+    follower: PurgeReplica
+    fleet: FleetPurges
     line: Line | None = None
     calm: bool = True  # no connection in this step of time yet
 
@@ -97,8 +105,8 @@
         self._open(world)
         world.now += lease(GRACE)  # nobody holds a lease from before
         for n in range(self.bounds.routers):
-            fleet = Fleet(GRACE, LIFE, 100, 10)
-            world.routers.append(Router(Follower(f"r{n}", "router", "t", fleet.lease, life=LIFE), fleet))
+            fleet = FleetPurges(GRACE, LIFE, 100, 10)
+            world.routers.append(Router(PurgeReplica(f"r{n}", "router", "t", fleet.lease, life=LIFE), fleet))
             for act in (self._connect, self._ack, self._check, self._beat, self._hear):
                 if not (act == self._beat and n not in world.ledgers[0].prepared):
                     act(world, *((n, 0) if act == self._connect else (n,)))
@@ -108,7 +116,7 @@
     @staticmethod
     def _open(world: World) -> None:
         """A ledger begins: it takes the next epoch, and reads what is on the disk."""
-        book = Book(world.epoch + 1, GRACE, world.now)
+        book = PurgeRegistry(world.epoch + 1, GRACE, world.now)
         book.delays = Quiet()
         book.recover(world.disk, 0, 0)
         world.ledgers.append(Ledger(book))
@@ -177,7 +185,7 @@
 
     def _purge(self, world: World, at: int) -> None:
         world.left["purges"] -= 1
-        world.ledgers[at].book.admit(Send("object", ("rose",)), world.now)
+        world.ledgers[at].book.admit(PurgeRequest("object", ("rose",)), world.now)
 
     def _write(self, world: World, at: int) -> None:
         world.disk = [*world.ledgers[at].book.purges]
@@ -215,7 +223,7 @@
         member = book.hello(router.follower.begin(world.now), world.now)
         world.ledgers[at].prepared.pop(n, None)
         router.line, router.calm = Line(at, router.follower.held), False
-        if isinstance(member, Refused):
+        if isinstance(member, RequestRejected):
             router.line.down.append(member)
             return
         router.line.down.append(Welcome(book.epoch, book.head, world.now, book.lease))
@@ -228,11 +236,11 @@
             said, router.line.down = router.line.down[0], router.line.down[1:]
             for given in router.follower.take(said, world.now):
                 match given:
-                    case Apply():
+                    case ApplyPurges():
                         router.fleet.apply(given, router.follower.held, world.now)
-                    case Say(words) if router.line:
+                    case SendMessage(words) if router.line:
                         router.line.up = [words]  # the last says all that those before it say
-                    case End():
+                    case EndConnection():
                         router.line = None
         if offsets := router.follower.offsets:
             least = min(offsets)  # all that is read of them
@@ -243,7 +251,7 @@
         line = world.routers[n].line
         said, line.up = line.up[-1], []
         book = world.ledgers[line.ledger].book
-        if isinstance(said, Ack) and (member := book.members.get(f"r{n}")):
+        if isinstance(said, MemberAck) and (member := book.members.get(f"r{n}")):
             book.ack(member, said.held, said.mark, said.away, world.now)
 
     def _check(self, world: World, n: int) -> None:
@@ -265,9 +273,9 @@
         ledger = world.ledgers[line.ledger]
         book, echo = ledger.book, ledger.prepared.pop(n)
         if news := book.after(line.sent, book.head - line.sent):
-            line.down.append(Purges(tuple(news)))
+            line.down.append(PurgeBatch(tuple(news)))
             line.sent = book.head
-        line.down.append(Beat(book.epoch, book.head, echo, world.now))
+        line.down.append(Heartbeat(book.epoch, book.head, echo, world.now))
 
     def _cut(self, world: World, n: int) -> None:
         world.left["cuts"] -= 1
@@ -307,11 +315,11 @@
         return ""
 
     @staticmethod
-    def _answers(world: World, n: int, fleet: Fleet) -> str:
+    def _answers(world: World, n: int, fleet: FleetPurges) -> str:
         """Whether a req now would get the copy that was there at the start, after a purge of it must hold."""
         age, now = world.now - START, world.now
         bound = fleet.oldest(ROSE, "north", (), 0, now)
-        taken = (not bound or age <= bound) and fleet.good(ROSE, "north", Copy(0, age, ()), now, bound)
+        taken = (not bound or age <= bound) and fleet.good(ROSE, "north", CachedCopy(0, age, ()), now, bound)
         fleet.tags.of.clear()  # it was but a question
         fleet.old = 0
         for purge in world.told:
@@ -372,8 +380,8 @@
     def line(self, n: int, line: Line) -> tuple:
         down = tuple(
             ("beat", said.epoch, said.head, self.echo(n, said.echo), self.world.now - said.now)
-            if isinstance(said, Beat)
-            else (type(said).__name__, *(self.purges(said.purges) if isinstance(said, Purges) else ()))
+            if isinstance(said, Heartbeat)
+            else (type(said).__name__, *(self.purges(said.purges) if isinstance(said, PurgeBatch) else ()))
             for said in line.down
         )
         up = tuple((said.held, self.echo(n, said.mark)) for said in line.up)
--- a/quartzrouter/explore/sharing.py
+++ b/quartzrouter/model_checking/quota_model.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from quartzrouter.sharing.budget import Ask, Budget, Grant
-from quartzrouter.sharing.granter import Granter, Holder
-from quartzrouter.sharing.share import Share
+from quartzrouter.quota.allocator import QuotaAllocator, QuotaHolder
+from quartzrouter.quota.budget import Budget, QuotaGrant, QuotaRequest
+from quartzrouter.quota.local_quota import LocalQuota
 
 BUDGET = Budget("slots", slots=3, hold=500_000, floors=2 / 3, routers=2, life=1_000_000)
 STEP = BUDGET.life // 2
@@ -40,9 +40,9 @@
 
 @dataclass
 class Router:
-    share: Share
-    up: list[Ask] = field(default_factory=list)  # on their way to the granter
-    down: list[Grant] = field(default_factory=list)
+    share: LocalQuota
+    up: list[QuotaRequest] = field(default_factory=list)  # on their way to the granter
+    down: list[QuotaGrant] = field(default_factory=list)
     asked: bool = False  # in this step of time
     busy: bool = False
     looked: int = -1  # what the clock said when it was stopped; -1: it runs
@@ -51,7 +51,7 @@
 @dataclass
 class World:
     now: int
-    granters: list[Granter]
+    granters: list[QuotaAllocator]
     routers: list[Router]
     reqs: list[Req] = field(default_factory=list)
     left: dict[str, int] = field(default_factory=dict)
@@ -67,8 +67,8 @@
         self.bounds, self.looks, self.clock = bounds, looks, clock
 
     def start(self) -> World:
-        routers = [Router(Share(BUDGET, f"r{n}", "t1", 0)) for n in range(2)]
-        return World(START, [Granter([BUDGET], 0, alone=True)], routers, left=dict(vars(self.bounds)))
+        routers = [Router(LocalQuota(BUDGET, f"r{n}", "t1", 0)) for n in range(2)]
+        return World(START, [QuotaAllocator([BUDGET], 0, alone=True)], routers, left=dict(vars(self.bounds)))
 
     def actions(self, world: World) -> Iterable[tuple]:
         left = world.left
@@ -163,7 +163,7 @@
         if self.looks and at < len(world.granters) - 1:
             return
         given = world.granters[at].ask(said, world.now)
-        if isinstance(given, Grant):
+        if isinstance(given, QuotaGrant):
             world.routers[n].down.append(given)
 
     def _hear(self, world: World, n: int) -> None:
@@ -175,16 +175,16 @@
         """Another process under its name; what the first had sent may still arrive, and its reqs run on."""
         world.left["restarts"] -= 1
         router = world.routers[n]
-        router.share = Share(BUDGET, f"r{n}", f"{router.share.token}'", world.now)
+        router.share = LocalQuota(BUDGET, f"r{n}", f"{router.share.token}'", world.now)
         router.looked, router.asked, router.busy = -1, False, False
 
     def _fall(self, world: World) -> None:
         world.left["falls"] -= 1
-        world.granters[-1] = Granter([BUDGET], world.now)
+        world.granters[-1] = QuotaAllocator([BUDGET], world.now)
 
     def _takeover(self, world: World) -> None:
         world.left["takeovers"] -= 1
-        world.granters.append(Granter([BUDGET], world.now))
+        world.granters.append(QuotaAllocator([BUDGET], world.now))
 
     def _lose(self, world: World, n: int, way: str) -> None:
         world.left["faults"] -= 1
@@ -229,7 +229,7 @@
                 router.looked,
             )
 
-        def granter(it: Granter) -> tuple:
+        def granter(it: QuotaAllocator) -> tuple:
             pot = it.pots[BUDGET.name]
             holders = tuple(
                 (name, *self._known(world, name, pot.holders[name])) for name in sorted(pot.holders)
@@ -244,7 +244,7 @@
         )
 
     @staticmethod
-    def _known(world: World, name: str, it: Holder) -> tuple:
+    def _known(world: World, name: str, it: QuotaHolder) -> tuple:
         share = world.routers[int(name[1])].share
         behind = share.numbers - it.number if share.token == it.token else 0
         ends = max(0, it.gone - world.now)
--- a/quartzrouter/force/force.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -8,33 +8,40 @@
 from dataclasses import replace
 from typing import Any
 
-from quartzrouter.control import Histogram, Purges, Router
-from quartzrouter.force.limits import Denied, Limits
-from quartzrouter.force.pools import Pools
-from quartzrouter.force.ruling import Ruling, keys, marked, repeats, rule, vhost_name
-from quartzrouter.force.shared import budgets, holds
-from quartzrouter.interface import (
-    Answer,
-    Cold,
-    ColdStart,
-    Deny,
-    Dispatch,
-    Ending,
-    Listed,
-    Outcome,
-    Req,
-    Sight,
-    State,
+from quartzrouter.config.matcher import Matcher
+from quartzrouter.config.model import POLICY_OVERRIDES, TRAFFIC_CLASS_FIELDS, Plan, Pool, belongs
+from quartzrouter.config.request_sets import Asked
+from quartzrouter.pool_routing.pools import PoolSelector
+from quartzrouter.pool_routing.rate_limits import LimitExceeded, RateLimiter
+from quartzrouter.pool_routing.route_selection import (
+    RouteSelection,
+    keys,
+    marked,
+    repeats,
+    select_route,
+    vhost_name,
+)
+from quartzrouter.pool_routing.shared_limits import budgets, holds
+from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
+from quartzrouter.quota.client import QuotaClient
+from quartzrouter.quota.slow_start import SlowStartClient
+from quartzrouter.routing.model import (
+    AttemptResult,
+    AttemptStatus,
+    Decision,
+    Endpoint,
+    EndpointState,
+    Forward,
+    HealthObservation,
+    MaintenanceActions,
+    Reject,
+    Request,
+    SlowStart,
+    SlowStartDemand,
     Tier,
-    VHost,
-    Wait,
+    TrafficClass,
 )
-from quartzrouter.plan.matcher import Matcher
-from quartzrouter.plan.model import OF_VHOST, Plan, Pool, belongs
-from quartzrouter.plan.sets import Asked
-from quartzrouter.purges.fleet import Copy, Fleet
-from quartzrouter.sharing.shares import Shares
-from quartzrouter.sharing.warming import Parts
+from quartzrouter.routing.router import Freshness, Histogram, Router
 
 MS = 1_000
 LOOK_EVERY = 50 * MS  # us between counts of a pool's caches: a cache that fails is out within 50 ms anyway
@@ -51,26 +58,28 @@
         self.up: tuple[int, int] = (0, 0)
         self.counted = -NEVER
 
-    def takes(self, line: Listed) -> bool:
-        told = {"tier": "cache", "at": line.location, "kind": line.kind, "cell": line.cell}
+    def takes(self, line: Endpoint) -> bool:
+        told = {"tier": "cache", "at": line.location, "kind": line.machine_type, "cell": line.cell}
         return line.tier is not Tier.CACHE or belongs(self.pool, line.name, told)
 
-    def hear(self, lines: list[Listed], whole: bool, now: int) -> None:
-        self.router.heard([line for line in lines if self.takes(line)], whole, now)
+    def hear(self, lines: list[Endpoint], whole: bool, now: int) -> None:
+        self.router.update_endpoints([line for line in lines if self.takes(line)], whole, now)
         self.due, self.counted = 0, -NEVER
 
     def count(self, now: int) -> tuple[int, int]:
         if not 0 <= now - self.counted < LOOK_EVERY:
             roster, health = self.router.roster, self.router.health
             listed = [
-                at for at, be in roster.be.items() if be.tier is Tier.CACHE and be.state is not State.GONE
+                at
+                for at, be in roster.be.items()
+                if be.tier is Tier.CACHE and be.state is not EndpointState.GONE
             ]
             up = [at for at in listed if roster.up(at) and max(health.of[at].out, health.of[at].told) <= now]
             self.up, self.counted = (len(up), len(listed)), now
         return self.up
 
 
-class Force:
+class MultiPoolRouter:
     """Speaks like a Router to the host of the decisions.
 
     :param arguments: those of a Router, for the deployment as a whole.
@@ -80,20 +89,24 @@
     """
 
     def __init__(
-        self, plan: Plan, arguments: Mapping[str, Any], fleet: Fleet | None = None,
-        shares: Shares | None = None, parts: Parts | None = None,
-    ):  # fmt: skip
+        self,
+        plan: Plan,
+        arguments: Mapping[str, Any],
+        fleet: FleetPurges | None = None,
+        shares: QuotaClient | None = None,
+        parts: SlowStartClient | None = None,
+    ):
         self.arguments, self.fleet, self.shares, self.parts = dict(arguments), fleet, shares, parts
         self.plan, self.matcher, self.holds = plan, Matcher(plan.routes), holds(plan)
         self.repeats = repeats(plan)
-        self.limits = Limits(plan.limits, shares, arguments["home"])
-        self.pools = Pools(plan.pools, plan.splits)
-        self.purges = Purges(arguments["purge_life"])  # for routers that come later
-        self.lines: dict[str, Listed] = {}
+        self.limits = RateLimiter(plan.limits, shares, arguments["home"])
+        self.pools = PoolSelector(plan.pools, plan.splits)
+        self.purges = Freshness(arguments["purge_life"])  # for routers that come later
+        self.lines: dict[str, Endpoint] = {}
         self.pool_routers: dict[str, PoolRouter] = {}
         self.leaving: list[PoolRouter] = []  # of pools that are gone
         self.where: dict[int, PoolRouter] = {}  # by req
-        self.rulings: dict[int, Ruling] = {}
+        self.rulings: dict[int, RouteSelection] = {}
         self.budgets: dict[str, float] = {}  # by policy: further dispatches saved up
         self.touched: set[PoolRouter] = set()
         self.vhosts = self._vhosts()
@@ -113,14 +126,16 @@
         self.vhosts = self._vhosts()
         self._assign(now)
 
-    def _vhosts(self) -> dict[str, VHost]:
+    def _vhosts(self) -> dict[str, TrafficClass]:
         """Each vhost, and each as the policies of its routes change it."""
         found = dict(self.plan.vhosts)
         for route in self.plan.routes:
             if route.policy:
                 policy, base = self.plan.policies[route.policy], self.plan.vhosts[route.vhost]
-                told = {key: getattr(policy, key) for key in OF_VHOST}
-                changes = {key: value for key, value in told.items() if value is not None}
+                told = {key: getattr(policy, key) for key in POLICY_OVERRIDES}
+                changes = {
+                    TRAFFIC_CLASS_FIELDS[key]: value for key, value in told.items() if value is not None
+                }
                 found[vhost_name(route)] = replace(base, name=vhost_name(route), **changes)
         return found
 
@@ -156,7 +171,7 @@
         """Cold servers' budgets and sources' limits are shared by all routers, and by all pools of each."""
         everyone, home = self.arguments["cold_parent"].routers, (self.arguments["home"],)
         for key, tier in (("cold_cache", Tier.CACHE), ("cold_parent", Tier.PARENT)):
-            cold: ColdStart = self.arguments[key]
+            cold: SlowStart = self.arguments[key]
             reach = cold.routers if pool_router.pool.stores == home else everyone
             warm = pool_router.router.warm[tier]
             warm.cold = replace(cold, routers=reach * pools)
@@ -177,23 +192,23 @@
 
     # -- one req -----------------------------------------------------------------------------------------
 
-    def rule(self, asked: Asked, client: str) -> Ruling | None:
-        return rule(self.plan, self.matcher, asked, client)
+    def rule(self, asked: Asked, client: str) -> RouteSelection | None:
+        return select_route(self.plan, self.matcher, asked, client)
 
-    def admit(self, req_id: int, ruling: Ruling, now: int) -> Denied | None:
+    def admit(self, req_id: int, ruling: RouteSelection, now: int) -> LimitExceeded | None:
         """Finds the pool, and takes the req into its limits; what is denied is denied at once."""
         if ruling.policy.deny:
-            return Denied("", self.come_back(ruling, 0))
+            return LimitExceeded("", self.come_back(ruling, 0))
         wanted = self.pools.of(ruling.route.pool, ruling.obj, ruling.client)
         pool = self.pools.serving(wanted, lambda name: self.pool_routers[name].count(now), now)
-        value = self.vhosts[vhost_name(ruling.route)].value
+        value = self.vhosts[vhost_name(ruling.route)].priority_weight
         denied = self.limits.admit(req_id, keys(self.plan, ruling, pool), value, now)
         if denied:
-            return Denied(denied.limit, self.come_back(ruling, denied.come_back))
+            return LimitExceeded(denied.limit, self.come_back(ruling, denied.come_back))
         self.rulings[req_id], self.where[req_id] = ruling, self.pool_routers[pool]
         return None
 
-    def timeout(self, ruling: Ruling, told: int) -> int:
+    def timeout(self, ruling: RouteSelection, told: int) -> int:
         """us until the client no longer waits.  Where reqs in hand are shared, no longer than is reckoned
         with: a slot is given to another router once a req that was let through in it must be over.
 
@@ -214,11 +229,11 @@
         self.where.pop(req_id, None)
         self.rulings.pop(req_id, None)
 
-    def come_back(self, ruling: Ruling, time: int) -> int:
+    def come_back(self, ruling: RouteSelection, time: int) -> int:
         """The time that a denial names: the policy's or the limit's, within what may be named."""
-        return min(ruling.policy.come_back or time, self.arguments["permits"].longest_wait)
+        return min(ruling.policy.come_back or time, self.arguments["permits"].max_retry_after)
 
-    def dispatches(self, ruling: Ruling) -> int:
+    def dispatches(self, ruling: RouteSelection) -> int:
         """How many the req may have; one only where its policy's budget is used up."""
         policy = ruling.policy
         if policy.budget is None or not ruling.route.policy:
@@ -227,35 +242,35 @@
         self.budgets[ruling.route.policy] = min(BUDGET_MOST, saved + policy.budget)
         return (policy.dispatches or 0) if saved >= 1 else 1
 
-    def _told(self, req_id: int, answer: Answer | None, further: bool, now: int) -> Answer | None:
+    def _told(self, req_id: int, answer: Decision | None, further: bool, now: int) -> Decision | None:
         ruling = self.rulings[req_id]
         policy = ruling.policy
-        if isinstance(answer, Dispatch):
-            if self.fleet and not ruling.vhost.never_kept:
+        if isinstance(answer, Forward):
+            if self.fleet and not ruling.vhost.uncacheable:
                 oldest = self._oldest(ruling, answer, now)
-                again = further and oldest != answer.oldest  # what is joined may be as old as the last
-                joins = answer.join and not again
-                answer = replace(answer, oldest=oldest, join=joins)
+                again = further and oldest != answer.max_age  # what is joined may be as old as the last
+                joins = answer.allow_collapsing and not again
+                answer = replace(answer, max_age=oldest, allow_collapsing=joins)
             if further and policy.budget is not None and ruling.route.policy:
                 saved = self.budgets.get(ruling.route.policy, BUDGET_MOST)
                 self.budgets[ruling.route.policy] = max(0.0, saved - 1)
-            if policy.rank is not None and answer.rank > policy.rank:
-                return replace(answer, rank=policy.rank)
-        elif isinstance(answer, Deny):
-            return replace(answer, come_back=self.come_back(ruling, answer.come_back))
+            if policy.rank is not None and answer.cache_priority > policy.rank:
+                return replace(answer, cache_priority=policy.rank)
+        elif isinstance(answer, Reject):
+            return replace(answer, retry_after=self.come_back(ruling, answer.retry_after))
         return answer
 
-    def _oldest(self, ruling: Ruling, answer: Dispatch, now: int) -> int:
+    def _oldest(self, ruling: RouteSelection, answer: Forward, now: int) -> int:
         """How old a copy may be by the fleet's purges as well."""
         held_by = [
-            name for name in (answer.be, answer.source) if not self._origin(name)
+            name for name in (answer.endpoint, answer.fill_source) if not self._origin(name)
         ]  # which makes copies
-        return self.fleet.oldest(marked(ruling), self._store(answer.be), held_by, answer.oldest, now)
+        return self.fleet.oldest(marked(ruling), self._store(answer.endpoint), held_by, answer.max_age, now)
 
-    def bound_now(self, ruling: Ruling, answer: Dispatch, now: int) -> bool:
+    def bound_now(self, ruling: RouteSelection, answer: Forward, now: int) -> bool:
         """Whether a dispatch would now be decided with a lower age."""
         bound = self._oldest(ruling, answer, now)
-        return bool(bound) and (not answer.oldest or bound < answer.oldest)
+        return bool(bound) and (not answer.max_age or bound < answer.max_age)
 
     def _origin(self, name: str) -> bool:
         return name in self.lines and self.lines[name].tier is Tier.ORIGIN
@@ -264,13 +279,13 @@
         """Where a cache stands; one that is gone may have stood anywhere."""
         return self.lines[name].location if name in self.lines else "*"
 
-    def good(self, ruling: Ruling, answer: Dispatch, copy: Copy | None, written: int) -> bool:
+    def good(self, ruling: RouteSelection, answer: Forward, copy: CachedCopy | None, written: int) -> bool:
         """Whether a copy that came may be passed on, by the fleet's purges."""
-        if self.fleet is None or ruling.vhost.never_kept or copy is None:
+        if self.fleet is None or ruling.vhost.uncacheable or copy is None:
             return True
-        usual = self.vhosts.get(vhost_name(ruling.route), ruling.vhost).fresh_for
-        bound = answer.oldest if not usual or answer.oldest < usual else 0
-        return self.fleet.good(marked(ruling), self._store(answer.be), copy, written, bound)
+        usual = self.vhosts.get(vhost_name(ruling.route), ruling.vhost).max_age
+        bound = answer.max_age if not usual or answer.max_age < usual else 0
+        return self.fleet.good(marked(ruling), self._store(answer.endpoint), copy, written, bound)
 
     def _done(self, req_id: int) -> None:
         """Forgets a req that its Router has ended."""
@@ -283,7 +298,7 @@
 
     # -- as a Router ---------------------------------------------------------------------------------------
 
-    def _asked(self, req_id: int, further: bool, ask: Callable[[Router], Answer | None], now: int):
+    def _asked(self, req_id: int, further: bool, ask: Callable[[Router], Decision | None], now: int):
         """Asks a req's Router, with what others leave to this one as it stands right now."""
         router, ruling = self.where[req_id].router, self.rulings[req_id]
         if self.parts:
@@ -299,102 +314,110 @@
                 self.limits.repeated(keys_, now)
         return answer
 
-    def route(self, req: Req, now: int) -> Answer | None:
+    def route(self, req: Request, now: int) -> Decision | None:
         further = req.id in self.where[req.id].router.flights  # it was on hold
         answer = self._asked(req.id, further, lambda router: router.route(req, now), now)
         answer = self._told(req.id, answer, False, now)
         self._done(req.id)
         return answer
 
-    def after(self, req_id: int, outcome: Outcome, now: int) -> Answer | None:
+    def attempt_finished(self, req_id: int, outcome: AttemptResult, now: int) -> Decision | None:
         pool_router = self.where.get(req_id)
         if pool_router is None:
             return None
-        further = not outcome.over and outcome.ending is not Ending.DONE
-        answer = self._asked(req_id, further, lambda router: router.after(req_id, outcome, now), now)
+        further = not outcome.final and outcome.status is not AttemptStatus.SUCCEEDED
+        answer = self._asked(
+            req_id, further, lambda router: router.attempt_finished(req_id, outcome, now), now
+        )
         answer = self._told(req_id, answer, True, now)
         self._done(req_id)
         return answer
 
-    def sized(self, req_id: int, size_kb: float) -> int:
-        return self.where[req_id].router.sized(req_id, size_kb)
+    def response_deadline(self, req_id: int, size_kb: float) -> int:
+        return self.where[req_id].router.response_deadline(req_id, size_kb)
 
-    def left(self, req_id: int) -> int | None:
+    def cancel_request(self, req_id: int) -> int | None:
         pool_router = self.where.get(req_id)
         if pool_router is None:
             return None
-        hop = pool_router.router.left(req_id)
+        hop = pool_router.router.cancel_request(req_id)
         self._done(req_id)
         return hop
 
-    def heard(self, lines: list[Listed], whole: bool, now: int) -> None:
+    def update_endpoints(self, lines: list[Endpoint], whole: bool, now: int) -> None:
         named = {line.name: line for line in lines}
         self.lines = named if whole else self.lines | named
-        self.lines = {name: line for name, line in self.lines.items() if line.state is not State.GONE}
+        self.lines = {name: line for name, line in self.lines.items() if line.state is not EndpointState.GONE}
         for pool_router in self._all():
             pool_router.hear(lines, whole, now)
         self.touched.update(self._all())
 
-    def purged(self, group: int | None, obj: str | None, age: int, now: int) -> None:
+    def record_purge(self, group: int | None, obj: str | None, age: int, now: int) -> None:
         self.purges.add(group, obj, now - age, now)
         for pool_router in self._all():
-            pool_router.router.purged(group, obj, age, now)
+            pool_router.router.record_purge(group, obj, age, now)
 
-    def probed(self, name: str, ending: Ending, report: dict[str, float], now: int) -> None:
+    def record_health_check(
+        self, name: str, ending: AttemptStatus, report: dict[str, float], now: int
+    ) -> None:
         for pool_router in self._all():
-            pool_router.router.probed(name, ending, report, now)
+            pool_router.router.record_health_check(name, ending, report, now)
         self.touched.update(self._all())
 
-    def sights(self, now: int) -> dict[str, Sight]:
+    def health_observations(self, now: int) -> dict[str, HealthObservation]:
         """What all pools' routers together have seen of each cache."""
-        found: dict[str, Sight] = {}
+        found: dict[str, HealthObservation] = {}
         for pool_router in self._all():
-            for new in pool_router.router.sights(now):
-                old = found.get(new.cache, Sight(new.cache, False, 0, 0, 0))
-                done, failed = old.done + new.done, old.failed + new.failed
-                in_hand = old.in_hand + new.in_hand
-                found[new.cache] = Sight(new.cache, old.out or new.out, done, failed, in_hand)
+            for new in pool_router.router.health_observations(now):
+                old = found.get(new.cache, HealthObservation(new.cache, False, 0, 0, 0))
+                done, failed = old.completed + new.completed, old.failed + new.failed
+                in_hand = old.in_flight + new.in_flight
+                found[new.cache] = HealthObservation(
+                    new.cache, old.ejected or new.ejected, done, failed, in_hand
+                )
         return found
 
-    def cold(self, now: int) -> list[Cold]:
+    def slow_start_demand(self, now: int) -> list[SlowStartDemand]:
         """Servers that have started lately, and what all pools' routers together would send them."""
-        found: dict[str, Cold] = {}
+        found: dict[str, SlowStartDemand] = {}
         for pool_router in self._all():
-            for new in pool_router.router.cold(now):
-                old = found.get(new.server, replace(new, wanted=0, unit=0))
-                most, unit = min(old.most, new.most), max(old.unit, new.unit)
-                found[new.server] = Cold(new.server, new.tier, most, old.wanted + new.wanted, unit)
+            for new in pool_router.router.slow_start_demand(now):
+                old = found.get(new.endpoint, replace(new, demand=0, largest_request=0))
+                most, unit = min(old.limit, new.limit), max(old.largest_request, new.largest_request)
+                found[new.endpoint] = SlowStartDemand(
+                    new.endpoint, new.tier, most, old.demand + new.demand, unit
+                )
         return list(found.values())
 
-    def loads(self, in_hand: dict[str, int], own: dict[str, int], now: int) -> None:
+    def set_fleet_load(self, in_hand: dict[str, int], own: dict[str, int], now: int) -> None:
         """Reqs that all routers have out at each cache, -1 where that isn't known.
 
         :param own: of them, this one's, as it had told.
         """
         others = {name: -1 if said < 0 else max(0, said - own.get(name, 0)) for name, said in in_hand.items()}
         for pool_router in self._all():
-            pool_router.router.loads(others, now)
+            pool_router.router.set_fleet_load(others, now)
 
-    def left_out(self, until: dict[str, int], now: int) -> None:
+    def set_ejected_by_peers(self, until: dict[str, int], now: int) -> None:
         """What other routers have found bad, and until when (us)."""
         for pool_router in self._all():
-            pool_router.router.left_out(until, now)
+            pool_router.router.set_ejected_by_peers(until, now)
             pool_router.counted = -NEVER
         self.touched.update(self._all())
 
-    def wait(self, now: int) -> Wait:
+    def maintenance(self, now: int) -> MaintenanceActions:
         """Asks those routers that something happened to, or whose time has come."""
         probes: dict[str, None] = {}
         timeout, subscribe, due = 0, False, NEVER
         for pool_router in self._all():
             if pool_router in self.touched or pool_router.due <= now:
-                told = pool_router.router.wait(now)
+                told = pool_router.router.maintenance(now)
                 pool_router.due = now + told.time
                 probes |= dict.fromkeys(told.probes)
                 timeout, subscribe = told.probe_timeout, subscribe or told.subscribe
             due = min(due, pool_router.due)
         self.touched.clear()
-        return Wait(max(MS, due - now), tuple(probes), timeout, subscribe)
+        return MaintenanceActions(max(MS, due - now), tuple(probes), timeout, subscribe)
 
     def _all(self) -> list[PoolRouter]:
         return [*self.pool_routers.values(), *self.leaving]
--- a/quartzrouter/force/pools.py
+++ b/quartzrouter/pool_routing/pools.py
@@ -6,27 +6,27 @@
 
 import xxhash
 
-from quartzrouter.plan.model import Pool, Split
+from quartzrouter.config.model import Pool, Split
 
 Up = Callable[[str], tuple[int, int]]  # of a pool: caches that may be sent to, and those listed
 
 
 @dataclass(slots=True)
-class Standing:
+class PoolState:
     serving: bool = True
     since: int | None = None  # us: since when enough are up again
     changes: int = 0  # of serving, for what is told of it
 
 
-class Pools:
+class PoolSelector:
     def __init__(self, pools: dict[str, Pool], splits: dict[str, Split]):
         self.pools, self.splits = pools, splits
-        self.standing: dict[str, Standing] = {name: Standing() for name in pools}
+        self.standing: dict[str, PoolState] = {name: PoolState() for name in pools}
 
     def replace(self, pools: dict[str, Pool], splits: dict[str, Split]) -> None:
         """What is known of a pool stays where its name stays."""
         self.pools, self.splits = pools, splits
-        self.standing = {name: self.standing.get(name) or Standing() for name in pools}
+        self.standing = {name: self.standing.get(name) or PoolState() for name in pools}
 
     def of(self, name: str, obj: str, client: str) -> str:
         """The pool of a req, by the split that its route names, if it is one.
--- a/quartzrouter/force/ruling.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -2,23 +2,23 @@
 
 from typing import NamedTuple
 
-from quartzrouter.force.limits import Key
-from quartzrouter.interface import VHost
-from quartzrouter.plan.matcher import Found, Matcher
-from quartzrouter.plan.model import Plan, Policy, Route
-from quartzrouter.plan.patterns import TOKEN
-from quartzrouter.plan.sets import Asked
-from quartzrouter.purges import marks
-from quartzrouter.purges.names import digits
+from quartzrouter.config.matcher import Found, Matcher
+from quartzrouter.config.model import Plan, Policy, Route
+from quartzrouter.config.patterns import TOKEN
+from quartzrouter.config.request_sets import Asked
+from quartzrouter.pool_routing.rate_limits import LimitKey
+from quartzrouter.purges import purge_index
+from quartzrouter.purges.object_names import digits
+from quartzrouter.routing.model import TrafficClass
 
 GROUPS = 256
 NOTHING = Policy()
 
 
-class Ruling(NamedTuple):
+class RouteSelection(NamedTuple):
     route: Route
     policy: Policy
-    vhost: VHost  # as the plan has it, whatever the policy changes
+    vhost: TrafficClass  # as the plan has it, whatever the policy changes
     obj: str  # 16 hex digits
     part: int
     group: int | None
@@ -27,7 +27,7 @@
     path: str  # as it was asked for
 
 
-def rule(plan: Plan, matcher: Matcher, asked: Asked, client: str) -> Ruling | None:
+def select_route(plan: Plan, matcher: Matcher, asked: Asked, client: str) -> RouteSelection | None:
     """The ruling on a req, or None where no route takes it.
 
     :param client: who asks, as its front tells.
@@ -44,7 +44,7 @@
         else _whole(found, asked, bool(part or said == "0"))
     )
     group = _filled(route.group, found, asked) if route.group else None
-    return Ruling(
+    return RouteSelection(
         route,
         plan.policies[route.policy] if route.policy else NOTHING,
         plan.vhosts[route.vhost],
@@ -64,7 +64,9 @@
     return {name: limits for name, limits in found.items() if limits}
 
 
-def keys(plan: Plan, ruling: Ruling, pool: str, limits: tuple[str, ...] | None = None) -> list[Key]:
+def keys(
+    plan: Plan, ruling: RouteSelection, pool: str, limits: tuple[str, ...] | None = None
+) -> list[LimitKey]:
     """Whom each limit of the req's route counts it for; those named only, if any are."""
     of = {
         "route": ruling.route.name,
@@ -74,13 +76,13 @@
         "all": "",
     }
     names = ruling.route.limits if limits is None else limits
-    return [Key(name, of[plan.limits[name].per]) for name in names]
+    return [LimitKey(name, of[plan.limits[name].per]) for name in names]
 
 
-def marked(ruling: Ruling) -> marks.Asked:
+def marked(ruling: RouteSelection) -> purge_index.PurgeLookup:
     """What marks of purges look at."""
     host, slash, path = ruling.path.partition("/")
-    return marks.Asked(ruling.vhost.name, ruling.obj.lower(), host, slash + path)
+    return purge_index.PurgeLookup(ruling.vhost.name, ruling.obj.lower(), host, slash + path)
 
 
 def vhost_name(route: Route) -> str:
--- a/quartzrouter/force/shared.py
+++ b/quartzrouter/pool_routing/shared_limits.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Iterable
 
-from quartzrouter.plan.model import Limit, Plan
-from quartzrouter.sharing.budget import Budget
-from quartzrouter.sharing.warming import Terms
+from quartzrouter.config.model import Limit, Plan
+from quartzrouter.quota.budget import Budget
+from quartzrouter.quota.slow_start import SlowStartTerms
 
 COLD = {"cache": "cold", "parent": "cold_parent"}  # keys of `deployment`, by tier
 AT = "@"  # between a limit's name and the store's: in no name
@@ -22,7 +22,7 @@
     return found
 
 
-def terms(plan: Plan) -> dict[str, Terms]:
+def terms(plan: Plan) -> dict[str, SlowStartTerms]:
     """By tier, how routers share what a cold server may be sent, where they do."""
     told, found = plan.deployment, {}
     for tier, key in COLD.items():
@@ -30,7 +30,7 @@
         here = told["routers_here"] if tier == "cache" else None
         if cold["across"] == "all":
             routers = here or told["routers"]
-            found[tier] = Terms(cold["window"], cold["floors"], routers, cold["share_life"])
+            found[tier] = SlowStartTerms(cold["window"], cold["floors"], routers, cold["share_life"])
     return found
 
 
--- a/quartzrouter/ledger/deliver.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -7,17 +7,17 @@
 import anyio
 import h11
 
-from quartzrouter.leases.holding import Claims, Hold
-from quartzrouter.ledger.link import Link, Linked, Said
-from quartzrouter.ledger.wire import connect
-from quartzrouter.net.progress import LOST
-from quartzrouter.net.report import Report
-from quartzrouter.net.clock import clock
-from quartzrouter.purges.courier import ASK_EVERY, TIMEOUT, Box, Delivery
-from quartzrouter.purges.follower import Apply, End, Follower, Say
-from quartzrouter.purges.names import of_object
-from quartzrouter.purges.lease import Lease, lease
-from quartzrouter.purges.words import Beat
+from quartzrouter.leases.handle import LeaseClient, LeaseHandle
+from quartzrouter.purge_log.line_connection import connect
+from quartzrouter.purge_log.member_client import ConnectionOpened, MemberClient, MessageReceived
+from quartzrouter.purges.delivery_plan import ASK_EVERY, TIMEOUT, Delivery, DeliveryQueue
+from quartzrouter.purges.freshness_lease import FreshnessLease, lease
+from quartzrouter.purges.messages import Heartbeat
+from quartzrouter.purges.object_names import of_object
+from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
+from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.clock import wall_clock
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 CONNECTIONS = 2  # to one cache: purges on their way share them
 PURGED_TO = b"x-purged-to"
@@ -25,15 +25,15 @@
 READ = 1 << 14  # bytes
 
 
-class Failed(Exception):
+class DeliveryFailed(Exception):
     """The cache did not answer."""
 
 
-class Refusal(Failed):
+class DeliveryRefused(DeliveryFailed):
     """The cache answered, and did not take it."""
 
 
-class Passed(Refusal):
+class FencedOff(DeliveryRefused):
     """The cache has heard of a later lease."""
 
     def __init__(self, seen: int):
@@ -41,7 +41,7 @@
         self.seen = seen
 
 
-class Line:
+class DeliveryConnection:
     """One connection to a cache, one req at a time."""
 
     def __init__(self, address: tuple[str, int]):
@@ -58,11 +58,11 @@
                     held = await self._ask(method, target, fields)
                 good = True
                 return held
-            except Refusal:
+            except DeliveryRefused:
                 good = True
                 raise
-            except (*LOST, TimeoutError, h11.ProtocolError, ValueError) as error:
-                raise Failed(
+            except (*CONNECTION_LOST, TimeoutError, h11.ProtocolError, ValueError) as error:
+                raise DeliveryFailed(
                     f"{self.address[0]}:{self.address[1]}: {error or type(error).__name__}"
                 ) from None
             finally:
@@ -94,9 +94,9 @@
         else:
             await self.close()
         if status == 409 and seen:
-            raise Passed(seen)
+            raise FencedOff(seen)
         if status != 200:
-            raise Refusal(f"it answered {status}")
+            raise DeliveryRefused(f"it answered {status}")
         return held
 
     async def close(self) -> None:
@@ -106,7 +106,7 @@
                 await anyio.aclose_forcefully(stream)
 
 
-class Courier:
+class DeliveryWorker:
     """Brings purges to one cache, and tells the ledger how far that has come.
 
     :param rate: purges a second.
@@ -114,14 +114,22 @@
     """
 
     def __init__(
-        self, name: str, address: tuple[str, int], ledgers: Sequence[tuple[str, int]], grace: int,
-        report: Report, rate: float, hold: Hold | None = None,
-    ):  # fmt: skip
+        self,
+        name: str,
+        address: tuple[str, int],
+        ledgers: Sequence[tuple[str, int]],
+        grace: int,
+        report: RateLimitedLog,
+        rate: float,
+        hold: LeaseHandle | None = None,
+    ):
         self.name, self.report, self.hold = name, report, hold
-        self.box = Box(name, rate)
-        self.lines = [Line(address) for _ in range(CONNECTIONS)]
-        self.follower = Follower(name, "cache", secrets.token_hex(8), Lease(lease(grace)), acks=False)
-        self.link = Link(ledgers, 4 * lease(grace), self._feed, report)
+        self.box = DeliveryQueue(name, rate)
+        self.lines = [DeliveryConnection(address) for _ in range(CONNECTIONS)]
+        self.follower = PurgeReplica(
+            name, "cache", secrets.token_hex(8), FreshnessLease(lease(grace)), acks=False
+        )
+        self.link = MemberClient(ledgers, 4 * lease(grace), self._feed, report)
         self.wake = anyio.Event()
         self.turn = 0
 
@@ -131,30 +139,30 @@
             self.tasks.start_soon(self.link.run)
             self.tasks.start_soon(self._look)
             while True:
-                now = clock()
+                now = wall_clock()
                 for delivery in self.box.next(now):
                     self.tasks.start_soon(self._deliver, delivery)
                 self.wake = anyio.Event()
                 with anyio.move_on_after((self.box.due(now) - now) / 1e6):
                     await self.wake.wait()
 
-    def _feed(self, event: Linked | Said) -> None:
-        now = clock()
-        if isinstance(event, Linked):
+    def _feed(self, event: ConnectionOpened | MessageReceived) -> None:
+        now = wall_clock()
+        if isinstance(event, ConnectionOpened):
             self.link.tell(self.follower.begin(now))
             return
         for given in self.follower.take(event.said, now):
             match given:
-                case Apply(purges, offset, floor, whole):
+                case ApplyPurges(purges, offset, floor, whole):
                     if whole and floor:
                         self.box.floor(purges[0].number - 1 if purges else self.follower.held, floor)
                     self.box.heard([purge for purge in purges if purge.number > self.box.reached], offset)
                     self.wake.set()
-                case End(reason, come_back):
+                case EndConnection(reason, come_back):
                     self.link.hang(f"{self.name}: {reason}", come_back)
-                case Say(said):
+                case SendMessage(said):
                     self.link.tell(said)
-        if isinstance(event.said, Beat):
+        if isinstance(event.said, Heartbeat):
             self.box.level(event.said.head)
         if self.follower.welcomed:
             self._tell(now)
@@ -166,25 +174,25 @@
     async def _look(self) -> None:
         while True:
             await anyio.sleep(ASK_EVERY / 1e6)
-            if not self.box.out and clock() >= self.box.next_at:
+            if not self.box.out and wall_clock() >= self.box.next_at:
                 await self._ask()
 
     async def _ask(self) -> None:
         was = self.box.up
         try:
             held = await self.lines[0].ask("GET", "/purged", ())
-        except Failed as error:
+        except DeliveryFailed as error:
             if was:
                 self.report.say("cache", f"{self.name}: {error}; away until it answers")
-            self.box.lost(clock())
+            self.box.lost(wall_clock())
         else:
             if not was:
                 self.report.say("cache", f"{self.name} answers, and has purged up to {held}")
-            if not self.box.stands(held, self.follower.held, clock()):
+            if not self.box.stands(held, self.follower.held, wall_clock()):
                 self.follower.held = held
                 self.link.hang(f"{self.name}: heard anew from {held}", 0)
         if self.follower.welcomed:
-            self._tell(clock())
+            self._tell(wall_clock())
         self.wake.set()
 
     async def _deliver(self, delivery: Delivery) -> None:
@@ -207,37 +215,42 @@
         fields += [("X-Purge-Store", purge.store)] if purge.store else []
         try:
             await self.lines[self.turn % CONNECTIONS].ask("PURGE", "/", fields)
-        except Passed as error:
+        except FencedOff as error:
             self.report.say("cache", f"{self.name}: purge {purge.number}: {error}")
-            self.box.refused(purge.number, clock())
+            self.box.refused(purge.number, wall_clock())
             if self.hold:
                 self.hold.passed(error.seen)
-        except Refusal as error:
+        except DeliveryRefused as error:
             self.report.say("cache", f"{self.name}: purge {purge.number}: {error}")
-            self.box.refused(purge.number, clock())
-        except Failed as error:
+            self.box.refused(purge.number, wall_clock())
+        except DeliveryFailed as error:
             self.report.say("cache", f"{self.name}: purge {purge.number}: {error}")
-            self.box.lost(clock())
+            self.box.lost(wall_clock())
         else:
             self.box.taken(purge.number)
         if self.follower.welcomed:
-            self._tell(clock())
+            self._tell(wall_clock())
         self.wake.set()
 
 
 async def deliver(
-    caches: Mapping[str, tuple[str, int]], ledgers: Sequence[tuple[str, int]], grace: int, report: Report,
-    rate: float, claims: Claims | None = None, task: str = "",
-) -> None:  # fmt: skip
+    caches: Mapping[str, tuple[str, int]],
+    ledgers: Sequence[tuple[str, int]],
+    grace: int,
+    report: RateLimitedLog,
+    rate: float,
+    claims: LeaseClient | None = None,
+    task: str = "",
+) -> None:
     """Brings purges to all caches until SIGTERM.
 
     :param claims: of this process, where several may deliver and one does: whoever holds the task.
     """
 
-    async def run(hold: Hold | None = None) -> None:
+    async def run(hold: LeaseHandle | None = None) -> None:
         async with anyio.create_task_group() as couriers:
             for name, address in caches.items():
-                couriers.start_soon(Courier(name, address, ledgers, grace, report, rate, hold).run)
+                couriers.start_soon(DeliveryWorker(name, address, ledgers, grace, report, rate, hold).run)
 
     async with anyio.create_task_group() as tasks:
         if claims:
--- a/quartzrouter/ledger/wire.py
+++ b/quartzrouter/purge_log/line_connection.py
@@ -4,9 +4,9 @@
 
 import anyio
 
-from quartzrouter.net.progress import LOST
-from quartzrouter.purges import words
-from quartzrouter.purges.words import LINE_MOST, Unreadable
+from quartzrouter.purges import messages
+from quartzrouter.purges.messages import LINE_MOST, MalformedMessage
+from quartzrouter.server.attempt_failure import CONNECTION_LOST
 
 CONNECT_WITHIN = 1.0  # s
 ANSWER_WITHIN = 5.0  # s: a disk that is slow, and a ledger that takes over
@@ -26,7 +26,7 @@
             yield bytes(line)
         held = bytearray(rest)
         if len(held) > LINE_MOST:
-            raise Unreadable(f"a line of more than {LINE_MOST} bytes")
+            raise MalformedMessage(f"a line of more than {LINE_MOST} bytes")
 
 
 async def connect(address: tuple[str, int]) -> anyio.abc.SocketStream:
@@ -42,7 +42,7 @@
     """No ledger answers at any address."""
 
 
-class Client:
+class QueryClient:
     """Asks one ledger of several, one question at a time.
 
     :param addresses: tried in turn.
@@ -53,23 +53,23 @@
         self.stream: anyio.abc.ByteStream | None = None
         self.lines: AsyncIterator[bytes] | None = None
 
-    async def ask(self, said: words.ToLedger) -> words.FromLedger:
+    async def ask(self, said: messages.ToPurgeLog) -> messages.FromPurgeLog:
         """The answer; raises Unreachable.  A purge without a key may be taken twice if it is asked again."""
         why = "no address is named"
         for _ in range(len(self.addresses) * 2):
             try:
                 with anyio.fail_after(self.within):
                     return await self._ask(said)
-            except (*LOST, TimeoutError, Unreadable) as error:
+            except (*CONNECTION_LOST, TimeoutError, MalformedMessage) as error:
                 host, port = self.addresses[0]
                 why = f"{host}:{port}: {str(error) or type(error).__name__}"
                 await self.close()
                 self.addresses.append(self.addresses.pop(0))
         raise Unreachable(why)
 
-    async def _ask(self, said: words.ToLedger) -> words.FromLedger:
+    async def _ask(self, said: messages.ToPurgeLog) -> messages.FromPurgeLog:
         await self.connect()
-        await self.stream.send(words.line(said))
+        await self.stream.send(messages.encode_line(said))
         return await self.next()
 
     async def connect(self) -> None:
@@ -77,25 +77,27 @@
             self.stream = await connect(self.addresses[0])
             self.lines = lines(self.stream)
 
-    async def next(self) -> words.FromLedger:
+    async def next(self) -> messages.FromPurgeLog:
         async for line in self.lines:
-            return words.from_ledger(line)
+            return messages.decode_from_purge_log(line)
         raise anyio.EndOfStream
 
-    async def ask_all(self, many: Sequence[words.Send], seen: Callable[[int], None] = lambda n: None) -> list:
+    async def ask_all(
+        self, many: Sequence[messages.PurgeRequest], seen: Callable[[int], None] = lambda n: None
+    ) -> list:
         """Sends purges, a page at a time without waiting for each; gives the answers in order.
 
         All have keys, so that a page may be sent again elsewhere.  Raises Unreachable.
         """
-        answers: list[words.FromLedger] = []
-        for at in range(0, len(many), words.PAGE):
-            page = many[at : at + words.PAGE]
+        answers: list[messages.FromPurgeLog] = []
+        for at in range(0, len(many), messages.PAGE):
+            page = many[at : at + messages.PAGE]
             answers.append(await self.ask(page[0]))  # which finds a ledger that answers
             try:
                 with anyio.fail_after(self.within):
-                    await self.stream.send(b"".join(map(words.line, page[1:])))
+                    await self.stream.send(b"".join(map(messages.encode_line, page[1:])))
                     found = [await self.next() for _ in page[1:]]
-            except (*LOST, TimeoutError, Unreadable):
+            except (*CONNECTION_LOST, TimeoutError, MalformedMessage):
                 await self.close()
                 found = [await self.ask(each) for each in page[1:]]
             answers += found
--- a/quartzrouter/ledger/log.py
+++ b/quartzrouter/purge_log/log.py
@@ -1,10 +1,19 @@
 """The one writer of a ledger's folder: takes the next epoch, and goes on behind what was durable."""
 
-from quartzrouter.ledger.disk import Disk, File
-from quartzrouter.ledger.files import (
-    EPOCH, FORMAT, LOG, SNAPSHOT, Header, Refusing, highest_epoch, packed, read, write_snapshot,
-)  # fmt: skip
-from quartzrouter.purges.words import Purge
+from quartzrouter.purge_log.disk import Disk, File
+from quartzrouter.purge_log.segments import (
+    EPOCH,
+    FORMAT,
+    LOG,
+    SNAPSHOT,
+    DiskUnavailable,
+    SegmentHeader,
+    highest_epoch,
+    packed,
+    read,
+    write_snapshot,
+)
+from quartzrouter.purges.messages import Purge
 
 ROLL_AT = 8 << 20  # bytes of one file: read in 0.3 s
 TRIES = 64  # at an epoch of one's own, should others begin at the same moment
@@ -14,7 +23,7 @@
     """Another writer has begun."""
 
 
-class Log:
+class PurgeLog:
     """Raises Damaged, and Refusing where the disk takes nothing.
 
     :param roll_at: bytes after which a file is followed by another.
@@ -33,7 +42,7 @@
             for name in self.found.useless:
                 disk.remove(name)
         except OSError as error:
-            raise Refusing(error.strerror or str(error)) from None
+            raise DiskUnavailable(error.strerror or str(error)) from None
         self.since = len(self.found.purges)  # purges behind the last snapshot, at most
 
     def _begin(self) -> int:
@@ -48,7 +57,7 @@
                 if (found := EPOCH.fullmatch(name)) and int(found[1]) < epoch - 1:
                     self.disk.remove(name)
             return epoch
-        raise Refusing("other writers begin again and again")
+        raise DiskUnavailable("other writers begin again and again")
 
     def _read(self):
         """What is durable; read after the epoch has begun: no older writer can promise what it adds."""
@@ -57,7 +66,7 @@
                 return read(self.disk)
             except FileNotFoundError:  # the older writer was putting a snapshot in place
                 continue
-        raise Refusing("the files change again and again")
+        raise DiskUnavailable("the files change again and again")
 
     def check(self) -> None:
         """Raises Fenced once another writer has begun."""
@@ -70,18 +79,18 @@
             try:
                 self._roll()
             except OSError as error:
-                raise Refusing(error.strerror or str(error)) from None
+                raise DiskUnavailable(error.strerror or str(error)) from None
         data, found = packed(purges, self.sum)
         try:
             self.file.write(data)
         except OSError as error:
             self._take_back()
-            raise Refusing(error.strerror or str(error)) from None
+            raise DiskUnavailable(error.strerror or str(error)) from None
         try:
             self.file.sync()
         except OSError as error:  # what is on the disk is unknown, also after another try: on in a new file
             self.close()
-            raise Refusing(error.strerror or str(error)) from None
+            raise DiskUnavailable(error.strerror or str(error)) from None
         self.check()
         self.length, self.sum, self.head = self.length + len(data), found, purges[-1].number
         self.since += len(purges)
@@ -103,7 +112,7 @@
     def _roll(self) -> None:
         self.number += 1
         name = f"{self.epoch:08d}-{self.number:08d}.log"
-        data, found = packed([Header(FORMAT, self.epoch, self.name, self.length, self.head)], 0)
+        data, found = packed([SegmentHeader(FORMAT, self.epoch, self.name, self.length, self.head)], 0)
         file = self.disk.create(name)
         try:
             file.write(data)
@@ -130,5 +139,5 @@
                 if (LOG.fullmatch(old) and old != self.name) or (SNAPSHOT.fullmatch(old) and old < name):
                     self.disk.remove(old)
         except OSError as error:
-            raise Refusing(error.strerror or str(error)) from None
+            raise DiskUnavailable(error.strerror or str(error)) from None
         self.since = 0
--- a/quartzrouter/ledger/link.py
+++ b/quartzrouter/purge_log/member_client.py
@@ -5,54 +5,57 @@
 
 import anyio
 
-from quartzrouter.ledger.wire import connect, lines
-from quartzrouter.net.report import Report
-from quartzrouter.purges import words
-from quartzrouter.purges.attempts import Attempts
+from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.purges import messages
+from quartzrouter.purges.reconnect_backoff import ReconnectBackoff
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 
-class Linked(NamedTuple):
+class ConnectionOpened(NamedTuple):
     """A connection to a ledger is there."""
 
 
-class Said(NamedTuple):
+class MessageReceived(NamedTuple):
     """What the ledger says."""
 
-    said: words.FromLedger
+    said: messages.FromPurgeLog
 
 
-class Tell(NamedTuple):
+class QueueMessage(NamedTuple):
     """Effect: say this to the ledger."""
 
-    said: words.ToLedger
+    said: messages.ToPurgeLog
 
 
-class Hang(NamedTuple):
+class CloseConnection(NamedTuple):
     """Effect: close the connection, and come back after a while."""
 
     reason: str
     come_back: int  # us
 
 
-class Link:
+class MemberClient:
     """:param addresses: of ledgers, tried in turn.
     :param silent: us without a word after which the connection is taken for broken.
     """
 
     def __init__(
-        self, addresses: Sequence[tuple[str, int]], silent: int, feed: Callable[[Linked | Said], None],
-        report: Report,
-    ):  # fmt: skip
-        self.attempts, self.silent = Attempts(addresses, report.name), silent / 1e6
+        self,
+        addresses: Sequence[tuple[str, int]],
+        silent: int,
+        feed: Callable[[ConnectionOpened | MessageReceived], None],
+        report: RateLimitedLog,
+    ):
+        self.attempts, self.silent = ReconnectBackoff(addresses, report.name), silent / 1e6
         self.feed, self.report = feed, report
         self.out: list[bytes] | None = None  # None: there is no connection
         self.wake = anyio.Event()
         self.scope: anyio.CancelScope | None = None
 
-    def tell(self, said: words.ToLedger) -> None:
+    def tell(self, said: messages.ToPurgeLog) -> None:
         """Says it where there is a connection; what is said without one counts for nothing."""
         if self.out is not None:
-            self.out.append(words.line(said))
+            self.out.append(messages.encode_line(said))
             self.wake.set()
 
     def hang(self, reason: str, come_back: int) -> None:
@@ -82,17 +85,17 @@
         self.out = []
         async with stream, anyio.create_task_group() as tasks:
             tasks.start_soon(self._write, stream)
-            self.feed(Linked())
+            self.feed(ConnectionOpened())
             heard = lines(stream)
             while True:
                 with anyio.fail_after(self.silent):
                     line = await anext(heard, None)
                 if line is None:
                     raise anyio.EndOfStream("the ledger has closed the connection")
-                said = words.from_ledger(line)
-                if isinstance(said, words.Beat):
+                said = messages.decode_from_purge_log(line)
+                if isinstance(said, messages.Heartbeat):
                     self.attempts.heard()
-                self.feed(Said(said))
+                self.feed(MessageReceived(said))
 
     async def _write(self, stream: anyio.abc.ByteStream) -> None:
         while True:
--- a/quartzrouter/ledger/records.py
+++ b/quartzrouter/purge_log/records.py
@@ -19,7 +19,7 @@
     sum: int
 
 
-class Broken(NamedTuple):
+class BrokenRecord(NamedTuple):
     """What stands at a place and is no record.
 
     :param torn: as a write that was cut short leaves it: not all there, or zeros from within to the end.
@@ -38,25 +38,25 @@
     return HEAD.pack(len(payload), of_length, found) + payload, found
 
 
-def records(data: bytes, end: int) -> Iterator[Record | Broken]:
+def records(data: bytes, end: int) -> Iterator[Record | BrokenRecord]:
     """All records of a file up to a place; the first that is broken is the last that is given."""
     at, before, written = 0, 0, len(data[:end].rstrip(b"\0"))  # behind which there are but zeros
     while at < end:
         body = at + HEAD.size
         if end < body:
-            yield Broken(at, True, "a record is cut short")
+            yield BrokenRecord(at, True, "a record is cut short")
             return
         length, of_length, told = HEAD.unpack_from(data, at)
         if zlib.crc32(data[at : at + 4], before) != of_length:
-            yield Broken(at, written < end and written <= body, "the checksum of a length is wrong")
+            yield BrokenRecord(at, written < end and written <= body, "the checksum of a length is wrong")
             return
         if body + length > end:
-            yield Broken(at, True, "a record is cut short")
+            yield BrokenRecord(at, True, "a record is cut short")
             return
         payload = data[body : body + length]
         found = zlib.crc32(payload, of_length)
         if found != told:
-            yield Broken(at, written < min(end, body + length), "its checksum is wrong")
+            yield BrokenRecord(at, written < min(end, body + length), "its checksum is wrong")
             return
         yield Record(at, payload, body + length, found)
         at, before = body + length, found
--- a/quartzrouter/ledger/files.py
+++ b/quartzrouter/purge_log/segments.py
@@ -13,9 +13,9 @@
 
 import msgspec
 
-from quartzrouter.ledger.disk import Disk
-from quartzrouter.ledger.records import Broken, Record, record, records
-from quartzrouter.purges.words import Purge
+from quartzrouter.purge_log.disk import Disk
+from quartzrouter.purge_log.records import BrokenRecord, Record, record, records
+from quartzrouter.purges.messages import Purge
 
 FORMAT = 1
 EPOCH = re.compile(r"epoch-(\d{8})")
@@ -25,7 +25,7 @@
 REPAIR = "restore the file from a copy, or give up what follows with `quartzrouter ledger repair`"
 
 
-class Header(msgspec.Struct, frozen=True):
+class SegmentHeader(msgspec.Struct, frozen=True):
     """:param after: the file before; empty where there is none.
     :param length: bytes of it that count.
     :param last: the number of the last purge before this file.
@@ -38,7 +38,7 @@
     last: int
 
 
-class Summary(msgspec.Struct, frozen=True):
+class SnapshotHeader(msgspec.Struct, frozen=True):
     """The first record of a snapshot; the purges follow.
 
     :param before: the number of the last purge that is no longer kept, and `floor` its time in us.
@@ -50,7 +50,7 @@
     floor: int
 
 
-class Damaged(Exception):
+class LogDamaged(Exception):
     """A folder that can't be read whole: where, why, and what to do."""
 
     def __init__(self, place: str, reason: str, remedy: str):
@@ -58,11 +58,11 @@
         self.place, self.reason, self.remedy = place, reason, remedy
 
 
-class Refusing(Exception):
+class DiskUnavailable(Exception):
     """The disk takes nothing at the moment; nothing was promised of what was to be written."""
 
 
-class Found(NamedTuple):
+class LogContents(NamedTuple):
     """What a folder holds.
 
     :param before: the number of the last purge that is no longer kept, and `floor` its time in us.
@@ -84,14 +84,14 @@
 
 
 encode = msgspec.msgpack.Encoder().encode
-_HEADER, _SUMMARY, _PURGE = (msgspec.msgpack.Decoder(kind) for kind in (Header, Summary, Purge))
+_HEADER, _SUMMARY, _PURGE = (msgspec.msgpack.Decoder(kind) for kind in (SegmentHeader, SnapshotHeader, Purge))
 
 
 def _decoded(decoder: msgspec.msgpack.Decoder, found: Record, name: str) -> Any:
     try:
         return decoder.decode(found.payload)
     except msgspec.DecodeError as error:
-        raise Damaged(f"{name}, byte {found.at}", f"a record of another kind: {error}", RESTORE) from None
+        raise LogDamaged(f"{name}, byte {found.at}", f"a record of another kind: {error}", RESTORE) from None
 
 
 def highest_epoch(disk: Disk) -> int:
@@ -115,14 +115,14 @@
         disk.remove(f"{name}.new")
     file = disk.create(f"{name}.new")
     try:
-        file.write(packed([Summary(FORMAT, head, before, floor), *purges], 0)[0])
+        file.write(packed([SnapshotHeader(FORMAT, head, before, floor), *purges], 0)[0])
         file.sync()
     finally:
         file.close()
     return name
 
 
-def read(disk: Disk, cut_at: tuple[str, int] | None = None) -> Found:
+def read(disk: Disk, cut_at: tuple[str, int] | None = None) -> LogContents:
     """Reads a folder whole; raises Damaged where something promised can't be told.
 
     :param cut_at: a file and a byte: what stands there and behind is given up.
@@ -140,19 +140,19 @@
         last = name == chain[-1]
         end = len(bodies[name]) if last else headers[chain[at + 1]].length
         if end > len(bodies[name]):
-            raise Damaged(name, f"it ends at byte {len(bodies[name])}, and {end} were promised", RESTORE)
+            raise LogDamaged(name, f"it ends at byte {len(bodies[name])}, and {end} were promised", RESTORE)
         if headers[name].last > before + len(purges):
             missing = f"purges {before + len(purges) + 1} to {headers[name].last} stand in no file"
-            raise Damaged(name, missing, RESTORE)
+            raise LogDamaged(name, missing, RESTORE)
         stop = cut_at[1] if cut_at and cut_at[0] == name else None
         length = _purges(name, bodies[name], end, last, stop, purges, before)
         cut = len(bodies[name]) - length
         if stop is not None:
             break
-    return Found(purges, before, floor, chain[-1] if chain else "", length, cut, useless)
+    return LogContents(purges, before, floor, chain[-1] if chain else "", length, cut, useless)
 
 
-def _headers(disk: Disk, names: list[str]) -> tuple[dict[str, Header], dict[str, bytes], list[str]]:
+def _headers(disk: Disk, names: list[str]) -> tuple[dict[str, SegmentHeader], dict[str, bytes], list[str]]:
     """The headers and the bytes of all files of purges, and those that have no whole header."""
     headers, bodies, empty = {}, {}, []
     for name in names:
@@ -163,17 +163,17 @@
         if isinstance(first, Record):
             headers[name], bodies[name] = _decoded(_HEADER, first, name), data
             if headers[name].format != FORMAT:
-                raise Damaged(
+                raise LogDamaged(
                     name, f"format {headers[name].format}, and {FORMAT} is read here", "use the newer program"
                 )
         elif first is None or first.torn:  # a crash before the header was durable: nothing in it was promised
             empty.append(name)
         else:
-            raise Damaged(f"{name}, byte {first.at}", first.reason, RESTORE)
+            raise LogDamaged(f"{name}, byte {first.at}", first.reason, RESTORE)
     return headers, bodies, empty
 
 
-def _chain(headers: dict[str, Header], head: int) -> list[str]:
+def _chain(headers: dict[str, SegmentHeader], head: int) -> list[str]:
     """The files that count, in their order: from the newest writer's last, the way leads back."""
     chain, at = [], max(headers, default="")
     while at:
@@ -182,7 +182,7 @@
         at = header.after
         if at and at not in headers:
             if header.last > head:
-                raise Damaged(at, f"it is missing, and with it purges up to {header.last}", RESTORE)
+                raise LogDamaged(at, f"it is missing, and with it purges up to {header.last}", RESTORE)
             at = ""
     return chain[::-1]
 
@@ -195,17 +195,17 @@
     for found in records(data, end):
         if stop is not None and found.at >= stop:
             break
-        if isinstance(found, Broken):
+        if isinstance(found, BrokenRecord):
             if last and found.torn:
                 break
-            raise Damaged(f"{name}, byte {found.at}", found.reason, REPAIR)
+            raise LogDamaged(f"{name}, byte {found.at}", found.reason, REPAIR)
         length = found.end
         if found.at == 0:
             continue
         purge, expected = _decoded(_PURGE, found, name), before + len(purges) + 1
         if purge.number > expected:
             reason = f"purge {purge.number} where {expected} belongs"
-            raise Damaged(f"{name}, byte {found.at}", reason, RESTORE)
+            raise LogDamaged(f"{name}, byte {found.at}", reason, RESTORE)
         if purge.number == expected:
             purges.append(purge)
     return length
@@ -214,14 +214,14 @@
 def _snapshot(disk: Disk, name: str) -> tuple[list[Purge], int, int]:
     data = disk.read(name)
     found = list(records(data, len(data)))
-    if not found or isinstance(found[-1], Broken):
+    if not found or isinstance(found[-1], BrokenRecord):
         at, reason = (found[-1].at, found[-1].reason) if found else (0, "it is empty")
-        raise Damaged(f"{name}, byte {at}", reason, RESTORE)
+        raise LogDamaged(f"{name}, byte {at}", reason, RESTORE)
     summary = _decoded(_SUMMARY, found[0], name)
     purges = [_decoded(_PURGE, each, name) for each in found[1:]]
     if [purge.number for purge in purges] != list(range(summary.before + 1, summary.head + 1)):
         reason = f"{len(purges)} purges, and {summary.before + 1} to {summary.head} belong there"
-        raise Damaged(name, reason, RESTORE)
+        raise LogDamaged(name, reason, RESTORE)
     return purges, summary.before, summary.floor
 
 
@@ -235,7 +235,7 @@
         return (
             f"nothing to mend: purges up to {found.head}, and {found.cut} bytes of a write that was cut short"
         )
-    except Damaged as damage:
+    except LogDamaged as damage:
         place = re.fullmatch(r"(\S+\.log), byte (\d+)", damage.place)
         if not place or int(place[2]) == 0:
             raise
--- a/quartzrouter/ledger/serve.py
+++ b/quartzrouter/purge_log/server.py
@@ -6,26 +6,41 @@
 
 import anyio
 
-from quartzrouter.leases.holding import Claims
-from quartzrouter.ledger.disk import Disk, RealDisk
-from quartzrouter.ledger.files import Damaged, Refusing
-from quartzrouter.ledger.log import Fenced, Log
-from quartzrouter.ledger.wire import Client, Unreachable, lines
-from quartzrouter.net.progress import LOST
-from quartzrouter.net.report import Report
-from quartzrouter.net.clock import clock, steady
-from quartzrouter.purges import words
-from quartzrouter.purges.attempts import Watch
-from quartzrouter.purges.book import Admitted, Book, Member
-from quartzrouter.purges.lease import beat_every, lease
-from quartzrouter.purges.words import (
-    AskBudgets, AskMembers, Asks, AskStatus, AskViews, Beat, Budgets, Caught, Grants, Hello, Judged, Refused,
-    Send, Sights, Taken, View, Views,
-)  # fmt: skip
-from quartzrouter.sharing.budget import Ask, Budget, Refusal
-from quartzrouter.sharing.council import NEWS_EVERY, TELL_EVERY, Council
-from quartzrouter.sharing.granter import Granter
-from quartzrouter.sharing.warming import COLDS_MOST, Terms, Warming
+from quartzrouter.fleet_health.aggregator import NEWS_EVERY, TELL_EVERY, HealthAggregator
+from quartzrouter.leases.handle import LeaseClient
+from quartzrouter.purge_log.disk import Disk, RealDisk
+from quartzrouter.purge_log.line_connection import QueryClient, Unreachable, lines
+from quartzrouter.purge_log.log import Fenced, PurgeLog
+from quartzrouter.purge_log.segments import DiskUnavailable, LogDamaged
+from quartzrouter.purges import messages
+from quartzrouter.purges.freshness_lease import beat_every, lease
+from quartzrouter.purges.messages import (
+    CaughtUp,
+    EjectionVerdicts,
+    HealthQuery,
+    HealthReply,
+    HealthReport,
+    Heartbeat,
+    MemberHello,
+    MembersQuery,
+    PurgeAccepted,
+    PurgeRequest,
+    QuotaGrants,
+    QuotaQuery,
+    QuotaRequests,
+    QuotaStatus,
+    RequestRejected,
+    StatusQuery,
+    StoreHealth,
+)
+from quartzrouter.purges.reconnect_backoff import Watch
+from quartzrouter.purges.registry import AdmittedPurge, Member, PurgeRegistry
+from quartzrouter.quota.allocator import QuotaAllocator
+from quartzrouter.quota.budget import Budget, QuotaRefusal, QuotaRequest
+from quartzrouter.quota.slow_start import COLDS_MOST, SlowStartAllocator, SlowStartTerms
+from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.clock import steady_clock, wall_clock
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 BATCH = 4_096  # purges made durable at once: 1 MB
 COMPACT_AFTER = 50_000  # purges since the last snapshot, 10 MB
@@ -46,7 +61,7 @@
         self.scope = anyio.CancelScope()
         self.caught: dict[str, int] | None = None  # as last told
         self.news = anyio.Event()  # something to tell
-        self.said: deque[Grants | Judged] = deque(maxlen=SAID_WAIT)
+        self.said: deque[QuotaGrants | EjectionVerdicts] = deque(maxlen=SAID_WAIT)
         self.store = ""  # whose caches it tells of, if any
         self.judged = False  # it was last told to leave out a cache
         self.loads = False  # it wants to be told what is out at caches
@@ -63,7 +78,7 @@
         self.done, self.refused = anyio.Event(), None
 
 
-class Ledger:
+class PurgeLogServer:
     """:param grace: us within which a purge must hold at every router.
     :param clock: us.
     :param budgets: of which it grants shares to routers; None: it has no plan, and grants none.
@@ -73,15 +88,21 @@
     """
 
     def __init__(
-        self, disk: Disk, grace: int, report: Report, clock: Callable[[], int] = clock,
-        compact_after: int = COMPACT_AFTER, budgets: list[Budget] | None = None,
-        steady: Callable[[], int] = steady, terms: dict[str, Terms] | None = None,
+        self,
+        disk: Disk,
+        grace: int,
+        report: RateLimitedLog,
+        clock: Callable[[], int] = wall_clock,
+        compact_after: int = COMPACT_AFTER,
+        budgets: list[Budget] | None = None,
+        steady: Callable[[], int] = steady_clock,
+        terms: dict[str, SlowStartTerms] | None = None,
         may_grant: Callable[[], int] = lambda: UNLEASED,
-    ):  # fmt: skip
+    ):
         self.clock, self.now, self.report, self.compact_after = clock, 0, report, compact_after
-        self.log = Log(disk)
+        self.log = PurgeLog(disk)
         found = self.log.found
-        self.book = Book(self.log.epoch, grace, self._time())
+        self.book = PurgeRegistry(self.log.epoch, grace, self._time())
         self.book.recover(found.purges, found.before, found.floor)
         if found.cut:
             report.say(
@@ -92,10 +113,10 @@
         self.waiting: dict[int, list[Waiter]] = {}
         self.wanted = anyio.Event()
         self.steady = steady
-        self.granter = Granter(budgets, steady()) if budgets is not None else None
-        self.warming = Warming(terms or {}, steady())
+        self.granter = QuotaAllocator(budgets, steady()) if budgets is not None else None
+        self.warming = SlowStartAllocator(terms or {}, steady())
         self.may_grant, self.granting = may_grant, UNLEASED  # the number under which it last granted
-        self.council = Council()
+        self.council = HealthAggregator()
         self.failed = anyio.Event()  # a router has told of failures since the last judgements
         self.strangers = 0  # asks in a name that is not the member's
         self.connections = 0
@@ -129,7 +150,7 @@
             while batch := self.book.after(self.book.head, BATCH):
                 try:
                     await anyio.to_thread.run_sync(self.log.append, batch)
-                except Refusing as error:
+                except DiskUnavailable as error:
                     self._refuse(str(error))
                 except Fenced as error:
                     self._fence(error)
@@ -148,7 +169,7 @@
         durable = book.after(book.before, book.head - book.before)
         try:
             await anyio.to_thread.run_sync(self.log.compact, durable, book.before, book.floor)
-        except Refusing as error:
+        except DiskUnavailable as error:
             self.log.since = 0  # the next try after as many more
             self.report.say("log", f"no snapshot: {error}")
         except Fenced as error:
@@ -156,11 +177,11 @@
 
     def _refuse(self, reason: str) -> None:
         self.report.say("log", f"purges are refused: {reason}")
-        refused = Refused("disk", reason, "make room on the ledger's disk", COME_BACK)
+        refused = RequestRejected("disk", reason, "make room on the ledger's disk", COME_BACK)
         for purge in self.book.lost():
             self._answer(purge.number, refused)
 
-    def _answer(self, number: int, refused: Refused | None) -> None:
+    def _answer(self, number: int, refused: RequestRejected | None) -> None:
         for waiter in self.waiting.pop(number, ()):
             waiter.refused = refused
             waiter.done.set()
@@ -206,7 +227,7 @@
                 if found[session.store] or session.judged or session.loads:
                     session.judged = bool(found[session.store])
                     wanted = loads[session.store] if session.loads else None
-                    session.said.append(Judged(found[session.store], wanted))
+                    session.said.append(EjectionVerdicts(found[session.store], wanted))
                     session.wake()
 
     # -- connections -------------------------------------------------------------------------------------
@@ -219,7 +240,7 @@
         try:
             async with stream:
                 await self._serve(stream)
-        except* (*LOST, TimeoutError):
+        except* (*CONNECTION_LOST, TimeoutError):
             pass
         except* Exception as group:  # a fault of ours ends at its connection
             self.report.say("fault", "; ".join(f"{type(e).__name__}: {e}" for e in group.exceptions))
@@ -235,8 +256,8 @@
                 if data and not self._ready(answer):
                     await send(data)
                     data = b""
-                data += words.line(await self._awaited(answer))
-                if not take.statistics().current_buffer_used or len(data) >= words.LINE_MOST:
+                data += messages.encode_line(await self._awaited(answer))
+                if not take.statistics().current_buffer_used or len(data) >= messages.LINE_MOST:
                     await send(data)
                     data = b""
 
@@ -249,48 +270,48 @@
             tasks.start_soon(write)
             try:
                 async for line in heard:
-                    said = words.to_ledger(line)
-                    if isinstance(said, Hello):
+                    said = messages.decode_to_purge_log(line)
+                    if isinstance(said, MemberHello):
                         hello = said
                         break
                     await give.send(self._ask(said))
-            except words.Unreadable as error:
+            except messages.MalformedMessage as error:
                 remedy = "write one JSON object a line, see docs/purges.md"
-                await give.send(Refused("line", str(error), remedy))
+                await give.send(RequestRejected("line", str(error), remedy))
         if hello:
             await self._member(stream, heard, hello)
 
-    def _ask(self, said: words.ToLedger):
+    def _ask(self, said: messages.ToPurgeLog):
         """The answer, or a waiter for it."""
         match said:
-            case Send():
+            case PurgeRequest():
                 given = self.book.admit(said, self._time())
-                if not isinstance(given, Admitted):
+                if not isinstance(given, AdmittedPurge):
                     return given
                 promise = self.book.promised.get(given.purge.number, self.book.promise)
-                taken = Taken(given.purge.number, given.purge.when, promise, given.again)
+                taken = PurgeAccepted(given.purge.number, given.purge.when, promise, given.again)
                 if given.purge.number <= self.book.head:
                     return taken
                 waiter = Waiter()
                 self.waiting.setdefault(given.purge.number, []).append(waiter)
                 self.wanted.set()
                 return waiter, taken
-            case AskStatus(number):
+            case StatusQuery(number):
                 return self.book.status(number, self._time())
-            case AskMembers():
+            case MembersQuery():
                 return self.book.told_members(self._time())
-            case AskBudgets():
+            case QuotaQuery():
                 return self._budgets()
-            case AskViews():
+            case HealthQuery():
                 return self._views()
-        return Refused("line", f"{type(said).__name__} before any hello", "say hello first")
+        return RequestRejected("line", f"{said.__struct_config__.tag} before any hello", "say hello first")
 
     @staticmethod
     def _ready(said) -> bool:
         return not isinstance(said, tuple) or said[0].done.is_set()
 
     @staticmethod
-    async def _awaited(said) -> words.FromLedger:
+    async def _awaited(said) -> messages.FromPurgeLog:
         if not isinstance(said, tuple):
             return said
         waiter, taken = said
@@ -299,11 +320,11 @@
 
     # -- members -----------------------------------------------------------------------------------------
 
-    async def _member(self, stream: anyio.abc.ByteStream, heard, hello: Hello) -> None:
+    async def _member(self, stream: anyio.abc.ByteStream, heard, hello: MemberHello) -> None:
         now = self._time()
         member = self.book.hello(hello, now)
-        if isinstance(member, Refused):
-            await stream.send(words.line(member))
+        if isinstance(member, RequestRejected):
+            await stream.send(messages.encode_line(member))
             return
         session = Session(member, hello.held)
         if before := self.sessions.get(hello.name):
@@ -315,30 +336,30 @@
                     tasks.start_soon(self._write, stream, session, hello)
                     try:
                         async for line in heard:
-                            self._heard(session, words.to_ledger(line))
-                    except words.Unreadable as error:
+                            self._heard(session, messages.decode_to_purge_log(line))
+                    except messages.MalformedMessage as error:
                         self.report.say("member", f"{hello.name}: {error}")
                     tasks.cancel_scope.cancel()
         finally:
             if self.sessions.get(hello.name) is session:
                 del self.sessions[hello.name]
 
-    def _heard(self, session: Session, said: words.ToLedger) -> None:
+    def _heard(self, session: Session, said: messages.ToPurgeLog) -> None:
         now = self._time()
-        if isinstance(said, words.Ack):
+        if isinstance(said, messages.MemberAck):
             self.book.ack(session.member, said.held, said.mark, said.away, now)
-        elif isinstance(said, words.Leave):
+        elif isinstance(said, messages.MemberLeave):
             self.book.leave(session.member, now)
             self.council.left(session.member.name)
-        elif isinstance(said, Sights):
+        elif isinstance(said, HealthReport):
             member, session.store, session.loads = session.member, said.store, said.loads
             self.council.hear(member.name, member.token, said.store, said.sights, self.steady(), said.caches)
             if any(each.bad for each in said.sights):
                 self.failed.set()
-        elif isinstance(said, Asks) and self.granter:
+        elif isinstance(said, QuotaRequests) and self.granter:
             self._grant(session, said)
 
-    def _grant(self, session: Session, said: Asks) -> None:
+    def _grant(self, session: Session, said: QuotaRequests) -> None:
         """Grants what is asked for, unless another writer has begun: what it grants ends by itself.
 
         Where this process is stopped between the look and the sending, a grant comes late; its end counts
@@ -352,11 +373,11 @@
         if not self._grants():
             return
         grants, refused, member = [], {}, session.member
-        for ask in said.asks[: words.ASKS_MOST]:
+        for ask in said.asks[: messages.ASKS_MOST]:
             given = self._granted(ask, member)
-            if isinstance(given, Refusal) and given.place == "number":
+            if isinstance(given, QuotaRefusal) and given.place == "number":
                 continue  # a late word: counted, nothing is wrong
-            if isinstance(given, Refusal):
+            if isinstance(given, QuotaRefusal):
                 refused[ask.budget] = given
                 self.report.say("shares", f"{member.name}: {ask.budget:.60}: {given.place}: {given.reason}")
             else:
@@ -364,12 +385,12 @@
         colds = []
         for ask in said.colds[:COLDS_MOST]:
             given = self.warming.ask(ask, member.name, member.token, self.steady())
-            if not isinstance(given, Refusal):
+            if not isinstance(given, QuotaRefusal):
                 colds.append(given)
             elif given.place != "number":
                 refused[ask.server[:60]] = given
                 self.report.say("shares", f"{member.name}: {ask.server:.60}: {given.place}: {given.reason}")
-        session.said.append(Grants(tuple(grants), refused, tuple(colds)))
+        session.said.append(QuotaGrants(tuple(grants), refused, tuple(colds)))
         session.wake()
 
     def _grants(self) -> bool:
@@ -378,44 +399,47 @@
         number = self.may_grant()
         if number and number != self.granting:
             now, budgets = self.steady(), list(self.granter.budgets.values())
-            self.granter, self.warming = Granter(budgets, now), Warming(self.warming.terms, now)
+            self.granter, self.warming = (
+                QuotaAllocator(budgets, now),
+                SlowStartAllocator(self.warming.terms, now),
+            )
             self.granting = number
         return bool(number)
 
-    def _granted(self, ask: Ask, member: Member):
+    def _granted(self, ask: QuotaRequest, member: Member):
         if (ask.name, ask.token) != (member.name, member.token):
             self.strangers += 1
-            return Refusal("name", f"{ask.name!r:.40} asks on another's line", "mend the sender")
+            return QuotaRefusal("name", f"{ask.name!r:.40} asks on another's line", "mend the sender")
         return self.granter.ask(ask, self.steady())
 
-    def _budgets(self) -> Budgets:
+    def _budgets(self) -> QuotaStatus:
         if self.granter is None:
-            return Budgets(self.book.epoch, (), 0)
-        states = self.granter.told(self.steady())[-words.PAGE :]
-        colds = self.warming.told(self.steady())[-words.PAGE :]
+            return QuotaStatus(self.book.epoch, (), 0)
+        states = self.granter.told(self.steady())[-messages.PAGE :]
+        colds = self.warming.told(self.steady())[-messages.PAGE :]
         refused = self.granter.refused + self.warming.refused + self.strangers
-        return Budgets(self.book.epoch, tuple(states), refused, tuple(colds))
+        return QuotaStatus(self.book.epoch, tuple(states), refused, tuple(colds))
 
-    def _views(self) -> Views:
+    def _views(self) -> HealthReply:
         now, council = self.steady(), self.council
         stores = sorted({voice.store for voice in council.voices.values()})
-        views = (View(each, council.judged(each, now), council.counts(each, now)) for each in stores)
-        return Views(self.book.epoch, tuple(views))
+        views = (StoreHealth(each, council.judged(each, now), council.counts(each, now)) for each in stores)
+        return HealthReply(self.book.epoch, tuple(views))
 
-    def replace(self, budgets: list[Budget], terms: dict[str, Terms]) -> None:
+    def replace(self, budgets: list[Budget], terms: dict[str, SlowStartTerms]) -> None:
         """The plan was read anew."""
         if self.granter:
             self.granter.replace(budgets, self.steady())
             self.warming.replace(terms, self.steady())
 
-    async def _write(self, stream: anyio.abc.ByteStream, session: Session, hello: Hello) -> None:
-        async def send(*said: words.FromLedger) -> None:
+    async def _write(self, stream: anyio.abc.ByteStream, session: Session, hello: MemberHello) -> None:
+        async def send(*said: messages.FromPurgeLog) -> None:
             with anyio.fail_after(WRITE_WITHIN):
-                await stream.send(b"".join(map(words.line, said)))
+                await stream.send(b"".join(map(messages.encode_line, said)))
 
         book, beat_at = self.book, 0.0
         grants = self.granter is not None
-        welcome = words.Welcome(book.epoch, book.head, self._time(), book.lease, grants, judges=True)
+        welcome = messages.Welcome(book.epoch, book.head, self._time(), book.lease, grants, judges=True)
         await send(welcome)
         if book.too_far(session.sent, hello.life, self._time()):
             pages = book.snapshot(hello.life, self._time())
@@ -429,10 +453,10 @@
             while session.sent < book.head:
                 news_of = book.news(session.sent)
                 session.sent += len(news_of)
-                await send(words.Purges(tuple(news_of)))
+                await send(messages.PurgeBatch(tuple(news_of)))
             if hello.kind == "router" and session.caught is not self.caught:
                 session.caught = self.caught
-                await send(Caught(self.caught))
+                await send(CaughtUp(self.caught))
             now = anyio.current_time()
             if now >= beat_at and session.sent == book.head:
                 echo = book.echo(session.member)  # first: it vouches for all that was taken before it
@@ -442,7 +466,7 @@
                     self._fence(error)
                     return
                 if session.sent == book.head:
-                    await send(Beat(book.epoch, book.head, echo, self._time()))
+                    await send(Heartbeat(book.epoch, book.head, echo, self._time()))
                     beat_at = now + self.every
             with anyio.move_on_after(max(0.0, beat_at - anyio.current_time())):
                 await news.wait()
@@ -453,13 +477,13 @@
     return list(listeners.listeners)
 
 
-async def _watch(primary: tuple[str, int], grace: int, report: Report) -> None:
+async def _watch(primary: tuple[str, int], grace: int, report: RateLimitedLog) -> None:
     """Returns once the ledger there has not answered for so long that its leases are over."""
-    client, watch, within = Client([primary], lease(grace) / 1e6), Watch(), lease(grace) / 1e6
+    client, watch, within = QueryClient([primary], lease(grace) / 1e6), Watch(), lease(grace) / 1e6
     report.say("process", f"standing by for {primary[0]}:{primary[1]}")
     while True:
         try:
-            await client.ask(AskMembers())
+            await client.ask(MembersQuery())
             gone = watch.asked(True)
         except Unreachable:
             gone = watch.asked(False)
@@ -474,12 +498,12 @@
     folder: str,
     address: tuple[str, int],
     grace: int,
-    report: Report,
+    report: RateLimitedLog,
     standby: tuple[str, int] | None = None,
-    clock: Callable[[], int] = clock,
-    budgets: Callable[[], tuple[list[Budget], dict[str, Terms]]] | None = None,
-    steady: Callable[[], int] = steady,
-    claims: Claims | None = None,
+    clock: Callable[[], int] = wall_clock,
+    budgets: Callable[[], tuple[list[Budget], dict[str, SlowStartTerms]]] | None = None,
+    steady: Callable[[], int] = steady_clock,
+    claims: LeaseClient | None = None,
     task: str = "",
 ) -> int:
     """The exit status: 0 at SIGTERM, 3 where another ledger has taken over.
@@ -525,7 +549,7 @@
         disk = RealDisk(folder)
         claim = claims.claim(task) if claims else None
         may_grant = (lambda: claim.number * claim.held(claims.steady())) if claim else lambda: UNLEASED
-        ledger = Ledger(
+        ledger = PurgeLogServer(
             disk, grace, report, clock, budgets=found, steady=steady, terms=terms, may_grant=may_grant
         )
         if claims:
@@ -540,4 +564,4 @@
     return status
 
 
-FAULTS = (Damaged, Refusing, OSError)
+FAULTS = (LogDamaged, DiskUnavailable, OSError)
--- a/quartzrouter/purges/courier.py
+++ b/quartzrouter/purges/delivery_plan.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from quartzrouter.purges.words import Purge
+from quartzrouter.purges.messages import Purge
 
 S = 1_000_000
 WINDOW = 8  # purges on their way to one cache: its worker threads
@@ -30,7 +30,7 @@
     age: int
 
 
-class Box:
+class DeliveryQueue:
     """What one cache has been told.
 
     :param name: for chance.
--- a/quartzrouter/purges/fleet.py
+++ b/quartzrouter/purges/fleet_purges.py
@@ -9,14 +9,14 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from quartzrouter.purges.follower import Apply
-from quartzrouter.purges.lease import Lease, lease
-from quartzrouter.purges.marks import Asked, Marks
+from quartzrouter.purges.freshness_lease import FreshnessLease, lease
+from quartzrouter.purges.messages import Purge
+from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
+from quartzrouter.purges.replica import ApplyPurges
 from quartzrouter.purges.tags import Tags
-from quartzrouter.purges.words import Purge
 
 
-class Copy(NamedTuple):
+class CachedCopy(NamedTuple):
     """What an answer tells of the copy that it brings.
 
     :param minted: us, by its origin's clock.
@@ -30,7 +30,7 @@
     tags: tuple[str, ...] | None
 
 
-class Fleet:
+class FleetPurges:
     """The fleet's purges at one router.
 
     :param grace: us after its taking in which a purge must hold.
@@ -45,8 +45,8 @@
         self, grace: int, life: int, marks: int, objects: int, skew: int = 0, remembers: bool = False
     ):
         self.skew, self.remembers = skew, remembers
-        self.lease = Lease(lease(grace))
-        self.marks = Marks(life, marks)
+        self.lease = FreshnessLease(lease(grace))
+        self.marks = PurgeIndex(life, marks)
         self.tags = Tags(objects)
         self.caught: dict[str, int] = {}  # by cache: it has purged all up to this number
         self.recent: deque[tuple[int, Purge]] = deque()  # what the marks were made of
@@ -56,7 +56,7 @@
 
     # -- what is heard -----------------------------------------------------------------------------------
 
-    def apply(self, news: Apply, held: int, now: int) -> None:
+    def apply(self, news: ApplyPurges, held: int, now: int) -> None:
         """Puts purges in force; what is in force stays so, whatever a snapshot leaves out.
 
         :param held: the number up to which all is then held.
@@ -97,7 +97,7 @@
 
     # -- what is asked -------------------------------------------------------------------------------------
 
-    def oldest(self, asked: Asked, store: str, held_by: Iterable[str], usual: int, now: int) -> int:
+    def oldest(self, asked: PurgeLookup, store: str, held_by: Iterable[str], usual: int, now: int) -> int:
         """us, how old a copy may be at most; 0: any.
 
         :param store: where the cache stands.
@@ -120,7 +120,7 @@
         needed = self.marks.forgotten
         return not needed or all(self.caught.get(name, -1) >= needed for name in held_by)
 
-    def good(self, asked: Asked, store: str, copy: Copy, written: int, bound: int) -> bool:
+    def good(self, asked: PurgeLookup, store: str, copy: CachedCopy, written: int, bound: int) -> bool:
         """Whether the copy that came may be passed on.
 
         :param written: us, when the dispatch went out or before.
--- a/quartzrouter/purges/lease.py
+++ b/quartzrouter/purges/freshness_lease.py
@@ -18,7 +18,7 @@
     return max(1, lease(grace) // BEATS)
 
 
-class Lease:
+class FreshnessLease:
     """:param length: us."""
 
     def __init__(self, length: int):
--- a/quartzrouter/purges/words.py
+++ b/quartzrouter/purges/messages.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from quartzrouter.sharing.budget import Ask, Grant, Refusal, State
-from quartzrouter.sharing.council import Count, Judgement, Sight
-from quartzrouter.sharing.warming import ColdAsk, ColdGrant, ColdState
+from quartzrouter.fleet_health.aggregator import CacheLoad, CacheObservation, EjectionVerdict
+from quartzrouter.quota.budget import BudgetState, QuotaGrant, QuotaRefusal, QuotaRequest
+from quartzrouter.quota.slow_start import SlowStartGrant, SlowStartRequest, SlowStartState
 
 LINE_MOST = 1 << 18  # bytes of one line: a page of 512 purges, each of a few hundred; see page()
 VALUES_MOST = 64  # of one purge: more are several purges
@@ -54,7 +54,7 @@
 # -- to the ledger -----------------------------------------------------------------------------------------
 
 
-class Send(msgspec.Struct, tag_field="say", tag="send", omit_defaults=True):
+class PurgeRequest(msgspec.Struct, tag_field="say", tag="send", omit_defaults=True):
     """Purge this."""
 
     kind: Kind
@@ -64,7 +64,7 @@
     key: str = ""
 
 
-class Hello(msgspec.Struct, tag_field="say", tag="hello", omit_defaults=True):
+class MemberHello(msgspec.Struct, tag_field="say", tag="hello", omit_defaults=True):
     """A member begins: all after `held`, please.
 
     :param token: of the process: another one under the same name is another member.
@@ -80,7 +80,7 @@
     life: int = 0
 
 
-class Ack(msgspec.Struct, tag_field="say", tag="ack", omit_defaults=True):
+class MemberAck(msgspec.Struct, tag_field="say", tag="ack", omit_defaults=True):
     """Everything up to `held` is in force.
 
     :param mark: counts the acks of this connection; the ledger's beats echo it.
@@ -92,31 +92,31 @@
     away: bool = False
 
 
-class Leave(msgspec.Struct, tag_field="say", tag="leave"):
+class MemberLeave(msgspec.Struct, tag_field="say", tag="leave"):
     """The member ends on purpose."""
 
 
-class AskStatus(msgspec.Struct, tag_field="say", tag="status", omit_defaults=True):
+class StatusQuery(msgspec.Struct, tag_field="say", tag="status", omit_defaults=True):
     """How far a purge has come; 0: the last."""
 
     number: int = 0
 
 
-class AskMembers(msgspec.Struct, tag_field="say", tag="members"):
+class MembersQuery(msgspec.Struct, tag_field="say", tag="members"):
     """Who is there, and how far."""
 
 
-class Asks(msgspec.Struct, tag_field="say", tag="asks", omit_defaults=True):
+class QuotaRequests(msgspec.Struct, tag_field="say", tag="asks", omit_defaults=True):
     """A member asks for shares of budgets; said to a ledger only whose welcome says that it grants them.
 
     :param colds: for parts of what cold servers may be sent; an older ledger passes them over.
     """
 
-    asks: tuple[Ask, ...]
-    colds: tuple[ColdAsk, ...] = ()
+    asks: tuple[QuotaRequest, ...]
+    colds: tuple[SlowStartRequest, ...] = ()
 
 
-class Sights(msgspec.Struct, tag_field="say", tag="sights", omit_defaults=True):
+class HealthReport(msgspec.Struct, tag_field="say", tag="sights", omit_defaults=True):
     """What a router has seen of its store's caches; said to a ledger whose welcome says that it judges.
 
     :param caches: how many it knows; those not told of have nothing out, and no news.
@@ -124,26 +124,37 @@
     """
 
     store: str
-    sights: tuple[Sight, ...]
+    sights: tuple[CacheObservation, ...]
     caches: int
     loads: bool = False
 
 
-class AskViews(msgspec.Struct, tag_field="say", tag="views"):
+class HealthQuery(msgspec.Struct, tag_field="say", tag="views"):
     """How the caches stand, by all that routers have told."""
 
 
-class AskBudgets(msgspec.Struct, tag_field="say", tag="budgets"):
+class QuotaQuery(msgspec.Struct, tag_field="say", tag="budgets"):
     """How the budgets stand."""
 
 
-ToLedger = Send | Hello | Ack | Leave | AskStatus | AskMembers | Asks | AskBudgets | Sights | AskViews
+ToPurgeLog = (
+    PurgeRequest
+    | MemberHello
+    | MemberAck
+    | MemberLeave
+    | StatusQuery
+    | MembersQuery
+    | QuotaRequests
+    | QuotaQuery
+    | HealthReport
+    | HealthQuery
+)
 
 
 # -- from the ledger ---------------------------------------------------------------------------------------
 
 
-class Taken(msgspec.Struct, tag_field="say", tag="taken", omit_defaults=True):
+class PurgeAccepted(msgspec.Struct, tag_field="say", tag="taken", omit_defaults=True):
     """The purge is durable.
 
     :param promise: us until every live member has it.
@@ -156,7 +167,7 @@
     again: bool = False
 
 
-class Refused(msgspec.Struct, tag_field="say", tag="refused", omit_defaults=True):
+class RequestRejected(msgspec.Struct, tag_field="say", tag="refused", omit_defaults=True):
     """Nothing was done.
 
     :param come_back: us after which to try again; 0: never as it is.
@@ -186,7 +197,7 @@
     judges: bool = False
 
 
-class Purges(msgspec.Struct, tag_field="say", tag="purges"):
+class PurgeBatch(msgspec.Struct, tag_field="say", tag="purges"):
     """Purges in their order, none left out."""
 
     purges: tuple[Purge, ...]
@@ -205,7 +216,7 @@
     last: bool
 
 
-class Beat(msgspec.Struct, tag_field="say", tag="beat"):
+class Heartbeat(msgspec.Struct, tag_field="say", tag="beat"):
     """The ledger is there.
 
     :param head: all up to it has been sent on this connection.
@@ -218,13 +229,13 @@
     now: int
 
 
-class Caught(msgspec.Struct, tag_field="say", tag="caught"):
+class CaughtUp(msgspec.Struct, tag_field="say", tag="caught"):
     """Up to which number each cache has purged; one that is away is not named."""
 
     caches: dict[str, int]
 
 
-class Status(msgspec.Struct, tag_field="say", tag="status"):
+class PurgeStatus(msgspec.Struct, tag_field="say", tag="status"):
     """How far a purge has come; `missing` names who hasn't acknowledged it.
 
     :param took: us until the last acknowledgement; 0: not complete.
@@ -242,7 +253,7 @@
     delays: dict[str, int]
 
 
-class MemberLine(msgspec.Struct):
+class MemberStatus(msgspec.Struct):
     name: str
     kind: MemberKind
     held: int
@@ -251,24 +262,24 @@
     heard: int  # us since its last word
 
 
-class Members(msgspec.Struct, tag_field="say", tag="members"):
+class MembersReply(msgspec.Struct, tag_field="say", tag="members"):
     epoch: int
     head: int
-    members: tuple[MemberLine, ...]
+    members: tuple[MemberStatus, ...]
 
 
-class Grants(msgspec.Struct, tag_field="say", tag="grants", omit_defaults=True):
+class QuotaGrants(msgspec.Struct, tag_field="say", tag="grants", omit_defaults=True):
     """The answer to asks for shares.
 
     :param refused: those not obeyed, by their budgets or cold servers.
     """
 
-    grants: tuple[Grant, ...]
-    refused: dict[str, Refusal] = {}
-    colds: tuple[ColdGrant, ...] = ()
+    grants: tuple[QuotaGrant, ...]
+    refused: dict[str, QuotaRefusal] = {}
+    colds: tuple[SlowStartGrant, ...] = ()
 
 
-class Budgets(msgspec.Struct, tag_field="say", tag="budgets"):
+class QuotaStatus(msgspec.Struct, tag_field="say", tag="budgets"):
     """How the budgets stand; at most PAGE of them, those asked for last.
 
     :param refused: asks that were not obeyed since the ledger's start.
@@ -276,54 +287,54 @@
     """
 
     epoch: int
-    budgets: tuple[State, ...]
+    budgets: tuple[BudgetState, ...]
     refused: int
-    colds: tuple[ColdState, ...] = ()
+    colds: tuple[SlowStartState, ...] = ()
 
 
-class Judged(msgspec.Struct, tag_field="say", tag="judged", omit_defaults=True):
+class EjectionVerdicts(msgspec.Struct, tag_field="say", tag="judged", omit_defaults=True):
     """The caches that are to be left out for now; those not named are not.
 
     :param loads: reqs that all routers have out at each cache, -1: not known; those not named have none.
         None: it was not asked for.
     """
 
-    judgements: tuple[Judgement, ...]
+    judgements: tuple[EjectionVerdict, ...]
     loads: dict[str, int] | None = None
 
 
-class View(msgspec.Struct):
+class StoreHealth(msgspec.Struct):
     """How the caches of a store stand."""
 
     store: str
-    judgements: tuple[Judgement, ...]
-    counts: tuple[Count, ...]
+    judgements: tuple[EjectionVerdict, ...]
+    counts: tuple[CacheLoad, ...]
 
 
-class Views(msgspec.Struct, tag_field="say", tag="views"):
+class HealthReply(msgspec.Struct, tag_field="say", tag="views"):
     epoch: int
-    views: tuple[View, ...]
+    views: tuple[StoreHealth, ...]
 
 
-FromLedger = (
-    Taken
-    | Refused
+FromPurgeLog = (
+    PurgeAccepted
+    | RequestRejected
     | Welcome
-    | Purges
+    | PurgeBatch
     | Snapshot
-    | Beat
-    | Caught
-    | Status
-    | Members
-    | Grants
-    | Budgets
-    | Judged
-    | Views
+    | Heartbeat
+    | CaughtUp
+    | PurgeStatus
+    | MembersReply
+    | QuotaGrants
+    | QuotaStatus
+    | EjectionVerdicts
+    | HealthReply
 )
 
 _encoder = msgspec.json.Encoder()
-_to_ledger = msgspec.json.Decoder(ToLedger)
-_from_ledger = msgspec.json.Decoder(FromLedger)
+_to_ledger = msgspec.json.Decoder(ToPurgeLog)
+_from_ledger = msgspec.json.Decoder(FromPurgeLog)
 
 
 def page(purges: Sequence[Purge]) -> Sequence[Purge]:
@@ -336,19 +347,19 @@
     return purges[:PAGE]
 
 
-class Unreadable(ValueError):
+class MalformedMessage(ValueError):
     """A line that no member or ledger of this version writes."""
 
 
-def line(said: msgspec.Struct) -> bytes:
+def encode_line(said: msgspec.Struct) -> bytes:
     return _encoder.encode(said) + b"\n"
 
 
-def to_ledger(data: bytes) -> ToLedger:
+def decode_to_purge_log(data: bytes) -> ToPurgeLog:
     return _read(_to_ledger, data)
 
 
-def from_ledger(data: bytes) -> FromLedger:
+def decode_from_purge_log(data: bytes) -> FromPurgeLog:
     return _read(_from_ledger, data)
 
 
@@ -356,14 +367,14 @@
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise Unreadable(str(error)) from None
+        raise MalformedMessage(str(error)) from None
 
 
-def faulty(send: Send) -> Refused | None:
+def faulty(send: PurgeRequest) -> RequestRejected | None:
     """What is wrong with a purge that somebody sends."""
 
-    def no(place: str, reason: str, remedy: str) -> Refused:
-        return Refused(place, reason, remedy)
+    def no(place: str, reason: str, remedy: str) -> RequestRejected:
+        return RequestRejected(place, reason, remedy)
 
     if send.kind == "all":
         if send.values:
@@ -377,9 +388,10 @@
     for value in send.values:
         if not WORD.fullmatch(value):
             return no(
-                "values", f"{value!r:.60} is no {send.kind}",
+                "values",
+                f"{value!r:.60} is no {send.kind}",
                 f"use 1 to {VALUE_MOST} characters without blanks",
-            )  # fmt: skip
+            )
         if send.kind == "pattern" and (why := bad_pattern(value)):
             return no("values", f"{value!r:.60}: {why}", "see 'Patterns' in docs/purges.md")
     for place, word in (("vhost", send.vhost), ("store", send.store)):
--- a/quartzrouter/purges/delays.py
+++ b/quartzrouter/purges/propagation_delays.py
@@ -6,7 +6,7 @@
 TOLD = {"p50": 50, "p99": 99, "highest": 100}
 
 
-class Delays:
+class PropagationDelays:
     def __init__(self) -> None:
         self.histogram, self.count = HdrHistogram(1, MOST, 2), 0
 
--- a/quartzrouter/purges/marks.py
+++ b/quartzrouter/purges/purge_index.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-from quartzrouter.purges.names import of_object
+from quartzrouter.purges.messages import Purge
+from quartzrouter.purges.object_names import of_object
+from quartzrouter.purges.timer_wheel import TimerWheel
 from quartzrouter.purges.trie import Trie
-from quartzrouter.purges.wheel import Wheel
-from quartzrouter.purges.words import Purge
 
 SLOTS = 64  # of the wheel over a mark's life: marks live at most one part in so many too long
 SCOPES_MOST = 256  # vhosts by stores; beyond, a purge holds for all
@@ -18,7 +18,7 @@
 EVERYWHERE = ("", "")
 
 
-class Asked(NamedTuple):
+class PurgeLookup(NamedTuple):
     """What marks look at of a req."""
 
     vhost: str
@@ -38,7 +38,7 @@
         self.tags: dict[str, int] = {}
         self.trie = Trie()
 
-    def newest(self, asked: Asked, tags: Iterable[str] | None, above: int) -> int:
+    def newest(self, asked: PurgeLookup, tags: Iterable[str] | None, above: int) -> int:
         best = max(above, self.all, self.objects.get(asked.obj, 0))
         if tags is None:
             best = max(best, self.tags_newest)
@@ -54,7 +54,7 @@
         return not (self.all or self.objects or self.tags or self.trie.root.newest)
 
 
-class Marks:
+class PurgeIndex:
     """Marks of all scopes.
 
     :param life: us for which a mark is held.
@@ -64,7 +64,7 @@
     def __init__(self, life: int, most: int):
         self.life, self.most = life, most
         self.scopes: dict[tuple[str, str], Scope] = {}
-        self.wheel = Wheel(max(1, life // SLOTS))
+        self.wheel = TimerWheel(max(1, life // SLOTS))
         self.merged = 0  # marks that became one of their scope
         self.forgotten = 0  # the highest number among those whose life is over
 
@@ -99,7 +99,7 @@
         if self.wheel.count > self.most:
             self._merge()
 
-    def newest(self, asked: Asked, tags: Iterable[str] | None, store: str, above: int = 0) -> int:
+    def newest(self, asked: PurgeLookup, tags: Iterable[str] | None, store: str, above: int = 0) -> int:
         """us of the newest purge that takes a copy; `above` where none is newer.
 
         :param tags: of the copy; None: not known, so that it may carry any.
--- a/quartzrouter/purges/attempts.py
+++ b/quartzrouter/purges/reconnect_backoff.py
@@ -7,7 +7,7 @@
 MISSES = 3  # questions without an answer, each a lease long, until a standby takes over
 
 
-class Attempts:
+class ReconnectBackoff:
     """Addresses in turn, with pauses that grow until something was heard.
 
     :param name: for chance, so that members which lost the ledger together don't come back together.
