--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,28 +5,32 @@
 
 import pytest
 
-from quartzrouter import control
-from quartzrouter.briefing import Briefing
-from quartzrouter.interface import (
-    ColdStart,
-    Dispatch,
-    Effect,
-    Ending,
-    Listed,
-    Outcome,
-    Permits,
-    Report,
-    Req,
-    State,
+from quartzrouter.configuration import DeploymentSettings
+from quartzrouter.routing import LOGGER_NAME
+from quartzrouter.routing.model import (
+    AttemptResult,
+    AttemptStatus,
+    Capabilities,
+    Endpoint,
+    EndpointState,
+    FillStatus,
+    Forward,
+    Idempotency,
+    LoadReport,
+    Request,
+    SlowStart,
     Tier,
-    Told,
-    VHost,
+    TrafficClass,
 )
-from quartzrouter.net import journal, progress, reducer
+from quartzrouter.routing.router import Router
+from quartzrouter.server import attempt_failure, endpoint_watch, state_machine
 
 MS, S = 1_000, 1_000_000
 SETUP = {
-    "me": 0, "peers_total": 1, "zone": "north", "zones": ["hub", "north"],
+    "me": 0,
+    "peers_total": 1,
+    "zone": "north",
+    "zones": ["hub", "north"],
     "models": ["box", "parent", "origin"],
     "categories": [
         {"name": "page", "effect": "retryable", "aim_us": 400000, "deadline_us": 3000000, "worth": 1.0},
@@ -35,17 +39,26 @@
     "limits": {"try_limit": 4, "cancel": True, "retry_after": True, "max_retry_after_us": 2000000, "news": 1},
     "family_info": {"shield_kind": 1, "store_kind": 2, "flow_kb_per_s": 1000, "never_kept": [False, True]},
     "rules": {"cold_from": 0.25, "ramp_time_us": 16000000, "tip_multiple": 2.0, "tip_after_us": 1000000},
-}  # fmt: skip
+}
 TRACES = Path(__file__).parent / "traces"
 KEYED = {"name": "hold", "effect": "dedup", "group": "all", "window_us": 3000000}
 
 
-def vhost(name, effect=Effect.REPLAYABLE, **other):
+def vhost(name, effect=Idempotency.IDEMPOTENT, **other):
     given = dict(
-        value=1.0, first_byte_target=400 * MS, target_stretch=2.0, client_timeout=3 * S, late_share=0.2,
-        repeats_within="all", repeats_for=3 * S, fresh_for=0, grace_for=0, old_share=0.7, never_kept=False,
-    )  # fmt: skip
-    return VHost(name, effect, **(given | other))
+        priority_weight=1.0,
+        latency_objective=400 * MS,
+        objective_stretch=2.0,
+        client_timeout=3 * S,
+        late_value_share=0.2,
+        deduplication_scope="all",
+        deduplication_window=3 * S,
+        max_age=0,
+        stale_grace=0,
+        stale_value_share=0.7,
+        uncacheable=False,
+    )
+    return TrafficClass(name, effect, **(given | other))
 
 
 def listed(states, started=0):
@@ -59,7 +72,7 @@
     for name, state in states.items():
         tier, kind, rating = tiers[name[0]]
         location = "north" if tier is Tier.CACHE else "hub"
-        found.append(Listed(name, location, tier, kind, 0, State(state), rating, started))
+        found.append(Endpoint(name, location, tier, kind, 0, EndpointState(state), rating, started))
     return found
 
 
@@ -74,23 +87,37 @@
     def __init__(self, lines, rated=True, **permits):
         super().__init__()
         self.lines, self.now, self.hops, self.last = lines, 10 * S, {}, {}
-        control.log.handlers, control.log.propagate = [self], False
-        control.log.setLevel(logging.INFO)
+        decisions_log = logging.getLogger(LOGGER_NAME)
+        decisions_log.handlers, decisions_log.propagate = [self], False
+        decisions_log.setLevel(logging.INFO)
         given = dict(
-            dispatches=4, pass_through=True, joins=True, siblings=False, probes=True, call_off=True,
-            longest_wait=2 * S, subscribe=False,
-        )  # fmt: skip
-        cold = ColdStart(floor=0.25, ramp=16 * S, multiple=2.0, window=S, routers=2)
-        self.router = control.Router(
-            me=0, seed=7, home="north", permits=Permits(**(given | permits)),
-            cold_cache=cold, cold_parent=cold, purge_life=6 * S, pace=1000.0, rated=rated,
+            max_attempts=4,
+            pass_through=True,
+            request_collapsing=True,
+            siblings=False,
+            health_checks=True,
+            cancellation=True,
+            max_retry_after=2 * S,
+            discovery_on_request=False,
+        )
+        cold = SlowStart(initial_share=0.25, ramp_time=16 * S, overload_factor=2.0, window=S, routers=2)
+        self.router = Router(
+            me=0,
+            seed=7,
+            home="north",
+            permits=Capabilities(**(given | permits)),
+            cold_cache=cold,
+            cold_parent=cold,
+            purge_life=6 * S,
+            pace=1000.0,
+            rated=rated,
             vhosts=[
-                vhost("clip", value=2.0, first_byte_target=500 * MS, client_timeout=5 * S),
-                vhost("page", fresh_for=8 * S, grace_for=20 * S),
-                vhost("sale", Effect.UNIQUED, value=3.0, never_kept=True),
-                vhost("vote", Effect.NON_REPLAYABLE, value=3.0, never_kept=True),
+                vhost("clip", priority_weight=2.0, latency_objective=500 * MS, client_timeout=5 * S),
+                vhost("page", max_age=8 * S, stale_grace=20 * S),
+                vhost("sale", Idempotency.IDEMPOTENT_WITH_KEY, priority_weight=3.0, uncacheable=True),
+                vhost("vote", Idempotency.NON_IDEMPOTENT, priority_weight=3.0, uncacheable=True),
             ],
-        )  # fmt: skip
+        )
         self.list(whole=True, c1="up", c2="up", c3="up", p1="up", p2="up", o="up")
 
     def emit(self, record):
@@ -100,15 +127,16 @@
         self.lines.append(f"{self.now // MS - 10_000:6d} ms  {text}")
 
     def list(self, whole=False, started=0, **states):
-        self.router.heard(listed(states, started), whole, self.now)
+        self.router.update_endpoints(listed(states, started), whole, self.now)
 
     def pass_(self, ms):
         self.now += ms * MS
 
     def say(self, what, answer):
-        if isinstance(answer, Dispatch):
-            oldest = f"{answer.oldest // MS} ms" if answer.oldest else "usual"
-            text = f"{answer.be} filling from {answer.source}, rank {answer.rank}, age {oldest}"
+        if isinstance(answer, Forward):
+            oldest = f"{answer.max_age // MS} ms" if answer.max_age else "usual"
+            rank = answer.cache_priority
+            text = f"{answer.endpoint} filling from {answer.fill_source}, rank {rank}, age {oldest}"
         else:
             text = "nothing" if answer is None else str(answer)
         self.print(f"{what}: {text}")
@@ -116,21 +144,27 @@
 
     def req(self, id, vhost, obj="a", kb=200.0, part=0, group=1, timeout=None, quiet=False):
         timeout = timeout or self.router.vhosts[vhost].client_timeout // MS
-        self.last[id] = Req(id, vhost, obj, group, part, kb, timeout * MS)
+        self.last[id] = Request(id, vhost, obj, group, part, kb, timeout * MS)
         return self.ask(id, quiet)
 
     def ask(self, id, quiet=False):
         req = self.last[id]
         answer = self.router.route(req, self.now)
-        if isinstance(answer, Dispatch):
-            self.hops[id] = answer.hop
-        return answer if quiet else self.say(f"req {id} {req.vhost} {req.obj}/{req.part}", answer)
-
-    def end(self, id, ending, told=Told.NOTHING, elapsed=50, quiet=False, **report):
-        outcome = Outcome(self.hops[id], ending, elapsed * MS, told, ending is Ending.DONE, Report(**report))
-        answer = self.router.after(id, outcome, self.now)
-        if isinstance(answer, Dispatch):
-            self.hops[id] = answer.hop
+        if isinstance(answer, Forward):
+            self.hops[id] = answer.attempt_number
+        return (
+            answer
+            if quiet
+            else self.say(f"req {id} {req.traffic_class} {req.object_key}/{req.chunk}", answer)
+        )
+
+    def end(self, id, ending, told=FillStatus.UNKNOWN, elapsed=50, quiet=False, **report):
+        outcome = AttemptResult(
+            self.hops[id], ending, elapsed * MS, told, ending is AttemptStatus.SUCCEEDED, LoadReport(**report)
+        )
+        answer = self.router.attempt_finished(id, outcome, self.now)
+        if isinstance(answer, Forward):
+            self.hops[id] = answer.attempt_number
         return (
             answer
             if quiet
@@ -155,12 +189,12 @@
             "never_kept": [False, True, True],
             "pass_through_ok": True,
         }
-        self.reducer = reducer.Reducer(control.Router(**Briefing(setup, 7).arguments))
+        self.reducer = state_machine.RouterStateMachine(Router(**DeploymentSettings(setup, 7).arguments))
         self.list(whole=True, c1="up", c2="up", p1="up", o="up")
 
     def list(self, whole=False, **states):
         addresses = {name: (f"127.0.0.{n}", 80) for n, name in enumerate(states, 1)}
-        self.do(f"list {states}", journal.Lines(listed(states), addresses, whole))
+        self.do(f"list {states}", endpoint_watch.EndpointUpdate(listed(states), addresses, whole))
 
     def came(self, ticket, vhost="page", **other):
         given = {
@@ -171,24 +205,29 @@
             "group": 5,
             "timeout": 2 * S,
         }
-        self.do(f"req {ticket} {vhost}", reducer.Came(ticket, reducer.Call(**(given | other))))
+        self.do(
+            f"req {ticket} {vhost}",
+            state_machine.RequestReceived(ticket, state_machine.ClientRequest(**(given | other))),
+        )
 
     def answered(self, ticket, status=200, length=None, never_ran=False, marked=True, hop=0):
-        event = reducer.Head(ticket, hop, status, length, never_ran, marked, Told.NOTHING)
+        event = state_machine.ResponseHead(ticket, hop, status, length, never_ran, marked, FillStatus.UNKNOWN)
         self.do(f"req {ticket} head {status}", event)
 
     def over(self, ticket, *failure, hop=0, body=b""):
-        event = reducer.Over(ticket, hop, progress.Failure(*failure) if failure else None, body)
+        event = state_machine.AttemptEnded(
+            ticket, hop, attempt_failure.Failure(*failure) if failure else None, body
+        )
         self.do(f"req {ticket} over {failure[1].name.lower() if failure else 'whole'}", event)
 
     def ready(self, ticket, hop=0):
-        self.do(f"req {ticket} ready", reducer.Ready(ticket, hop))
+        self.do(f"req {ticket} ready", state_machine.ConnectionReady(ticket, hop))
 
     def until(self, ms):
         """Lets the timers fire up to that time."""
         while self.reducer.due <= self.start + ms * MS:
             self.now = max(self.now, self.reducer.due)
-            self.do("tick", reducer.Tick(), quiet=True)
+            self.do("tick", state_machine.TimerFired(), quiet=True)
         self.now = self.start + ms * MS
 
     def do(self, text, event, quiet=False):
@@ -197,7 +236,7 @@
             self.lines.append(f"{(self.now - self.start) // MS:6d} ms  {text}")
         for effect in effects:
             shown = ", ".join(str(value) for value in effect)
-            self.lines.append(f"{'':13s}{type(effect).__name__.lower()} {shown}")
+            self.lines.append(f"{'':13s}{type(effect).__name__} {shown}")
 
 
 @pytest.fixture
@@ -220,7 +259,7 @@
 @pytest.fixture
 def told(trace):
     """Load is told in answers, and nothing may be probed."""
-    return Drive(trace, probes=False, reports=True)
+    return Drive(trace, health_checks=False, load_in_responses=True)
 
 
 @pytest.fixture
@@ -239,4 +278,4 @@
 def no_log_is_left():
     """The log of the decisions is one for the process; a service in a test takes it over."""
     yield
-    control.log.handlers = []
+    logging.getLogger(LOGGER_NAME).handlers = []
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -3,11 +3,11 @@
 import json
 
 import anyio
-
 from conftest import SETUP
-from quartzrouter.briefing import Configuration, read
-from quartzrouter.net import serve
-from quartzrouter.standin.loopback import MARKS, TAG, WHOLE, Client, begin, free_port, heads, listen, tagged
+
+from quartzrouter.configuration import Configuration, read
+from quartzrouter.fakes.loopback import MARKS, TAG, WHOLE, Client, begin, free_port, heads, listen, tagged
+from quartzrouter.server import process
 
 __all__ = ["MARKS", "TAG", "WHOLE", "Client", "World", "begin", "free_port", "tagged"]
 
@@ -56,16 +56,27 @@
 
     def tell(self, cache, journal, **other):
         members = [
-            {"id": f"s-0000000{n}", "host_port": cache, "locality": "north", "flavor": flavor, "cell": 0,
-             "phase": "SERVING", "size": 6, "up_since_ms": 0}
+            {
+                "id": f"s-0000000{n}",
+                "host_port": cache,
+                "locality": "north",
+                "flavor": flavor,
+                "cell": 0,
+                "phase": "SERVING",
+                "size": 6,
+                "up_since_ms": 0,
+            }
             for n, flavor in enumerate(["box", "box", "parent", "origin"])
-        ]  # fmt: skip
+        ]
         told = {
-            "name": "n0", "listen": "127.0.0.1:1", "journal": journal, "seed": "7",
+            "name": "n0",
+            "listen": "127.0.0.1:1",
+            "journal": journal,
+            "seed": "7",
             "limits": {"sockets": 128},
             "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": members}}]},
             "settings": SETUP,
-        } | other  # fmt: skip
+        } | other
         self.path.write_text(json.dumps(told))
 
     def play(self, scene, frames=(), **other):
@@ -84,10 +95,10 @@
                     await scene(lambda: self.connect(port))
                     tasks.cancel_scope.cancel()
 
-        anyio.run(run, backend_options=serve.LOOP)
+        anyio.run(run, backend_options=process.LOOP)
 
     def router(self, environ):
-        return serve.Service(
+        return process.RouterProcess(
             Configuration(read(environ), environ), lambda: Configuration(read(environ), environ)
         )
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -7,8 +7,8 @@
 from click.testing import CliRunner
 
 from quartzrouter.cli.main import cli
-from quartzrouter.plan.load import load
-from quartzrouter.plan.reference import reference
+from quartzrouter.config.loader import load
+from quartzrouter.config.reference import reference
 
 ROOT = Path(__file__).parent.parent
 REGIONS = str(ROOT / "examples/regions/main.plan")
@@ -21,17 +21,29 @@
     return made.exit_code, made.output
 
 
-@pytest.mark.parametrize("words, status", [
-    (("plan", "check", REGIONS), 0), (("plan", "check", "--strict", REGIONS), 1),
-    (("plan", "check", BROKEN), 1),
-    (("plan", "check", "none.plan"), 1), (("plan", "check"), 2), (("plan", "fmt", "--check", REGIONS), 0),
-    (("plan", "fmt", "--check", BROKEN, "none.plan"), 1), (("plan", "diff", REGIONS, REGIONS), 0),
-    (("plan", "diff", REGIONS, HOLDS), 1), (("plan", "compile", REGIONS), 1), (("plan", "compile", HOLDS), 0),
-    (("plan", "explain", REGIONS, "no req"), 2),
-    (("plan", "explain", REGIONS, "GET /a", "--store", "moon"), 2),
-    (("rehearse", "nothing"), 2), (("rehearse",), 0), (("completion", "bash"), 0), (("--version",), 0),
-    (("run", BROKEN), 1),
-])  # fmt: skip
+@pytest.mark.parametrize(
+    "words, status",
+    [
+        (("plan", "check", REGIONS), 0),
+        (("plan", "check", "--strict", REGIONS), 1),
+        (("plan", "check", BROKEN), 1),
+        (("plan", "check", "none.plan"), 1),
+        (("plan", "check"), 2),
+        (("plan", "fmt", "--check", REGIONS), 0),
+        (("plan", "fmt", "--check", BROKEN, "none.plan"), 1),
+        (("plan", "diff", REGIONS, REGIONS), 0),
+        (("plan", "diff", REGIONS, HOLDS), 1),
+        (("plan", "compile", REGIONS), 1),
+        (("plan", "compile", HOLDS), 0),
+        (("plan", "explain", REGIONS, "no req"), 2),
+        (("plan", "explain", REGIONS, "GET /a", "--store", "moon"), 2),
+        (("rehearse", "nothing"), 2),
+        (("rehearse",), 0),
+        (("completion", "bash"), 0),
+        (("--version",), 0),
+        (("run", BROKEN), 1),
+    ],
+)
 def test_exit_status(words, status):
     code, said = call(*words)
     assert code == status, said
@@ -58,7 +70,7 @@
 
 
 def test_compiled_plans_start_the_platforms_router():
-    from quartzrouter.briefing import Configuration
+    from quartzrouter.configuration import Configuration
 
     _, said = call("plan", "compile", HOLDS)
     configuration = Configuration(json.loads(said), {})
@@ -100,8 +112,15 @@
     import subprocess
     import sys
 
-    code = "import sys, quartzrouter.net.serve, quartzrouter.drill.host; print(*sys.modules)"
+    code = "import sys, quartzrouter.server.process, quartzrouter.drill.host; print(*sys.modules)"
     told = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     ).stdout.split()
-    assert not {"click", "lark", "structlog", "xxhash", "quartzrouter.plan", "quartzrouter.force"} & set(told)
+    assert not {
+        "click",
+        "lark",
+        "structlog",
+        "xxhash",
+        "quartzrouter.config",
+        "quartzrouter.pool_routing",
+    } & set(told)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,17 +11,17 @@
 
 import anyio
 import pytest
-
 from standins import World, free_port
-from quartzrouter.net import front, serve, stream
+
+from quartzrouter.server import client_connections, process, stream
 
 CROSSES = 0.05  # s: a front sends a req again that was written so shortly before a close
 # the router, with a task that keeps it from everything else for 20 to 200 ms at a time
 STALLED = """
 import os, random, sys, time, anyio
-from quartzrouter.net import serve
+from quartzrouter.server import process
 chance = random.Random(11)
-class Service(serve.Service):
+class Service(process.RouterProcess):
     async def _timers(self):
         self.tasks.start_soon(self.stall)
         await super()._timers()
@@ -29,8 +29,8 @@
         while True:
             await anyio.sleep(chance.uniform(0.005, 0.06))
             time.sleep(chance.uniform(0.02, 0.2))
-serve.Service = Service
-sys.exit(serve.main(os.environ))
+process.RouterProcess = Service
+sys.exit(process.main(os.environ))
 """
 
 
@@ -101,7 +101,7 @@
                 tasks.cancel_scope.cancel()
         return crowd.ends
 
-    ends = anyio.run(run, backend_options=serve.LOOP)
+    ends = anyio.run(run, backend_options=process.LOOP)
     print(ends)
     assert sum(ends.values()) == 3_000 and ends["answered"] > 2_700
     assert ends["lost"] == 0
@@ -109,7 +109,7 @@
 
 def test_what_a_busy_router_has_not_read_keeps_its_connection(world, trace, monkeypatch):
     """A req reaches the kernel after the router last read, long before it looks for room."""
-    make_room, behind = front.Front._make_room, []
+    make_room, behind = client_connections.ClientConnections._make_room, []
 
     def late(self):
         for client, id in behind:
@@ -124,7 +124,7 @@
             await client.begin(id)
             await client.end()
         behind.extend((client, 100 + n) for n, client in enumerate(idle[:12]))
-        monkeypatch.setattr(front.Front, "_make_room", late)
+        monkeypatch.setattr(client_connections.ClientConnections, "_make_room", late)
         new = await connect()
         await new.begin(50)
         trace.append(f"new: {await new.end()}")
@@ -148,7 +148,7 @@
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         await anyio.aclose_forcefully(reset.stream)  # a reset; the router's task has not run yet
         assert ended.stream.pending() is stream.Pending.ENDED and ended.waited >= 0 and ended.retire()
-        await anyio.sleep(2 * front.SWEEP_EVERY)
+        await anyio.sleep(2 * client_connections.SWEEP_EVERY)
         assert ended.stream.pending() is stream.Pending.ENDED and not ended.waited  # closed here
         await kept.begin(2)
         assert "200 OK" in await kept.end()
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -4,15 +4,15 @@
 
 import h11
 import pytest
-
 from conftest import SETUP, frame
-from quartzrouter.briefing import Briefing, Configuration, Section, Unusable, read
-from quartzrouter.net import answer, backend, fastcgi, front, journal
-from quartzrouter.net.ring import Ring
+
+from quartzrouter.configuration import Configuration, ConfigurationError, DeploymentSettings, Section, read
+from quartzrouter.server import cache_connections, client_connections, endpoint_watch, fastcgi, responses
+from quartzrouter.server.ring_buffer import RingBuffer
 
 
 def test_a_ring_wraps_and_keeps_the_order(trace):
-    ring, sent = Ring(8), iter(range(100))
+    ring, sent = RingBuffer(8), iter(range(100))
     for put, take in ((5, 3), (6, 4), (4, 8), (8, 5), (5, 8)):
         ring.put(bytes(next(sent) for _ in range(put)))
         trace.append(f"in {put}, out {list(ring.take(take))}, left {len(ring)}")
@@ -34,8 +34,8 @@
         + fastcgi.record(fastcgi.STDIN, 300, b"")
     )
     for step in (1, 7, len(data)):
-        ring, params, pieces = Ring(1000), b"", 0
-        records = fastcgi.Records(ring)
+        ring, params, pieces = RingBuffer(1000), b"", 0
+        records = fastcgi.RecordReader(ring)
         for at in range(0, len(data), step):
             ring.put(data[at : at + step])
             while record := records.next():
@@ -48,38 +48,60 @@
 
 @pytest.mark.parametrize("data", [b"\x05a", b"\x01\x01a", b"\x81\x00\x00", b"\xff\xff\xff\xff\x01ab"])
 def test_pairs_that_are_cut_off(data):
-    with pytest.raises(fastcgi.Broken):
+    with pytest.raises(fastcgi.ProtocolError):
         fastcgi.pairs(data)
 
 
 def test_records_out(trace):
     for data in (
-        *fastcgi.stdout(1, b"x" * 20_000), fastcgi.end(258), fastcgi.end(1, whole=False),
-        fastcgi.end(1, protocol=fastcgi.OVERLOADED), fastcgi.unknown(77),
+        *fastcgi.stdout(1, b"x" * 20_000),
+        fastcgi.end(258),
+        fastcgi.end(1, whole=False),
+        fastcgi.end(1, protocol=fastcgi.OVERLOADED),
+        fastcgi.unknown(77),
         fastcgi.values({"FCGI_MPXS_CONNS": "", "OTHER": ""}, {"FCGI_MPXS_CONNS": 1}),
-        answer.head(200, 3), answer.still_good(), answer.denied(1_500), answer.denied(0), answer.aborted(),
-        answer.refused(404, "no such vhost"), answer.health(False),
-    ):  # fmt: skip
+        responses.head(200, 3),
+        responses.not_modified(),
+        responses.overloaded(1_500),
+        responses.overloaded(0),
+        responses.failed(),
+        responses.invalid(404, "no such vhost"),
+        responses.health(False),
+    ):
         trace.append(f"{len(data)} bytes, {data[:120]}")
 
 
 def test_reqs_that_cannot_be_used(trace):
     whole = {
-        "SCRIPT_NAME": "/rpc/page", "HTTP_X_CORRELATION_ID": "0123456789abcdef", "HTTP_X_DEADLINE_MS": "900",
-        "HTTP_X_SUBJECT": "00000000000000ff", "HTTP_X_CHUNK": "3", "HTTP_X_TAG": "17",
-    }  # fmt: skip
+        "SCRIPT_NAME": "/rpc/page",
+        "HTTP_X_CORRELATION_ID": "0123456789abcdef",
+        "HTTP_X_DEADLINE_MS": "900",
+        "HTTP_X_SUBJECT": "00000000000000ff",
+        "HTTP_X_CHUNK": "3",
+        "HTTP_X_TAG": "17",
+    }
     key = {"HTTP_X_OPERATION_KEY": "0" * 32}
     for change in (
-        {}, {"HTTP_X_KNOWN": "0" * 16}, {"HTTP_X_KNOWN": "?"}, {"HTTP_X_CHUNK": "-1"}, {"HTTP_X_CHUNK": None},
-        {"HTTP_X_TAG": "256"}, {"HTTP_X_TAG": None}, {"HTTP_X_DEADLINE_MS": "0"},
+        {},
+        {"HTTP_X_KNOWN": "0" * 16},
+        {"HTTP_X_KNOWN": "?"},
+        {"HTTP_X_CHUNK": "-1"},
+        {"HTTP_X_CHUNK": None},
+        {"HTTP_X_TAG": "256"},
+        {"HTTP_X_TAG": None},
+        {"HTTP_X_DEADLINE_MS": "0"},
         {"HTTP_X_DEADLINE_MS": "9" * 9},
-        {"HTTP_X_SUBJECT": "00000000000000f\r"}, {"HTTP_X_CORRELATION_ID": ""}, {"SCRIPT_NAME": "/rpc/other"},
-        {"SCRIPT_NAME": "/page"}, {"SCRIPT_NAME": "/rpc/hold"}, {"SCRIPT_NAME": "/rpc/hold"} | key,
-    ):  # fmt: skip
+        {"HTTP_X_SUBJECT": "00000000000000f\r"},
+        {"HTTP_X_CORRELATION_ID": ""},
+        {"SCRIPT_NAME": "/rpc/other"},
+        {"SCRIPT_NAME": "/page"},
+        {"SCRIPT_NAME": "/rpc/hold"},
+        {"SCRIPT_NAME": "/rpc/hold"} | key,
+    ):
         params = {name: value for name, value in (whole | change).items() if value is not None}
         try:
-            said = front.call(params, {"page": False, "hold": True}.get)
-        except front.Unusable as error:
+            said = client_connections.parse_request(params, {"page": False, "hold": True}.get)
+        except client_connections.InvalidRequest as error:
             said = f"{error.status} {error}"
         trace.append(f"{change}: {said}")
 
@@ -91,14 +113,18 @@
         (200, [("Transfer-Encoding", "chunked")]),
         (200, [("Content-Length", "5"), *marks, ("X-Ttfb", "9.4"), ("X-Report", "busy:0.61;x1:1.2;x0:0.4")]),
         (200, [("Content-Length", "5"), *marks, ("X-Ttfb", "soon"), ("X-Report", "util:0.7;x1:nan;busy;:")]),
-        (200, marks), (200, [("Content-Length", "5"), ("X-Tag", "4be0"), ("X-Minted", "soon")]), (304, marks),
-        (200, [("Content-Length", "5"), ("X-Tell", "guessed")]), (503, [("X-No-Effect", "1")]), (503, []),
-    ):  # fmt: skip
+        (200, marks),
+        (200, [("Content-Length", "5"), ("X-Tag", "4be0"), ("X-Minted", "soon")]),
+        (304, marks),
+        (200, [("Content-Length", "5"), ("X-Tell", "guessed")]),
+        (503, [("X-No-Effect", "1")]),
+        (503, []),
+    ):
         response = h11.Response(status_code=status, headers=fields)
         try:
-            told = backend.fields_of(response)
-            said = backend.read_head(1, 0, response.status_code, told, reports=True)
-        except backend.Unreadable as error:
+            told = cache_connections.fields_of(response)
+            said = cache_connections.read_head(1, 0, response.status_code, told, reports=True)
+        except cache_connections.MalformedResponse as error:
             said = f"Unreadable {error}"
         trace.append(f"{status} {fields}: {said}")
 
@@ -107,59 +133,99 @@
 
 
 def test_frames_of_the_journal(trace):
-    briefing = Briefing(SETUP, 7)
+    briefing = DeploymentSettings(SETUP, 7)
     good = [
-        frame(5, 0), frame(6, 1, LINE), frame(7, 2, LINE), frame(8, 3, bytes(7) + b"\x07" + bytes(8)),
+        frame(5, 0),
+        frame(6, 1, LINE),
+        frame(7, 2, LINE),
+        frame(8, 3, bytes(7) + b"\x07" + bytes(8)),
         frame(9, 4, b"\x00\x11" + (1764576000480).to_bytes(8, "big")),
-    ]  # fmt: skip
+    ]
     for wrong in (
-        b"", frame(9, 3, bytes(16)), frame(11, 3, bytes(16)), frame(10, 0), frame(10, 9),
+        b"",
+        frame(9, 3, bytes(16)),
+        frame(11, 3, bytes(16)),
+        frame(10, 0),
+        frame(10, 9),
         frame(10, 1, LINE[:-1]),
-        frame(10, 2, LINE.replace(b"\x20\xfb\x01", b"\x20\xfb\x07")), b"\xff" * 13, bytes(13),
-    ):  # fmt: skip
-        ring, held = Ring(journal.RING), 5
+        frame(10, 2, LINE.replace(b"\x20\xfb\x01", b"\x20\xfb\x07")),
+        b"\xff" * 13,
+        bytes(13),
+    ):
+        ring, held = RingBuffer(endpoint_watch.RING), 5
         ring.put(b"".join(good) + wrong)
         try:
-            while found := journal.next_frame(ring):
-                said, held = journal.frame(held, *found, briefing), found[0]
+            while found := endpoint_watch.next_frame(ring):
+                said, held = endpoint_watch.frame(held, *found, briefing), found[0]
                 if not wrong:
                     trace.append(f"event {held}: {said}")
-        except journal.Spoilt as error:
+        except endpoint_watch.MalformedFrame as error:
             trace.append(f"after event {held}: {error}")
 
 
 def test_what_is_known_at_start(trace):
-    host = {"id": "s-00c41f7a", "host_port": "10.1.0.9:8443", "locality": "north", "flavor": "box", "cell": 2,
-            "phase": "SERVING", "size": 4, "up_since_ms": 0}  # fmt: skip
+    host = {
+        "id": "s-00c41f7a",
+        "host_port": "10.1.0.9:8443",
+        "locality": "north",
+        "flavor": "box",
+        "cell": 2,
+        "phase": "SERVING",
+        "size": 4,
+        "up_since_ms": 0,
+    }
     for entries in (
-        [{"pos": 41, "hosts": {"revision": 7, "complete": True, "members": [host]}},
-         {"pos": 42, "expire": {"name": "7f3a9c21e0b4d655", "stamp": 1764576000123}},
-         {"pos": 43, "expire": {"set": 17, "stamp": 1764576000480}}, {"pos": 44, "news": {}}],
+        [
+            {"pos": 41, "hosts": {"revision": 7, "complete": True, "members": [host]}},
+            {"pos": 42, "expire": {"name": "7f3a9c21e0b4d655", "stamp": 1764576000123}},
+            {"pos": 43, "expire": {"set": 17, "stamp": 1764576000480}},
+            {"pos": 44, "news": {}},
+        ],
         [{"hosts": {"members": [host | {"host_port": "10.1.0.9"}]}}],
         [{"hosts": {"members": [{"id": "s-1"}]}}],
-        [{"expire": {"set": 17}}], [{"hosts": {"members": 7}}], [{"expire": {"set": 17, "stamp": "now"}}],
-    ):  # fmt: skip
+        [{"expire": {"set": 17}}],
+        [{"hosts": {"members": 7}}],
+        [{"expire": {"set": 17, "stamp": "now"}}],
+    ):
         try:
             trace += [
                 str(event)
-                for event in journal.known(Section({"known": entries}).parts("known"), Briefing(SETUP, 7))
+                for event in endpoint_watch.initial_snapshot(
+                    Section({"known": entries}).parts("known"), DeploymentSettings(SETUP, 7)
+                )
             ]
-        except Unusable as error:
+        except ConfigurationError as error:
             trace.append(f"Unusable {error}")
 
 
 def test_what_cannot_be_used_at_start_is_named(trace, tmp_path):
     told = {
-        "listen": "127.0.0.1:8443", "journal": "127.0.0.1:4222", "seed": "8c1f30d27a5be964",
-        "limits": {"sockets": 1024}, "known": {"pos": 0, "entries": []}, "settings": SETUP, "news": 1,
-    }  # fmt: skip
+        "listen": "127.0.0.1:8443",
+        "journal": "127.0.0.1:4222",
+        "seed": "8c1f30d27a5be964",
+        "limits": {"sockets": 1024},
+        "known": {"pos": 0, "entries": []},
+        "settings": SETUP,
+        "news": 1,
+    }
     path = tmp_path / "config.json"
     for change in (
-        {}, {"listen": None}, {"listen": "here:1"}, {"journal": "127.0.0.1:0"}, {"seed": "?"}, {"seed": 7},
-        {"limits": {"sockets": 8}}, {"limits": []}, {"known": {"pos": -1}}, {"known": {"entries": [7]}},
-        {"settings": None}, {"settings": {}}, {"settings": SETUP | {"peers_total": "3"}},
+        {},
+        {"listen": None},
+        {"listen": "here:1"},
+        {"journal": "127.0.0.1:0"},
+        {"seed": "?"},
+        {"seed": 7},
+        {"limits": {"sockets": 8}},
+        {"limits": []},
+        {"known": {"pos": -1}},
+        {"known": {"entries": [7]}},
+        {"settings": None},
+        {"settings": {}},
+        {"settings": SETUP | {"peers_total": "3"}},
         {"settings": SETUP | {"categories": [{"name": "page"}, {"deadline_us": 1}]}},
-        {"settings": SETUP | {"limits": {"try_limit": 0}}}, {"settings": SETUP | {"limits": {"cancel": 1}}},
+        {"settings": SETUP | {"limits": {"try_limit": 0}}},
+        {"settings": SETUP | {"limits": {"cancel": 1}}},
         {"settings": SETUP | {"rules": {"cold_from": 1.5}}},
         {"settings": SETUP | {"family_info": {"good_for_us": [0, "long"]}}},
         {"settings": SETUP | {"load_report": {"how": "piggyback", "fields": ["x0", "busy"]}}},
@@ -169,15 +235,15 @@
         {"settings": SETUP | {"load_report": {"how": "piggyback", "fields": ["x0"]}}},
         {"settings": SETUP | {"limits": {"probes": True}, "load_report": {"how": "piggyback"}}},
         {"settings": SETUP | {"load_report": {"how": "answers"}}},
-    ):  # fmt: skip
+    ):
         path.write_text(json.dumps(told | change))
         try:
             said = Configuration(read({"NODE_CONFIG": str(path)}), {}).listen
-        except Unusable as error:
+        except ConfigurationError as error:
             said = error
         trace.append(f"{str(change)[:90]}: {said}")
     path.write_text("{")
     for environ in ({}, {"NODE_CONFIG": str(path)}, {"NODE_CONFIG": "/nowhere"}):
-        with pytest.raises(Unusable) as found:
+        with pytest.raises(ConfigurationError) as found:
             Configuration(read(environ), environ)
         trace.append(str(found.value).replace(str(path), "FILE"))
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -6,19 +6,33 @@
 
 import hypothesis.strategies as st
 import pytest
+from conftest import MS, S, listed, vhost
 from hypothesis import given, settings
 
-from conftest import MS, S, listed, vhost
-from quartzrouter import control
-from quartzrouter.interface import ColdStart, Dispatch, Ending, Outcome, Permits, Req, Told
+from quartzrouter.routing import router as router_module
+from quartzrouter.routing.model import (
+    AttemptResult,
+    AttemptStatus,
+    Capabilities,
+    FillStatus,
+    Forward,
+    Request,
+    SlowStart,
+)
 
 SENDING = 25 * MS  # of a req, at full pace
 LINKS = {"c1": 6.0, "p1": 20.0}  # transfers at once, as the list rates a cache and a hub
 LENGTH, BURST = 3 * S, 100 * MS
-PERMITS = Permits(
-    dispatches=4, pass_through=True, joins=True, siblings=False, probes=False, call_off=True,
-    longest_wait=0, subscribe=False,
-)  # fmt: skip
+PERMITS = Capabilities(
+    max_attempts=4,
+    pass_through=True,
+    request_collapsing=True,
+    siblings=False,
+    health_checks=False,
+    cancellation=True,
+    max_retry_after=0,
+    discovery_on_request=False,
+)
 
 
 def fleet(routers, cold, at, fresh):
@@ -28,14 +42,22 @@
     """
     found = []
     for me in range(routers):
-        router = control.Router(
-            me=me, seed=7 + me, home="north", permits=PERMITS, cold_cache=cold, cold_parent=cold,
-            purge_life=6 * S, pace=1000.0, rated=True, vhosts=[vhost("page")],
-        )  # fmt: skip
-        router.heard(listed(dict.fromkeys(["c1", "c2", "c3", "p1", "o"], "up")), True, 10 * S)
-        router.heard(listed({at: "up"}, started=10 * S), False, 10 * S)
+        router = router_module.Router(
+            me=me,
+            seed=7 + me,
+            home="north",
+            permits=PERMITS,
+            cold_cache=cold,
+            cold_parent=cold,
+            purge_life=6 * S,
+            pace=1000.0,
+            rated=True,
+            vhosts=[vhost("page")],
+        )
+        router.update_endpoints(listed(dict.fromkeys(["c1", "c2", "c3", "p1", "o"], "up")), True, 10 * S)
+        router.update_endpoints(listed({at: "up"}, started=10 * S), False, 10 * S)
         if not fresh or me % fresh:
-            for _ in range(control.FEW):
+            for _ in range(router_module.FEW):
                 router.sending["page"].add(SENDING)
         found.append(router)
     return found
@@ -60,35 +82,43 @@
         now = 10 * S + max(0, due)
         while over and over[0][0] <= now:
             _, router, req, hop = over.popleft()
-            told = Told.HIT if at == "c1" else Told.FILLED
-            router.after(req, Outcome(hop, Ending.DONE, SENDING, told, True), now)
-        req = Req(id, "page", f"{draw.randrange(200)}", 1, 0, SENDING / MS, 3 * S)
+            told = FillStatus.HIT if at == "c1" else FillStatus.FROM_PARENT
+            router.attempt_finished(
+                req, AttemptResult(hop, AttemptStatus.SUCCEEDED, SENDING, told, True), now
+            )
+        req = Request(id, "page", f"{draw.randrange(200)}", 1, 0, SENDING / MS, 3 * S)
         answer = several[mine].route(req, now)
-        if isinstance(answer, Dispatch):
-            over.append((now + SENDING, several[mine], id, answer.hop))
-            if at in (answer.be, answer.source if at == "p1" else None):
+        if isinstance(answer, Forward):
+            over.append((now + SENDING, several[mine], id, answer.attempt_number))
+            if at in (answer.endpoint, answer.fill_source if at == "p1" else None):
                 times.append(now)
     return times
 
 
 def budget(cold, at, began, now):
     """Reqs that the settings allow in the window from there on, N of the operators' page."""
-    can = cold.floor + (1 - cold.floor) * max(0, now - began) / cold.ramp
-    return LINKS[at] * can * cold.multiple * cold.window / SENDING
+    can = cold.initial_share + (1 - cold.initial_share) * max(0, now - began) / cold.ramp_time
+    return LINKS[at] * can * cold.overload_factor * cold.window / SENDING
 
 
 @pytest.mark.parametrize("routers", [1, 7, 20, 30, 200])
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(
-    floor=st.sampled_from([0.06, 0.25, 0.47]), window=st.sampled_from([500 * MS, S, 1_500 * MS]),
-    multiple=st.sampled_from([1.5, 2.0]), demand=st.sampled_from([60, 240, 600, 1_000]),
-    seed=st.integers(0, 1 << 32), at=st.sampled_from(["c1", "p1"]), burst=st.booleans(),
+    floor=st.sampled_from([0.06, 0.25, 0.47]),
+    window=st.sampled_from([500 * MS, S, 1_500 * MS]),
+    multiple=st.sampled_from([1.5, 2.0]),
+    demand=st.sampled_from([60, 240, 600, 1_000]),
+    seed=st.integers(0, 1 << 32),
+    at=st.sampled_from(["c1", "p1"]),
+    burst=st.booleans(),
     fresh=st.sampled_from([0, 1, 2]),
-)  # fmt: skip
+)
 def test_all_routers_together_keep_a_cold_server_up(
     routers, floor, window, multiple, demand, seed, at, burst, fresh
 ):
-    cold = ColdStart(floor=floor, ramp=16 * S, multiple=multiple, window=window, routers=routers)
+    cold = SlowStart(
+        initial_share=floor, ramp_time=16 * S, overload_factor=multiple, window=window, routers=routers
+    )
     times = sent_to_cold(routers, cold, at, demand, random.Random(seed), burst, fresh)
     first = 0
     for last, now in enumerate(times):  # windows that end with a req, wherever they begin
@@ -104,7 +134,7 @@
 def test_no_cold_cache_is_left_without_any_req(routers, floor, fresh):
     """Parts of less than one req were none, for seconds; a router that has measured nothing takes reqs for
     longer than they are, so that its part is small: then some come, not many."""
-    cold = ColdStart(floor=floor, ramp=16 * S, multiple=2.0, window=S, routers=routers)
+    cold = SlowStart(initial_share=floor, ramp_time=16 * S, overload_factor=2.0, window=S, routers=routers)
     times = sent_to_cold(routers, cold, "c1", 600, random.Random(7), fresh=fresh)
     print(f"{routers} routers, floor {floor}, fresh {fresh}: {len(times)} reqs in {LENGTH // S} s")
     assert len(times) >= (1 if fresh else 10)
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -5,13 +5,20 @@
 from dataclasses import replace
 
 import pytest
-
-from quartzrouter.interface import Ending
-from quartzrouter.rehearse.sharing import FEW, Fault, play
-from quartzrouter.sharing import council as module
-from quartzrouter.sharing.council import HOLDS, QUIET, SIGHT_LIFE, TELL_EVERY, Council, Sight
 from test_force import Played
 
+from quartzrouter.fault_scenarios.sharing import FEW, Fault, play
+from quartzrouter.fleet_health import aggregator as module
+from quartzrouter.fleet_health.aggregator import (
+    HOLDS,
+    QUIET,
+    SIGHT_LIFE,
+    TELL_EVERY,
+    CacheObservation,
+    HealthAggregator,
+)
+from quartzrouter.routing.model import AttemptStatus
+
 S = 1_000_000
 CACHES = [f"n{n}" for n in range(9)]
 
@@ -20,7 +27,7 @@
     """Routers that tell in turn of nine caches; `fails` gives those that fail each."""
 
     def __init__(self, routers=6):
-        self.council, self.now, self.routers = Council(), 100 * S, routers
+        self.council, self.now, self.routers = HealthAggregator(), 100 * S, routers
         self.fails = {n: set() for n in range(routers)}
         self.tokens = dict.fromkeys(range(routers), "t")
         self.silent = set()
@@ -30,9 +37,9 @@
             self.now += TELL_EVERY
             for n in set(range(self.routers)) - self.silent:
                 sights = [
-                    Sight(cache, False, 0, 2, 1, 2)
+                    CacheObservation(cache, False, 0, 2, 1, 2)
                     if cache in self.fails[n]
-                    else Sight(cache, False, 3, 0, 2, 3)
+                    else CacheObservation(cache, False, 3, 0, 2, 3)
                     for cache in CACHES
                 ]
                 assert self.council.hear(
@@ -93,7 +100,9 @@
     for now in range(10):
         store.now += TELL_EVERY
         for n in range(6):
-            sights = tuple(Sight(cache, False, 1, 1 + (cache == "n0") * (now % 2)) for cache in CACHES)
+            sights = tuple(
+                CacheObservation(cache, False, 1, 1 + (cache == "n0") * (now % 2)) for cache in CACHES
+            )
             store.council.hear(f"r{n}", "t", "north", sights, store.now, len(CACHES))
     assert store.council.judged("north", store.now) == ()
 
@@ -150,18 +159,33 @@
 
 
 @pytest.mark.parametrize(
-    "sight", [Sight("", False), Sight("n" * 65, False), Sight("n", False, -1), Sight("n", False, 0, 0, 10**9)]
-)  # fmt: skip
+    "sight",
+    [
+        CacheObservation("", False),
+        CacheObservation("n" * 65, False),
+        CacheObservation("n", False, -1),
+        CacheObservation("n", False, 0, 0, 10**9),
+    ],
+)
 def test_words_that_a_council_does_not_obey(sight):
-    council = Council()
+    council = HealthAggregator()
     assert not council.hear("r", "t", "north", (sight,), S, 9) and council.odd == 1 and not council.voices
-    assert not council.hear("r", "t", "north", (Sight("n", True),) * (module.SIGHTS_MOST + 1), S, 9)
+    assert not council.hear(
+        "r", "t", "north", (CacheObservation("n", True),) * (module.SIGHTS_MOST + 1), S, 9
+    )
     assert not council.hear("r", "t", "north", (), S, -1)
 
 
 def test_what_is_not_told_of_has_nothing_out_and_fades():
-    council, now = Council(), 100 * S
-    council.hear("r", "t", "north", (Sight("n1", True, 0, 4, 2, 2), Sight("n2", False, 4, 0, 1, 4)), now, 9)
+    council, now = HealthAggregator(), 100 * S
+    council.hear(
+        "r",
+        "t",
+        "north",
+        (CacheObservation("n1", True, 0, 4, 2, 2), CacheObservation("n2", False, 4, 0, 1, 4)),
+        now,
+        9,
+    )
     assert set(council.voices["r"].tallies) == {"n1", "n2"} and len(council.counts("north", now)) == 2
     council.hear("r", "t", "north", (), now + TELL_EVERY, 9)
     tally = council.voices["r"].tallies["n1"]
@@ -171,9 +195,9 @@
 
 
 def test_a_router_heeds_few_judgements_and_none_for_long():
-    told = tuple(module.Judgement(f"n{n}", 100 * S * (n < 3), (), (), 0) for n in range(6))
-    assert module.heeded(told, 9, 5) == {f"n{n}": 5 + module.HOLDS_MOST for n in range(3)}
-    assert module.heeded(told[3:], 9, 5) == {} and module.heeded(told, 2, 5) == {}
+    told = tuple(module.EjectionVerdict(f"n{n}", 100 * S * (n < 3), (), (), 0) for n in range(6))
+    assert module.accepted_ejections(told, 9, 5) == {f"n{n}": 5 + module.HOLDS_MOST for n in range(3)}
+    assert module.accepted_ejections(told[3:], 9, 5) == {} and module.accepted_ejections(told, 2, 5) == {}
 
 
 # -- at a router, and between processes ----------------------------------------------------------------------
@@ -185,49 +209,61 @@
     for n in range(reqs):
         played.now += 10_000
         answer = played.req(f"/x{n}")
-        found[answer.be] += 1
-        played.end(Ending.DONE)
+        found[answer.endpoint] += 1
+        played.end(AttemptStatus.SUCCEEDED)
     return found
 
 
 def test_hearsay_leaves_a_cache_out_until_it_ends():
     played = Played()
     caches = {
-        sight.cache for sight in played.force.sights(played.now).values() if sight.cache.startswith("n")
+        sight.cache
+        for sight in played.force.health_observations(played.now).values()
+        if sight.cache.startswith("n")
     }
     bad = sorted(caches)[0]
     assert set(asked(played, 80)) == caches
     played.now += S
-    played.force.left_out({bad: played.now + 5 * S}, played.now)
+    played.force.set_ejected_by_peers({bad: played.now + 5 * S}, played.now)
     assert set(asked(played, 80)) == caches - {bad}
     played.now += 5 * S
     assert bad in asked(played, 80)
     played.now += S
-    played.force.left_out({bad: played.now + 5 * S}, played.now)
-    played.force.left_out({}, played.now)  # others have nothing against it any more
+    played.force.set_ejected_by_peers({bad: played.now + 5 * S}, played.now)
+    played.force.set_ejected_by_peers({}, played.now)  # others have nothing against it any more
     assert bad in asked(played, 80)
 
 
 def test_what_a_router_saw_itself_lately_goes_first():
     played = Played()
     bad = sorted(asked(played, 80))[0]
-    played.force.left_out({bad: played.now + 5 * S}, played.now)  # it served well a moment ago
+    played.force.set_ejected_by_peers({bad: played.now + 5 * S}, played.now)  # it served well a moment ago
     assert bad in asked(played, 80)
-    assert played.force.sights(played.now)[bad].done > 0
+    assert played.force.health_observations(played.now)[bad].completed > 0
 
 
 def test_all_caches_left_out_is_as_none():
     played = Played()
     names = set(asked(played, 80))
     played.now += S
-    played.force.left_out(dict.fromkeys(names, played.now + 5 * S), played.now)
+    played.force.set_ejected_by_peers(dict.fromkeys(names, played.now + 5 * S), played.now)
     assert asked(played, 40)
 
 
 SHAPE = replace(
-    FEW, rate=4_000, burst=4_000, floors="100%", demand=150.0, uneven=1 / 6, askers=0, caches=6,
-    cache_links=True, timeout="1s", seconds=5.0, hearsay="true",
-)  # fmt: skip
+    FEW,
+    rate=4_000,
+    burst=4_000,
+    floors="100%",
+    demand=150.0,
+    uneven=1 / 6,
+    askers=0,
+    caches=6,
+    cache_links=True,
+    timeout="1s",
+    seconds=5.0,
+    hearsay="true",
+)
 
 
 def test_processes_leave_a_cache_that_all_but_one_can_not_reach():
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,12 +15,20 @@
 
 import anyio
 import pytest
-
 from conftest import SETUP, Play, frame
-from quartzrouter.net import backend, fastcgi, front, journal, progress, serve, stream
-from quartzrouter.signals import KEPT, Signals
 from standins import TAG, WHOLE, free_port
 
+from quartzrouter.server import (
+    attempt_failure,
+    cache_connections,
+    client_connections,
+    endpoint_watch,
+    fastcgi,
+    process,
+    stream,
+)
+from quartzrouter.signals import KEPT, Signals
+
 FULL = b"HTTP/1.1 503 Busy\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
 BIG = WHOLE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + bytes(240_000)
 ESTABLISHED, CLOSE_WAIT = 1, 8  # a reset leaves neither
@@ -84,7 +92,7 @@
 
     async def scene(connect):
         client, other = await connect(), await connect()
-        more = client.req(2, body=bytes(front.INCOMING), whole=False) if "behind" in way else b""
+        more = client.req(2, body=bytes(client_connections.INCOMING), whole=False) if "behind" in way else b""
         abort = fastcgi.record(fastcgi.ABORT, 1, b"") if "abort" in way else b""
         write(client, client.req(1) + more + abort)
         if "end" in way:
@@ -106,7 +114,7 @@
 
     async def scene(connect):
         client = await connect()
-        monkeypatch.setattr(backend, "connect", held)
+        monkeypatch.setattr(cache_connections, "connect", held)
         await client.begin(1)
         await until(lambda: come)
         await client.send((fastcgi.ABORT, b""))
@@ -139,7 +147,7 @@
             if len(pool) < 2:
                 await client.begin(id)
                 assert "200 OK" in await client.end()
-        await anyio.sleep(2 * backend.REST)
+        await anyio.sleep(2 * cache_connections.REST)
         monkeypatch.setattr(stream.Stream, "receive", slow)
         await client.begin(1)  # the reader comes back to the slow way after it
         await until(lambda: asked(world, 1))
@@ -161,7 +169,7 @@
 
 def test_a_pile_of_answers_does_not_hide_that_the_client_has_gone(world, monkeypatch):
     """Above so many records nothing was read, so neither an abort nor an end was heard."""
-    monkeypatch.setattr(front, "RECORDS_MOST", 32)  # the kernel holds some megabytes as well
+    monkeypatch.setattr(client_connections, "RECORDS_MOST", 32)  # the kernel holds some megabytes as well
     full = anyio.Event()
     world.answers = {n: [BIG] for n in range(2, 32)} | {1: [full, FULL]}
 
@@ -198,7 +206,7 @@
         mine, *_ = world.service.front.open
         await client.begin(1)
         await until(lambda: asked(world, 1))
-        for id in range(2, 2 + front.FAULTS_MOST):
+        for id in range(2, 2 + client_connections.FAULTS_MOST):
             await client.begin(id, path="/rpc/other")
             assert "404" in await client.end()
         assert mine.closing
@@ -243,13 +251,13 @@
 
 def test_a_pooled_connection_that_ends_as_it_is_taken_costs_no_req(world, monkeypatch):
     """One that may not run twice was written to it, and could not be tried again."""
-    hear, ends = front.ClientConnection.hear, []
+    hear, ends = client_connections.ClientConnection.hear, []
 
     async def scene(connect):
         client = await connect()
         await client.begin(1, path="/rpc/sale")
         assert "200 OK" in await client.end()
-        await anyio.sleep(2 * backend.REST_UNMARKED)
+        await anyio.sleep(2 * cache_connections.REST_UNMARKED)
 
         async def late(self, ticket):
             if not ends:
@@ -258,7 +266,7 @@
                 taken.stream.shut()  # as its cache would
             await hear(self, ticket)
 
-        monkeypatch.setattr(front.ClientConnection, "hear", late)
+        monkeypatch.setattr(client_connections.ClientConnection, "hear", late)
         await client.begin(2, path="/rpc/sale")
         assert "200 OK" in await client.end()
         assert ends and asked(world, 2) == 1
@@ -278,7 +286,7 @@
         world.answers = {7: [FIRST]}
         await client.begin(1, **same)
         assert "first" in await client.end()
-        await anyio.sleep(2 * backend.REST)
+        await anyio.sleep(2 * cache_connections.REST)
         world.answers = {7: [gate, FIRST, WHOLE]}  # the cache has read the next req by then
         await client.begin(2, HTTP_X_CHUNK="1", **same)
         await until(lambda: asked(world, 7) == 2)
@@ -302,9 +310,9 @@
         world.answers = {7: [FIRST]}
         await client.begin(1, **same)
         assert "first" in await client.end()
-        await anyio.sleep(2 * backend.REST)
+        await anyio.sleep(2 * cache_connections.REST)
         if purged:
-            world.service.feed(journal.Purge(None, f"{7:016x}", world.service.time()))
+            world.service.feed(endpoint_watch.PurgeNotice(None, f"{7:016x}", world.service.time()))
         world.answers = {7: [gate, FIRST, WHOLE]}
         await client.begin(2, **same)
         await until(lambda: asked(world, 7) == 2)
@@ -318,7 +326,7 @@
 @pytest.mark.parametrize("answer", [FULL, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsold"])
 def test_a_connection_rests_longer_after_an_answer_that_names_no_copy(world, monkeypatch, answer):
     """Once more on the next req it says that this one is done, or that it never ran."""
-    monkeypatch.setattr(backend, "REST_UNMARKED", 3_600.0)
+    monkeypatch.setattr(cache_connections, "REST_UNMARKED", 3_600.0)
 
     async def scene(connect):
         client = await connect()
@@ -326,7 +334,7 @@
         for id in (1, 2, 3):
             await client.begin(id, path="/rpc/sale")
             await client.end()
-            await anyio.sleep(2 * backend.REST)
+            await anyio.sleep(2 * cache_connections.REST)
         attempts = sum(line.startswith("GET /x/sale/") for line in world.asked)
         assert world.connections == attempts >= 3
 
@@ -338,14 +346,14 @@
     order = []
 
     async def run():
-        budget = backend.ByteBudget(backend.ANSWER_MOST)
+        budget = cache_connections.ByteBudget(cache_connections.ANSWER_MOST)
 
         async def answer(name, count):
             await budget.take(count)
             order.append(name)
 
         async with anyio.create_task_group() as tasks:
-            await budget.take(backend.ANSWER_MOST)
+            await budget.take(cache_connections.ANSWER_MOST)
             gone = anyio.CancelScope()
 
             async def given_up():
@@ -361,14 +369,14 @@
             assert order == []
             gone.cancel()
             await anyio.sleep(0)
-            budget.give(backend.ANSWER_MOST - 60_000)
+            budget.give(cache_connections.ANSWER_MOST - 60_000)
             await anyio.sleep(0.01)
             assert order == ["large"]
             budget.give(200_000)
-        assert order == ["large", "small"] and budget.free == backend.ANSWER_MOST - 50_000
+        assert order == ["large", "small"] and budget.free == cache_connections.ANSWER_MOST - 50_000
         assert not budget.waiting
 
-    anyio.run(run, backend_options=serve.LOOP)
+    anyio.run(run, backend_options=process.LOOP)
 
 
 # -- lists and windows -----------------------------------------------------------------------------
@@ -376,7 +384,7 @@
 
 def test_bytes_without_a_whole_frame_are_silence(world, monkeypatch):
     """A service that trickled half a frame was taken for one that has nothing to tell."""
-    monkeypatch.setattr(journal, "SILENT_AFTER", 0.2)
+    monkeypatch.setattr(endpoint_watch, "SILENT_AFTER", 0.2)
 
     async def trickle(connection):
         async with connection:
@@ -401,15 +409,15 @@
     play = Play(lines)
     play.came(1, "hold", key="a" * 32, timeout=6_000_000)
     play.ready(1)
-    play.over(1, progress.Stage.ASKING, progress.Cause.RESET)
-    assert any("open 1, 1" in line for line in lines)
+    play.over(1, attempt_failure.Stage.ASKING, attempt_failure.Cause.RESET)
+    assert any("OpenConnection 1, 1" in line for line in lines)
     play.until(2_940)
     lines.clear()
     play.ready(1, hop=1)
-    assert any("write 1, 1" in line for line in lines)
+    assert any("SendRequest 1, 1" in line for line in lines)
     play.came(2, "hold", key="b" * 32, timeout=6_000_000)
     play.ready(2)
-    play.over(2, progress.Stage.ASKING, progress.Cause.RESET)
+    play.over(2, attempt_failure.Stage.ASKING, attempt_failure.Cause.RESET)
     play.until(2_940 + 2_960)
     lines.clear()
     play.ready(2, hop=1)
@@ -422,7 +430,7 @@
 import os, runpy, signal, sys
 class Early:
     def find_spec(self, name, path=None, target=None):
-        if name == "quartzrouter.net.serve":
+        if name == "quartzrouter.server.process":
             os.kill(os.getpid(), {number})
 sys.meta_path.insert(0, Early())
 runpy.run_module("quartzrouter", run_name="__main__", alter_sys=True)
@@ -458,7 +466,7 @@
                 tasks.cancel_scope.cancel()
         return router.returncode, said
 
-    return anyio.run(run, backend_options=serve.LOOP)
+    return anyio.run(run, backend_options=process.LOOP)
 
 
 def test_a_reload_before_the_program_is_loaded_ends_nothing(world):
@@ -507,7 +515,7 @@
 
 def test_what_reaches_a_router_at_its_end_is_answered_and_nothing_is_reset(world, monkeypatch):
     """A connection that nobody has accepted yet, a resting one, one with half a req, one that isn't read."""
-    accept, stopping = serve.Service._accept_waiting, []
+    accept, stopping = process.RouterProcess._accept_waiting, []
     world.answers = {3: [BIG]}
 
     def late(self, listener):  # the accepting task is behind; the end itself looks
@@ -520,7 +528,7 @@
         await half.begin(2, whole=False)
         await slow.begin(3)
         await until(lambda: asked(world, 3))
-        monkeypatch.setattr(serve.Service, "_accept_waiting", late)
+        monkeypatch.setattr(process.RouterProcess, "_accept_waiting", late)
         stopping.append(True)
         os.kill(os.getpid(), signal.SIGTERM)
         new = await connect()
@@ -541,7 +549,7 @@
 
 
 def test_clients_that_do_not_read_do_not_keep_a_router_from_its_end(world, monkeypatch):
-    monkeypatch.setattr(front, "RECORDS_MOST", 32)
+    monkeypatch.setattr(client_connections, "RECORDS_MOST", 32)
     timeout = [kind | {"deadline_us": 1_000_000} for kind in SETUP["categories"]]
     world.answers = {n: [BIG] for n in range(1, 31)}
 
@@ -593,7 +601,10 @@
             await client.begin(id)
             await until(lambda id=id: mine.faults or asked(world, id))
             await until(lambda: not mine.owed)
-            assert mine.unanswered <= front.OPEN_MOST and len(mine.waiting) <= front.OPEN_MOST + 1
+            assert (
+                mine.unanswered <= client_connections.OPEN_MOST
+                and len(mine.waiting) <= client_connections.OPEN_MOST + 1
+            )
             if mine.closing:
                 break
         await until(lambda: mine.closing)
@@ -668,9 +679,13 @@
 
     tasks, port = None, anyio.run(free_port)
     status, said = played(
-        world, ["-m", "quartzrouter"], whole, descriptors=64, journal=f"127.0.0.1:{port}",
+        world,
+        ["-m", "quartzrouter"],
+        whole,
+        descriptors=64,
+        journal=f"127.0.0.1:{port}",
         limits={"sockets": 64},
-    )  # fmt: skip
+    )
     assert status == 0 and "Traceback" not in said and "accept failed" not in said
 
 
@@ -710,7 +725,7 @@
     async def scene(connect):
         client, service = await connect(), world.service
         if at == "connecting":
-            monkeypatch.setattr(backend, "connect", held)
+            monkeypatch.setattr(cache_connections, "connect", held)
         world.answers = {1: [WHOLE[:-2], gate, WHOLE[-2:]] if at == "half an answer" else [gate, WHOLE]}
         await client.begin(1)
         await until(lambda: come or asked(world, 1))
@@ -734,7 +749,7 @@
 @pytest.mark.parametrize("at", ["connecting", "half a frame"])
 def test_a_reload_leaves_what_the_old_journal_was_about_to_say_to_the_new_one(world, monkeypatch, at):
     """Neither told twice nor never: the new one is asked from the last whole frame."""
-    real, come = journal.connect, []
+    real, come = endpoint_watch.connect, []
     purge = frame(2, 3, bytes(7) + b"\7" + b"\0\0\1\x9a\0\0\0\0")
 
     async def held(address):
@@ -765,7 +780,7 @@
                 os.kill(os.getpid(), signal.SIGHUP)
 
             await until(lambda: "journal from 1" in world.asked)
-            monkeypatch.setattr(journal, "connect", held)
+            monkeypatch.setattr(endpoint_watch, "connect", held)
             await follow(old)
             await until(lambda: come)
             if at == "half a frame":
@@ -773,7 +788,7 @@
             world.frames = [purge]
             await follow(world.journal)
             await until(lambda: purged)
-            assert purged == [journal.Purge(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
+            assert purged == [endpoint_watch.PurgeNotice(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
             assert service.journal.held == 2
             tasks.cancel_scope.cancel()
 
@@ -821,7 +836,7 @@
 
     async def scene(connect):
         slow, other = await connect(), await connect()
-        monkeypatch.setattr(backend, "connect", held)
+        monkeypatch.setattr(cache_connections, "connect", held)
         await slow.begin(1)
         await until(lambda: come)
         for id in range(10, 15):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from quartzrouter import control
-from quartzrouter.interface import Dispatch, Ending, Tier, Told
+from quartzrouter.routing import router as router_module
+from quartzrouter.routing.model import AttemptStatus, FillStatus, Forward, Tier
 
 
 def test_walk_grows_past_busy_caches_and_shrinks_after_quiet(drive):
@@ -11,7 +11,7 @@
         drive.req(n, "page", kb=10)
     drive.print(f"walk length {max(drive.router.walk.table)[0]}")
     for n in range(10):
-        drive.end(n, Ending.DONE, Told.HIT, quiet=True)
+        drive.end(n, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True)
     drive.pass_(11_000)
     drive.req(20, "page", kb=10)
     drive.print(f"walk length {max(drive.router.walk.table)[0]}")
@@ -20,33 +20,33 @@
 def test_fills_of_an_object_meet_at_one_parent_and_skip_a_failing_one(drive):
     for n, obj in enumerate("abcdef"):
         drive.req(n, "clip", obj)
-        drive.end(n, Ending.DONE, Told.FILLED, quiet=True)
+        drive.end(n, AttemptStatus.SUCCEEDED, FillStatus.FROM_PARENT, quiet=True)
     drive.req(10, "clip", "a")
-    drive.end(10, Ending.FULL, Told.SOURCE_FULL)
+    drive.end(10, AttemptStatus.OVERLOADED, FillStatus.SOURCE_OVERLOADED)
     drive.req(11, "clip", "a")
     drive.pass_(1_100)
     drive.req(12, "clip", "a")
 
 
 def test_a_cache_that_errors_at_once_is_put_out_and_comes_back(drive):
-    first = drive.req(0, "clip", "a").be
-    drive.end(0, Ending.ERROR, Told.HIT)
+    first = drive.req(0, "clip", "a").endpoint
+    drive.end(0, AttemptStatus.ERROR, FillStatus.HIT)
     for n in range(1, 4):
-        if drive.req(n, "clip", "a").be == first:
-            drive.end(n, Ending.ERROR, Told.HIT)
+        if drive.req(n, "clip", "a").endpoint == first:
+            drive.end(n, AttemptStatus.ERROR, FillStatus.HIT)
     drive.pass_(1_600)
     drive.req(10, "clip", "a")
     drive.req(11, "clip", "a")
-    drive.end(10, Ending.DONE, Told.HIT)
+    drive.end(10, AttemptStatus.SUCCEEDED, FillStatus.HIT)
     drive.req(12, "clip", "a")
 
 
 def test_a_lost_cache_is_probed_and_taken_for_cold(drive):
-    lost = drive.req(0, "clip", "a").be
-    drive.end(0, Ending.NO_CONNECTION)
+    lost = drive.req(0, "clip", "a").endpoint
+    drive.end(0, AttemptStatus.CONNECTION_REFUSED)
     drive.pass_(600)
-    drive.print(f"probes {drive.router.wait(drive.now).probes}")
-    drive.router.probed(lost, Ending.DONE, {}, drive.now)
+    drive.print(f"probes {drive.router.maintenance(drive.now).probes}")
+    drive.router.record_health_check(lost, AttemptStatus.SUCCEEDED, {}, drive.now)
     for n in range(1, 4):
         drive.req(n, "clip", "a")
 
@@ -61,10 +61,10 @@
 
 
 def test_a_purge_bounds_the_age_and_is_never_zero(drive):
-    drive.router.purged(1, "a", 0, drive.now)
+    drive.router.record_purge(1, "a", 0, drive.now)
     drive.req(0, "clip", "a")
     drive.req(1, "clip", "b")
-    drive.router.purged(1, None, 100_000, drive.now)
+    drive.router.record_purge(1, None, 100_000, drive.now)
     drive.pass_(200)
     drive.req(2, "clip", "b")
     drive.req(3, "page", "b")
@@ -74,24 +74,24 @@
 
 def test_an_effect_never_runs_twice(drive):
     drive.req(0, "vote")
-    drive.end(0, Ending.FULL)
+    drive.end(0, AttemptStatus.OVERLOADED)
     drive.pass_(300)
     drive.ask(0)
-    drive.end(0, Ending.LATE)
+    drive.end(0, AttemptStatus.TIMED_OUT)
     drive.req(1, "vote")
-    drive.end(1, Ending.CUT)
+    drive.end(1, AttemptStatus.CONNECTION_LOST)
     drive.req(2, "sale")
     drive.pass_(2_500)
-    drive.end(2, Ending.ERROR)
+    drive.end(2, AttemptStatus.ERROR)
     drive.req(3, "sale", timeout=6_000)
     drive.pass_(2_960)
-    drive.end(3, Ending.ERROR)
+    drive.end(3, AttemptStatus.ERROR)
 
 
 def test_late_outcomes_of_a_req_that_left_settle_the_counts(drive):
     drive.req(0, "clip", "a")
-    drive.print(f"call off hop {drive.router.left(0)}, load {sorted(drive.router.load.values())}")
-    drive.end(0, Ending.CALLED_OFF)
+    drive.print(f"call off hop {drive.router.cancel_request(0)}, load {sorted(drive.router.load.values())}")
+    drive.end(0, AttemptStatus.CANCELLED)
     drive.print(f"load {sorted(drive.router.load.values())}, in hand {len(drive.router.flights)}")
 
 
@@ -111,15 +111,15 @@
     for n in range(3):
         drive.req(n, "clip", "abc"[n])
         drive.pass_(1_500)
-        drive.end(n, Ending.DONE, Told.FILLED, elapsed=1_500, quiet=True)
+        drive.end(n, AttemptStatus.SUCCEEDED, FillStatus.FROM_PARENT, elapsed=1_500, quiet=True)
         drive.pass_(-1_450)
     drive.req(10, "page", "d")
-    drive.end(10, Ending.LACKING)
-    drive.end(10, Ending.LACKING)
+    drive.end(10, AttemptStatus.NOT_FOUND)
+    drive.end(10, AttemptStatus.NOT_FOUND)
     drive.router.fills.limit.update(dict.fromkeys(range(5), 0))
     drive.req(11, "page", "e")
-    drive.end(11, Ending.LACKING)
-    drive.end(11, Ending.LACKING)
+    drive.end(11, AttemptStatus.NOT_FOUND)
+    drive.end(11, AttemptStatus.NOT_FOUND)
     drive.pass_(3_000)
     drive.req(12, "page", "f")
 
@@ -131,20 +131,22 @@
 
 def test_a_parent_whose_fills_hang_is_doubted_and_left_when_its_probes_hang_too(drive):
     for n in range(4):
-        parent = drive.req(n, "clip", "a").source
+        parent = drive.req(n, "clip", "a").fill_source
         drive.pass_(1_400)
-        drive.end(n, Ending.LATE)
-        doubted = drive.router.wait(drive.now).probes
+        drive.end(n, AttemptStatus.TIMED_OUT)
+        doubted = drive.router.maintenance(drive.now).probes
         drive.print(f"probes {doubted}")
         for name in doubted:
-            drive.router.probed(name, Ending.LATE if name == parent else Ending.DONE, {}, drive.now)
+            drive.router.record_health_check(
+                name, AttemptStatus.TIMED_OUT if name == parent else AttemptStatus.SUCCEEDED, {}, drive.now
+            )
 
 
 def test_many_routers_take_parts_of_what_a_source_fills_in_trouble(drive):
     for routers in (1, 10, 100):
-        fills = control.Fills(start=50, least=5, most=200, routers=routers)
+        fills = router_module.FillLimiter(start=50, least=5, most=200, routers=routers)
         for n in range(9):
-            fills.failed(0, n * control.S)
+            fills.failed(0, n * router_module.S)
         taken = 0
         for router in range(routers):
             fills.out[0] = 0
@@ -157,9 +159,9 @@
 def test_refusals_that_tell_nothing_put_out_the_parent_they_share(drive):
     for n, obj in enumerate("abcdefgh"):
         drive.pass_(300)
-        if drive.req(n, "clip", obj).source == "p2":
-            drive.end(n, Ending.FULL)
-        drive.end(n, Ending.DONE, quiet=True)
+        if drive.req(n, "clip", obj).fill_source == "p2":
+            drive.end(n, AttemptStatus.OVERLOADED)
+        drive.end(n, AttemptStatus.SUCCEEDED, quiet=True)
 
 
 def test_a_cache_whose_connections_do_not_come_up_is_doubted_and_nothing_ran(drive):
@@ -167,20 +169,26 @@
     drive.req(2, "page", obj="b")
     drive.pass_(500)
     for id in (1, 2):
-        drive.end(id, Ending.NOT_UP)
-    drive.print(f"probes {drive.router.wait(drive.now).probes}")
+        drive.end(id, AttemptStatus.NOT_CONNECTED)
+    drive.print(f"probes {drive.router.maintenance(drive.now).probes}")
 
 
 def test_late_answers_without_a_fill_make_no_trouble_with_fills(drive):
     for n in range(8):
         drive.req(n, "clip", f"h{n}", quiet=True)
         drive.pass_(1_500)
-        drive.end(n, Ending.DONE, Told.HIT if n < 4 else Told.FILLED, elapsed=1_500, quiet=True)
+        drive.end(
+            n,
+            AttemptStatus.SUCCEEDED,
+            FillStatus.HIT if n < 4 else FillStatus.FROM_PARENT,
+            elapsed=1_500,
+            quiet=True,
+        )
         drive.pass_(-1_450)
     drive.req(10, "page", "d")
     for n in range(20, 40):
         drive.req(n, "clip", f"h{n}", quiet=True)
-        drive.end(n, Ending.DONE, Told.HIT, quiet=True)
+        drive.end(n, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True)
     drive.req(11, "page", "e")
 
 
@@ -188,13 +196,13 @@
     for n in range(6):
         drive.req(n, "page", f"bad{n}", quiet=n > 0)
         for _ in range(3):
-            drive.end(n, Ending.ERROR, quiet=n > 0)
+            drive.end(n, AttemptStatus.ERROR, quiet=n > 0)
         drive.pass_(100)
-    drive.print(f"probes {drive.router.wait(drive.now).probes}")
+    drive.print(f"probes {drive.router.maintenance(drive.now).probes}")
     for n in range(20, 28):
-        if drive.req(n, "page", "a").be == "c2":
-            drive.end(n, Ending.ERROR, quiet=True)
-        drive.end(n, Ending.DONE, Told.HIT, quiet=True)
+        if drive.req(n, "page", "a").endpoint == "c2":
+            drive.end(n, AttemptStatus.ERROR, quiet=True)
+        drive.end(n, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True)
         drive.pass_(300)
 
 
@@ -203,21 +211,32 @@
     for n in range(1_000):
         drive.list(**{f"c{n + 10}": "up"}, started=drive.now)
         if not n:
-            held = drive.req(0, "clip", "t").be
+            held = drive.req(0, "clip", "t").endpoint
         for req in range(2):
             drive.req(2 * n + req + 1, "clip", f"o{2 * n + req}", quiet=True)
-            drive.end(2 * n + req + 1, Ending.DONE if req else Ending.CUT, Told.NOTHING, quiet=True)
+            drive.end(
+                2 * n + req + 1,
+                AttemptStatus.SUCCEEDED if req else AttemptStatus.CONNECTION_LOST,
+                FillStatus.UNKNOWN,
+                quiet=True,
+            )
         if 2 * n + 1 in drive.router.flights:
-            drive.end(2 * n + 1, Ending.DONE, Told.HIT, quiet=True)
+            drive.end(2 * n + 1, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True)
         drive.pass_(1_000)
         drive.list(**{f"c{n + 10}": "gone"})
     drive.lines[:] = [line for line in drive.lines if "log" not in line]
     router = drive.router
     parts = {
-        "listed": router.roster.be, "index": router.roster.index, "started": router.roster.started,
-        "load": router.load, "naming": router.naming, "health": router.health.of,
-        "limits": router.fills.limit, "cold caches": router.warm[Tier.CACHE].sent, "reqs": router.flights,
-    }  # fmt: skip
+        "listed": router.roster.be,
+        "index": router.roster.index,
+        "started": router.roster.started,
+        "load": router.load,
+        "naming": router.naming,
+        "health": router.health.of,
+        "limits": router.fills.limit,
+        "cold caches": router.warm[Tier.CACHE].sent,
+        "reqs": router.flights,
+    }
     drive.print(f"{held} has a req; kept: {', '.join(f'{name} {len(part)}' for name, part in parts.items())}")
 
 
@@ -226,7 +245,9 @@
         drive.req(n, "clip", f"o{n}", quiet=True)
         drive.pass_(5)
         late = n in (40, 60, 70) or n > 75
-        drive.end(n, Ending.DONE, Told.FILLED, elapsed=1_500 if late else 50, quiet=True)
+        drive.end(
+            n, AttemptStatus.SUCCEEDED, FillStatus.FROM_PARENT, elapsed=1_500 if late else 50, quiet=True
+        )
         if n in (75, 79):
             drive.print(f"{drive.router.fills.seen[0]:.1f} late of {drive.router.fills.seen[1]:.1f} fills")
             drive.req(100 + n, "page", f"p{n}")
@@ -237,14 +258,14 @@
     for age in (0, 2_100):
         for n in range(20):
             told.req(n, "clip", f"o{n}", quiet=True)
-            told.end(n, Ending.DONE, Told.HIT, elapsed=300, quiet=True, busy=0.3)
+            told.end(n, AttemptStatus.SUCCEEDED, FillStatus.HIT, elapsed=300, quiet=True, utilization=0.3)
         told.pass_(age)
         taken = [
-            n for n in range(30, 60) if isinstance(told.req(n, "clip", f"a{n}", 900, quiet=True), Dispatch)
+            n for n in range(30, 60) if isinstance(told.req(n, "clip", f"a{n}", 900, quiet=True), Forward)
         ]
         told.print(f"with reports {age} ms old {len(taken)} of 30 reqs are dispatched")
         for n in taken:
-            told.end(n, Ending.DONE, Told.HIT, quiet=True)
+            told.end(n, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True)
 
 
 def test_among_reports_an_object_of_untold_size_has_its_time(told):
@@ -257,25 +278,34 @@
     for waited in (60, 900):
         for n in range(2):
             told.req(n + waited, "clip", f"o{n}", kb=0, quiet=True)
-            told.end(n + waited, Ending.DONE, Told.FILLED, elapsed=2_000, quiet=True, waited=waited * 1_000)
+            told.end(
+                n + waited,
+                AttemptStatus.SUCCEEDED,
+                FillStatus.FROM_PARENT,
+                elapsed=2_000,
+                quiet=True,
+                time_to_first_byte=waited * 1_000,
+            )
         told.print(f"after {waited} ms, trouble with fills: {told.router.fills.troubled(told.now)}")
 
 
 def test_without_probes_a_cache_that_is_back_is_taken_for_cold(told):
     """Nobody told of its start: all went to it at once, and it fell over (cartes-bretagne, big-1)."""
-    lost = told.req(0, "clip", "a").be
-    told.end(0, Ending.NO_CONNECTION, quiet=True)
+    lost = told.req(0, "clip", "a").endpoint
+    told.end(0, AttemptStatus.CONNECTION_REFUSED, quiet=True)
     told.pass_(2_000)
     for n in range(1, 8):
-        told.print(f"req {n} to {'it' if told.req(n, 'clip', 'a', quiet=True).be == lost else 'another'}")
-        told.end(n, Ending.DONE, Told.FILLED, quiet=True)
+        told.print(
+            f"req {n} to {'it' if told.req(n, 'clip', 'a', quiet=True).endpoint == lost else 'another'}"
+        )
+        told.end(n, AttemptStatus.SUCCEEDED, FillStatus.FROM_PARENT, quiet=True)
 
 
 def test_without_probes_a_cache_that_hangs_is_put_out_by_its_time_outs(told):
     for n in range(6):
-        if told.req(n, "clip", "a", kb=0).be == "c2":
-            told.end(n, Ending.LATE, quiet=True)
-        told.end(n, Ending.DONE, Told.HIT, quiet=True)
+        if told.req(n, "clip", "a", kb=0).endpoint == "c2":
+            told.end(n, AttemptStatus.TIMED_OUT, quiet=True)
+        told.end(n, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True)
 
 
 def test_known_misses_are_filled_as_far_as_the_locations_link_bears(told):
@@ -283,14 +313,16 @@
     for link in (0.5, 4.0):
         for n in range(20):
             told.req(n, "clip", f"h{n}", quiet=True)
-            told.end(n, Ending.DONE, Told.HIT, quiet=True, busy=0.3, link_in=link)
+            told.end(
+                n, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True, utilization=0.3, link_utilization=link
+            )
         looked = filled = 0
         for n in range(100, 200):
             answer = told.req(n, "page", f"o{link}{n}", quiet=True)
-            while isinstance(answer, Dispatch):
-                look = answer.source == answer.be
+            while isinstance(answer, Forward):
+                look = answer.fill_source == answer.endpoint
                 looked, filled = looked + look, filled + (not look)
-                answer = told.end(n, Ending.LACKING if look else Ending.DONE, quiet=True)
+                answer = told.end(n, AttemptStatus.NOT_FOUND if look else AttemptStatus.SUCCEEDED, quiet=True)
         told.print(f"link told {link}: {looked} looks, {filled} of 100 reqs filled")
 
 
@@ -298,11 +330,17 @@
     for slow in (1, 6):
         for n in range(40):
             told.req(n, "clip", f"o{n}", quiet=True)
-            told.end(n, Ending.DONE, Told.FILLED if n % 2 else Told.HIT, 200 * (slow if n % 2 else 1), True)
+            told.end(
+                n,
+                AttemptStatus.SUCCEEDED,
+                FillStatus.FROM_PARENT if n % 2 else FillStatus.HIT,
+                200 * (slow if n % 2 else 1),
+                True,
+            )
         told.print(f"fills {slow} times as slow as hits: link taken for {told.router.link_in[1]:.1f}")
 
 
 def test_reports_are_passed_over_where_the_settings_name_none(drive):
     drive.req(0, "clip", "a", quiet=True)
-    drive.end(0, Ending.DONE, Told.HIT, quiet=True, busy=0.95, link_in=4.0)
+    drive.end(0, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True, utilization=0.95, link_utilization=4.0)
     drive.print(f"busy {drive.router.reports}, link {drive.router.link_in[1]}")
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -5,12 +5,12 @@
 
 import anyio
 import pytest
-
 from conftest import SETUP
-from quartzrouter.briefing import Unusable
-from quartzrouter.net import serve
 from standins import free_port
 
+from quartzrouter.configuration import ConfigurationError
+from quartzrouter.server import process
+
 ABSENT = object()
 
 
@@ -72,10 +72,17 @@
 
     settings = changed(SETUP | {"peers_total": routers}, **EDGES[edge])
     members = [
-        {"id": f"s-0000000{n}", "locality": settings["zone"], "flavor": flavor, "cell": 0, "phase": "SERVING",
-         "size": 6, "up_since_ms": int(time.time() * 1000)}
+        {
+            "id": f"s-0000000{n}",
+            "locality": settings["zone"],
+            "flavor": flavor,
+            "cell": 0,
+            "phase": "SERVING",
+            "size": 6,
+            "up_since_ms": int(time.time() * 1000),
+        }
         for n, flavor in enumerate(["box", "box", "parent", "origin"])
-    ]  # fmt: skip
+    ]
 
     def tell(cache, journal, **other):
         for member in members:
@@ -108,6 +115,6 @@
         world.tell("127.0.0.1:9", "127.0.0.1:9", **BROKEN[key])
         world.router({"NODE_CONFIG": str(world.path), "NODE_LISTEN": f"127.0.0.1:{port}"})
 
-    with pytest.raises(Unusable) as refused:
-        anyio.run(run, backend_options=serve.LOOP)
+    with pytest.raises(ConfigurationError) as refused:
+        anyio.run(run, backend_options=process.LOOP)
     assert key in str(refused.value) and "\n" not in str(refused.value)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from quartzrouter.explore.purges import PLAYED, Bounds, PurgeModel
-from quartzrouter.explore.search import explore
-from quartzrouter.purges.book import Book
-from quartzrouter.purges.fleet import Fleet
-from quartzrouter.purges.lease import Lease
+from quartzrouter.model_checking.checker import explore
+from quartzrouter.model_checking.purge_model import PLAYED, Bounds, PurgeModel
+from quartzrouter.purges.fleet_purges import FleetPurges
+from quartzrouter.purges.freshness_lease import FreshnessLease
+from quartzrouter.purges.registry import PurgeRegistry
 
 STATES = 2_500  # of each, a second: `quartzrouter explore purges` goes further
 
@@ -61,29 +61,29 @@
 
 
 def test_without_the_lease_a_router_that_was_cut_off_answers_with_old_copies(monkeypatch):
-    monkeypatch.setattr(Lease, "bound", lambda self, now: 0)
+    monkeypatch.setattr(FreshnessLease, "bound", lambda self, now: 0)
     assert "answers at" in missed(Bounds(steps=2, cuts=1)).broken
 
 
 def test_without_marks_purges_that_were_heard_do_not_hold(monkeypatch):
-    monkeypatch.setattr(Fleet, "_mark", lambda self, purge, when: None)
+    monkeypatch.setattr(FleetPurges, "_mark", lambda self, purge, when: None)
     found = missed(Bounds(steps=2))
     assert "answers at" in found.broken and ("hear", 0) in found.trace
 
 
 def test_without_the_wait_for_older_leases_too_much_is_told_complete(monkeypatch):
-    begin = Book.__init__
+    begin = PurgeRegistry.__init__
 
     def at_once(self, *arguments, **other):
         begin(self, *arguments, **other)
         self.wait_until = 0
 
-    monkeypatch.setattr(Book, "__init__", at_once)
+    monkeypatch.setattr(PurgeRegistry, "__init__", at_once)
     assert "is told complete" in missed(Bounds(steps=1, crashes=1)).broken
 
 
 def test_an_echo_that_vouches_for_what_is_not_durable_is_missed(monkeypatch):
-    monkeypatch.setattr(Book, "echo", lambda self, member: member.acks[-1][0] if member.acks else 0)
+    monkeypatch.setattr(PurgeRegistry, "echo", lambda self, member: member.acks[-1][0] if member.acks else 0)
     assert "answers at" in missed(Bounds(steps=3, crashes=1)).broken
 
 
--- a/tests/test_force.py
+++ b/tests/test_force.py
@@ -4,37 +4,47 @@
 from dataclasses import replace
 
 import pytest
+from conftest import MS, S
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from conftest import MS, S
-from quartzrouter.force.force import Force
-from quartzrouter.force.limits import KEYS_MOST, Key, Limits
-from quartzrouter.force.pools import Pools
-from quartzrouter.interface import Abort, Deny, Dispatch, Ending, Listed, Outcome, Req, State, Tier
-from quartzrouter.plan.compile import compiled
-from quartzrouter.plan.load import load
-from quartzrouter.plan.model import Amount, Limit, Pool, Split
-from quartzrouter.plan.sets import Asked
+from quartzrouter.config.loader import load
+from quartzrouter.config.model import Amount, Limit, Pool, Split
+from quartzrouter.config.platform_json import compiled
+from quartzrouter.config.request_sets import Asked
+from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
+from quartzrouter.pool_routing.pools import PoolSelector
+from quartzrouter.pool_routing.rate_limits import KEYS_MOST, LimitKey, RateLimiter
+from quartzrouter.routing.model import (
+    AttemptResult,
+    AttemptStatus,
+    Endpoint,
+    EndpointState,
+    Fail,
+    Forward,
+    Reject,
+    Request,
+    Tier,
+)
 
 
 def test_a_rate_lets_its_burst_through_and_then_its_pace():
-    limits = Limits({"r": Limit("r", "all", rate=10.0, burst=5)})
-    through = [n for n in range(100) if limits.admit(n, [Key("r", "")], 1.0, n * 10 * MS) is None]
+    limits = RateLimiter({"r": Limit("r", "all", rate=10.0, burst=5)})
+    through = [n for n in range(100) if limits.admit(n, [LimitKey("r", "")], 1.0, n * 10 * MS) is None]
     assert through[:5] == [0, 1, 2, 3, 4]
     assert len(through) == 5 + 9  # 10 a second over 0.99 s, and the burst
-    denied = limits.admit(200, [Key("r", "")], 1.0, 990 * MS)
+    denied = limits.admit(200, [LimitKey("r", "")], 1.0, 990 * MS)
     assert denied.limit == "r" and 0 < denied.come_back <= 100 * MS
-    assert limits.admit(201, [Key("r", "")], 1.0, 990 * MS + denied.come_back) is None
+    assert limits.admit(201, [LimitKey("r", "")], 1.0, 990 * MS + denied.come_back) is None
 
 
 @settings(max_examples=100)
 @given(st.integers(1, 50), st.integers(1, 20), st.lists(st.integers(0, 200), min_size=1, max_size=80))
 def test_no_time_sees_more_than_the_burst_and_the_pace(rate, burst, gaps):
-    limits, now, taken = Limits({"r": Limit("r", "all", rate=float(rate), burst=burst)}), 0, []
+    limits, now, taken = RateLimiter({"r": Limit("r", "all", rate=float(rate), burst=burst)}), 0, []
     for n, gap in enumerate(gaps):
         now += gap * MS
-        if limits.admit(n, [Key("r", "")], 1.0, now) is None:
+        if limits.admit(n, [LimitKey("r", "")], 1.0, now) is None:
             taken.append(now)
     for at, since in enumerate(taken):
         for count, until in enumerate(taken[at:], 1):
@@ -42,32 +52,32 @@
 
 
 def test_all_limits_or_none_are_charged_and_reqs_give_back_once():
-    limits = Limits({"a": Limit("a", "all", concurrent=3), "b": Limit("b", "all", concurrent=1)})
-    both = [Key("a", ""), Key("b", "")]
+    limits = RateLimiter({"a": Limit("a", "all", concurrent=3), "b": Limit("b", "all", concurrent=1)})
+    both = [LimitKey("a", ""), LimitKey("b", "")]
     assert limits.admit(1, both, 1.0, 0) is None
     assert [limits.admit(n, both, 1.0, 0).limit for n in (2, 3, 4, 5)] == ["b"] * 4
-    assert limits.admit(6, [Key("a", "")], 1.0, 0) is None  # the denied ones hold nothing of a
+    assert limits.admit(6, [LimitKey("a", "")], 1.0, 0) is None  # the denied ones hold nothing of a
     for _ in range(3):
         limits.release(1)
-    assert [limits.admit(n, [Key("a", "")], 1.0, 0) for n in (7, 8)] == [None, None]
-    assert limits.admit(9, [Key("a", "")], 1.0, 0).limit == "a"
+    assert [limits.admit(n, [LimitKey("a", "")], 1.0, 0) for n in (7, 8)] == [None, None]
+    assert limits.admit(9, [LimitKey("a", "")], 1.0, 0).limit == "a"
 
 
 def test_a_share_is_kept_free_for_more_value():
-    limits = Limits({"a": Limit("a", "all", concurrent=10, keep_free=0.3, below=5.0)})
-    cheap = sum(limits.admit(n, [Key("a", "")], 1.0, 0) is None for n in range(20))
-    dear = sum(limits.admit(100 + n, [Key("a", "")], 5.0, 0) is None for n in range(20))
+    limits = RateLimiter({"a": Limit("a", "all", concurrent=10, keep_free=0.3, below=5.0)})
+    cheap = sum(limits.admit(n, [LimitKey("a", "")], 1.0, 0) is None for n in range(20))
+    dear = sum(limits.admit(100 + n, [LimitKey("a", "")], 5.0, 0) is None for n in range(20))
     assert (cheap, dear) == (7, 3)
 
 
 def test_keys_are_bounded_and_those_in_use_stay(monkeypatch):
     monkeypatch.setattr(
-        "quartzrouter.force.limits.KEYS_MOST", KEYS_MOST // 16
+        "quartzrouter.pool_routing.rate_limits.KEYS_MOST", KEYS_MOST // 16
     )  # a look at all for each new one
-    limits = Limits({"c": Limit("c", "client", rate=1.0, burst=1, concurrent=2)})
-    assert limits.admit(0, [Key("c", "first")], 1.0, 0) is None  # stays in hand
+    limits = RateLimiter({"c": Limit("c", "client", rate=1.0, burst=1, concurrent=2)})
+    assert limits.admit(0, [LimitKey("c", "first")], 1.0, 0) is None  # stays in hand
     for n in range(1, 3 * KEYS_MOST // 16):
-        limits.admit(n, [Key("c", f"{n}")], 1.0, n)
+        limits.admit(n, [LimitKey("c", f"{n}")], 1.0, n)
         limits.release(n)
     assert len(limits.counts["c"]) <= KEYS_MOST // 16
     assert limits.counts["c"]["first"].in_hand == 1
@@ -75,15 +85,15 @@
 
 def test_a_new_plan_keeps_the_counts_of_a_limit_that_is_saturated():
     old, new = Limit("a", "all", concurrent=4), Limit("a", "all", concurrent=2)
-    limits = Limits({"a": old, "gone": old})
+    limits = RateLimiter({"a": old, "gone": old})
     for n in range(4):
-        assert limits.admit(n, [Key("a", ""), Key("gone", "")], 1.0, 0) is None
+        assert limits.admit(n, [LimitKey("a", ""), LimitKey("gone", "")], 1.0, 0) is None
     limits.replace({"a": new})
-    assert limits.admit(10, [Key("a", "")], 1.0, 0)
+    assert limits.admit(10, [LimitKey("a", "")], 1.0, 0)
     for n in range(3):
         limits.release(n)
-    assert limits.admit(11, [Key("a", "")], 1.0, 0) is None
-    assert limits.admit(12, [Key("a", "")], 1.0, 0)
+    assert limits.admit(11, [LimitKey("a", "")], 1.0, 0) is None
+    assert limits.admit(12, [LimitKey("a", "")], 1.0, 0)
     limits.release(3)
     limits.replace({"a": new})
     assert "gone" not in limits.counts
@@ -93,7 +103,7 @@
     first = Pool(
         "first", ("north",), fallback="second", at_least=Amount(2), back_at=Amount(3), back_after=back_after
     )
-    return Pools({"first": first, "second": Pool("second", ("south",))}, {})
+    return PoolSelector({"first": first, "second": Pool("second", ("south",))}, {})
 
 
 def test_a_pool_that_flaps_around_its_threshold_changes_few_times():
@@ -124,7 +134,7 @@
 
 def test_a_split_is_stable_and_moves_what_it_must():
     def made(*shares):
-        return Pools({}, {"s": Split("s", "object", tuple(zip("abc", shares, strict=False)))})
+        return PoolSelector({}, {"s": Split("s", "object", tuple(zip("abc", shares, strict=False)))})
 
     objects = [f"obj-{n}" for n in range(10_000)]
     before = {obj: made(0.7, 0.3).of("s", obj, "") for obj in objects}
@@ -132,7 +142,7 @@
     after = {obj: made(0.6, 0.4).of("s", obj, "") for obj in objects}
     moved = [obj for obj in objects if before[obj] != after[obj]]
     assert 0.08 < len(moved) / 10_000 < 0.12 and all(after[obj] == "b" for obj in moved)
-    by_client = Pools({}, {"s": Split("s", "client", (("a", 0.5), ("b", 0.5)))})
+    by_client = PoolSelector({}, {"s": Split("s", "client", (("a", 0.5), ("b", 0.5)))})
     assert len({by_client.of("s", obj, "10.0.0.7") for obj in objects}) == 1
 
 
@@ -179,12 +189,12 @@
     """A plan in force, and the reqs of a few hands."""
 
     def __init__(self, text=PLAN):
-        from quartzrouter.briefing import Configuration
+        from quartzrouter.configuration import Configuration
 
         self.plan = self.load(text)
         configuration = Configuration(compiled(self.plan), {}, journal_needed=False)
         self.force, self.now, self.ids, self.hops = (
-            Force(self.plan, configuration.briefing.arguments),
+            MultiPoolRouter(self.plan, configuration.briefing.arguments),
             10 * S,
             0,
             {},
@@ -199,36 +209,52 @@
 
     def list(self, plan, **states):
         lines = [
-            Listed(name, cache["at"], Tier(cache["tier"]), cache["kind"], 0, State(states.get(name, "up")),
-                   cache["weight"], 0)
+            Endpoint(
+                name,
+                cache["at"],
+                Tier(cache["tier"]),
+                cache["kind"],
+                0,
+                EndpointState(states.get(name, "up")),
+                cache["weight"],
+                0,
+            )
             for name, cache in plan.caches.items()
-        ]  # fmt: skip
-        self.force.heard(lines, True, self.now)
+        ]
+        self.force.update_endpoints(lines, True, self.now)
 
     def req(self, path, client="c"):
         self.ids += 1
         ruling = self.force.rule(Asked("north", "", path, "GET", {}, {}), client)
         denied = self.force.admit(self.ids, ruling, self.now)
         if denied:
-            return Deny(denied.come_back)
-        from quartzrouter.force.ruling import vhost_name
-
-        req = Req(self.ids, vhost_name(ruling.route), ruling.obj, ruling.group, ruling.part, 0.0, 3 * S,
-                  dispatches=self.force.dispatches(ruling))  # fmt: skip
+            return Reject(denied.come_back)
+        from quartzrouter.pool_routing.route_selection import vhost_name
+
+        req = Request(
+            self.ids,
+            vhost_name(ruling.route),
+            ruling.obj,
+            ruling.group,
+            ruling.part,
+            0.0,
+            3 * S,
+            max_attempts=self.force.dispatches(ruling),
+        )
         return self.told(self.force.route(req, self.now))
 
     def told(self, answer, id=None):
         id = id or self.ids
-        if isinstance(answer, Dispatch):
-            self.hops[id] = answer.hop
-        elif isinstance(answer, Deny | Abort) or answer is None:
+        if isinstance(answer, Forward):
+            self.hops[id] = answer.attempt_number
+        elif isinstance(answer, Reject | Fail) or answer is None:
             self.force.release(id)
         return answer
 
     def end(self, ending, id=None):
         id = id or self.ids
-        outcome = Outcome(self.hops[id], ending, 50 * MS, over=ending is Ending.DONE)
-        return self.told(self.force.after(id, outcome, self.now), id)
+        outcome = AttemptResult(self.hops[id], ending, 50 * MS, final=ending is AttemptStatus.SUCCEEDED)
+        return self.told(self.force.attempt_finished(id, outcome, self.now), id)
 
 
 @pytest.fixture
@@ -237,14 +263,14 @@
 
 
 def test_a_route_goes_to_its_pool_under_its_policy(played):
-    assert played.req("/far/a").be.startswith("s")
-    assert played.req("/a").be.startswith("n")
-    assert played.req("/shut/a") == Deny(2 * S)  # nine seconds are asked for, two may be named
+    assert played.req("/far/a").endpoint.startswith("s")
+    assert played.req("/a").endpoint.startswith("n")
+    assert played.req("/shut/a") == Reject(2 * S)  # nine seconds are asked for, two may be named
     answer = played.req("/once/a")
-    assert answer.be.startswith("n") and answer.rank == 0
-    assert not isinstance(played.end(Ending.CUT), Dispatch)  # a second one isn't permitted
+    assert answer.endpoint.startswith("n") and answer.cache_priority == 0
+    assert not isinstance(played.end(AttemptStatus.CONNECTION_LOST), Forward)  # a second one isn't permitted
     again = played.req("/a")
-    assert isinstance(again, Dispatch) and isinstance(played.end(Ending.CUT), Dispatch)
+    assert isinstance(again, Forward) and isinstance(played.end(AttemptStatus.CONNECTION_LOST), Forward)
 
 
 def test_a_budget_lets_few_further_dispatches_through(played):
@@ -252,40 +278,40 @@
     for n in range(300):
         played.now += 5 * MS
         played.req(f"/poor/{n}")
-        answer = played.end(Ending.CUT if n % 2 else Ending.DONE)
-        if isinstance(answer, Dispatch):
+        answer = played.end(AttemptStatus.CONNECTION_LOST if n % 2 else AttemptStatus.SUCCEEDED)
+        if isinstance(answer, Forward):
             further += 1
-            played.end(Ending.DONE)
+            played.end(AttemptStatus.SUCCEEDED)
     assert 10 <= further <= 10 + 300 * 0.1 + 1
 
 
 def test_limits_turn_away_before_a_dispatch_and_are_given_back(played):
     first = [played.req("/few/a"), played.req("/few/b"), played.req("/few/c")]
-    assert [type(answer) for answer in first] == [Dispatch, Dispatch, Deny]
-    played.end(Ending.DONE, 1)
+    assert [type(answer) for answer in first] == [Forward, Forward, Reject]
+    played.end(AttemptStatus.SUCCEEDED, 1)
     played.force.release(1)
-    assert isinstance(played.req("/few/d"), Dispatch)
-    assert isinstance(played.req("/slow/a", "x"), Dispatch)
-    assert played.req("/slow/b", "x") == Deny(500 * MS)
-    assert isinstance(played.req("/slow/b", "y"), Dispatch)
+    assert isinstance(played.req("/few/d"), Forward)
+    assert isinstance(played.req("/slow/a", "x"), Forward)
+    assert played.req("/slow/b", "x") == Reject(500 * MS)
+    assert isinstance(played.req("/slow/b", "y"), Forward)
 
 
 def test_the_fallback_stands_in_and_comes_back(played):
     played.list(played.plan, n1="draining", n2="draining")
-    assert played.req("/a").be.startswith("s")
+    assert played.req("/a").endpoint.startswith("s")
     played.list(played.plan)
     played.now += 100 * MS
-    assert played.req("/a").be.startswith("s")
+    assert played.req("/a").endpoint.startswith("s")
     played.now += 900 * MS
-    assert played.req("/a").be.startswith("s")
+    assert played.req("/a").endpoint.startswith("s")
     played.now += 200 * MS
-    assert played.req("/a").be.startswith("n")
+    assert played.req("/a").endpoint.startswith("n")
 
 
 def test_a_new_plan_keeps_what_was_learnt_and_ends_what_is_in_hand(played):
     answer = played.req("/a")
     router = played.force.pool_routers["near"].router
-    played.force.purged(None, "00" * 8, 0, played.now)
+    played.force.record_purge(None, "00" * 8, 0, played.now)
     text = PLAN.replace("pools: {", 'pools: { third: { stores: ["north", "south"] },')
     text = text.replace(
         'path: "/few/**" }, vhost: "page", pool: "near"', 'path: "/few/**" }, vhost: "page", pool: "third"'
@@ -294,9 +320,9 @@
     assert played.force.pool_routers["near"].router is router
     third = played.force.pool_routers["third"].router
     assert third.purges.at == router.purges.at and third.roster.homes == ("north", "south")
-    assert isinstance(played.end(Ending.CUT, 1), Dispatch)
-    assert played.end(Ending.DONE, 1) is None and not played.force.where
-    assert answer.be.startswith("n")
+    assert isinstance(played.end(AttemptStatus.CONNECTION_LOST, 1), Forward)
+    assert played.end(AttemptStatus.SUCCEEDED, 1) is None and not played.force.where
+    assert answer.endpoint.startswith("n")
 
 
 def test_a_plan_that_takes_a_pool_away_ends_its_reqs(played):
@@ -309,10 +335,10 @@
     for _ in range(2):  # twice within a second
         played.force.replace(played.load(text), played.now)
     assert played.force.leaving == [far]
-    assert isinstance(played.end(Ending.CUT, 1), Dispatch)
-    assert played.end(Ending.DONE, 1) is None
+    assert isinstance(played.end(AttemptStatus.CONNECTION_LOST, 1), Forward)
+    assert played.end(AttemptStatus.SUCCEEDED, 1) is None
     assert played.force.leaving == [] and not played.force.where and not played.force.rulings
-    assert played.req("/far/a").be.startswith("n")
+    assert played.req("/far/a").endpoint.startswith("n")
 
 
 def sent_cold(played, change):
@@ -320,16 +346,16 @@
     played.list(played.plan)
     for name, line in list(played.force.lines.items()):
         if name == "n1":
-            played.force.heard([replace(line, started=played.now)], False, played.now)
+            played.force.update_endpoints([replace(line, started_at=played.now)], False, played.now)
     sent = 0
     for n in range(400):
         if n == 200:
             change()
         played.now += 2 * MS
         answer = played.req(f"/{n}")
-        sent += isinstance(answer, Dispatch) and answer.be == "n1"
-        if isinstance(answer, Dispatch):
-            played.end(Ending.DONE)
+        sent += isinstance(answer, Forward) and answer.endpoint == "n1"
+        if isinstance(answer, Forward):
+            played.end(AttemptStatus.SUCCEEDED)
     return sent
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -28,22 +28,33 @@
 from quartzrouter.cli import purge as cli_purge
 from quartzrouter.drill import wire
 from quartzrouter.drill.host import Instance
-from quartzrouter.interface import Dispatch, Ending, Listed, Outcome, Report, Req, State, Tier, Told
-from quartzrouter.keeper.numbers import Numbers
-from quartzrouter.leases import keeper as lease_keeper
+from quartzrouter.fault_harness import fault_schedule
+from quartzrouter.fleet_health import aggregator
+from quartzrouter.lease_service.token_storage import TokenStorage
+from quartzrouter.leases import acceptor as lease_keeper
+from quartzrouter.leases import messages as lease_words
 from quartzrouter.leases import terms as lease_terms
-from quartzrouter.leases import words as lease_words
-from quartzrouter.ledger.disk import RealDisk
-from quartzrouter.ledger.files import Found, Header, Summary, read
-from quartzrouter.ledger.log import Log
-from quartzrouter.ledger.records import records
-from quartzrouter.net import answer
-from quartzrouter.purges import words
-from quartzrouter.purges.fleet import Fleet
-from quartzrouter.purges.follower import Follower
-from quartzrouter.sharing import budget, council, granter, warming
-from quartzrouter.site import purges as site_purges
-from quartzrouter.stand import schedule
+from quartzrouter.purge_log.disk import RealDisk
+from quartzrouter.purge_log.log import PurgeLog
+from quartzrouter.purge_log.records import records
+from quartzrouter.purge_log.segments import LogContents, SegmentHeader, SnapshotHeader, read
+from quartzrouter.purges import messages as messages_module
+from quartzrouter.purges.fleet_purges import FleetPurges
+from quartzrouter.purges.replica import PurgeReplica
+from quartzrouter.quota import allocator, budget, slow_start
+from quartzrouter.routing.model import (
+    AttemptResult,
+    AttemptStatus,
+    Endpoint,
+    EndpointState,
+    FillStatus,
+    Forward,
+    LoadReport,
+    Request,
+    Tier,
+)
+from quartzrouter.server import responses
+from quartzrouter.standalone import purge_membership as site_purges
 
 GOLDEN = Path(__file__).parent / "golden"
 S = 1_000_000  # us
@@ -52,8 +63,8 @@
 # -- checksums that two parties compare --------------------------------------------------------------------
 
 BUDGET = budget.Budget("origin", 250.0, 50.0, 40, 3 * S, 0.25, 4, 2 * S)
-COLD = warming.Terms(1 * S, 0.3, 4, 500_000)
-LEASES = lease_terms.Terms(("k1", "k2", "k3"), 2, 4 * S, 150, (("deliver", ("a", "b")), ("sweep", ())))
+COLD = slow_start.SlowStartTerms(1 * S, 0.3, 4, 500_000)
+LEASES = lease_terms.LeaseTerms(("k1", "k2", "k3"), 2, 4 * S, 150, (("deliver", ("a", "b")), ("sweep", ())))
 FIGURES = {
     "budget all": BUDGET,
     "budget defaults": budget.Budget("origin"),
@@ -63,140 +74,169 @@
     "budget slots only": budget.Budget("origin", 0.0, 0.0, 12, 2 * S),
     "cold-server terms": COLD,
     "lease terms all": LEASES,
-    "lease terms defaults": lease_terms.Terms(("k1",)),
-    "lease terms other tasks": lease_terms.Terms(("k1", "k2", "k3"), 2, 4 * S, 150),
+    "lease terms defaults": lease_terms.LeaseTerms(("k1",)),
+    "lease terms other tasks": lease_terms.LeaseTerms(("k1", "k2", "k3"), 2, 4 * S, 150),
 }
 
 # -- messages to and from the ledger -----------------------------------------------------------------------
 
 PURGES = (
-    words.Purge(7, WHEN + 7, "tag", ("rose", "tulip"), "media", "north", "key-7"),
-    words.Purge(8, WHEN + 8, "all"),
-    words.Purge(9, WHEN + 9, "pattern", ("media.example/photos/*/\"3\".jpg", "/video/**"), "", "south"),
-    words.Purge(10, WHEN + 10, "object", ("00000000000000a1",), "page", "", "key-10"),
-)  # fmt: skip
+    messages_module.Purge(7, WHEN + 7, "tag", ("rose", "tulip"), "media", "north", "key-7"),
+    messages_module.Purge(8, WHEN + 8, "all"),
+    messages_module.Purge(
+        9, WHEN + 9, "pattern", ('media.example/photos/*/"3".jpg', "/video/**"), "", "south"
+    ),
+    messages_module.Purge(10, WHEN + 10, "object", ("00000000000000a1",), "page", "", "key-10"),
+)
 ASKS = (
-    budget.Ask("origin", "t-0", "0123abcd", 5, 120.5, 7.25, 3, 9, 4_000_000_001),
-    budget.Ask("origin/tenant", "t-0", "0123abcd", 6),
+    budget.QuotaRequest("origin", "t-0", "0123abcd", 5, 120.5, 7.25, 3, 9, 4_000_000_001),
+    budget.QuotaRequest("origin/tenant", "t-0", "0123abcd", 6),
 )
 COLD_ASKS = (
-    warming.ColdAsk("n1", "cache", 8, 900_000, 400_000, 50_000, 1_200, 4_000_000_002, 30_000),
-    warming.ColdAsk("p1", "parent", 9, 800_000, 300_000, 0, 900, 4_000_000_003),
+    slow_start.SlowStartRequest("n1", "cache", 8, 900_000, 400_000, 50_000, 1_200, 4_000_000_002, 30_000),
+    slow_start.SlowStartRequest("p1", "parent", 9, 800_000, 300_000, 0, 900, 4_000_000_003),
 )
-SIGHTS = (council.Sight("n1", True, 10, 3, 2, 14), council.Sight("n2", False))
-JUDGEMENTS = (council.Judgement("n1", 950_000, ("t-0", "t-1"), ("t-2",), 11),)
-COUNTS = (council.Count("n1", 12, 150_000, 4, 3), council.Count("n2", -1, 0, 0, 1))
-GRANTS = (budget.Grant("origin", "0123abcd", 5, 30.125, 9), budget.Grant("fills", "0123abcd", 6, 0.0, 0))
-COLD_GRANTS = (warming.ColdGrant("n1", 8, 250_000),)
+SIGHTS = (aggregator.CacheObservation("n1", True, 10, 3, 2, 14), aggregator.CacheObservation("n2", False))
+JUDGEMENTS = (aggregator.EjectionVerdict("n1", 950_000, ("t-0", "t-1"), ("t-2",), 11),)
+COUNTS = (aggregator.CacheLoad("n1", 12, 150_000, 4, 3), aggregator.CacheLoad("n2", -1, 0, 0, 1))
+GRANTS = (
+    budget.QuotaGrant("origin", "0123abcd", 5, 30.125, 9),
+    budget.QuotaGrant("fills", "0123abcd", 6, 0.0, 0),
+)
+COLD_GRANTS = (slow_start.SlowStartGrant("n1", 8, 250_000),)
 BUDGETS = (
-    budget.State("origin", 250.0, 40, 12.5, 1_000.75, 400_000, (budget.Holding("t-0", 120.5, 9, 80_000),)),
-    budget.State("fills", 0.0, 8, 0.0, 0.0, 0, ()),
+    budget.BudgetState(
+        "origin", 250.0, 40, 12.5, 1_000.75, 400_000, (budget.QuotaHolding("t-0", 120.5, 9, 80_000),)
+    ),
+    budget.BudgetState("fills", 0.0, 8, 0.0, 0.0, 0, ()),
 )
-COLD_STATES = (warming.ColdState("n1", 250_000, 900_000, 3),)
+COLD_STATES = (slow_start.SlowStartState("n1", 250_000, 900_000, 3),)
 MEMBERS = (
-    words.MemberLine("t-0", "router", 9, True, False, 12_000),
-    words.MemberLine("n1", "cache", 7, False, True, 3_400_000),
+    messages_module.MemberStatus("t-0", "router", 9, True, False, 12_000),
+    messages_module.MemberStatus("n1", "cache", 7, False, True, 3_400_000),
 )
-STATUS = words.Status(
-    9, "pattern /video/** at south", WHEN + 9, False, 0, 2 * S, ("t-1", "n1"), 10,
+STATUS = messages_module.PurgeStatus(
+    9,
+    "pattern /video/** at south",
+    WHEN + 9,
+    False,
+    0,
+    2 * S,
+    ("t-1", "n1"),
+    10,
     {"purges": 10, "p50": 1_500, "p99": 9_000, "highest": 12_000, "missed": 1},
-)  # fmt: skip
-COMPLETE = words.Status(8, "all", WHEN + 8, True, 34_000, 2 * S, (), 10, {})
+)
+COMPLETE = messages_module.PurgeStatus(8, "all", WHEN + 8, True, 34_000, 2 * S, (), 10, {})
 
 TO_LEDGER = {
-    "send": words.Send("tag", ("rose", "tulip"), "media", "north", "key-7"),
-    "send_defaults": words.Send("all"),
-    "hello": words.Hello("t-0", "router", "0123abcd", 42, 3, 3_600 * S),
-    "hello_defaults": words.Hello("n1", "cache", "89ef"),
-    "ack": words.Ack(42, 17, True),
-    "ack_defaults": words.Ack(42, 17),
-    "leave": words.Leave(),
-    "ask_status": words.AskStatus(42),
-    "ask_status_defaults": words.AskStatus(),
-    "ask_members": words.AskMembers(),
-    "asks": words.Asks(ASKS, COLD_ASKS),
-    "asks_defaults": words.Asks(()),
-    "sights": words.Sights("north", SIGHTS, 12, True),
-    "sights_defaults": words.Sights("north", (), 12),
-    "ask_views": words.AskViews(),
-    "ask_budgets": words.AskBudgets(),
+    "send": messages_module.PurgeRequest("tag", ("rose", "tulip"), "media", "north", "key-7"),
+    "send_defaults": messages_module.PurgeRequest("all"),
+    "hello": messages_module.MemberHello("t-0", "router", "0123abcd", 42, 3, 3_600 * S),
+    "hello_defaults": messages_module.MemberHello("n1", "cache", "89ef"),
+    "ack": messages_module.MemberAck(42, 17, True),
+    "ack_defaults": messages_module.MemberAck(42, 17),
+    "leave": messages_module.MemberLeave(),
+    "ask_status": messages_module.StatusQuery(42),
+    "ask_status_defaults": messages_module.StatusQuery(),
+    "ask_members": messages_module.MembersQuery(),
+    "asks": messages_module.QuotaRequests(ASKS, COLD_ASKS),
+    "asks_defaults": messages_module.QuotaRequests(()),
+    "sights": messages_module.HealthReport("north", SIGHTS, 12, True),
+    "sights_defaults": messages_module.HealthReport("north", (), 12),
+    "ask_views": messages_module.HealthQuery(),
+    "ask_budgets": messages_module.QuotaQuery(),
 }
 FROM_LEDGER = {
-    "taken": words.Taken(7, WHEN + 7, 2 * S, True),
-    "taken_defaults": words.Taken(7, WHEN + 7, 2 * S),
-    "refused": words.Refused("values", "no tag is named", "name one tag or more", 500_000),
-    "refused_defaults": words.Refused("kind", "there is none", "name one"),
-    "welcome": words.Welcome(3, 42, WHEN, 1_500_000, True, True),
-    "welcome_defaults": words.Welcome(3, 42, WHEN, 1_500_000),
-    "purges": words.Purges(PURGES),
-    "purges_none": words.Purges(()),
-    "snapshot": words.Snapshot(10, WHEN, PURGES, False),
-    "snapshot_last": words.Snapshot(10, WHEN, (), True),
-    "beat": words.Beat(3, 42, 17, WHEN),
-    "caught": words.Caught({"n1": 42, "n2": 0}),
+    "taken": messages_module.PurgeAccepted(7, WHEN + 7, 2 * S, True),
+    "taken_defaults": messages_module.PurgeAccepted(7, WHEN + 7, 2 * S),
+    "refused": messages_module.RequestRejected("values", "no tag is named", "name one tag or more", 500_000),
+    "refused_defaults": messages_module.RequestRejected("kind", "there is none", "name one"),
+    "welcome": messages_module.Welcome(3, 42, WHEN, 1_500_000, True, True),
+    "welcome_defaults": messages_module.Welcome(3, 42, WHEN, 1_500_000),
+    "purges": messages_module.PurgeBatch(PURGES),
+    "purges_none": messages_module.PurgeBatch(()),
+    "snapshot": messages_module.Snapshot(10, WHEN, PURGES, False),
+    "snapshot_last": messages_module.Snapshot(10, WHEN, (), True),
+    "beat": messages_module.Heartbeat(3, 42, 17, WHEN),
+    "caught": messages_module.CaughtUp({"n1": 42, "n2": 0}),
     "status": STATUS,
     "status_complete": COMPLETE,
-    "members": words.Members(3, 10, MEMBERS),
-    "grants": words.Grants(
+    "members": messages_module.MembersReply(3, 10, MEMBERS),
+    "grants": messages_module.QuotaGrants(
         GRANTS,
-        {"fills": budget.Refusal("figures", "it has others here", "give both the same plan")},
+        {"fills": budget.QuotaRefusal("figures", "it has others here", "give both the same plan")},
         COLD_GRANTS,
     ),
-    "grants_defaults": words.Grants(()),
-    "budgets": words.Budgets(3, BUDGETS, 2, COLD_STATES),
-    "budgets_defaults": words.Budgets(3, (), 0),
-    "judged": words.Judged(JUDGEMENTS, {"n1": 12, "n2": -1}),
-    "judged_defaults": words.Judged(()),
-    "views": words.Views(3, (words.View("north", JUDGEMENTS, COUNTS), words.View("south", (), ()))),
-}  # fmt: skip
+    "grants_defaults": messages_module.QuotaGrants(()),
+    "budgets": messages_module.QuotaStatus(3, BUDGETS, 2, COLD_STATES),
+    "budgets_defaults": messages_module.QuotaStatus(3, (), 0),
+    "judged": messages_module.EjectionVerdicts(JUDGEMENTS, {"n1": 12, "n2": -1}),
+    "judged_defaults": messages_module.EjectionVerdicts(()),
+    "views": messages_module.HealthReply(
+        3,
+        (
+            messages_module.StoreHealth("north", JUDGEMENTS, COUNTS),
+            messages_module.StoreHealth("south", (), ()),
+        ),
+    ),
+}
 
 # -- messages to and from a lease server -------------------------------------------------------------------
 
 KEEPS = {
-    "k1": lease_terms.Keeps(
-        "k1", 2, 4_000_000_004, 0, 1,
+    "k1": lease_terms.AcceptorStatus(
+        "k1",
+        2,
+        4_000_000_004,
+        0,
+        1,
         (
-            lease_terms.Voted("deliver", "a", "0123abcd", 6, 9 * S, 2 * S, ("b", "c")),
-            lease_terms.Voted("sweep", "", "", 2, 0, 0, ()),
+            lease_terms.VoteStatus("deliver", "a", "0123abcd", 6, 9 * S, 2 * S, ("b", "c")),
+            lease_terms.VoteStatus("sweep", "", "", 2, 0, 0, ()),
         ),
     ),
-    "k2": lease_terms.Keeps(
-        "k2", 2, 4_000_000_004, 0, 0, (lease_terms.Voted("deliver", "a", "0123abcd", 6, 8 * S, 3 * S, ()),)
+    "k2": lease_terms.AcceptorStatus(
+        "k2",
+        2,
+        4_000_000_004,
+        0,
+        0,
+        (lease_terms.VoteStatus("deliver", "a", "0123abcd", 6, 8 * S, 3 * S, ()),),
     ),
     "k3": "it hung up",
-}  # fmt: skip
+}
 TO_KEEPER = {
-    "votes": lease_words.Votes(
+    "votes": lease_words.VoteRequests(
         (
-            lease_terms.Vote("deliver", "a", "0123abcd", 4, 6, 4_000_000_004, True),
-            lease_terms.Vote("sweep", "a", "0123abcd", 5, 0, 4_000_000_004),
+            lease_terms.VoteRequest("deliver", "a", "0123abcd", 4, 6, 4_000_000_004, True),
+            lease_terms.VoteRequest("sweep", "a", "0123abcd", 5, 0, 4_000_000_004),
         )
     ),
-    "frees": lease_words.Frees((lease_terms.Free("deliver", "a", "0123abcd", 6),)),
-    "ask_keeps": lease_words.AskKeeps(),
-    "shun": lease_words.Shun("deliver"),
+    "frees": lease_words.VoteReleases((lease_terms.VoteRelease("deliver", "a", "0123abcd", 6),)),
+    "ask_keeps": lease_words.StatusQuery(),
+    "shun": lease_words.RevokeHolder("deliver"),
 }
 FROM_KEEPER = {
-    "answers": lease_words.Answers(
+    "answers": lease_words.VoteReplies(
         (
-            lease_terms.Answer("deliver", "k1", "0123abcd", 4, False, 6, 2 * S, "b"),
-            lease_terms.Answer("sweep", "k1", "0123abcd", 5, True, 2),
+            lease_terms.VoteReply("deliver", "k1", "0123abcd", 4, False, 6, 2 * S, "b"),
+            lease_terms.VoteReply("sweep", "k1", "0123abcd", 5, True, 2),
         ),
-        {"other": lease_terms.Refusal("task", "there is no such task", "read the plan anew")},
+        {"other": lease_terms.VoteRefusal("task", "there is no such task", "read the plan anew")},
     ),
-    "answers_defaults": lease_words.Answers(()),
-    "free_again": lease_words.FreeAgain("deliver"),
-    "kept": lease_words.Kept(KEEPS["k1"]),
-    "unheard": lease_words.Unheard("it is no JSON", "mend the sender"),
+    "answers_defaults": lease_words.VoteReplies(()),
+    "free_again": lease_words.VoteAvailable("deliver"),
+    "kept": lease_words.StatusReply(KEEPS["k1"]),
+    "unheard": lease_words.MessageRejected("it is no JSON", "mend the sender"),
 }
 
 MESSAGES = [
     pytest.param(f"{folder}/{name}.json", message, decode, id=f"{folder}-{name}")
     for folder, messages, decode in (
-        ("to_ledger", TO_LEDGER, words.to_ledger),
-        ("from_ledger", FROM_LEDGER, words.from_ledger),
-        ("to_lease_server", TO_KEEPER, lease_words.to_keeper),
-        ("from_lease_server", FROM_KEEPER, lease_words.from_keeper),
+        ("to_ledger", TO_LEDGER, messages_module.decode_to_purge_log),
+        ("from_ledger", FROM_LEDGER, messages_module.decode_from_purge_log),
+        ("to_lease_server", TO_KEEPER, lease_words.decode_to_acceptor),
+        ("from_lease_server", FROM_KEEPER, lease_words.decode_from_acceptor),
     )
     for name, message in messages.items()
 ]
@@ -204,26 +244,29 @@
 # -- stored files ------------------------------------------------------------------------------------------
 
 LOGGED = [
-    words.Purge(1, WHEN + 1, "all"),
-    words.Purge(2, WHEN + 2, "tag", ("rose", "tulip"), "media", "north", "key-2"),
-    words.Purge(3, WHEN + 3, "pattern", ("/video/**",), "", "south"),
-    words.Purge(4, WHEN + 4, "object", ("00000000000000a1",), "page", "", "key-4"),
+    messages_module.Purge(1, WHEN + 1, "all"),
+    messages_module.Purge(2, WHEN + 2, "tag", ("rose", "tulip"), "media", "north", "key-2"),
+    messages_module.Purge(3, WHEN + 3, "pattern", ("/video/**",), "", "south"),
+    messages_module.Purge(4, WHEN + 4, "object", ("00000000000000a1",), "page", "", "key-4"),
 ]
-NUMBERS = {"deliver": lease_terms.Number(6, "a", "0123abcd"), "sweep": lease_terms.Number(2, "b", "89ef")}
+NUMBERS = {
+    "deliver": lease_terms.FencingToken(6, "a", "0123abcd"),
+    "sweep": lease_terms.FencingToken(2, "b", "89ef"),
+}
 MARKS = {
-    "router_marks": site_purges.Memo(10, WHEN, tuple((each.when - 500, each) for each in PURGES)),
-    "router_marks_none": site_purges.Memo(0, 0, ()),
+    "router_marks": site_purges.StoredPurges(10, WHEN, tuple((each.when - 500, each) for each in PURGES)),
+    "router_marks_none": site_purges.StoredPurges(0, 0, ()),
 }
 FAULTS = [
-    schedule.Fault(120, "cut", "t-0", 900, 0.25),
-    schedule.Fault(300, "kill", "ledger-1"),
-    schedule.Fault(450, "slots", "shared", 0, 8.0),
+    fault_schedule.Fault(120, "cut", "t-0", 900, 0.25),
+    fault_schedule.Fault(300, "kill", "ledger-1"),
+    fault_schedule.Fault(450, "slots", "shared", 0, 8.0),
 ]
 
 
 def logged(folder: Path) -> None:
     """A purge log of one writer: an epoch file, and two segments, of which the second follows the first."""
-    log = Log(RealDisk(str(folder)))
+    log = PurgeLog(RealDisk(str(folder)))
     log.append(LOGGED[:2])
     log.close()
     log.append(LOGGED[2:])
@@ -233,18 +276,18 @@
 def compacted(folder: Path) -> None:
     """The log of a second writer, which has put a snapshot in place of the first purge."""
     logged(folder)
-    log = Log(RealDisk(str(folder)))
+    log = PurgeLog(RealDisk(str(folder)))
     log.compact(LOGGED[1:], 1, LOGGED[0].when)
-    log.append([words.Purge(5, WHEN + 5, "tag", ("iris",))])
+    log.append([messages_module.Purge(5, WHEN + 5, "tag", ("iris",))])
     log.close()
 
 
 def numbered(folder: Path) -> None:
-    Numbers(str(folder), "k1", print).write(NUMBERS)
+    TokenStorage(str(folder), "k1", print).write(NUMBERS)
 
 
 def numbered_none(folder: Path) -> None:
-    Numbers(str(folder), "k1", print).write({})
+    TokenStorage(str(folder), "k1", print).write({})
 
 
 FOLDERS = {
@@ -258,10 +301,10 @@
 
 
 def refused_budgets() -> list[Any]:
-    grants, figures, most = granter.Granter([BUDGET], 0), BUDGET.figures, float(2**80)
-    grants.ask(budget.Ask("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, figures), S)
+    grants, figures, most = allocator.QuotaAllocator([BUDGET], 0), BUDGET.figures, float(2**80)
+    grants.ask(budget.QuotaRequest("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, figures), S)
     return [
-        grants.ask(budget.Ask(*each), S)
+        grants.ask(budget.QuotaRequest(*each), S)
         for each in (
             ("fills", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, figures),
             ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, 1),
@@ -275,10 +318,10 @@
 
 
 def refused_colds() -> list[Any]:
-    grants, figures = warming.Warming({"cache": COLD}, 0), COLD.figures
-    grants.ask(warming.ColdAsk("n1", "cache", 5, 9, 9, 0, 1, figures), "t-0", "0123abcd", S)
+    grants, figures = slow_start.SlowStartAllocator({"cache": COLD}, 0), COLD.figures
+    grants.ask(slow_start.SlowStartRequest("n1", "cache", 5, 9, 9, 0, 1, figures), "t-0", "0123abcd", S)
     return [
-        grants.ask(warming.ColdAsk(*each), "t-0", "0123abcd", S)
+        grants.ask(slow_start.SlowStartRequest(*each), "t-0", "0123abcd", S)
         for each in (
             ("n1", "parent", 6, 9, 9, 0, 1, figures),
             ("n1", "cache", 6, 9, 9, 0, 1, 1),
@@ -294,9 +337,9 @@
 
 
 def refused_votes() -> list[Any]:
-    keeper, figures = lease_keeper.Keeper(LEASES, "k1", 0), LEASES.figures
+    keeper, figures = lease_keeper.Acceptor(LEASES, "k1", 0), LEASES.figures
     return [
-        keeper.vote(lease_terms.Vote(*each), 9 * S)
+        keeper.vote(lease_terms.VoteRequest(*each), 9 * S)
         for each in (
             ("deliver", "a", "0123abcd", 4, 6, 1),
             ("", "a", "0123abcd", 4, 6, figures),
@@ -310,12 +353,12 @@
 
 def refused_purges() -> list[Any]:
     return [
-        words.faulty(each)
+        messages_module.faulty(each)
         for each in (
-            words.Send("all", ("rose",)),
-            words.Send("tag", ("rose",), "/"),
-            words.Send("tag", ("rose",), "", "/"),
-            words.Send("tag", ("rose",), "", "", " "),
+            messages_module.PurgeRequest("all", ("rose",)),
+            messages_module.PurgeRequest("tag", ("rose",), "/"),
+            messages_module.PurgeRequest("tag", ("rose",), "", "/"),
+            messages_module.PurgeRequest("tag", ("rose",), "", "", " "),
         )
     ]
 
@@ -347,19 +390,19 @@
 
 
 EDGES = {
-    "answer_done": lambda: answer.done(b"rose"),
-    "answer_still_good": lambda: answer.still_good(),
-    "answer_denied": lambda: answer.denied(1_500),
-    "answer_denied_no_time": lambda: answer.denied(0),
-    "answer_aborted": lambda: answer.aborted(),
-    "answer_refused": lambda: answer.refused(400, "X-Tag is 'x'"),
-    "answer_health_good": lambda: answer.health(True),
-    "answer_health_bad": lambda: answer.health(False),
+    "answer_done": lambda: responses.ok(b"rose"),
+    "answer_still_good": lambda: responses.not_modified(),
+    "answer_denied": lambda: responses.overloaded(1_500),
+    "answer_denied_no_time": lambda: responses.overloaded(0),
+    "answer_aborted": lambda: responses.failed(),
+    "answer_refused": lambda: responses.invalid(400, "X-Tag is 'x'"),
+    "answer_health_good": lambda: responses.health(True),
+    "answer_health_bad": lambda: responses.health(False),
     "drill_dispatch.json": lambda: acted(
-        "dispatch", 41, Dispatch(2, "n1", "p1", 3, 60 * S, True, True, 400_000, 9 * S), 8 * S
+        "dispatch", 41, Forward(2, "n1", "p1", 3, 60 * S, True, True, 400_000, 9 * S), 8 * S
     ),
     "drill_dispatch_plain.json": lambda: acted(
-        "dispatch", 42, Dispatch(0, "n2", "n2", 0, 0, False, False, 400_000, 9 * S), 8 * S
+        "dispatch", 42, Forward(0, "n2", "n2", 0, 0, False, False, 400_000, 9 * S), 8 * S
     ),
     "drill_call_off.json": lambda: acted("call_off", 41, 2, 8 * S),
     "drill_deny.json": lambda: acted("deny", 41, 250_000),
@@ -367,13 +410,15 @@
     "drill_probe.json": lambda: acted("probe", "n1", 300_000),
     "drill_subscribe.json": lambda: acted("subscribe"),
     "drill_timer.json": lambda: acted("timer", 9 * S, 8 * S, 5),
-}  # fmt: skip
+}
 
 ANSWERS = {
-    words.AskStatus: STATUS,
-    words.AskMembers: words.Members(3, 10, MEMBERS),
-    words.AskBudgets: words.Budgets(3, BUDGETS, 2, COLD_STATES),
-    words.AskViews: words.Views(3, (words.View("north", JUDGEMENTS, COUNTS),)),
+    messages_module.StatusQuery: STATUS,
+    messages_module.MembersQuery: messages_module.MembersReply(3, 10, MEMBERS),
+    messages_module.QuotaQuery: messages_module.QuotaStatus(3, BUDGETS, 2, COLD_STATES),
+    messages_module.HealthQuery: messages_module.HealthReply(
+        3, (messages_module.StoreHealth("north", JUDGEMENTS, COUNTS),)
+    ),
 }
 COMMANDS = {
     "purge_send": (["purge", "send", "--tag", "rose", "--key", "k", "--json"], 0),
@@ -394,7 +439,11 @@
 
 def answered(ask: Any, ledgers: Any, said: Any) -> Any:
     """What a ledger answers, without one."""
-    return [words.Taken(7, WHEN + 7, 2 * S, True)] if isinstance(said, list) else ANSWERS[type(said)]
+    return (
+        [messages_module.PurgeAccepted(7, WHEN + 7, 2 * S, True)]
+        if isinstance(said, list)
+        else ANSWERS[type(said)]
+    )
 
 
 def printed(name: str, patch: pytest.MonkeyPatch) -> bytes:
@@ -403,8 +452,11 @@
     patch.setattr(cli_lease, "_ask", lambda path: (LEASES, KEEPS))
     arguments, status = COMMANDS[name]
     groups = {
-        "purge": cli_purge.purge, "fleet": cli_fleet.fleet, "lease": cli_lease.lease, "plan": cli_plan.plan,
-    }  # fmt: skip
+        "purge": cli_purge.purge,
+        "fleet": cli_fleet.fleet,
+        "lease": cli_lease.lease,
+        "plan": cli_plan.plan,
+    }
     patch.chdir(GOLDEN / "plans")
     result = CliRunner().invoke(groups[arguments[0]], arguments[1:])
     assert result.exit_code == status, result.output
@@ -429,14 +481,14 @@
     recorded = (GOLDEN / path).read_bytes()
     assert recorded.endswith(b"\n") and recorded.count(b"\n") == 1
     same(decode(recorded[:-1]), message)
-    assert words.line(message) == recorded
+    assert messages_module.encode_line(message) == recorded
 
 
 @pytest.mark.parametrize("name, default", [("welcome", "welcome_defaults"), ("budgets", "budgets_defaults")])
 def test_message_of_older_ledger_is_read(name, default):
     """Fields that were added since are always written, and may be missing in what is read."""
     recorded = (GOLDEN / "from_older" / f"{name}.json").read_bytes()
-    same(words.from_ledger(recorded[:-1]), FROM_LEDGER[default])
+    same(messages_module.decode_from_purge_log(recorded[:-1]), FROM_LEDGER[default])
 
 
 def parts(value: Any) -> Iterator[Any]:
@@ -456,10 +508,10 @@
 @pytest.mark.parametrize(
     "union, messages",
     [
-        pytest.param(words.ToLedger, TO_LEDGER, id="to_ledger"),
-        pytest.param(words.FromLedger, FROM_LEDGER, id="from_ledger"),
-        pytest.param(lease_words.ToKeeper, TO_KEEPER, id="to_lease_server"),
-        pytest.param(lease_words.FromKeeper, FROM_KEEPER, id="from_lease_server"),
+        pytest.param(messages_module.ToPurgeLog, TO_LEDGER, id="to_ledger"),
+        pytest.param(messages_module.FromPurgeLog, FROM_LEDGER, id="from_ledger"),
+        pytest.param(lease_words.ToAcceptor, TO_KEEPER, id="to_lease_server"),
+        pytest.param(lease_words.FromAcceptor, FROM_KEEPER, id="from_lease_server"),
     ],
 )
 def test_every_message_and_optional_field_is_recorded(union, messages):
@@ -490,41 +542,44 @@
     disk = RealDisk(str(GOLDEN / "stored" / "ledger"))
     assert disk.names() == ["00000001-00000001.log", "00000001-00000002.log", "epoch-00000001"]
     length = len(disk.read("00000001-00000002.log"))
-    same(read(disk), Found(LOGGED, 0, 0, "00000001-00000002.log", length, 0, []))
+    same(read(disk), LogContents(LOGGED, 0, 0, "00000001-00000002.log", length, 0, []))
     first = len(disk.read("00000001-00000001.log"))
-    headers = {"00000001-00000001.log": Header(1, 1, "", 0, 0)}
-    headers["00000001-00000002.log"] = Header(1, 1, "00000001-00000001.log", first, 2)
+    headers = {"00000001-00000001.log": SegmentHeader(1, 1, "", 0, 0)}
+    headers["00000001-00000002.log"] = SegmentHeader(1, 1, "00000001-00000001.log", first, 2)
     for name, header in headers.items():
         data = disk.read(name)
-        same(msgspec.msgpack.decode(next(records(data, len(data))).payload, type=Header), header)
+        same(msgspec.msgpack.decode(next(records(data, len(data))).payload, type=SegmentHeader), header)
 
 
 def test_purge_log_snapshot_is_read():
     disk = RealDisk(str(GOLDEN / "stored" / "ledger_compacted"))
     assert disk.names() == [
-        "0000000000000004.snapshot", "00000002-00000001.log", "epoch-00000001", "epoch-00000002",
-    ]  # fmt: skip
+        "0000000000000004.snapshot",
+        "00000002-00000001.log",
+        "epoch-00000001",
+        "epoch-00000002",
+    ]
     length = len(disk.read("00000002-00000001.log"))
-    purges = [*LOGGED[1:], words.Purge(5, WHEN + 5, "tag", ("iris",))]
-    same(read(disk), Found(purges, 1, WHEN + 1, "00000002-00000001.log", length, 0, []))
+    purges = [*LOGGED[1:], messages_module.Purge(5, WHEN + 5, "tag", ("iris",))]
+    same(read(disk), LogContents(purges, 1, WHEN + 1, "00000002-00000001.log", length, 0, []))
     data = disk.read("0000000000000004.snapshot")
     summary = next(records(data, len(data))).payload
-    same(msgspec.msgpack.decode(summary, type=Summary), Summary(1, 4, 1, WHEN + 1))
+    same(msgspec.msgpack.decode(summary, type=SnapshotHeader), SnapshotHeader(1, 4, 1, WHEN + 1))
 
 
 @pytest.mark.parametrize("name, numbers", [("lease_server", NUMBERS), ("lease_server_none", {})])
 def test_lease_numbers_are_read(name, numbers):
     said = []
-    same(Numbers(str(GOLDEN / "stored" / name), "k1", said.append).found, numbers)
+    same(TokenStorage(str(GOLDEN / "stored" / name), "k1", said.append).found, numbers)
     assert said == []
 
 
 @pytest.mark.parametrize("name", MARKS)
 def test_router_marks_file(name, tmp_path):
     path, memo = GOLDEN / "stored" / name, MARKS[name]
-    same(msgspec.msgpack.decode(path.read_bytes(), type=site_purges.Memo), memo)
-    fleet = Fleet(2 * S, 3_600 * S, 1_000, 1_000, 0, True)
-    follower = Follower("t-0", "router", "0123abcd", fleet.lease)
+    same(msgspec.msgpack.decode(path.read_bytes(), type=site_purges.StoredPurges), memo)
+    fleet = FleetPurges(2 * S, 3_600 * S, 1_000, 1_000, 0, True)
+    follower = PurgeReplica("t-0", "router", "0123abcd", fleet.lease)
     assert site_purges.resume(str(path), fleet, follower, WHEN + S) == ""
     same(site_purges.memo(fleet, follower.held), memo)
     site_purges.save(str(tmp_path / name), memo)
@@ -533,8 +588,8 @@
 
 def test_fault_schedule_file(tmp_path):
     path = GOLDEN / "stored" / "faults.jsonl"
-    same(schedule.read(path), FAULTS)
-    schedule.write(tmp_path / "faults", FAULTS)
+    same(fault_schedule.read(path), FAULTS)
+    fault_schedule.write(tmp_path / "faults", FAULTS)
     assert (tmp_path / "faults").read_bytes() == path.read_bytes()
 
 
@@ -563,19 +618,21 @@
 DRILL_READ = {
     "drill_listed.json": (
         lambda event: wire.listed(event, Tiers()),
-        Listed("n1", "north", Tier.CACHE, "box", 3, State.DRAINING, 2.5, WHEN),
+        Endpoint("n1", "north", Tier.CACHE, "box", 3, EndpointState.DRAINING, 2.5, WHEN),
     ),
-    "drill_req.json": (wire.req, Req(41, "page", "00a1", 7, 2, 12.5, 3 * S, "acme")),
-    "drill_req_defaults.json": (wire.req, Req(42, "page", "00a2", None, 0, 0.0, 3 * S)),
+    "drill_req.json": (wire.request, Request(41, "page", "00a1", 7, 2, 12.5, 3 * S, "acme")),
+    "drill_req_defaults.json": (wire.request, Request(42, "page", "00a2", None, 0, 0.0, 3 * S)),
     "drill_outcome.json": (
         lambda event: wire.outcome(event, ["busy", "x1", "rif"]),
-        Outcome(2, Ending.FULL, 34_000, Told(1), True, Report(12_000, 0.75, 1.25)),
+        AttemptResult(
+            2, AttemptStatus.OVERLOADED, 34_000, FillStatus(1), True, LoadReport(12_000, 0.75, 1.25)
+        ),
     ),
     "drill_outcome_defaults.json": (
         lambda event: wire.outcome(event, []),
-        Outcome(0, Ending.DONE, 34_000),
+        AttemptResult(0, AttemptStatus.SUCCEEDED, 34_000),
     ),
-}  # fmt: skip
+}
 
 
 class Tiers:
@@ -605,7 +662,7 @@
             print(f"{path}: {len(data)} bytes", file=sys.stderr)
 
     for entry in MESSAGES:
-        put(entry.values[0], words.line(entry.values[1]))
+        put(entry.values[0], messages_module.encode_line(entry.values[1]))
     with tempfile.TemporaryDirectory() as made:
         for name, make in FOLDERS.items():
             make(Path(made) / name)
@@ -614,7 +671,7 @@
         for name, memo in MARKS.items():
             site_purges.save(f"{made}/{name}", memo)
             put(f"stored/{name}", Path(made, name).read_bytes())
-        schedule.write(Path(made, "faults"), FAULTS)
+        fault_schedule.write(Path(made, "faults"), FAULTS)
         put("stored/faults.jsonl", Path(made, "faults").read_bytes())
     figures = {name: terms.figures for name, terms in FIGURES.items()}
     put("checksums.json", json.dumps(figures, indent=2).encode() + b"\n")
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -5,14 +5,14 @@
 
 import anyio
 import pytest
-
 from conftest import MS, SETUP, S, listed
-from quartzrouter import control
-from quartzrouter.briefing import Briefing
-from quartzrouter.interface import Told
-from quartzrouter.net import answer, backend, journal, reducer
 from standins import WHOLE
 
+from quartzrouter.configuration import DeploymentSettings
+from quartzrouter.routing import router
+from quartzrouter.routing.model import FillStatus
+from quartzrouter.server import cache_connections, endpoint_watch, responses, state_machine
+
 PACE = 300  # KB a second
 LARGE, SMALL = 240_000, 5_000  # bytes
 FLOOR = 2 / 3  # of its class's answered share that the largest reqs get on a quiet day
@@ -29,13 +29,15 @@
 
     def __init__(self, head_first=True, **page):
         self.head_first = head_first  # else caches say nothing until they have all of an answer
-        self.reducer = reducer.Reducer(control.Router(**Briefing(told(**page), 7).arguments))
+        self.reducer = state_machine.RouterStateMachine(
+            router.Router(**DeploymentSettings(told(**page), 7).arguments)
+        )
         self.now, self.events, self.numbers = 10 * S, [], 0
         self.sizes, self.done, self.ends = {}, set(), {}
         self.sending, self.stuck = {}, set()
         names = dict.fromkeys(["c1", "c2", "c3", "p1", "o"], "up")
         addresses = {name: (f"127.0.0.{n}", 80) for n, name in enumerate(names, 1)}
-        self.step(journal.Lines(listed(names), addresses, True))
+        self.step(endpoint_watch.EndpointUpdate(listed(names), addresses, True))
 
     def at(self, when, event):
         self.numbers += 1
@@ -44,26 +46,30 @@
     def step(self, event):
         for effect in self.reducer.step(event, self.now):
             match effect:
-                case reducer.Open(ticket, hop):
-                    self.at(self.now + MS, reducer.Ready(ticket, hop))
-                case reducer.Write(ticket, hop):
+                case state_machine.OpenConnection(ticket, hop):
+                    self.at(self.now + MS, state_machine.ConnectionReady(ticket, hop))
+                case state_machine.SendRequest(ticket, hop):
                     self.sending[ticket, hop] = True
-                    head = reducer.Head(ticket, hop, 200, self.sizes[ticket], False, True, Told.HIT)
+                    head = state_machine.ResponseHead(
+                        ticket, hop, 200, self.sizes[ticket], False, True, FillStatus.HIT
+                    )
                     took = self.sizes[ticket] / 1000 / PACE * S * 1.5  # the link is shared
                     self.at(self.now + 30 * MS + (0 if self.head_first else int(took)), head)
                     if ticket not in self.stuck:
-                        self.at(self.now + 30 * MS + int(took), reducer.Over(ticket, hop, None, b""))
-                case reducer.Drop(ticket, hop):
+                        self.at(
+                            self.now + 30 * MS + int(took), state_machine.AttemptEnded(ticket, hop, None, b"")
+                        )
+                case state_machine.CancelAttempt(ticket, hop):
                     self.sending.pop((ticket, hop), None)
-                case reducer.Reply(ticket, data):
+                case state_machine.SendResponse(ticket, data):
                     self.ends[ticket] = self.now
-                    if data == answer.done(b""):
+                    if data == responses.ok(b""):
                         self.done.add(ticket)
 
     def came(self, when, ticket, size):
         self.sizes[ticket] = size
-        call = reducer.Call(f"{ticket:016x}", "page", f"{ticket % 50:016x}", 0, 1, 5 * S)
-        self.at(when, reducer.Came(ticket, call))
+        call = state_machine.ClientRequest(f"{ticket:016x}", "page", f"{ticket % 50:016x}", 0, 1, 5 * S)
+        self.at(when, state_machine.RequestReceived(ticket, call))
 
     def play(self, until):
         while True:
@@ -73,11 +79,11 @@
             self.now = max(self.now, due)
             if self.events and self.events[0][0] <= self.now:
                 event = heapq.heappop(self.events)[2]
-                over = isinstance(event, (reducer.Head, reducer.Over))
+                over = isinstance(event, (state_machine.ResponseHead, state_machine.AttemptEnded))
                 if not over or (event.ticket, event.hop) in self.sending:
                     self.step(event)
             else:
-                self.step(reducer.Tick())
+                self.step(state_machine.TimerFired())
 
     def share(self, size):
         these = [ticket for ticket, each in self.sizes.items() if each == size]
@@ -116,7 +122,7 @@
     paced.came(15 * S, 41, LARGE)
     paced.play(30 * S)
     own = LARGE / 1_000 / PACE * S
-    patience = control.PATIENCE * (400 * MS + 2.0 * own)  # of its target, 3 s, where its client waits for 5
+    patience = router.PATIENCE * (400 * MS + 2.0 * own)  # of its target, 3 s, where its client waits for 5
     assert 15 * S + patience <= paced.ends[41] <= 15 * S + patience + 10 * MS
     assert (41, 0) not in paced.sending
 
@@ -142,7 +148,7 @@
             for n, client in enumerate(clients, 1):
                 tasks.start_soon(ask, client, range(n, 97, 12))
         assert world.service.backend.room.free == max(
-            (memory << 20) // 8, backend.ANSWER_MOST
+            (memory << 20) // 8, cache_connections.ANSWER_MOST
         )  # all of it was given back
 
     world.play(scene, limits={"sockets": 128, "memory_mb": memory})
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -2,8 +2,8 @@
 
 import json
 import random
-from itertools import permutations
 from concurrent.futures import ProcessPoolExecutor
+from itertools import permutations
 from multiprocessing import get_context
 
 import anyio
@@ -11,45 +11,52 @@
 from click.testing import CliRunner
 
 from quartzrouter.cli.main import cli
-from quartzrouter.explore import leases as model
-from quartzrouter.explore.leases import FINE, Bounds, LeaseModel
-from quartzrouter.explore.search import explore
-from quartzrouter.keeper.claims import Claims
-from quartzrouter.keeper.numbers import Foreign, Numbers
-from quartzrouter.keeper.serve import Service
-from quartzrouter.keeper.wire import ask_all
-from quartzrouter.leases import words
-from quartzrouter.leases.claim import Claim, Gained, Lost
-from quartzrouter.leases.keeper import Keeper
-from quartzrouter.leases.terms import Answer, Free, Number, Refusal, Terms, Vote
-from quartzrouter.leases.views import held, shown, why
-from quartzrouter.ledger.deliver import Courier
-from quartzrouter.ledger.serve import Ledger
-from quartzrouter.net import serve as net
-from quartzrouter.net.report import Report
-from quartzrouter.purges.courier import Delivery
-from quartzrouter.purges.words import Purge
-from quartzrouter.rehearse.leases import DRAWN, SCENES, UNCHECKED, drawn, killed, play
-from quartzrouter.sharing.budget import Ask as AskShare
-from quartzrouter.sharing.budget import Budget
-from quartzrouter.stand import checks, guards
-from quartzrouter.stand.history import Event, History
-from quartzrouter.stand.linear import Op, fenced, linear
-from quartzrouter.standin import boxes
-from quartzrouter.standin.disk import FaultyDisk
-from quartzrouter.standin.loopback import Server
+from quartzrouter.fakes import caches
+from quartzrouter.fakes.faulty_disk import FaultyDisk
+from quartzrouter.fakes.loopback import Server
+from quartzrouter.fault_harness import history_checks, mutations
+from quartzrouter.fault_harness.history import History, HistoryEvent
+from quartzrouter.fault_harness.linearizability import Operation, fenced, is_linearizable
+from quartzrouter.fault_scenarios.leases import DRAWN, SCENES, UNCHECKED, drawn, killed, play
+from quartzrouter.lease_service.client import ClusterLeaseClient
+from quartzrouter.lease_service.queries import ask_all
+from quartzrouter.lease_service.server import LeaseServer
+from quartzrouter.lease_service.token_storage import ForeignFolder, TokenStorage
+from quartzrouter.leases import messages
+from quartzrouter.leases.acceptor import Acceptor
+from quartzrouter.leases.proposer import LeaseAcquired, LeaseLost, Proposer
+from quartzrouter.leases.status import held, shown, why
+from quartzrouter.leases.terms import (
+    FencingToken,
+    LeaseTerms,
+    VoteRefusal,
+    VoteRelease,
+    VoteReply,
+    VoteRequest,
+)
+from quartzrouter.model_checking import lease_model as model
+from quartzrouter.model_checking.checker import explore
+from quartzrouter.model_checking.lease_model import FINE, Bounds, LeaseModel
+from quartzrouter.purge_log.delivery import DeliveryWorker
+from quartzrouter.purge_log.server import PurgeLogServer
+from quartzrouter.purges.delivery_plan import Delivery
+from quartzrouter.purges.messages import Purge
+from quartzrouter.quota.budget import Budget
+from quartzrouter.quota.budget import QuotaRequest as AskShare
+from quartzrouter.server import process as net
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 S = 1_000_000
-TERMS = Terms(("k0", "k1", "k2"), tasks=(("sweep", ()), ("look", ("b",))))
+TERMS = LeaseTerms(("k0", "k1", "k2"), tasks=(("sweep", ()), ("look", ("b",))))
 LENGTH = TERMS.length
 
 
 def vote(name="a", token="t", round=1, number=1, task="sweep", figures=TERMS.figures, holds=False):
-    return Vote(task, name, token, round, number, figures, holds)
+    return VoteRequest(task, name, token, round, number, figures, holds)
 
 
 def keeper(now=0, **other):
-    return Keeper(TERMS, "k0", now - 2 * LENGTH, **other)
+    return Acceptor(TERMS, "k0", now - 2 * LENGTH, **other)
 
 
 # -- keepers -------------------------------------------------------------------------------------------------
@@ -67,7 +74,7 @@
 
 
 def test_a_keeper_that_has_just_begun_votes_for_nobody_and_hears_numbers_of_holders():
-    made = Keeper(TERMS, "k0", 0)
+    made = Acceptor(TERMS, "k0", 0)
     no = made.vote(vote(number=7, holds=True), LENGTH)
     assert not no.given and 0 < no.left <= TERMS.slack(LENGTH) and no.holder == ""
     free = TERMS.silent(0)
@@ -80,24 +87,35 @@
     made.vote(vote(number=3), 0)
     for name in "bcd":
         made.vote(vote(name, number=1), 0)
-    assert made.free(Free("sweep", "a", "other", 3), 1) == () == made.free(Free("sweep", "a", "t", 2), 1)
-    assert made.free(Free("sweep", "a", "t", 3), 1) == ("b", "c")  # few are told: one gets it
+    assert (
+        made.free(VoteRelease("sweep", "a", "other", 3), 1)
+        == ()
+        == made.free(VoteRelease("sweep", "a", "t", 2), 1)
+    )
+    assert made.free(VoteRelease("sweep", "a", "t", 3), 1) == ("b", "c")  # few are told: one gets it
     assert made.vote(vote("b", number=4), 2).given
-    assert made.free(Free("sweep", "a", "t", 3), 3) == () and not made.vote(vote("c", number=9), 3).given
+    assert (
+        made.free(VoteRelease("sweep", "a", "t", 3), 3) == () and not made.vote(vote("c", number=9), 3).given
+    )
 
 
 @pytest.mark.parametrize(
     "said,place",
     [
-        (vote(figures=1), "figures"), (vote(task="none"), "task"), (vote(name=""), "name"),
-        (vote(name="x" * 65), "name"), (vote(token="x" * 65), "token"), (vote(number=0), "number"),
-        (vote(number=1 << 60), "number"), (vote(round=-1), "number"),
+        (vote(figures=1), "figures"),
+        (vote(task="none"), "task"),
+        (vote(name=""), "name"),
+        (vote(name="x" * 65), "name"),
+        (vote(token="x" * 65), "token"),
+        (vote(number=0), "number"),
+        (vote(number=1 << 60), "number"),
+        (vote(round=-1), "number"),
     ],
-)  # fmt: skip
+)
 def test_odd_words_are_refused_and_counted(said, place):
     made = keeper()
     found = made.vote(said, 0)
-    assert isinstance(found, Refusal) and found.place == place and made.told(0).refused == 1
+    assert isinstance(found, VoteRefusal) and found.place == place and made.told(0).refused == 1
 
 
 def test_an_operator_takes_a_task_from_its_holder():
@@ -110,15 +128,15 @@
 
 
 def test_the_list_of_keepers_changes_by_one_at_a_time():
-    made, four = keeper(), Terms(("k0", "k1", "k2", "k3"), 2, tasks=TERMS.tasks)
-    five = Terms(("k0", "k1", "k2", "k3", "k4"), 3, tasks=TERMS.tasks)
+    made, four = keeper(), LeaseTerms(("k0", "k1", "k2", "k3"), 2, tasks=TERMS.tasks)
+    five = LeaseTerms(("k0", "k1", "k2", "k3", "k4"), 3, tasks=TERMS.tasks)
     all_ = {"k1": 1, "k2": 1}
     assert (
         made.next(five._replace(version=2) if hasattr(five, "_replace") else five, all_, 0).place == "keepers"
     )
     assert "k2 may not" in made.next(four, {"k1": 1}, 0).reason
-    assert made.next(Terms(("k1", "k2", "k3"), 2), all_, 0).reason == "k0 is not among them"
-    assert made.next(Terms(TERMS.keepers, 1, length=9), all_, 0).place == "length"
+    assert made.next(LeaseTerms(("k1", "k2", "k3"), 2), all_, 0).reason == "k0 is not among them"
+    assert made.next(LeaseTerms(TERMS.keepers, 1, length=9), all_, 0).place == "length"
     assert made.next(four, all_, 0) is None and made.terms == four
     assert made.vote(vote(), 0).place == "figures"  # claimants of the old list are refused
     assert made.next(five, {"k1": 2, "k2": 1, "k3": 2}, 0).reason.startswith("k2 may not")
@@ -133,23 +151,23 @@
 
     def __init__(self, *names):
         self.now, self.wall = 10 * S, 1_000
-        self.keepers = [Keeper(TERMS, name, 0) for name in TERMS.keepers]
-        self.claims = [Claim(TERMS, "sweep", name, f"t-{name}", self.now) for name in names]
+        self.keepers = [Acceptor(TERMS, name, 0) for name in TERMS.keepers]
+        self.claims = [Proposer(TERMS, "sweep", name, f"t-{name}", self.now) for name in names]
         self.log = []
         self.deaf = set()
 
     def do(self, claim, effects):
         for effect in effects:
-            if isinstance(effect, (Gained, Lost)):
+            if isinstance(effect, (LeaseAcquired, LeaseLost)):
                 self.log.append((claim.name, type(effect).__name__))
                 continue
             for made in self.keepers:
                 if (claim.name, made.name) in self.deaf:
                     continue
-                if isinstance(effect.said, Free):
+                if isinstance(effect.said, VoteRelease):
                     for name in made.free(effect.said, self.now):
                         next(each for each in self.claims if each.name == name).freed(self.now)
-                elif isinstance(answer := made.vote(effect.said, self.now), Answer):
+                elif isinstance(answer := made.vote(effect.said, self.now), VoteReply):
                     self.do(claim, claim.answer(answer, self.now))
 
     def pass_(self, time):
@@ -173,7 +191,11 @@
     three.do(holder, holder.release(three.now))
     three.pass_(50_000)
     (second,) = three.holders()
-    assert second != first and [what for _, what in three.log] == ["Gained", "Lost", "Gained"]
+    assert second != first and [what for _, what in three.log] == [
+        "LeaseAcquired",
+        "LeaseLost",
+        "LeaseAcquired",
+    ]
 
 
 def test_one_that_is_cut_off_ends_before_another_begins():
@@ -199,15 +221,15 @@
     assert three.holders() == ["a"]
     three.deaf.add(("a", "k2"))
     three.pass_(2 * LENGTH)
-    assert three.holders() == [] and three.log[-1] == ("a", "Lost")
+    assert three.holders() == [] and three.log[-1] == ("a", "LeaseLost")
 
 
 def test_all_keepers_restarted_without_folders_grant_higher_numbers_after_a_lease():
     three = Three("a")
     three.pass_(LENGTH)
     number = three.claims[0].number
-    three.keepers = [Keeper(TERMS, name, three.now) for name in TERMS.keepers]
-    three.claims = [Claim(TERMS, "sweep", "b", "t-b", three.now)]
+    three.keepers = [Acceptor(TERMS, name, three.now) for name in TERMS.keepers]
+    three.claims = [Proposer(TERMS, "sweep", "b", "t-b", three.now)]
     began = three.now
     while not three.holders():
         three.pass_(10_000)
@@ -236,9 +258,9 @@
 
 
 def test_the_preferred_come_first():
-    prefers = Terms(TERMS.keepers, tasks=(("sweep", ("b",)),))
-    plain = Claim(prefers, "sweep", "a", "t", 0)
-    preferred = Claim(prefers, "sweep", "b", "t", 0)
+    prefers = LeaseTerms(TERMS.keepers, tasks=(("sweep", ("b",)),))
+    plain = Proposer(prefers, "sweep", "a", "t", 0)
+    preferred = Proposer(prefers, "sweep", "b", "t", 0)
     assert plain.due >= LENGTH // 2 > preferred.due
 
 
@@ -258,16 +280,16 @@
     assert found.whole and not found.broken, found.shown()
 
 
-def _old_answers(self, said, now, answer=Claim.answer):
+def _old_answers(self, said, now, answer=Proposer.answer):
     return answer(self, said._replace(round=self.round), now)
 
 
-def _frees_all(self, said, now, free=Keeper.free):
+def _frees_all(self, said, now, free=Acceptor.free):
     ballot = self.ballots.get(said.task)
     return free(self, said._replace(number=ballot.number) if ballot else said, now)
 
 
-def _any_number(self, said, now, vote=Keeper.vote):
+def _any_number(self, said, now, vote=Acceptor.vote):
     if said.task in self.ballots:
         self.ballots[said.task].highest = 0
     return vote(self, said, now)
@@ -282,22 +304,25 @@
     "a keeper votes for all": (None, ONCE),
     "a name is enough": (None, Bounds(steps=1, asks=2, faults=0, same=True)),
     "a holder looks at no clock": (
-        (Claim, "held", lambda self, now: self.holding), Bounds(steps=6, asks=3, faults=0, stops=1),
+        (Proposer, "held", lambda self, now: self.holding),
+        Bounds(steps=6, asks=3, faults=0, stops=1),
     ),
     "answers to older asks count": (
-        (Claim, "answer", _old_answers), Bounds(steps=3, asks=2, faults=2, ways=LATE),
+        (Proposer, "answer", _old_answers),
+        Bounds(steps=3, asks=2, faults=2, ways=LATE),
     ),
     "a late word frees a later vote": (
-        (Keeper, "free", _frees_all), Bounds(steps=2, asks=4, faults=2, releases=1, ways=("late there",)),
+        (Acceptor, "free", _frees_all),
+        Bounds(steps=2, asks=4, faults=2, releases=1, ways=("late there",)),
     ),
-    "a keeper takes any number": ((Keeper, "vote", _any_number), Bounds(steps=5, asks=2, faults=0)),
-}  # fmt: skip
+    "a keeper takes any number": ((Acceptor, "vote", _any_number), Bounds(steps=5, asks=2, faults=0)),
+}
 
 
 @pytest.mark.parametrize("guard", TAKEN_OUT)
 def test_a_guard_taken_out_breaks_the_model(guard, monkeypatch):
     told, bounds = TAKEN_OUT[guard]
-    monkeypatch.setattr(*(told or guards.LEASES[guard]))
+    monkeypatch.setattr(*(told or mutations.LEASES[guard]))
     assert explore(LeaseModel(bounds), 60_000, 60).broken
 
 
@@ -312,14 +337,14 @@
 
 def test_numbers_are_found_again_and_damage_is_named_and_passed_over(tmp_path):
     said = []
-    kept = {"sweep": Number(7, "a", "t"), "look": Number(1 << 50, "b", "u")}
-    Numbers(str(tmp_path), "k0", said.append).write(kept)
-    assert Numbers(str(tmp_path), "k0", said.append).found == kept and not said
+    kept = {"sweep": FencingToken(7, "a", "t"), "look": FencingToken(1 << 50, "b", "u")}
+    TokenStorage(str(tmp_path), "k0", said.append).write(kept)
+    assert TokenStorage(str(tmp_path), "k0", said.append).found == kept and not said
     path = tmp_path / "numbers"
     whole = path.read_bytes()
     for cut in range(len(whole)):
         path.write_bytes(whole[:cut])
-        assert Numbers(str(tmp_path), "k0", said.append).found == {}
+        assert TokenStorage(str(tmp_path), "k0", said.append).found == {}
     assert len(said) == len(whole)
     taken = 0
     for bit in range(8 * len(whole)):
@@ -327,34 +352,34 @@
         flipped[bit // 8] ^= 1 << bit % 8
         path.write_bytes(flipped)
         try:
-            found = Numbers(str(tmp_path), "k0", said.append).found
-        except Foreign:  # the name was struck
+            found = TokenStorage(str(tmp_path), "k0", said.append).found
+        except ForeignFolder:  # the name was struck
             continue
         assert found in ({}, kept)  # a flipped letter of a key that nobody reads
         taken += found == kept
     assert taken < 8
     path.write_bytes(whole)
-    with pytest.raises(Foreign, match="k0's; give k1 a folder of its own"):
-        Numbers(str(tmp_path), "k1", said.append)
+    with pytest.raises(ForeignFolder, match="k0's; give k1 a folder of its own"):
+        TokenStorage(str(tmp_path), "k1", said.append)
 
 
 def test_no_vote_is_given_that_the_disk_does_not_keep(tmp_path):
     said = []
-    numbers = Numbers(str(tmp_path), "k0", said.append)
-    service = Service(TERMS, "k0", Report("k0", net.clock), numbers, lambda: 100 * S)
+    numbers = TokenStorage(str(tmp_path), "k0", said.append)
+    service = LeaseServer(TERMS, "k0", RateLimitedLog("k0", net.wall_clock), numbers, lambda: 100 * S)
     service.keeper.from_ = 0
 
     def fails(found):
         raise OSError(28, "No space left on device")
 
     async def asked():
-        return await service._hear(words.Votes((vote(),)), None, set())
+        return await service._hear(messages.VoteRequests((vote(),)), None, set())
 
     numbers.write = fails
     assert anyio.run(asked).answers == ()
     del numbers.write
     assert anyio.run(asked).answers[0].given
-    assert Numbers(str(tmp_path), "k0", said.append).found["sweep"].number == 1
+    assert TokenStorage(str(tmp_path), "k0", said.append).found["sweep"].number == 1
 
 
 # -- over sockets --------------------------------------------------------------------------------------------
@@ -362,7 +387,7 @@
 
 class KeeperHere(Server):
     def __init__(self, name, terms):
-        self.service = Service(terms, name, Report(name, net.clock))
+        self.service = LeaseServer(terms, name, RateLimitedLog(name, net.wall_clock))
         self.service.keeper.from_ = 0
 
     async def serve(self, stream):
@@ -370,7 +395,7 @@
 
 
 def over_sockets(scene, names=("a", "b"), length=600_000):
-    terms = Terms(("k0", "k1", "k2"), length=length, tasks=(("sweep", ()),))
+    terms = LeaseTerms(("k0", "k1", "k2"), length=length, tasks=(("sweep", ()),))
 
     async def main():
         with anyio.fail_after(30):
@@ -379,7 +404,10 @@
                 for each in keepers.values():
                     await each.start(tasks)
                 addresses = {name: ("127.0.0.1", each.port) for name, each in keepers.items()}
-                claims = [Claims(terms, addresses, name, Report(name, net.clock)) for name in names]
+                claims = [
+                    ClusterLeaseClient(terms, addresses, name, RateLimitedLog(name, net.wall_clock))
+                    for name in names
+                ]
                 for each in claims:
                     tasks.start_soon(each.run)
                 await scene(tasks, keepers, claims)
@@ -493,35 +521,39 @@
 
 def acts(*events):
     made = History()
-    made.events = [Event(at, what, who, {"number": number}) for at, what, who, number in events]
+    made.events = [HistoryEvent(at, what, who, {"number": number}) for at, what, who, number in events]
     return made
 
 
 def test_checkers_tell_overlaps_from_acts_that_were_broken_off():
     both = acts((0, "begin", "a", 1), (5, "begin", "b", 2), (9, "finish", "a", 1), (12, "finish", "b", 2))
-    assert len(checks.overlaps(both, 100)) == 1 and not checks.falls(both)
+    assert len(history_checks.overlaps(both, 100)) == 1 and not history_checks.falls(both)
     stopped = acts((0, "begin", "a", 1), (2, "stop", "a", 0), (5, "begin", "b", 2))
-    assert not checks.overlaps(stopped, 100) and not checks.overlaps(both, 4)
+    assert not history_checks.overlaps(stopped, 100) and not history_checks.overlaps(both, 4)
     one = acts((0, "begin", "a", 2), (1, "finish", "a", 2), (3, "begin", "b", 1), (4, "finish", "b", 1))
-    assert not checks.overlaps(one, 100) and len(checks.falls(one)) == 1
-    assert checks.pauses(one, 0, 10) == [0, 2, 6]
+    assert not history_checks.overlaps(one, 100) and len(history_checks.falls(one)) == 1
+    assert history_checks.pauses(one, 0, 10) == [0, 2, 6]
 
 
 def op(called, back, number, *answer):
-    return Op(called, back, (number,), answer or None)
+    return Operation(called, back, (number,), answer or None)
 
 
 def test_answers_that_no_order_explains_are_found():
     well = [op(0, 9, 1, "yes", 1), op(1, 5, 3, "yes", 3), op(6, 8, 2, "no", 3), op(7, None, 5)]
-    assert linear(well, fenced, 0) is True
-    assert linear([*well, op(10, 12, 4, "no", 5)], fenced, 0) is True  # the one without an answer has acted
-    assert linear([*well, op(10, 12, 4, "yes", 4), op(13, 14, 4, "no", 5)], fenced, 0) is True
-    assert linear([*well, op(10, 12, 2, "yes", 2)], fenced, 0) is False
-    assert linear([op(0, 1, 3, "yes", 3), op(2, 3, 2, "yes", 2)], fenced, 0) is False
-    assert linear([op(0, 4, 3, "yes", 3), op(2, 3, 2, "yes", 2)], fenced, 0) is True  # at the same time
+    assert is_linearizable(well, fenced, 0) is True
+    assert (
+        is_linearizable([*well, op(10, 12, 4, "no", 5)], fenced, 0) is True
+    )  # the one without an answer has acted
+    assert is_linearizable([*well, op(10, 12, 4, "yes", 4), op(13, 14, 4, "no", 5)], fenced, 0) is True
+    assert is_linearizable([*well, op(10, 12, 2, "yes", 2)], fenced, 0) is False
+    assert is_linearizable([op(0, 1, 3, "yes", 3), op(2, 3, 2, "yes", 2)], fenced, 0) is False
+    assert (
+        is_linearizable([op(0, 4, 3, "yes", 3), op(2, 3, 2, "yes", 2)], fenced, 0) is True
+    )  # at the same time
     many = [op(10 * n, 10 * n + 25, n, "yes", n) for n in range(400)]
-    assert linear(many, fenced, 0) is True
-    assert linear([*many, op(4_100, 4_101, 5, "yes", 5)], fenced, 0) is False
+    assert is_linearizable(many, fenced, 0) is True
+    assert is_linearizable([*many, op(4_100, 4_101, 5, "yes", 5)], fenced, 0) is False
 
 
 def test_orders_are_found_as_by_trying_all():
@@ -533,8 +565,8 @@
             called, number = chance.randint(0, 9), chance.randint(1, 3)
             answer = chance.choice((("yes", number), ("no", chance.randint(1, 3)), ()))
             ops.append(op(called, called + chance.randint(1, 6) if answer else None, number, *answer))
-        found.add(linear(ops, fenced, 0))
-        assert linear(ops, fenced, 0) == by_trying(ops)
+        found.add(is_linearizable(ops, fenced, 0))
+        assert is_linearizable(ops, fenced, 0) == by_trying(ops)
     assert found == {True, False}
 
 
@@ -619,12 +651,12 @@
 
     async def main():
         async with anyio.create_task_group() as tasks:
-            box = boxes.Box("n", {}, random.Random(1))
+            box = caches.PurgeableCache("n", {}, random.Random(1))
             await box.start(tasks)
             holds = {"old": HeldBy(4), "new": HeldBy(7), "ended": HeldBy(9, False)}
             for name in ("old", "new", "old", "ended"):
-                at, report = ("127.0.0.1", box.port), Report("c", net.clock)
-                courier = Courier("n", at, [("127.0.0.1", 1)], 300_000, report, 500.0, holds[name])
+                at, report = ("127.0.0.1", box.port), RateLimitedLog("c", net.wall_clock)
+                courier = DeliveryWorker("n", at, [("127.0.0.1", 1)], 300_000, report, 500.0, holds[name])
                 await courier._deliver(Delivery(Purge(len(told) + 1, 1, "object", ("a",)), 0))
                 told[len(told)] = (name, box.lease, len(box.applied) + box.reached)
             told["passed"] = {name: hold.told for name, hold in holds.items()}
@@ -641,7 +673,7 @@
 
     async def made():
         told = {"budgets": [budget], "steady": lambda: now[0], "may_grant": lambda: number[0]}
-        return Ledger(FaultyDisk(), 300_000, Report("l", net.clock), **told)
+        return PurgeLogServer(FaultyDisk(), 300_000, RateLimitedLog("l", net.wall_clock), **told)
 
     ledger = anyio.run(made)
 
@@ -665,7 +697,7 @@
 
 
 def test_a_keeper_is_added_in_service_and_the_task_goes_on():
-    four = Terms(("k0", "k1", "k2", "k3"), 2, 600_000, tasks=(("sweep", ()),))
+    four = LeaseTerms(("k0", "k1", "k2", "k3"), 2, 600_000, tasks=(("sweep", ()),))
     held_by = []
 
     async def scene(tasks, keepers, claims):
@@ -685,7 +717,7 @@
         await keepers["k1"].start(tasks)
         for name in ("k0", "k1", "k2"):
             assert await keepers[name].service.replace(four, addresses) is None
-        other = Claims(four, addresses, "b", Report("b", net.clock))
+        other = ClusterLeaseClient(four, addresses, "b", RateLimitedLog("b", net.wall_clock))
         tasks.start_soon(other.run)
         tasks.start_soon(other.perform, "sweep", work)
         while len(held_by) < 2:
@@ -700,18 +732,18 @@
 
 def test_split_votes_are_given_back_and_asked_for_again_soon():
     # Each waited a whole lease for the other, who had given up as well.
-    terms = Terms(TERMS.keepers, tasks=TERMS.tasks)
-    claim = Claim(terms, "sweep", "a", "t", 0)
+    terms = LeaseTerms(TERMS.keepers, tasks=TERMS.tasks)
+    claim = Proposer(terms, "sweep", "a", "t", 0)
     claim._ask(0, 1)
     told = {"task": "sweep", "token": "t", "round": 1, "highest": 1}
-    claim.answer(Answer(keeper="k0", given=True, **told), 1)
-    claim.answer(Answer(keeper="k1", given=False, left=LENGTH, holder="b", **told), 1)
-    effects = claim.answer(Answer(keeper="k2", given=False, left=LENGTH, holder="c", **told), 1)
-    assert isinstance(effects[0].said, Free) and claim.due <= LENGTH // 4 + 1
+    claim.answer(VoteReply(keeper="k0", given=True, **told), 1)
+    claim.answer(VoteReply(keeper="k1", given=False, left=LENGTH, holder="b", **told), 1)
+    effects = claim.answer(VoteReply(keeper="k2", given=False, left=LENGTH, holder="c", **told), 1)
+    assert isinstance(effects[0].said, VoteRelease) and claim.due <= LENGTH // 4 + 1
     claim._ask(LENGTH, 1)
     for keeper_ in ("k0", "k1"):  # a majority holds with one
         told["round"] = claim.round
-        claim.answer(Answer(keeper=keeper_, given=False, left=LENGTH, holder="b", **told), LENGTH)
+        claim.answer(VoteReply(keeper=keeper_, given=False, left=LENGTH, holder="b", **told), LENGTH)
     assert claim.due >= 2 * LENGTH
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -12,19 +12,31 @@
 import anyio
 import pytest
 
-from quartzrouter.ledger.disk import RealDisk
-from quartzrouter.ledger.files import read
-from quartzrouter.ledger.serve import Ledger
-from quartzrouter.ledger.wire import Client
-from quartzrouter.net import serve
-from quartzrouter.net.report import Report
-from quartzrouter.purges.follower import Follower
-from quartzrouter.purges.lease import Lease
-from quartzrouter.purges.words import (
-    Ack, AskMembers, AskStatus, Beat, Hello, Leave, Purges, Refused, Send, Snapshot, Taken, Welcome, line,
-)  # fmt: skip
-from quartzrouter.standin.disk import FaultyDisk
-from quartzrouter.standin.loopback import free_port
+from quartzrouter.fakes.faulty_disk import FaultyDisk
+from quartzrouter.fakes.loopback import free_port
+from quartzrouter.purge_log.disk import RealDisk
+from quartzrouter.purge_log.line_connection import QueryClient
+from quartzrouter.purge_log.segments import read
+from quartzrouter.purge_log.server import PurgeLogServer
+from quartzrouter.purges.freshness_lease import FreshnessLease
+from quartzrouter.purges.messages import (
+    Heartbeat,
+    MemberAck,
+    MemberHello,
+    MemberLeave,
+    MembersQuery,
+    PurgeAccepted,
+    PurgeBatch,
+    PurgeRequest,
+    RequestRejected,
+    Snapshot,
+    StatusQuery,
+    Welcome,
+    encode_line,
+)
+from quartzrouter.purges.replica import PurgeReplica
+from quartzrouter.server import process as process_module
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 GRACE = 300_000
 
@@ -36,17 +48,20 @@
     async def start(self, disk, **other):
         port = await free_port()
         listeners = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
-        self.at, self.ledger = ("127.0.0.1", port), Ledger(disk, GRACE, Report("l", serve.clock), **other)
+        self.at, self.ledger = (
+            ("127.0.0.1", port),
+            PurgeLogServer(disk, GRACE, RateLimitedLog("l", process_module.wall_clock), **other),
+        )
         self.tasks.start_soon(self.ledger.run, list(listeners.listeners))
         return self
 
     def client(self):
-        return Client([self.at], 2.0)
+        return QueryClient([self.at], 2.0)
 
     async def join(self, name, kind="router", token="t", **other):
         member = self.client()
         await member.connect()
-        await member.stream.send(line(Hello(name, kind, token, **other)))
+        await member.stream.send(encode_line(MemberHello(name, kind, token, **other)))
         return member
 
 
@@ -57,7 +72,7 @@
                 await scene(tasks)
                 tasks.cancel_scope.cancel()
 
-    anyio.run(run, backend_options=serve.LOOP)
+    anyio.run(run, backend_options=process_module.LOOP)
 
 
 async def until(member, kind):
@@ -72,18 +87,18 @@
     async def scene(tasks):
         fleet = await Fleet(tasks).start(disk)
         client = fleet.client()
-        sends = [Send("object", (f"o{n}",), key=f"k{n}") for n in range(1_200)]
+        sends = [PurgeRequest("object", (f"o{n}",), key=f"k{n}") for n in range(1_200)]
         early = await fleet.join("r1")
         assert (await early.next()).head == 0
         taken = await client.ask_all(sends)
         assert [answer.number for answer in taken] == list(range(1, 1_201))
         heard = []
         while len(heard) < 1_200:
-            said = await until(early, Purges)
+            said = await until(early, PurgeBatch)
             heard += [purge.number for purge in said.purges]
         assert heard == list(range(1, 1_201))
         late = await fleet.join("r2", held=1_190)
-        assert [purge.number for purge in (await until(late, Purges)).purges] == list(range(1_191, 1_201))
+        assert [purge.number for purge in (await until(late, PurgeBatch)).purges] == list(range(1_191, 1_201))
         assert disk.syncs < 1_000  # many at once
         again = await client.ask_all(sends[:5])
         assert [(a.number, a.again) for a in again] == [(n, True) for n in range(1, 6)]
@@ -99,21 +114,21 @@
         one, box = await fleet.join("r1"), await fleet.join("c1", "cache")
         for member in (one, box):
             await until(member, Welcome)
-            await member.stream.send(line(Ack(0, 1)))
-        await until(one, Beat)
+            await member.stream.send(encode_line(MemberAck(0, 1)))
+        await until(one, Heartbeat)
         client = fleet.client()
-        taken = await client.ask(Send("tag", ("rose",)))
-        await one.stream.send(line(Ack(1, 2)))
-        told = await client.ask(AskStatus(taken.number))
+        taken = await client.ask(PurgeRequest("tag", ("rose",)))
+        await one.stream.send(encode_line(MemberAck(1, 2)))
+        told = await client.ask(StatusQuery(taken.number))
         assert (told.complete, told.missing) == (False, ("c1",))
-        await box.stream.send(line(Ack(1, 2)))
-        while not (told := await client.ask(AskStatus(1))).complete:
+        await box.stream.send(encode_line(MemberAck(1, 2)))
+        while not (told := await client.ask(StatusQuery(1))).complete:
             await anyio.sleep(0.01)
         assert 0 < told.took < 1_000_000 and told.delays["purges"] == 1
-        members = (await client.ask(AskMembers())).members
+        members = (await client.ask(MembersQuery())).members
         assert [(m.name, m.held, m.live) for m in members] == [("c1", 1, True), ("r1", 1, True)]
-        await box.stream.send(line(Leave()))
-        while len((await client.ask(AskMembers())).members) > 1:
+        await box.stream.send(encode_line(MemberLeave()))
+        while len((await client.ask(MembersQuery())).members) > 1:
             await anyio.sleep(0.01)
 
     play(scene)
@@ -124,11 +139,11 @@
         fleet = await Fleet(tasks).start(FaultyDisk())
         first = await fleet.join("r1")
         await until(first, Welcome)
-        await first.stream.send(line(Ack(0, 1)))
-        await until(first, Beat)
+        await first.stream.send(encode_line(MemberAck(0, 1)))
+        await until(first, Heartbeat)
         second = await fleet.join("r1", token="other")
         said = await second.next()
-        assert isinstance(said, Refused) and said.place == "name" and said.come_back
+        assert isinstance(said, RequestRejected) and said.place == "name" and said.come_back
         again = await fleet.join("r1")  # the same process: its older connection is closed
         await until(again, Welcome)
         with pytest.raises(anyio.EndOfStream):
@@ -144,18 +159,18 @@
     async def scene(tasks):
         fleet = await Fleet(tasks).start(disk)
         client, watcher = fleet.client(), await fleet.join("w", "watcher")
-        assert isinstance(await client.ask(Send("tag", ("a",), key="a")), Taken)
+        assert isinstance(await client.ask(PurgeRequest("tag", ("a",), key="a")), PurgeAccepted)
         disk.room = disk.used
-        refused = await client.ask(Send("tag", ("b",), key="b"))
+        refused = await client.ask(PurgeRequest("tag", ("b",), key="b"))
         assert (refused.place, refused.reason) == ("disk", "No space left on device") and refused.come_back
         disk.room = 1 << 30
-        assert (await client.ask(Send("tag", ("b",), key="b"))) == Taken(
+        assert (await client.ask(PurgeRequest("tag", ("b",), key="b"))) == PurgeAccepted(
             2, fleet.ledger.book.purge(2).when, fleet.ledger.book.promise
         )
         assert [p.values for p in read(disk).purges] == [("a",), ("b",)]
         heard = []
         while len(heard) < 2:
-            heard += (await until(watcher, Purges)).purges
+            heard += (await until(watcher, PurgeBatch)).purges
         assert [p.values for p in heard] == [("a",), ("b",)]
 
     play(scene)
@@ -164,17 +179,17 @@
 def test_a_ledger_that_was_taken_over_from_ends_and_members_follow(tmp_path):
     async def scene(tasks):
         old = await Fleet(tasks).start(RealDisk(str(tmp_path)))
-        first = await old.client().ask(Send("tag", ("a",), key="a"))
+        first = await old.client().ask(PurgeRequest("tag", ("a",), key="a"))
         member = await old.join("r1")
-        await until(member, Beat)
+        await until(member, Heartbeat)
         new = await Fleet(tasks).start(RealDisk(str(tmp_path)))
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
             while True:  # at its next beat it finds that another writer has begun
                 await member.next()
         assert old.ledger.fenced
-        again = await new.client().ask(Send("tag", ("a",), key="a"))
+        again = await new.client().ask(PurgeRequest("tag", ("a",), key="a"))
         assert (again.number, again.again) == (first.number, True)
-        follower = Follower("r1", "router", "t", Lease(1), 1)
+        follower = PurgeReplica("r1", "router", "t", FreshnessLease(1), 1)
         follower.epoch = new.ledger.book.epoch + 1
         stale = await new.join("r1", epoch=follower.epoch)
         assert (await stale.next()).place == "epoch"
@@ -188,7 +203,7 @@
         fleet.ledger.book.retain_most = 100
         await anyio.sleep(0.2)
         for _ in range(10):
-            await fleet.client().ask_all([Send("tag", ("a",), key=f"{n}-{_}") for n in range(60)])
+            await fleet.client().ask_all([PurgeRequest("tag", ("a",), key=f"{n}-{_}") for n in range(60)])
         book = fleet.ledger.book
         assert book.before > 300
         member = await fleet.join("r1")
@@ -220,8 +235,8 @@
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 assert len(data) > 1_000
         stranger = fleet.client()
-        assert (await stranger.ask(Ack(0, 1))).reason == "Ack before any hello"
-        assert isinstance(await fleet.client().ask(Send("tag", ("a",))), Taken)
+        assert (await stranger.ask(MemberAck(0, 1))).reason == "ack before any hello"
+        assert isinstance(await fleet.client().ask(PurgeRequest("tag", ("a",))), PurgeAccepted)
 
     play(scene)
 
@@ -233,10 +248,10 @@
             with socket.create_connection(fleet.at) as raw:
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 if n % 2:
-                    raw.send(line(Send("tag", ("a",), key=f"{n}")))
+                    raw.send(encode_line(PurgeRequest("tag", ("a",), key=f"{n}")))
             if n % 10 == 0:
                 await anyio.sleep(0.002)
-        assert isinstance(await fleet.client().ask(Send("tag", ("b",))), Taken)
+        assert isinstance(await fleet.client().ask(PurgeRequest("tag", ("b",))), PurgeAccepted)
 
     play(scene)
 
@@ -257,10 +272,10 @@
         process, promised, stop = [spawn(tmp_path, port)], {}, anyio.Event()
 
         async def send():
-            client, n = Client([("127.0.0.1", port)], 0.5), 0
+            client, n = QueryClient([("127.0.0.1", port)], 0.5), 0
             while not stop.is_set():
                 try:
-                    taken = await client.ask(Send("object", (f"o{n}",), key=f"k{n}"))
+                    taken = await client.ask(PurgeRequest("object", (f"o{n}",), key=f"k{n}"))
                 except Exception:
                     await anyio.sleep(0.02)
                     continue
@@ -291,23 +306,23 @@
     async def scene(tasks):
         first, second = await free_port(), await free_port()
         one = spawn(tmp_path, first, "--grace", "200ms")
-        client = Client([("127.0.0.1", first), ("127.0.0.1", second)], 0.3)
-        taken = await client.ask(Send("tag", ("a",), key="a")) if await up(first) else None
+        client = QueryClient([("127.0.0.1", first), ("127.0.0.1", second)], 0.3)
+        taken = await client.ask(PurgeRequest("tag", ("a",), key="a")) if await up(first) else None
         two = spawn(tmp_path, second, "--grace", "200ms", "--standby", f"127.0.0.1:{first}")
         await anyio.sleep(0.8)
         os.kill(one.pid, signal.SIGSTOP)
-        other = Client([("127.0.0.1", second)], 0.5)
+        other = QueryClient([("127.0.0.1", second)], 0.5)
         while True:
             try:
-                again = await other.ask(Send("tag", ("a",), key="a"))
+                again = await other.ask(PurgeRequest("tag", ("a",), key="a"))
                 break
             except Exception:
                 await anyio.sleep(0.05)
         assert (again.number, again.again) == (taken.number, True)
         os.kill(one.pid, signal.SIGCONT)
         try:  # what it takes now it can't promise
-            late = await Client([("127.0.0.1", first)], 2.0).ask(Send("tag", ("b",), key="b"))
-            assert not isinstance(late, Taken)
+            late = await QueryClient([("127.0.0.1", first)], 2.0).ask(PurgeRequest("tag", ("b",), key="b"))
+            assert not isinstance(late, PurgeAccepted)
         except Exception as error:
             assert "Unreachable" in type(error).__name__
         assert await anyio.to_thread.run_sync(one.wait) == 3
@@ -335,8 +350,9 @@
     (tmp_path / "00000001-00000001.log").write_bytes(b"nonsense" * 9)
     found = subprocess.run(
         [sys.executable, "-m", "quartzrouter.cli", "ledger", "check", str(tmp_path)],
-        capture_output=True, text=True,
-    )  # fmt: skip
+        capture_output=True,
+        text=True,
+    )
     assert found.returncode == 1 and len(found.stderr.splitlines()) == 1
     assert "00000001-00000001.log, byte 0: the checksum of a length is wrong; restore" in found.stderr
     assert json.dumps(found.stdout) == '""'
--- a/tests/test_ledger_log.py
+++ b/tests/test_ledger_log.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from quartzrouter.ledger.disk import RealDisk
-from quartzrouter.ledger.files import Damaged, Refusing, read, repair
-from quartzrouter.ledger.log import Fenced, Log
-from quartzrouter.purges.words import Purge
-from quartzrouter.standin.disk import Crashed, FaultyDisk
+from quartzrouter.fakes.faulty_disk import Crashed, FaultyDisk
+from quartzrouter.purge_log.disk import RealDisk
+from quartzrouter.purge_log.log import Fenced, PurgeLog
+from quartzrouter.purge_log.segments import DiskUnavailable, LogDamaged, read, repair
+from quartzrouter.purges.messages import Purge
 
 
 def purge(number):
@@ -39,7 +39,7 @@
         disk, promised = FaultyDisk(first, chance), 0
 
         def live(disk):
-            log = Log(disk, roll_at=400)
+            log = PurgeLog(disk, roll_at=400)
             for _ in range(6):
                 write(disk, log, 1, 3, 9)
                 nonlocal promised
@@ -64,7 +64,7 @@
 
 def test_a_cut_write_is_cut_at_every_byte():
     disk = FaultyDisk()
-    log = Log(disk)
+    log = PurgeLog(disk)
     write(disk, log, 2, 1)
     whole = len(disk.read(log.name))
     write(disk, log, 1, 1)
@@ -78,49 +78,49 @@
 
 def test_a_flipped_bit_is_named_wherever_it_stands():
     disk = FaultyDisk()
-    log = Log(disk)
+    log = PurgeLog(disk)
     write(disk, log, 3, 1)
     data = disk.read(log.name)
     for at in range(len(data)):
         spoilt = bytearray(data)
         spoilt[at] ^= 0x10
         disk.names_seen[log.name].data = spoilt
-        with pytest.raises(Damaged) as raised:
+        with pytest.raises(LogDamaged) as raised:
             read(disk)
         assert log.name in raised.value.place and raised.value.reason and raised.value.remedy
 
 
 def test_a_missing_middle_file_is_missed():
     disk = FaultyDisk()
-    log = Log(disk, roll_at=200)
+    log = PurgeLog(disk, roll_at=200)
     write(disk, log, 12, 1)
     names = [name for name in disk.names() if name.endswith(".log")]
     assert len(names) >= 4
     del disk.names_seen[names[1]]
-    with pytest.raises(Damaged, match=f"{names[1]}: it is missing, and with it purges up to"):
+    with pytest.raises(LogDamaged, match=f"{names[1]}: it is missing, and with it purges up to"):
         read(disk)
 
 
 def test_a_file_that_ends_too_soon_is_named():
     disk = FaultyDisk()
-    log = Log(disk, roll_at=200)
+    log = PurgeLog(disk, roll_at=200)
     write(disk, log, 12, 1)
     first = next(name for name in disk.names() if name.endswith(".log"))
     del disk.names_seen[first].data[-5:]
-    with pytest.raises(Damaged, match=f"{first}: it ends at byte"):
+    with pytest.raises(LogDamaged, match=f"{first}: it ends at byte"):
         read(disk)
 
 
 def test_repair_keeps_what_stands_before_the_damage():
     disk = FaultyDisk()
-    log = Log(disk)
+    log = PurgeLog(disk)
     write(disk, log, 8, 1)
     data = disk.names_seen[log.name].data
     data[data.index(b"obj-6")] ^= 1
-    with pytest.raises(Damaged, match="checksum"):
-        Log(disk)
+    with pytest.raises(LogDamaged, match="checksum"):
+        PurgeLog(disk)
     assert "purges up to 5 are kept" in repair(disk)
-    log = Log(disk)
+    log = PurgeLog(disk)
     assert log.head == 5
     write(disk, log, 1, 1)
     assert read(disk).head == 6 and "nothing to mend" in repair(disk)
@@ -128,25 +128,25 @@
 
 def test_a_full_disk_refuses_and_takes_again_once_there_is_room():
     disk = FaultyDisk()
-    log = Log(disk)
+    log = PurgeLog(disk)
     write(disk, log, 2, 1)
     disk.room = disk.used + 10
     for _ in range(3):
-        with pytest.raises(Refusing, match="No space left"):
+        with pytest.raises(DiskUnavailable, match="No space left"):
             log.append([purge(3)])
     assert read(disk).head == 2
     disk.room = 1 << 20
     write(disk, log, 2, 1)
-    assert read(disk).head == 4 and Log(disk).head == 4
+    assert read(disk).head == 4 and PurgeLog(disk).head == 4
 
 
 def test_after_a_sync_that_failed_nothing_more_goes_to_that_file():
     disk = FaultyDisk()
-    log = Log(disk)
+    log = PurgeLog(disk)
     write(disk, log, 1, 1)
     before = log.name
     disk.fail_sync = disk.syncs + 1
-    with pytest.raises(Refusing, match="Input/output"):
+    with pytest.raises(DiskUnavailable, match="Input/output"):
         log.append([purge(2)])
     log.append([purge(2)])
     assert log.name != before and numbers(read(disk)) == [1, 2]
@@ -154,9 +154,9 @@
 
 def test_a_writer_that_was_taken_over_from_promises_nothing_more(tmp_path):
     disk = RealDisk(str(tmp_path))
-    old = Log(disk)
+    old = PurgeLog(disk)
     write(disk, old, 3, 1)
-    new = Log(disk)
+    new = PurgeLog(disk)
     assert (new.epoch, new.head) == (old.epoch + 1, 3)
     with pytest.raises(Fenced):
         old.append([purge(4)])  # stands in the file, and counts for nobody
@@ -165,12 +165,12 @@
     other = Purge(4, 9_000, "tag", ("rose",))
     new.append([other])
     assert numbers(read(disk)) == [1, 2, 3, 4] and read(disk).purges[-1] == other
-    assert Log(disk).head == 4
+    assert PurgeLog(disk).head == 4
 
 
 def test_a_snapshot_takes_the_place_of_files(tmp_path):
     disk = RealDisk(str(tmp_path))
-    log = Log(disk, roll_at=200)
+    log = PurgeLog(disk, roll_at=200)
     write(disk, log, 20, 1)
     log.compact([purge(n) for n in range(11, 21)], 10, 10_000)
     names = [name for name in disk.names() if not name.startswith("epoch")]
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -10,11 +10,12 @@
 import time
 
 import anyio
-
 from conftest import SETUP, frame
-from quartzrouter.net import fastcgi, front, serve, stream
 from standins import MARKS, WHOLE, begin, free_port
 
+from quartzrouter.server import client_connections, fastcgi, stream
+from quartzrouter.server import process as process_module
+
 
 def test_reqs_are_answered_over_one_connection(world, trace):
     async def scene(connect):
@@ -39,16 +40,23 @@
     head = b"HTTP/1.1 200 OK\r\n" + MARKS
     wrong = {
         1: [b"nonsense\r\n\r\n"],
-        2: [head + b"Content-Length: 9\r\n\r\nabcde", None], 3: [head + b"\r\nabcde", None],
-        4: [WHOLE + b"more"], 5: [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabcde"], 6: [None],
+        2: [head + b"Content-Length: 9\r\n\r\nabcde", None],
+        3: [head + b"\r\nabcde", None],
+        4: [WHOLE + b"more"],
+        5: [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabcde"],
+        6: [None],
         7: [b"HTTP/1.1 200 OK\r\nX-A: " + b"a" * 20_000],
         8: [WHOLE.replace(b"X-Tag", b"X-Tell: guessed\r\nX-Tag")],
-        9: [WHOLE[:-5], 0.05, b"ab", 0.05, b"cde"], 10: [b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE],
-        11: [WHOLE * 2], 12: [WHOLE, b"\x00noise", None], 13: [b"HTTP/1.1 100 Continue\r\n\r\n" * 99],
+        9: [WHOLE[:-5], 0.05, b"ab", 0.05, b"cde"],
+        10: [b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE],
+        11: [WHOLE * 2],
+        12: [WHOLE, b"\x00noise", None],
+        13: [b"HTTP/1.1 100 Continue\r\n\r\n" * 99],
         14: [WHOLE.replace(b"5", b"3000000000") + bytes(300_000)],
         15: [head + b"Transfer-Encoding: chunked\r\n\r\n" + b"ffff\r\n%b\r\n" % bytes(0xFFFF) * 5],
-        16: [head + b"Content-Length: -5\r\n\r\nabcde"], 17: [WHOLE],
-    }  # fmt: skip
+        16: [head + b"Content-Length: -5\r\n\r\nabcde"],
+        17: [WHOLE],
+    }
     world.answers = wrong
 
     async def scene(connect):
@@ -64,10 +72,13 @@
 def test_what_clients_get_wrong_ends_at_their_connection(world, trace, capsys):
     async def scene(connect):
         for said in (
-            b"\x02" + bytes(7), b"GET / HTTP/1.1\r\n\r\n", fastcgi.record(fastcgi.BEGIN, 1, b"short"),
-            fastcgi.record(fastcgi.END, 1, bytes(8)), fastcgi.record(fastcgi.GET_VALUES, 0, b"\x0f"),
+            b"\x02" + bytes(7),
+            b"GET / HTTP/1.1\r\n\r\n",
+            fastcgi.record(fastcgi.BEGIN, 1, b"short"),
+            fastcgi.record(fastcgi.END, 1, bytes(8)),
+            fastcgi.record(fastcgi.GET_VALUES, 0, b"\x0f"),
             fastcgi.record(fastcgi.BEGIN, 1, b"\x00\x01" + bytes(6)) * 2,
-        ):  # fmt: skip
+        ):
             client = await connect()
             await client.stream.send(said)
             trace.append(f"{said[:20]}: {await client.end()}")
@@ -135,8 +146,18 @@
             for _ in range(100):
                 await client.begin(1, path="/rpc/other")
 
-    ways = silence, half, body_without_end, params_without_end, announced, negative, short, open_twice, \
-        taken_back, again  # fmt: skip
+    ways = (
+        silence,
+        half,
+        body_without_end,
+        params_without_end,
+        announced,
+        negative,
+        short,
+        open_twice,
+        taken_back,
+        again,
+    )
     world.answers = {9: [0.2, WHOLE]}
 
     async def scene(connect):
@@ -197,9 +218,13 @@
 
 def test_a_journal_that_fails_is_asked_anew_from_the_last_number(world, trace):
     frames = [
-        frame(1, 0) + frame(2, 3, bytes(16)) + b"\x00", b"\xff" * 20, frame(9, 3, bytes(16)), b"",
-        frame(3, 4, bytes(10)) + frame(3, 4, bytes(10)), frame(3, 0),
-    ]  # fmt: skip
+        frame(1, 0) + frame(2, 3, bytes(16)) + b"\x00",
+        b"\xff" * 20,
+        frame(9, 3, bytes(16)),
+        b"",
+        frame(3, 4, bytes(10)) + frame(3, 4, bytes(10)),
+        frame(3, 0),
+    ]
 
     async def scene(connect):
         client = await connect()
@@ -274,10 +299,10 @@
 def test_a_fault_costs_one_req_its_answer_and_nothing_else(world, trace, capsys):
     async def scene(connect):
         client, decisions = await connect(), world.service.reducer.router
-        for call in ("route", "after", "left", "wait"):
+        for call in ("route", "attempt_finished", "cancel_request", "maintenance"):
             setattr(decisions, call, lambda *arguments: 1 / 0)
             await client.begin(1)
-            if call == "left":
+            if call == "cancel_request":
                 await client.send((fastcgi.ABORT, b""))
             trace.append(f"{call}: {await client.end()}")
             delattr(decisions, call)
@@ -330,17 +355,17 @@
 
     async def run():
         nonlocal room
-        flood, room = Stuck(), front.Front(None, 9, 9, None, None)
+        flood, room = Stuck(), client_connections.ClientConnections(None, 9, 9, None, None)
         assert room.admit()
         with anyio.move_on_after(0.2):
             await room.serve(flood)
         # it is read, as its end must be heard, but slowly; and what it is owed for asking doesn't grow
-        assert 1 < flood.taken <= 2 + 0.2 / front.PACE
-        assert flood.held <= front.RECORDS_MOST + front.INCOMING // 32
+        assert 1 < flood.taken <= 2 + 0.2 / client_connections.PACE
+        assert flood.held <= client_connections.RECORDS_MOST + client_connections.INCOMING // 32
         trace.append(f"{len(room.open)} open")
 
     room = None
-    anyio.run(run, backend_options=serve.LOOP)
+    anyio.run(run, backend_options=process_module.LOOP)
 
 
 def test_idle_clients_make_room_for_a_new_one(world, trace):
@@ -395,7 +420,7 @@
                 assert "Traceback" not in error
                 tasks.cancel_scope.cancel()
 
-    anyio.run(run, backend_options=serve.LOOP)
+    anyio.run(run, backend_options=process_module.LOOP)
 
 
 def test_load_told_in_answers_follows_from_the_settings_alone(world, trace):
--- a/tests/test_plan_broken.py
+++ b/tests/test_plan_broken.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from quartzrouter.plan.load import load
+from quartzrouter.config.loader import load
 
 BROKEN = Path(__file__).parent / "broken"
 PLANS = sorted(path for path in BROKEN.iterdir() if path.suffix == ".plan") + sorted(
@@ -44,14 +44,31 @@
     codes = {message(path)[0].errors[0].code for path in PLANS}
     assert len(PLANS) >= 80
     assert codes >= {
-        "syntax", "unit", "type", "name", "range", "bound", "depth", "key", "missing", "duplicate",
-        "override",         "value", "reference", "cycle", "empty", "sum", "never", "shadow", "include",
-    }  # fmt: skip
+        "syntax",
+        "unit",
+        "type",
+        "name",
+        "range",
+        "bound",
+        "depth",
+        "key",
+        "missing",
+        "duplicate",
+        "override",
+        "value",
+        "reference",
+        "cycle",
+        "empty",
+        "sum",
+        "never",
+        "shadow",
+        "include",
+    }
 
 
 def test_examples_are_good_and_laid_out():
-    from quartzrouter.plan.fault import Source
-    from quartzrouter.plan.layout import layout
+    from quartzrouter.config.formatter import layout
+    from quartzrouter.config.problems import Source
 
     examples = Path(__file__).parent.parent / "examples"
     for path in sorted(examples.glob("*/*.plan")):
--- a/tests/test_plan_properties.py
+++ b/tests/test_plan_properties.py
@@ -8,16 +8,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quartzrouter.plan import tree
-from quartzrouter.plan.diff import Diff
-from quartzrouter.plan.evaluate import Evaluation, Unreadable
-from quartzrouter.plan.fault import Broken, Faults, Source
-from quartzrouter.plan.layout import layout
-from quartzrouter.plan.load import load
-from quartzrouter.plan.matcher import Matcher, plain
-from quartzrouter.plan.parse import parse
-from quartzrouter.plan.patterns import Unusable, pattern, witness
-from quartzrouter.plan.sets import Asked, rest
+from quartzrouter.config import syntax_tree
+from quartzrouter.config.diff import Diff
+from quartzrouter.config.evaluator import Evaluation, Unreadable
+from quartzrouter.config.formatter import layout
+from quartzrouter.config.loader import load
+from quartzrouter.config.matcher import Matcher, plain
+from quartzrouter.config.parser import parse
+from quartzrouter.config.patterns import Unusable, pattern, witness
+from quartzrouter.config.problems import Broken, Faults, Source
+from quartzrouter.config.request_sets import Asked, rest
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None, print_blob=False)
 settings.load_profile("same")
@@ -67,9 +67,9 @@
 
 def meaning(node):
     """A tree without its places and its layout."""
-    if is_dataclass(node) and isinstance(node, tree.Node):
+    if is_dataclass(node) and isinstance(node, syntax_tree.Node):
         left_out = {"place", "depth", "end", "spread", "name_place"}
-        if isinstance(node, tree.Text):
+        if isinstance(node, syntax_tree.Text):
             left_out.add("text")
         told = [meaning(getattr(node, f.name)) for f in fields(node) if f.name not in left_out]
         return (type(node).__name__, *told)
@@ -91,10 +91,49 @@
 
 
 WORDS = [
-    "{", "}", "[", "]", "(", ")", ":", "+:", ",", ";", "=", "local", "for", "in", "if", "then", "else",
-    "include", "override", "a", "b", "1", "3s", "8sec", "35%", '"x"', '"${a}"', '"${', "'", "\\", "//",
-    "/*", "+", "-", "*", "/", "==", "!", ".", "é", "\n", "\x00",
-]  # fmt: skip
+    "{",
+    "}",
+    "[",
+    "]",
+    "(",
+    ")",
+    ":",
+    "+:",
+    ",",
+    ";",
+    "=",
+    "local",
+    "for",
+    "in",
+    "if",
+    "then",
+    "else",
+    "include",
+    "override",
+    "a",
+    "b",
+    "1",
+    "3s",
+    "8sec",
+    "35%",
+    '"x"',
+    '"${a}"',
+    '"${',
+    "'",
+    "\\",
+    "//",
+    "/*",
+    "+",
+    "-",
+    "*",
+    "/",
+    "==",
+    "!",
+    ".",
+    "é",
+    "\n",
+    "\x00",
+]
 
 
 @settings(max_examples=600)
@@ -157,8 +196,12 @@
 PATHS = ["/", "/a", "/b", "/a/a", "/a/b", "/b/a", "/a/a/b", "/c/c"]
 UNIVERSE = [
     Asked(store, host, path, method, {} if tag is None else {"x-tag": tag}, {})
-    for store in STORES for host in HOSTS for path in PATHS for method in METHODS for tag in TAGS
-]  # fmt: skip
+    for store in STORES
+    for host in HOSTS
+    for path in PATHS
+    for method in METHODS
+    for tag in TAGS
+]
 
 MATCHES = st.fixed_dictionaries(
     {},
