--- a/tests/test_purge_book.py
+++ b/tests/test_purge_book.py
@@ -2,15 +2,27 @@
 
 import pytest
 
-from quartzrouter.purges.attempts import PAUSE, PAUSE_MOST, Attempts, Watch
-from quartzrouter.purges.book import Admitted, Book
-from quartzrouter.purges.fleet import Copy, Fleet
-from quartzrouter.purges.follower import Apply, End, Follower, Say
-from quartzrouter.purges.lease import Lease, lease
-from quartzrouter.purges.marks import Asked
-from quartzrouter.purges.words import (
-    LINE_MOST, VALUES_MOST, Ack, Beat, Hello, Purge, Purges, Refused, Send, Snapshot, Welcome, faulty, line,
-)  # fmt: skip
+from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
+from quartzrouter.purges.freshness_lease import FreshnessLease, lease
+from quartzrouter.purges.messages import (
+    LINE_MOST,
+    VALUES_MOST,
+    Heartbeat,
+    MemberAck,
+    MemberHello,
+    Purge,
+    PurgeBatch,
+    PurgeRequest,
+    RequestRejected,
+    Snapshot,
+    Welcome,
+    encode_line,
+    faulty,
+)
+from quartzrouter.purges.purge_index import PurgeLookup
+from quartzrouter.purges.reconnect_backoff import PAUSE, PAUSE_MOST, ReconnectBackoff, Watch
+from quartzrouter.purges.registry import AdmittedPurge, PurgeRegistry
+from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
 
 MS = 1_000
 GRACE = 300 * MS
@@ -18,18 +30,18 @@
 
 
 def book(**other):
-    return Book(1, GRACE, 0, **other)
+    return PurgeRegistry(1, GRACE, 0, **other)
 
 
 def member(book, name, now, kind="router", held=0):
-    found = book.hello(Hello(name, kind, f"t-{name}"), now)
+    found = book.hello(MemberHello(name, kind, f"t-{name}"), now)
     book.ack(found, held, 1, False, now)
     return found
 
 
 def send(book, now, *values, key="", durable=True):
-    given = book.admit(Send("tag", values or ("a",), key=key), now)
-    if durable and isinstance(given, Admitted):
+    given = book.admit(PurgeRequest("tag", values or ("a",), key=key), now)
+    if durable and isinstance(given, AdmittedPurge):
         book.durable(given.purge.number, now)
     return given
 
@@ -40,7 +52,7 @@
     again = send(b, 9_000, key="k")
     assert again == (first.purge, True) and b.last == 1
     other = send(b, 9_000, "b", key="k")
-    assert isinstance(other, Refused) and "purge 1" in other.reason and other.remedy
+    assert isinstance(other, RequestRejected) and "purge 1" in other.reason and other.remedy
     assert send(b, 9_000).purge.number == 2
 
 
@@ -95,7 +107,7 @@
 
 
 def test_after_a_restart_nothing_is_complete_until_older_leases_are_over():
-    b = Book(2, GRACE, 1_000_000)
+    b = PurgeRegistry(2, GRACE, 1_000_000)
     send(b, 1_000_001)
     b.tick(1_000_000 + LEASE)
     assert b.complete == 0
@@ -104,7 +116,7 @@
 
 
 def test_what_the_log_held_is_complete_only_then_as_well():
-    b = Book(2, GRACE, 1_000_000)
+    b = PurgeRegistry(2, GRACE, 1_000_000)
     b.recover([Purge(1, 999_999, "all")], 0, 0)
     assert not b.status(1, 1_000_001).complete
     b.tick(1_000_001 + LEASE)
@@ -115,11 +127,11 @@
 def test_a_name_that_is_in_use_is_refused_until_its_lease_is_over():
     b, now = book(), 10 * LEASE
     first = member(b, "r1", now)
-    refused = b.hello(Hello("r1", "router", "other"), now + LEASE)
-    assert isinstance(refused, Refused) and refused.come_back == LEASE and "'r1'" in refused.reason
-    assert b.hello(Hello("r1", "router", "t-r1"), now) is first  # the same process, anew
-    assert not isinstance(b.hello(Hello("r1", "router", "other"), now + LEASE + 1), Refused)
-    refused = b.hello(Hello("r9", "router", "t", epoch=5), now)
+    refused = b.hello(MemberHello("r1", "router", "other"), now + LEASE)
+    assert isinstance(refused, RequestRejected) and refused.come_back == LEASE and "'r1'" in refused.reason
+    assert b.hello(MemberHello("r1", "router", "t-r1"), now) is first  # the same process, anew
+    assert not isinstance(b.hello(MemberHello("r1", "router", "other"), now + LEASE + 1), RequestRejected)
+    refused = b.hello(MemberHello("r9", "router", "t", epoch=5), now)
     assert refused.place == "epoch"
 
 
@@ -151,18 +163,18 @@
 @pytest.mark.parametrize(
     ("send", "place", "reason"),
     [
-        (Send("tag"), "values", "no tag is named"),
-        (Send("all", ("x",)), "values", "names no values"),
-        (Send("tag", ("a b",)), "values", "is no tag"),
-        (Send("tag", tuple("t" * n for n in range(1, VALUES_MOST + 2))), "values", "in one purge"),
-        (Send("tag", ("t" * 512,) * 9), "values", "characters in one purge"),
-        (Send("pattern", ("rose",)), "values", "begins with '/'"),
-        (Send("pattern", ("/a/**/b",)), "values", "only at the end"),
-        (Send("pattern", ("/**a",)), "values", "only at the end"),
-        (Send("pattern", ("/" + "*a" * 17,)), "values", "wildcards"),
-        (Send("pattern", ("/a" * 33,)), "values", "parts"),
-        (Send("tag", ("a",), vhost="a/b"), "vhost", "is no name"),
-        (Send("tag", ("a",), key="k k"), "key", "is no key"),
+        (PurgeRequest("tag"), "values", "no tag is named"),
+        (PurgeRequest("all", ("x",)), "values", "names no values"),
+        (PurgeRequest("tag", ("a b",)), "values", "is no tag"),
+        (PurgeRequest("tag", tuple("t" * n for n in range(1, VALUES_MOST + 2))), "values", "in one purge"),
+        (PurgeRequest("tag", ("t" * 512,) * 9), "values", "characters in one purge"),
+        (PurgeRequest("pattern", ("rose",)), "values", "begins with '/'"),
+        (PurgeRequest("pattern", ("/a/**/b",)), "values", "only at the end"),
+        (PurgeRequest("pattern", ("/**a",)), "values", "only at the end"),
+        (PurgeRequest("pattern", ("/" + "*a" * 17,)), "values", "wildcards"),
+        (PurgeRequest("pattern", ("/a" * 33,)), "values", "parts"),
+        (PurgeRequest("tag", ("a",), vhost="a/b"), "vhost", "is no name"),
+        (PurgeRequest("tag", ("a",), key="k k"), "key", "is no key"),
     ],
 )
 def test_what_cannot_be_purged_is_refused_with_place_reason_and_remedy(send, place, reason):
@@ -174,65 +186,65 @@
 
 
 def follower(held=0):
-    found = Follower("r1", "router", "t", Lease(LEASE), held)
+    found = PurgeReplica("r1", "router", "t", FreshnessLease(LEASE), held)
     found.begin(0)
     found.take(Welcome(1, held, 1_000, LEASE), 3_000)  # its clock is ahead by less than 2 ms
     return found
 
 
 def purges(*numbers):
-    return Purges(tuple(Purge(n, n * MS, "tag", ("a",)) for n in numbers))
+    return PurgeBatch(tuple(Purge(n, n * MS, "tag", ("a",)) for n in numbers))
 
 
 def test_purges_come_in_order_and_once_whatever_the_line_does():
     f = follower()
     applied, said = f.take(purges(1, 2), 4_000)
     assert [p.number for p in applied.purges] == [1, 2] and applied.offset == 2_000
-    assert said == Say(Ack(2, 2))
+    assert said == SendMessage(MemberAck(2, 2))
     assert f.take(purges(1, 2), 5_000) == []  # doubled
     assert [p.number for p in f.take(purges(2, 3), 5_000)[0].purges] == [3]
     (end,) = f.take(purges(5), 6_000)  # one was lost
-    assert isinstance(end, End) and "5 came after 3" in end.reason and f.held == 3
+    assert isinstance(end, EndConnection) and "5 came after 3" in end.reason and f.held == 3
 
 
 def test_a_lease_starts_when_the_echoed_word_was_sent():
     f = follower()
-    f.take(Beat(1, 0, 0, 2_000), 10_000)  # sends mark 2 at 10 ms
+    f.take(Heartbeat(1, 0, 0, 2_000), 10_000)  # sends mark 2 at 10 ms
     assert f.lease.heard is None
-    f.take(Beat(1, 0, 2, 9_000), 90_000)
+    f.take(Heartbeat(1, 0, 2, 9_000), 90_000)
     assert f.lease.heard == 10_000
-    f.take(Beat(1, 0, 1, 9_500), 95_000)  # a late echo
+    f.take(Heartbeat(1, 0, 1, 9_500), 95_000)  # a late echo
     assert f.lease.heard == 10_000
 
 
 def test_a_beat_that_names_more_than_came_renews_nothing():
     f = follower()
-    (end,) = f.take(Beat(1, 3, 1, 2_000), 10_000)
-    assert isinstance(end, End) and f.lease.heard is None
+    (end,) = f.take(Heartbeat(1, 3, 1, 2_000), 10_000)
+    assert isinstance(end, EndConnection) and f.lease.heard is None
 
 
 def test_the_largest_purges_fit_into_lines():
     b = book()
     for n in range(600):
-        assert not isinstance(b.admit(Send("tag", ('"' * 512,) * 8, key=f"k{n}"), n), Refused)
+        assert not isinstance(b.admit(PurgeRequest("tag", ('"' * 512,) * 8, key=f"k{n}"), n), RequestRejected)
     b.durable(600, 600)
     held = 0
     while held < 600:
         news = b.news(held)
-        assert news and len(line(Purges(tuple(news)))) <= LINE_MOST
+        assert news and len(encode_line(PurgeBatch(tuple(news)))) <= LINE_MOST
         held += len(news)
     pages = b.snapshot(0, 600)
     assert sum(len(page.purges) for page in pages) == 600 and [p.last for p in pages[-2:]] == [False, True]
-    assert all(len(line(page)) <= LINE_MOST for page in pages)
+    assert all(len(encode_line(page)) <= LINE_MOST for page in pages)
 
 
 def test_a_name_that_is_none_is_refused():
     for name, token in (("", "t"), ("a b", "t"), ("n" * 64, "t"), ("r1", "x" * 1_000)):
-        assert book().hello(Hello(name, "router", token), 0).place == "name"
+        assert book().hello(MemberHello(name, "router", token), 0).place == "name"
 
 
 def test_connections_are_tried_in_turn_and_less_and_less_often():
-    attempts, waits, asked = Attempts(["a", "b"], "r1"), [], []
+    attempts, waits, asked = ReconnectBackoff(["a", "b"], "r1"), [], []
     for _ in range(12):
         asked.append(attempts.address)
         waits.append(attempts.ended())
@@ -241,7 +253,7 @@
     attempts.heard()
     attempts.wait(3_000_000)
     assert attempts.ended() == 3_000_000 and attempts.ended() < PAUSE * 2
-    assert waits != [Attempts(["a"], "r2").ended() for _ in waits]
+    assert waits != [ReconnectBackoff(["a"], "r2").ended() for _ in waits]
 
 
 def test_a_standby_takes_over_after_misses_in_a_row():
@@ -276,19 +288,19 @@
 
 # -- a router ------------------------------------------------------------------------------------------------
 
-ROSE = Asked("page", "rose", "x", "/rose")
+ROSE = PurgeLookup("page", "rose", "x", "/rose")
 S = 1_000_000
 
 
 def fleet(now=100 * S):
-    found = Fleet(GRACE, 60 * S, 1_000, 100, skew=S, remembers=True)
+    found = FleetPurges(GRACE, 60 * S, 1_000, 100, skew=S, remembers=True)
     found.lease.renew(now)
     return found
 
 
 def apply(fleet, now, *told, number=1, whole=False, floor=0):
     made = tuple(Purge(number + n, when, "tag", tags) for n, (when, tags) in enumerate(told))
-    fleet.apply(Apply(made, 0, floor, whole), number + len(told) - 1, now)
+    fleet.apply(ApplyPurges(made, 0, floor, whole), number + len(told) - 1, now)
 
 
 def test_a_copy_with_tags_that_nobody_knew_is_judged_when_it_comes():
@@ -297,12 +309,12 @@
     assert f.oldest(ROSE, "north", (), 8 * S, now + MS) == 8 * S  # never seen: judged by its answer
     late = now + GRACE
     f.lease.renew(late)
-    old, new = Copy(0, 2 * S, ("care",)), Copy(0, 100 * MS, ("care",))
+    old, new = CachedCopy(0, 2 * S, ("care",)), CachedCopy(0, 100 * MS, ("care",))
     assert not f.good(ROSE, "north", old, late, 0) and f.old == 1
     assert f.oldest(ROSE, "north", (), 8 * S, late) == GRACE  # and now its tags are known
     assert f.good(ROSE, "north", new, late, 0)
-    assert f.good(ROSE, "north", Copy(0, 2 * S, ("other",)), late, 0)
-    assert not f.good(ROSE, "north", Copy(0, 2 * S, None), late, 0)  # may carry any
+    assert f.good(ROSE, "north", CachedCopy(0, 2 * S, ("other",)), late, 0)
+    assert not f.good(ROSE, "north", CachedCopy(0, 2 * S, None), late, 0)  # may carry any
     assert not f.good(ROSE, "north", new, late, 99 * MS)  # older than was asked for: it joined a fill
 
 
@@ -310,8 +322,8 @@
     f, now = fleet(), 100 * S
     apply(f, now, (now, ("care",)))
     late = now + 5 * S
-    assert not f.good(ROSE, "north", Copy(now + 900 * MS, None, ("care",)), late, 0)
-    assert f.good(ROSE, "north", Copy(now + 1_001 * MS, None, ("care",)), late, 0)
+    assert not f.good(ROSE, "north", CachedCopy(now + 900 * MS, None, ("care",)), late, 0)
+    assert f.good(ROSE, "north", CachedCopy(now + 1_001 * MS, None, ("care",)), late, 0)
 
 
 def test_cut_off_a_router_takes_copies_of_a_lease_at_most():
@@ -338,13 +350,13 @@
     f, now = fleet(), 100 * S
     apply(f, now, (now - S, ("x",)), number=50, whole=True, floor=now - 2 * S)
     assert f.oldest(ROSE, "north", (), 0, now) == 2 * S and f.marks.forgotten == 49
-    assert not f.good(ROSE, "north", Copy(0, 3 * S, ()), now, 0)
+    assert not f.good(ROSE, "north", CachedCopy(0, 3 * S, ()), now, 0)
 
 
 def test_what_is_kept_in_a_file_holds_after_a_restart():
     f, now = fleet(), 100 * S
     apply(f, now, (now, ("care",)), (now, ("x",)))
-    after = Fleet(GRACE, 60 * S, 1_000, 100)
+    after = FleetPurges(GRACE, 60 * S, 1_000, 100)
     after.resume(f.recent, 2, f.known_from, now + S)
     assert after.marks.forgotten == 0 and after.marks.newest(ROSE, ("care",), "north") == now
     assert after.oldest(ROSE, "north", (), 0, now + S) == LEASE  # until the ledger is heard
--- a/tests/test_purge_courier.py
+++ b/tests/test_purge_courier.py
@@ -5,8 +5,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quartzrouter.purges.courier import CAUGHT, COARSE, COLD_FOR, COLD_SHARE, PAUSE_MOST, RATE, WINDOW, Box
-from quartzrouter.purges.words import Purge
+from quartzrouter.purges.delivery_plan import (
+    CAUGHT,
+    COARSE,
+    COLD_FOR,
+    COLD_SHARE,
+    PAUSE_MOST,
+    RATE,
+    WINDOW,
+    DeliveryQueue,
+)
+from quartzrouter.purges.messages import Purge
 
 S = 1_000_000
 
@@ -16,7 +25,7 @@
 
 
 def box(*numbers, value=None, now=100 * S):
-    found = Box("c1")
+    found = DeliveryQueue("c1")
     found.stands(0, 0, now)
     found.heard([purge(n, value) for n in numbers], 0)
     return found
@@ -124,7 +133,7 @@
 @given(st.integers(0, 10_000))
 def test_whatever_fails_all_is_told_and_nothing_counts_that_was_not_taken(seed):
     chance, now = random.Random(seed), 100 * S
-    found, disk, head = Box("c1"), set(), 0
+    found, disk, head = DeliveryQueue("c1"), set(), 0
     for _ in range(400):
         now += chance.randint(1_000, 200_000)
         what = chance.random()
--- a/tests/test_purge_marks.py
+++ b/tests/test_purge_marks.py
@@ -6,12 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from quartzrouter.purges.freshness_lease import FreshnessLease, lease
 from quartzrouter.purges.glob import Glob
-from quartzrouter.purges.lease import Lease, lease
-from quartzrouter.purges.marks import Asked, Marks
+from quartzrouter.purges.messages import Purge
+from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
 from quartzrouter.purges.tags import Tags, read
 from quartzrouter.purges.trie import GLOBS_MOST, Trie
-from quartzrouter.purges.words import Purge
 
 S = 1_000_000
 PARTS = ["a", "b", "ab", "*", "a*", "*b", "a*b", "*a*"]
@@ -29,8 +29,10 @@
 
 patterns = st.builds(
     lambda host, parts, deep: host + "/" + "/".join(parts) + ("/**" if deep and parts else "**" * deep),
-    st.sampled_from(HOSTS), st.lists(st.sampled_from(PARTS), max_size=3), st.booleans(),
-)  # fmt: skip
+    st.sampled_from(HOSTS),
+    st.lists(st.sampled_from(PARTS), max_size=3),
+    st.booleans(),
+)
 paths = st.lists(st.sampled_from(["", "a", "b", "ab", "ba", "aab"]), min_size=1, max_size=4).map(
     lambda parts: "/" + "/".join(parts)
 )
@@ -95,9 +97,11 @@
 
 purges = st.builds(
     lambda kind, value, vhost, store: (kind, () if kind == "all" else (value,), vhost, store),
-    st.sampled_from(["object", "tag", "all", "pattern"]), st.sampled_from(["/a", "/b", "/**"]),
-    st.sampled_from(["", "page", "clip"]), st.sampled_from(["", "north", "south"]),
-)  # fmt: skip
+    st.sampled_from(["object", "tag", "all", "pattern"]),
+    st.sampled_from(["/a", "/b", "/**"]),
+    st.sampled_from(["", "page", "clip"]),
+    st.sampled_from(["", "north", "south"]),
+)
 
 
 def newest(told, number, tags, store, vhost="page", path="/a"):
@@ -118,16 +122,18 @@
 
 @settings(max_examples=200, deadline=None)
 @given(
-    st.lists(purges, max_size=30), st.integers(0, 40),
-    st.sampled_from([None, frozenset(), frozenset(["/a"])]), st.sampled_from(["north", "south", "*"]),
-)  # fmt: skip
+    st.lists(purges, max_size=30),
+    st.integers(0, 40),
+    st.sampled_from([None, frozenset(), frozenset(["/a"])]),
+    st.sampled_from(["north", "south", "*"]),
+)
 def test_marks_find_what_a_list_of_all_purges_finds(told, age, tags, store):
-    marks = Marks(64 * S, 1_000)
+    marks = PurgeIndex(64 * S, 1_000)
     for n, (kind, values, vhost, at) in enumerate(told, 1):
         marks.add(Purge(n, n * S, kind, values, vhost, at), n * S)
     now = (age + 64) * S
     marks.expire(now)
-    found = marks.newest(Asked("page", "/a", "x", "/a"), tags, store)
+    found = marks.newest(PurgeLookup("page", "/a", "x", "/a"), tags, store)
     assert found == newest(told, age, tags, store)  # one slot of the wheel is a second
     assert marks.forgotten == min(max(0, age - 1), len(told))
     marks.expire(now + 1_000 * S)
@@ -135,22 +141,22 @@
 
 
 def test_more_marks_than_may_be_held_take_more_and_never_fewer():
-    marks = Marks(3_600 * S, 1_000)
+    marks = PurgeIndex(3_600 * S, 1_000)
     for n in range(1, 5_001):
         marks.add(Purge(n, n, "object", (f"o{n}",), "page"), n * S // 2)
         assert len(marks) <= 1_000
     assert marks.merged > 4_000
     for n in (1, 2_000, 4_999, 5_000):
-        assert marks.newest(Asked("page", f"o{n}", "x", "/"), (), "north") >= n * S // 2
-    assert marks.newest(Asked("page", "other", "x", "/"), (), "north") > 0  # by the coarse mark
-    assert marks.newest(Asked("clip", "other", "x", "/"), (), "north") == 0
+        assert marks.newest(PurgeLookup("page", f"o{n}", "x", "/"), (), "north") >= n * S // 2
+    assert marks.newest(PurgeLookup("page", "other", "x", "/"), (), "north") > 0  # by the coarse mark
+    assert marks.newest(PurgeLookup("clip", "other", "x", "/"), (), "north") == 0
 
 
 def test_a_purge_without_end_of_scopes_holds_for_all():
-    marks = Marks(3_600 * S, 10_000)
+    marks = PurgeIndex(3_600 * S, 10_000)
     for n in range(1, 400):
         marks.add(Purge(n, n, "all", (), f"v{n}"), n)
-    assert len(marks.scopes) <= 257 and marks.newest(Asked("other", "o", "x", "/"), (), "*") == 399
+    assert len(marks.scopes) <= 257 and marks.newest(PurgeLookup("other", "o", "x", "/"), (), "*") == 399
 
 
 def test_tags_are_read_as_caches_write_them():
@@ -174,7 +180,7 @@
 
 
 def test_a_lease_holds_from_what_was_echoed():
-    held = Lease(lease(300_000))
+    held = FreshnessLease(lease(300_000))
     assert held.bound(0) == 150_000  # nothing heard yet
     held.renew(1_000_000)
     held.renew(900_000)  # a late echo takes nothing back
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,9 +1,10 @@
 """The reducer without sockets: events in, effects out, as tests/traces/ has them."""
 
 from conftest import listed
-from quartzrouter.interface import Ending, Hold
-from quartzrouter.net import journal, reducer
-from quartzrouter.net.progress import Cause, Stage
+
+from quartzrouter.routing.model import AttemptStatus, Defer
+from quartzrouter.server import endpoint_watch, state_machine
+from quartzrouter.server.attempt_failure import Cause, Stage
 
 
 def empty(play):
@@ -36,28 +37,28 @@
             play.answered(ticket, length=3)
         if stage == "over":
             play.over(ticket, body=b"abc")
-        play.do(f"req {ticket} left while {stage}", reducer.Left(ticket))
+        play.do(f"req {ticket} left while {stage}", state_machine.ClientGone(ticket))
         play.over(ticket, body=b"abc")
     empty(play)
 
 
 def test_a_drain_or_a_purge_before_the_write_asks_anew(play):
     play.came(1)
-    be = play.reducer.hands[1].going.answer.be
+    be = play.reducer.hands[1].going.answer.endpoint
     play.list(**{be: "draining"})
     play.ready(1)
     play.came(2)
-    play.do("purge of another group", journal.Purge(6, None, play.now))
-    play.do("purge of another object", journal.Purge(None, f"{8:016x}", play.now))
+    play.do("purge of another group", endpoint_watch.PurgeNotice(6, None, play.now))
+    play.do("purge of another object", endpoint_watch.PurgeNotice(None, f"{8:016x}", play.now))
     play.ready(2)
     play.came(3)
-    play.do("purge of the object", journal.Purge(None, f"{7:016x}", play.now))
+    play.do("purge of the object", endpoint_watch.PurgeNotice(None, f"{7:016x}", play.now))
     play.ready(3)
     play.came(4)
-    play.do("purge of the group", journal.Purge(5, None, play.now))
+    play.do("purge of the group", endpoint_watch.PurgeNotice(5, None, play.now))
     play.ready(4)
     play.now += 2_500_000
-    play.do("tick", reducer.Tick())
+    play.do("tick", state_machine.TimerFired())
     play.came(5, timeout=1000)
     play.now += 2_000_000
     play.ready(5)
@@ -81,9 +82,19 @@
 def test_what_proves_that_nothing_ran(play):
     """Reqs of a non-replayable vhost: what may have run is aborted, what did not goes out again."""
     ways = [
-        (404, False), (503, True), (503, False), (504, True), (504, False), (500, False), (418, False),
-        Cause.REFUSED, Cause.NO_ROOM, Cause.RESET, Cause.MALFORMED, Cause.DIED,
-    ]  # fmt: skip
+        (404, False),
+        (503, True),
+        (503, False),
+        (504, True),
+        (504, False),
+        (500, False),
+        (418, False),
+        Cause.REFUSED,
+        Cause.NO_ROOM,
+        Cause.RESET,
+        Cause.MALFORMED,
+        Cause.DIED,
+    ]
     for ticket, way in enumerate(ways, 1):
         play.came(ticket, vhost="sale")
         if way in (Cause.REFUSED, Cause.NO_ROOM):
@@ -95,7 +106,7 @@
                 play.over(ticket)
             else:
                 play.over(ticket, Stage.ASKING, way)
-        play.do(f"req {ticket} left", reducer.Left(ticket))
+        play.do(f"req {ticket} left", state_machine.ClientGone(ticket))
         play.until(10_000 * ticket)
     empty(play)
 
@@ -125,7 +136,9 @@
 def test_addresses_of_what_has_gone_end(play):
     for n in range(100):
         for state in ("up", "gone"):
-            lines = journal.Lines(listed({f"c{n + 10}": state}), {f"c{n + 10}": ("127.0.0.9", n)}, False)
+            lines = endpoint_watch.EndpointUpdate(
+                listed({f"c{n + 10}": state}), {f"c{n + 10}": ("127.0.0.9", n)}, False
+            )
             play.do("", lines, quiet=True)
     play.lines[1:] = [f"kept: {', '.join(play.reducer.addresses)}"]
     play.list(whole=True, c1="up", o="up")
@@ -134,17 +147,17 @@
 
 
 def test_a_reload_asks_for_the_journal_at_its_new_address(play):
-    play.do("reload", reducer.Reload(("127.0.0.9", 4222)))
-    play.do("stop", reducer.Stop())
-    play.do("reload", reducer.Reload(("127.0.0.8", 4222)))
+    play.do("reload", state_machine.ConfigurationReloaded(("127.0.0.9", 4222)))
+    play.do("stop", state_machine.ShutdownRequested())
+    play.do("reload", state_machine.ConfigurationReloaded(("127.0.0.8", 4222)))
 
 
 def test_sigterm_with_reqs_in_hand(play):
-    play.do("health", reducer.Asked(90))
+    play.do("health", state_machine.StatusQueried(90))
     play.came(1, timeout=3_000_000)
     play.ready(1)
-    play.do("stop", reducer.Stop())
-    play.do("health", reducer.Asked(91))
+    play.do("stop", state_machine.ShutdownRequested())
+    play.do("health", state_machine.StatusQueried(91))
     play.until(900)
     play.came(2)
     play.until(1_100)
@@ -163,7 +176,7 @@
         play.over(ticket, Stage.CONNECTING, Cause.REFUSED)
     play.until(600)
     name = min(play.reducer.probing)
-    play.do(f"probe of {name} done", reducer.Probed(name, Ending.DONE))
+    play.do(f"probe of {name} done", state_machine.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
     play.list(c1="gone", c2="up")
 
 
@@ -186,11 +199,11 @@
 
 
 def test_a_decision_that_always_says_now_comes_back_at_the_next_tick(play):
-    play.reducer.router.route = lambda req, now: Hold(0)
+    play.reducer.router.route = lambda req, now: Defer(0)
     play.came(1)
     for _ in range(3):
-        play.do("tick", reducer.Tick())
+        play.do("tick", state_machine.TimerFired())
         assert play.reducer.due <= play.now
     play.now += 2_000_001
-    play.do("tick", reducer.Tick())
+    play.do("tick", state_machine.TimerFired())
     empty(play)
--- a/tests/test_reducer_machine.py
+++ b/tests/test_reducer_machine.py
@@ -1,26 +1,26 @@
 """The real reducer, without I/O, under any order of what can reach it; each step is judged by its effects."""
 
 import hypothesis.strategies as st
+from conftest import KEYED, MS, SETUP, S, listed
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from conftest import KEYED, MS, SETUP, S, listed
-from quartzrouter import control
-from quartzrouter.briefing import Briefing
-from quartzrouter.interface import Told
-from quartzrouter.net import journal, progress, reducer
+from quartzrouter.configuration import DeploymentSettings
+from quartzrouter.routing import router
+from quartzrouter.routing.model import FillStatus
+from quartzrouter.server import attempt_failure, endpoint_watch, state_machine
 
 CACHES = ("c1", "c2", "p1", "o")
 PURGE_LIFE = 6 * S
 VHOSTS = "page", "sale", "hold"  # may run again, may not, and with a key
 FAILURES = [
-    progress.Failure(stage, cause)
+    attempt_failure.Failure(stage, cause)
     for stage, cause in [
-        (progress.Stage.CONNECTING, progress.Cause.REFUSED),
-        (progress.Stage.CONNECTING, progress.Cause.NO_ROOM),
-        (progress.Stage.CONNECTING, progress.Cause.RESET),
-        (progress.Stage.ASKING, progress.Cause.RESET),
-        (progress.Stage.ANSWERED, progress.Cause.MALFORMED),
+        (attempt_failure.Stage.CONNECTING, attempt_failure.Cause.REFUSED),
+        (attempt_failure.Stage.CONNECTING, attempt_failure.Cause.NO_ROOM),
+        (attempt_failure.Stage.CONNECTING, attempt_failure.Cause.RESET),
+        (attempt_failure.Stage.ASKING, attempt_failure.Cause.RESET),
+        (attempt_failure.Stage.ANSWERED, attempt_failure.Cause.MALFORMED),
     ]
 ]
 STATUSES = [(200, False), (404, False), (503, True), (504, True), (500, False), (503, False)]
@@ -42,7 +42,9 @@
     def begin(self, cancel, started):
         self.now, self.tickets = 10 * S, 0
         self.window = KEYED["window_us"]
-        self.reducer = reducer.Reducer(control.Router(**Briefing(setup(cancel), 7).arguments))
+        self.reducer = state_machine.RouterStateMachine(
+            router.Router(**DeploymentSettings(setup(cancel), 7).arguments)
+        )
         self.replied, self.gone = {}, set()
         self.vhost, self.object = {}, {}
         self.opened, self.written = {}, {}  # attempts that are out: cache; when it was written
@@ -50,28 +52,30 @@
         self.down, self.purged = set(), {}
         self.stopped = self.exited = False
         addresses = {name: (f"127.0.0.{n}", 80) for n, name in enumerate(CACHES, 1)}
-        self.lines = lambda **states: journal.Lines(listed(states, started), addresses, len(states) > 1)
+        self.lines = lambda **states: endpoint_watch.EndpointUpdate(
+            listed(states, started), addresses, len(states) > 1
+        )
         self.step(self.lines(**dict.fromkeys(CACHES, "up")))
 
     def step(self, event):
         for effect in self.reducer.step(event, self.now):
             match effect:
-                case reducer.Reply(ticket, _) if ticket in self.vhost:
+                case state_machine.SendResponse(ticket, _) if ticket in self.vhost:
                     assert ticket not in self.replied, "a second answer"
                     self.replied[ticket] = effect
-                case reducer.Open(ticket, hop, name):
+                case state_machine.OpenConnection(ticket, hop, name):
                     self.may_begin(ticket, name)
                     assert not any(other == ticket for other, _ in self.opened), "two at a time"
                     self.opened[ticket, hop] = name
-                case reducer.Write(ticket, hop, _, fields):
+                case state_machine.SendRequest(ticket, hop, _, fields):
                     name = self.opened[ticket, hop]
                     self.may_begin(ticket, name)
                     self.may_run(ticket)
                     self.young_enough(ticket, dict(fields))
                     self.written[ticket, hop] = self.now
-                case reducer.Drop(ticket, hop):
+                case state_machine.CancelAttempt(ticket, hop):
                     self.ended(ticket, hop, ran=True)
-                case reducer.Exit():
+                case state_machine.ExitProcess():
                     assert not self.owed(), "an end before the last answer"
                     self.exited = True
 
@@ -104,15 +108,19 @@
 
     # -- clients -----------------------------------------------------------------------------------
 
-    @rule(vhost=st.sampled_from(VHOSTS), obj=st.integers(1, 2), group=st.integers(1, 2),
-          timeout=st.sampled_from([200, 1_000, 6_000]))  # fmt: skip
+    @rule(
+        vhost=st.sampled_from(VHOSTS),
+        obj=st.integers(1, 2),
+        group=st.integers(1, 2),
+        timeout=st.sampled_from([200, 1_000, 6_000]),
+    )
     def came(self, vhost, obj, group, timeout):
         self.tickets += 1
         self.vhost[self.tickets], self.object[self.tickets] = vhost, (f"{obj:016x}", group)
-        call = reducer.Call(
+        call = state_machine.ClientRequest(
             f"{self.tickets:016x}", vhost, f"{obj:016x}", 0, group, timeout * MS, key="a" * 32
-        )  # fmt: skip
-        self.step(reducer.Came(self.tickets, call))
+        )
+        self.step(state_machine.RequestReceived(self.tickets, call))
 
     @precondition(lambda self: self.tickets)
     @rule(data=st.data())
@@ -120,7 +128,7 @@
         ticket = data.draw(st.integers(1, self.tickets))
         if ticket not in self.replied:
             self.gone.add(ticket)
-        self.step(reducer.Left(ticket))
+        self.step(state_machine.ClientGone(ticket))
 
     # -- attempts ----------------------------------------------------------------------------------
 
@@ -131,14 +139,14 @@
     @rule(data=st.data())
     def ready(self, data):
         if key := self.attempt(data, written=False):
-            self.step(reducer.Ready(*key))
+            self.step(state_machine.ConnectionReady(*key))
 
     @rule(data=st.data(), failure=st.sampled_from(FAILURES))
     def failed(self, data, failure):
-        key = self.attempt(data, written=failure.stage >= progress.Stage.ASKING)
+        key = self.attempt(data, written=failure.stage >= attempt_failure.Stage.ASKING)
         if key:
             self.ended(*key, ran=not failure.ending().never_ran)
-            self.step(reducer.Over(*key, failure))
+            self.step(state_machine.AttemptEnded(*key, failure))
 
     @rule(data=st.data(), answer=st.sampled_from(STATUSES), marked=st.booleans())
     def answered(self, data, answer, marked):
@@ -146,10 +154,10 @@
         if not key:
             return
         status, never_ran = answer
-        self.step(reducer.Head(*key, status, 5, never_ran, marked, Told.NOTHING))
+        self.step(state_machine.ResponseHead(*key, status, 5, never_ran, marked, FillStatus.UNKNOWN))
         if key in self.opened:
             self.ended(*key, ran=not (never_ran or status == 404))
-            self.step(reducer.Over(*key, None, b"abcde"))
+            self.step(state_machine.AttemptEnded(*key, None, b"abcde"))
 
     @rule(passed=st.sampled_from([400, 2_900, 2_960, 3_100]))
     def breaks_off_and_tries_again(self, passed):
@@ -157,10 +165,10 @@
         self.came("hold", 1, 1, 6_000)
         for again in (False, True):
             if key := next((key for key in self.opened if key[0] == self.tickets), None):
-                self.step(reducer.Ready(*key))
+                self.step(state_machine.ConnectionReady(*key))
                 if not again and key in self.written:
                     self.ended(*key, ran=True)
-                    self.step(reducer.Over(*key, FAILURES[3]))
+                    self.step(state_machine.AttemptEnded(*key, FAILURES[3]))
                     self.time(passed)
 
     # -- what is told ------------------------------------------------------------------------------
@@ -173,23 +181,25 @@
     @rule(whole=st.booleans(), obj=st.integers(1, 2), group=st.integers(1, 2))
     def purge(self, whole, obj, group):
         self.purged[group if whole else f"{obj:016x}"] = self.now
-        self.step(reducer.Purge(group if whole else None, None if whole else f"{obj:016x}", self.now))
+        self.step(
+            state_machine.PurgeNotice(group if whole else None, None if whole else f"{obj:016x}", self.now)
+        )
 
     @rule()
     def reload(self):
-        self.step(reducer.Reload(("127.0.0.9", 80)))
+        self.step(state_machine.ConfigurationReloaded(("127.0.0.9", 80)))
 
     @rule()
     def stop(self):
         self.stopped = True
-        self.step(reducer.Stop())
+        self.step(state_machine.ShutdownRequested())
 
     @rule(passed=st.sampled_from([1, 10, 60, 400, 1_500, 3_100]))
     def time(self, passed):
         until = self.now + passed * MS
         while self.reducer.due <= until:
             self.now = max(self.now, self.reducer.due)
-            self.step(reducer.Tick())
+            self.step(state_machine.TimerFired())
         self.now = until
 
     # -- ever, and at the end ------------------------------------------------------------------------
@@ -198,7 +208,11 @@
     def tables_agree(self):
         if not hasattr(self, "reducer"):
             return
-        out = {(ticket, hand.going.answer.hop) for ticket, hand in self.reducer.hands.items() if hand.going}
+        out = {
+            (ticket, hand.going.answer.attempt_number)
+            for ticket, hand in self.reducer.hands.items()
+            if hand.going
+        }
         assert out == set(self.opened)
         assert not self.exited or self.stopped
 
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -6,10 +6,10 @@
 import time
 
 import anyio
-
-from quartzrouter.net import serve
 from standins import free_port
 
+from quartzrouter.server import process
+
 ROUTERS = 20
 MOST, ALL = 10.0, 30.0  # s within which nine in ten, and all, have to be ready
 
@@ -50,7 +50,7 @@
                 router.wait()
         return sorted(took)
 
-    took = anyio.run(run, backend_options=serve.LOOP)
+    took = anyio.run(run, backend_options=process.LOOP)
     print("ready after", *(f"{each:.2f}" for each in took), "s")
     assert len(took) == ROUTERS
     assert took[ROUTERS * 9 // 10 - 1] <= MOST
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -8,26 +8,33 @@
 from click.testing import CliRunner
 
 from quartzrouter.cli.main import cli
-from quartzrouter.briefing import Configuration
-from quartzrouter.force.force import Force
-from quartzrouter.force.limits import Key, Limits
-from quartzrouter.force.shared import budgets
-from quartzrouter.ledger.serve import Ledger
-from quartzrouter.ledger.wire import connect, lines
-from quartzrouter.net.report import Report
-from quartzrouter.net.serve import clock
-from quartzrouter.plan.compile import compiled
-from quartzrouter.plan.load import load
-from quartzrouter.plan.model import Limit
-from quartzrouter.plan.sets import Asked
-from quartzrouter.purges import words
-from quartzrouter.purges.words import AskBudgets, Asks, Grants, Hello, Welcome, line
-from quartzrouter.sharing import shares as module
-from quartzrouter.sharing.budget import Ask, Budget, Grant
-from quartzrouter.sharing.council import Sight
-from quartzrouter.sharing.granter import POTS_MOST, Granter
-from quartzrouter.sharing.shares import Shares
-from quartzrouter.standin.disk import FaultyDisk
+from quartzrouter.config.loader import load
+from quartzrouter.config.model import Limit
+from quartzrouter.config.platform_json import compiled
+from quartzrouter.config.request_sets import Asked
+from quartzrouter.configuration import Configuration
+from quartzrouter.fakes.faulty_disk import FaultyDisk
+from quartzrouter.fleet_health.aggregator import CacheObservation
+from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
+from quartzrouter.pool_routing.rate_limits import LimitKey, RateLimiter
+from quartzrouter.pool_routing.shared_limits import budgets
+from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.purge_log.server import PurgeLogServer
+from quartzrouter.purges import messages
+from quartzrouter.purges.messages import (
+    MemberHello,
+    QuotaGrants,
+    QuotaQuery,
+    QuotaRequests,
+    Welcome,
+    encode_line,
+)
+from quartzrouter.quota import client as module
+from quartzrouter.quota.allocator import POTS_MOST, QuotaAllocator
+from quartzrouter.quota.budget import Budget, QuotaGrant, QuotaRequest
+from quartzrouter.quota.client import QuotaClient
+from quartzrouter.server.process import wall_clock
+from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 S = 1_000_000
 CALLS = Budget("calls", rate=50.0, burst=20.0, floors=0.2, routers=4)
@@ -74,13 +81,15 @@
 class Router:
     def __init__(self, *of, limits=None):
         self.now = 100 * S
-        self.shares = Shares(of, "r", "t", lambda: self.now)
-        self.limits = Limits(limits or {}, self.shares, "north")
+        self.shares = QuotaClient(of, "r", "t", lambda: self.now)
+        self.limits = RateLimiter(limits or {}, self.shares, "north")
 
     def granted(self, granter):
         """Asks, and takes what is granted; gives the asks."""
         asks = self.shares.asks()
-        self.shares.granted([said for ask in asks if isinstance(said := granter.ask(ask, self.now), Grant)])
+        self.shares.granted(
+            [said for ask in asks if isinstance(said := granter.ask(ask, self.now), QuotaGrant)]
+        )
         return asks
 
 
@@ -90,7 +99,7 @@
         "own": Limit("own", "all", rate=1.0, burst=1),
     }
     router = Router(CROWD, limits=limits)
-    keys = [Key("crowd", ""), Key("own", "")]
+    keys = [LimitKey("crowd", ""), LimitKey("own", "")]
     router.now += 2 * S
     assert router.limits.admit(1, keys, 1.0, 0) is None  # on the floor's one slot
     assert router.limits.admit(2, keys, 1.0, 0).limit == "own"  # asked first: it is no demand for a slot
@@ -103,7 +112,7 @@
 
 
 def test_tenants_have_a_budget_each_and_are_asked_for_while_they_are_used():
-    router, granter = Router(CALLS), Granter([CALLS], 0, alone=True)
+    router, granter = Router(CALLS), QuotaAllocator([CALLS], 0, alone=True)
     name = router.shares.key("calls", "a tenant/" + "x" * 200)
     assert name.startswith("calls/#") and len(name) < 30 and router.shares.key("calls", "") == "calls"
     for tenant in ("anna", "bert"):
@@ -121,7 +130,7 @@
 def test_a_share_that_is_forgotten_counts_its_asks_on_and_gains_no_floor(monkeypatch):
     """Its asks began with 1 again, and the granter took them for late words for good."""
     monkeypatch.setattr(module, "SHARES_MOST", 1)
-    router, granter = Router(CALLS), Granter([CALLS], 0, alone=True)
+    router, granter = Router(CALLS), QuotaAllocator([CALLS], 0, alone=True)
     router.now += 2 * S
 
     def floors(tenant):
@@ -141,7 +150,7 @@
 
 
 def test_a_new_plan_keeps_what_stays_and_drops_what_it_had_of_what_changes():
-    router, granter = Router(CALLS, CROWD), Granter([CALLS, CROWD], 0, alone=True)
+    router, granter = Router(CALLS, CROWD), QuotaAllocator([CALLS, CROWD], 0, alone=True)
     router.now += 2 * S
     for _ in range(20):
         router.shares.may("calls")
@@ -159,15 +168,15 @@
 
 
 def test_pots_are_bounded_and_one_made_anew_is_empty():
-    granter = Granter([CALLS], 0, alone=True)
+    granter = QuotaAllocator([CALLS], 0, alone=True)
 
     def ask(of, number):
-        said = Ask(f"calls/{of}", "r", "t", number, want=500.0, figures=CALLS.figures)
+        said = QuotaRequest(f"calls/{of}", "r", "t", number, want=500.0, figures=CALLS.figures)
         return granter.ask(said, 100 * S)
 
     assert ask("first", 1).tokens > 15
     for n in range(POTS_MOST):
-        assert isinstance(ask(n, 1), Grant)
+        assert isinstance(ask(n, 1), QuotaGrant)
     assert len(granter.pots) == POTS_MOST and "calls/first" not in granter.pots
     assert ask("first", 1).tokens == 0
 
@@ -179,8 +188,11 @@
     """A scene with a ledger that grants, if there are budgets, and a member's line to it."""
 
     async def main():
-        ledger = Ledger(
-            FaultyDisk(), 300_000, Report("ledger", clock), budgets=None if of is None else list(of)
+        ledger = PurgeLogServer(
+            FaultyDisk(),
+            300_000,
+            RateLimitedLog("ledger", wall_clock),
+            budgets=None if of is None else list(of),
         )
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
@@ -192,11 +204,11 @@
 
                     async def until(kind):
                         async for data in heard:
-                            if isinstance(said := words.from_ledger(data), kind):
+                            if isinstance(said := messages.decode_from_purge_log(data), kind):
                                 return said
 
                     async def tell(said):
-                        await stream.send(line(said))
+                        await stream.send(encode_line(said))
 
                     await scene(ledger, tell, until, port)
                 tasks.cancel_scope.cancel()
@@ -204,27 +216,30 @@
     anyio.run(main)
 
 
-GOOD = Ask("calls", "r", "t", 1, want=5.0, figures=CALLS.figures)
+GOOD = QuotaRequest("calls", "r", "t", 1, want=5.0, figures=CALLS.figures)
 
 
 @pytest.mark.parametrize(
     "bad, place",
     [
-        (GOOD._replace(budget="fills"), "budget"), (GOOD._replace(want=-1.0), "want"),
-        (GOOD._replace(left=1e12), "left"), (GOOD._replace(slots=-3), "slots"),
-        (GOOD._replace(figures=7), "figures"), (GOOD._replace(name="s"), "name"),
+        (GOOD._replace(budget="fills"), "budget"),
+        (GOOD._replace(want=-1.0), "want"),
+        (GOOD._replace(left=1e12), "left"),
+        (GOOD._replace(slots=-3), "slots"),
+        (GOOD._replace(figures=7), "figures"),
+        (GOOD._replace(name="s"), "name"),
         (GOOD._replace(token="other"), "name"),
     ],
-)  # fmt: skip
+)
 def test_an_ask_that_is_not_obeyed_gets_its_reason_and_the_line_goes_on(bad, place):
     async def scene(ledger, tell, until, port):
-        await tell(Hello("r", "router", "t"))
+        await tell(MemberHello("r", "router", "t"))
         assert (await until(Welcome)).grants
-        await tell(Asks((bad,)))
-        said = await until(Grants)
+        await tell(QuotaRequests((bad,)))
+        said = await until(QuotaGrants)
         assert not said.grants and said.refused[bad.budget].place == place
-        await tell(Asks((GOOD,)))
-        assert (await until(Grants)).grants[0].number == 1
+        await tell(QuotaRequests((GOOD,)))
+        assert (await until(QuotaGrants)).grants[0].number == 1
         assert ledger.granter.refused + ledger.strangers == 1
 
     talk(scene)
@@ -232,9 +247,9 @@
 
 def test_late_words_are_counted_and_answered_with_nothing():
     async def scene(ledger, tell, until, port):
-        await tell(Hello("r", "router", "t"))
-        await tell(Asks((GOOD, GOOD)))
-        said = await until(Grants)
+        await tell(MemberHello("r", "router", "t"))
+        await tell(QuotaRequests((GOOD, GOOD)))
+        said = await until(QuotaGrants)
         assert len(said.grants) == 1 and not said.refused and ledger.granter.refused == 1
 
     talk(scene)
@@ -242,10 +257,10 @@
 
 def test_a_ledger_without_budgets_says_so_and_passes_asks_over():
     async def scene(ledger, tell, until, port):
-        await tell(Hello("r", "router", "t"))
+        await tell(MemberHello("r", "router", "t"))
         assert not (await until(Welcome)).grants
-        await tell(Asks((GOOD,)))
-        assert (await until(words.Beat)).epoch == 1
+        await tell(QuotaRequests((GOOD,)))
+        assert (await until(messages.Heartbeat)).epoch == 1
 
     talk(scene, of=None)
 
@@ -254,32 +269,32 @@
     """A ledger that began with a plan without shared limits granted none until its next start."""
 
     async def scene(ledger, tell, until, port):
-        await tell(Hello("r", "router", "t"))
+        await tell(MemberHello("r", "router", "t"))
         assert (await until(Welcome)).grants
         ledger.replace([CALLS], {})
-        await tell(Asks((GOOD,)))
-        assert (await until(Grants)).grants[0].number == 1
+        await tell(QuotaRequests((GOOD,)))
+        assert (await until(QuotaGrants)).grants[0].number == 1
 
     talk(scene, of=())
 
 
 def test_a_client_waits_no_longer_than_a_shared_slot_is_reckoned_in_use():
     plan = load("main", lambda path: PLAN % PURGES).plan
-    force = Force(plan, Configuration(compiled(plan), {}, journal_needed=False).briefing.arguments)
+    force = MultiPoolRouter(plan, Configuration(compiled(plan), {}, journal_needed=False).briefing.arguments)
     ruling = force.rule(Asked("north", "", "/a", "GET", {}, {}), "c")
     assert [force.timeout(ruling, told) for told in (0, 5 * S, 60 * S)] == [3 * S, 5 * S, 9 * S]
 
 
 def test_a_welcome_of_an_older_ledger_grants_nothing():
-    said = words.from_ledger(b'{"say":"welcome","epoch":1,"head":0,"now":5,"lease":9}')
+    said = messages.decode_from_purge_log(b'{"say":"welcome","epoch":1,"head":0,"now":5,"lease":9}')
     assert not said.grants
 
 
 def test_the_fleets_budgets_are_told():
     async def scene(ledger, tell, until, port):
-        await tell(Hello("r", "router", "t"))
-        await tell(Asks((GOOD,)))
-        await until(Grants)
+        await tell(MemberHello("r", "router", "t"))
+        await tell(QuotaRequests((GOOD,)))
+        await until(QuotaGrants)
 
         def called(*arguments):
             made = CliRunner().invoke(cli, ("fleet", *arguments, "--ledger", f"127.0.0.1:{port}"))
@@ -293,10 +308,10 @@
         assert "1 budgets, 0 asks not obeyed" in await anyio.to_thread.run_sync(called, "status")
         told = json.loads(await anyio.to_thread.run_sync(called, "status", "--json"))
         assert "no cache is left out" in await anyio.to_thread.run_sync(called, "judgements")
-        seen = tuple(Sight(f"n{n}", n == 0, 3, 0, 2, 3) for n in range(3))
-        await tell(words.Sights("north", seen, 3))
-        await tell(Asks(()))
-        await until(Grants)  # so it has read what came before
+        seen = tuple(CacheObservation(f"n{n}", n == 0, 3, 0, 2, 3) for n in range(3))
+        await tell(messages.HealthReport("north", seen, 3))
+        await tell(QuotaRequests(()))
+        await until(QuotaGrants)  # so it has read what came before
         assert "north: n0" in await anyio.to_thread.run_sync(called, "counts")
         assert json.loads(await anyio.to_thread.run_sync(called, "counts", "--json"))[1]["in_hand"] == 2
         assert told["budgets"] == 1 and told["silent"] == ["r"]  # it never acknowledged anything
@@ -306,7 +321,7 @@
 
 def test_budgets_can_be_asked_for_before_any_hello():
     async def scene(ledger, tell, until, port):
-        await tell(AskBudgets())
-        assert [each.budget for each in (await until(words.Budgets)).budgets] == ["calls"]
+        await tell(QuotaQuery())
+        assert [each.budget for each in (await until(messages.QuotaStatus)).budgets] == ["calls"]
 
     talk(scene)
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -8,14 +8,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quartzrouter.explore.search import explore
-from quartzrouter.explore.sharing import PLAYED, Bounds, SharingModel
-from quartzrouter.sharing.budget import DRIFT, Ask, Budget, Grant, Refusal, S
-from quartzrouter.sharing.granter import Granter, level
-from quartzrouter.sharing.share import Share
-from quartzrouter.stand.guards import (
-    any_number, at_once, endless, floor_at_once, forgets, full, late, older, twice, two_bursts, unconfined,
-)  # fmt: skip
+from quartzrouter.fault_harness.mutations import (
+    any_number,
+    at_once,
+    endless,
+    floor_at_once,
+    forgets,
+    full,
+    late,
+    older,
+    twice,
+    two_bursts,
+    unconfined,
+)
+from quartzrouter.model_checking.checker import explore
+from quartzrouter.model_checking.quota_model import PLAYED, Bounds, SharingModel
+from quartzrouter.quota.allocator import QuotaAllocator, level
+from quartzrouter.quota.budget import DRIFT, Budget, QuotaGrant, QuotaRefusal, QuotaRequest, S
+from quartzrouter.quota.local_quota import LocalQuota
 
 STEP = 10_000  # us of true time
 RATE = Budget("fills", rate=50.0, burst=20.0, floors=0.2, routers=4)
@@ -61,7 +71,7 @@
         self.born = Counter()
         self.shares = [self.share(n) for n in range(budget.routers)]
         self.clock = Clock(self.chance)
-        self.granter = Granter([budget], self.clock.at(0), alone=True)
+        self.granter = QuotaAllocator([budget], self.clock.at(0), alone=True)
         self.next = [0] * budget.routers
         self.deaf = [0] * budget.routers  # until when nothing passes
         self.lines = []  # (when it arrives, to whom, what)
@@ -70,14 +80,14 @@
 
     def share(self, n):
         self.born[n] += 1
-        return Share(self.budget, f"r{n}", f"t{n}.{self.born[n]}", self.clocks[n].at(self.true))
+        return LocalQuota(self.budget, f"r{n}", f"t{n}.{self.born[n]}", self.clocks[n].at(self.true))
 
     def play(self, seconds):
         while self.true < seconds * S:
             self.true += STEP
             if self.chance.random() < self.falls / 10:
                 self.clock = Clock(self.chance)
-                self.granter = Granter([self.budget], self.clock.at(self.true))
+                self.granter = QuotaAllocator([self.budget], self.clock.at(self.true))
             self.in_hand = [(n, born, until) for n, born, until in self.in_hand if self.kept(n, born, until)]
             for n in range(len(self.shares)):
                 self.router(n)
@@ -134,7 +144,7 @@
         for _, n, to, what in now:
             if to == "granter":
                 said = self.granter.ask(what, self.clock.at(self.true))
-                if isinstance(said, Grant):
+                if isinstance(said, QuotaGrant):
                     self.send(n, "router", said)
             elif self.true >= self.stopped[n]:
                 self.shares[n].take_grant(what, self.clocks[n].at(self.true))
@@ -182,17 +192,17 @@
 
 BURSTS = Budget("bursts", rate=8.0, burst=40.0, floors=0.5, routers=4)  # where floors and bursts weigh most
 GUARDS = {
-    "tokens of a doubled grant count twice": (Share, "take_grant", twice, RATE, QUIET | {"double": 0.6}),
-    "a granter starts with a full bucket": (Granter, "__init__", full, BURSTS, {"falls": 1.0}),
-    "a granter grants slots at once": (Granter, "__init__", at_once, SLOTS, {"falls": 0.02}),
+    "tokens of a doubled grant count twice": (LocalQuota, "take_grant", twice, RATE, QUIET | {"double": 0.6}),
+    "a granter starts with a full bucket": (QuotaAllocator, "__init__", full, BURSTS, {"falls": 1.0}),
+    "a granter grants slots at once": (QuotaAllocator, "__init__", at_once, SLOTS, {"falls": 0.02}),
     "a restarted router has its floor's burst again": (
-        Share,
+        LocalQuota,
         "__init__",
         two_bursts,
         BURSTS,
         {"deaths": 0.1},
     ),
-    "a restarted router has its floor's slots at once": (Share, "__init__", floor_at_once, SLOTS, {}),
+    "a restarted router has its floor's slots at once": (LocalQuota, "__init__", floor_at_once, SLOTS, {}),
     "a share doesn't end": (Budget, "ends", endless, SLOTS, {"cut": 0.05}),
     "a slot's req is over with its share": (Budget, "gone", lambda self, at: at + self.life, SLOTS, {}),
 }
@@ -217,8 +227,8 @@
 
     def __init__(self):
         self.budget = Budget("b", slots=3, hold=S // 2, floors=2 / 3, routers=2)
-        self.now, self.granter = S, Granter([self.budget], 0, alone=True)
-        self.a, self.b = (Share(self.budget, name, name, 0) for name in "ab")
+        self.now, self.granter = S, QuotaAllocator([self.budget], 0, alone=True)
+        self.a, self.b = (LocalQuota(self.budget, name, name, 0) for name in "ab")
         self.began = []
 
     def ask(self, share):
@@ -293,7 +303,7 @@
 def a_restart():
     pair = Pair()
     pair.serve(pair.a)
-    again = Share(pair.budget, "a", "another", pair.now)
+    again = LocalQuota(pair.budget, "a", "another", pair.now)
     pair.serve(again)
     pair.fill(pair.b)
     return pair.in_hand()
@@ -303,7 +313,7 @@
     """It took the name back, and when its follower asked again, the slots of the first were forgotten."""
     pair = Pair()
     pair.serve(pair.a)
-    late, again = pair.a.ask(pair.now), Share(pair.budget, "a", "another", pair.now)
+    late, again = pair.a.ask(pair.now), LocalQuota(pair.budget, "a", "another", pair.now)
     pair.ask(again)
     pair.granter.ask(late, pair.now)
     pair.serve(again)
@@ -312,11 +322,11 @@
 
 
 SCENES = {
-    from_the_answer: (Share, "take_grant", late),
-    an_older_answer: (Share, "take_grant", older),
-    its_own_word: (Share, "ask", unconfined),
-    a_late_ask: (Granter, "_refusal", any_number),
-    a_restart: (Granter, "_holder", forgets),
+    from_the_answer: (LocalQuota, "take_grant", late),
+    an_older_answer: (LocalQuota, "take_grant", older),
+    its_own_word: (LocalQuota, "ask", unconfined),
+    a_late_ask: (QuotaAllocator, "_refusal", any_number),
+    a_restart: (QuotaAllocator, "_holder", forgets),
 }
 
 
@@ -349,33 +359,46 @@
 @pytest.mark.parametrize(
     "word, place",
     [
-        ({"budget": "other"}, "budget"), ({"budget": "fills/" + 300 * "x"}, "budget"),
+        ({"budget": "other"}, "budget"),
+        ({"budget": "fills/" + 300 * "x"}, "budget"),
         ({"figures": 1}, "figures"),
-        ({"want": -1.0}, "want"), ({"want": float("nan")}, "want"),
-        ({"want": 1e300}, "want"), ({"left": float("inf")}, "left"), ({"keep": -1}, "keep"),
-        ({"slots": 1 << 70}, "slots"), ({"number": 1}, "number"), ({"number": 0}, "number"),
+        ({"want": -1.0}, "want"),
+        ({"want": float("nan")}, "want"),
+        ({"want": 1e300}, "want"),
+        ({"left": float("inf")}, "left"),
+        ({"keep": -1}, "keep"),
+        ({"slots": 1 << 70}, "slots"),
+        ({"number": 1}, "number"),
+        ({"number": 0}, "number"),
     ],
-)  # fmt: skip
+)
 def test_words_that_a_granter_does_not_obey(word, place):
-    granter = Granter([RATE], 0, alone=True)
+    granter = QuotaAllocator([RATE], 0, alone=True)
     well = {"budget": "fills", "name": "r", "token": "t", "number": 1, "want": 5.0, "figures": RATE.figures}
-    assert isinstance(granter.ask(Ask(**well), S), Grant)
+    assert isinstance(granter.ask(QuotaRequest(**well), S), QuotaGrant)
     before = granter.pots["fills"].tokens
-    said = granter.ask(Ask(**(well | {"number": 2} | word)), S)
-    assert isinstance(said, Refusal) and said.place == place
+    said = granter.ask(QuotaRequest(**(well | {"number": 2} | word)), S)
+    assert isinstance(said, QuotaRefusal) and said.place == place
     assert granter.refused == 1 and granter.pots["fills"].tokens == before
 
 
 @pytest.mark.parametrize(
     "word",
-    [{"budget": "other"}, {"token": "x"}, {"number": 9}, {"tokens": -1.0}, {"tokens": 1e9}, {"slots": 99},
-     {"tokens": float("nan")}],
-)  # fmt: skip
+    [
+        {"budget": "other"},
+        {"token": "x"},
+        {"number": 9},
+        {"tokens": -1.0},
+        {"tokens": 1e9},
+        {"slots": 99},
+        {"tokens": float("nan")},
+    ],
+)
 def test_words_that_a_router_does_not_obey(word):
-    share = Share(RATE, "r", "t", 0)
+    share = LocalQuota(RATE, "r", "t", 0)
     share.ask(0)
     assert not share.take_grant(
-        Grant(**({"budget": "fills", "token": "t", "number": 1, "tokens": 2.0, "slots": 0} | word)), 1
+        QuotaGrant(**({"budget": "fills", "token": "t", "number": 1, "tokens": 2.0, "slots": 0} | word)), 1
     )
     assert share.odd == 1 and share.left(1) == 0
 
@@ -407,12 +430,18 @@
 EXPLORED = {
     "a share doesn't end": (Bounds(steps=4, turns=2, asks=2), Budget, "ends", endless),
     "a restarted router has its floor at once": (
-        Bounds(steps=0, turns=3, asks=1, restarts=1), Share, "__init__", floor_at_once,
+        Bounds(steps=0, turns=3, asks=1, restarts=1),
+        LocalQuota,
+        "__init__",
+        floor_at_once,
     ),
     "a granter grants slots at once": (
-        Bounds(steps=0, turns=2, asks=2, falls=1), Granter, "__init__", at_once,
+        Bounds(steps=0, turns=2, asks=2, falls=1),
+        QuotaAllocator,
+        "__init__",
+        at_once,
     ),
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("name", EXPLORED)
@@ -429,13 +458,26 @@
 AGAIN = [("turn", 1), ("ask", 1, 0), ("hear", 1)]
 TRACES = {
     "clock": [
-        ("turn", 0), ("ask", 0, 0), ("hear", 0), ("time",), ("stop", 0), *TIME[1:], *AGAIN, ("wake", 0),
+        ("turn", 0),
+        ("ask", 0, 0),
+        ("hear", 0),
+        ("time",),
+        ("stop", 0),
+        *TIME[1:],
+        *AGAIN,
+        ("wake", 0),
     ],
     "looks": [
-        ("turn", 0), ("takeover",), *TIME, ("ask", 0, 0), ("hear", 0), ("turn", 1), ("ask", 1, 1),
+        ("turn", 0),
+        ("takeover",),
+        *TIME,
+        ("ask", 0, 0),
+        ("hear", 0),
+        ("turn", 1),
+        ("ask", 1, 1),
         ("hear", 1),
     ],
-}  # fmt: skip
+}
 
 
 @pytest.mark.parametrize("guard", TRACES)
@@ -453,12 +495,18 @@
 
 
 def test_a_late_ask_by_hand(monkeypatch):
-    monkeypatch.setattr(Granter, "_refusal", any_number)
+    monkeypatch.setattr(QuotaAllocator, "_refusal", any_number)
     played = SharingModel(Bounds(steps=0))
     world = played.start()
     for action in [
-        ("send", 0), ("turn", 0), ("send", 0), ("swap", 0, "up"), ("arrive", 0, 0), ("hear", 0),
-        ("arrive", 0, 0), *AGAIN,
-    ]:  # fmt: skip
+        ("send", 0),
+        ("turn", 0),
+        ("send", 0),
+        ("swap", 0, "up"),
+        ("arrive", 0, 0),
+        ("hear", 0),
+        ("arrive", 0, 0),
+        *AGAIN,
+    ]:
         played.act(world, action)
     assert played.broken(world)
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -8,15 +8,15 @@
 
 import anyio
 import pytest
-
 from conftest import frame
-from quartzrouter.net import serve
-from quartzrouter.plan.load import load
-from quartzrouter.site.logs import logger
-from quartzrouter.site.serve import Planned
-from quartzrouter.standin.loopback import heads
 from standins import WHOLE, World, free_port, tagged
 
+from quartzrouter.config.loader import load
+from quartzrouter.fakes.loopback import heads
+from quartzrouter.server import process
+from quartzrouter.standalone.process import StandaloneProcess
+from quartzrouter.standalone.structured_log import logger
+
 SLOW = [0.15, WHOLE]
 PLAN = """{
   deployment: { name: "t", home: "north", listen: "127.0.0.1:%(port)d", descriptors: 256 },
@@ -74,12 +74,12 @@
                     self.write()
                     loaded = load(str(self.path))
                     assert loaded.plan, [fault.shown() for fault in loaded.faults.errors]
-                    self.service = Planned(str(self.path), loaded.plan, logger("info", "json"))
+                    self.service = StandaloneProcess(str(self.path), loaded.plan, logger("info", "json"))
                     tasks.start_soon(self.service.run)
                     await scene(lambda: self.connect(self.told["port"]))
                     tasks.cancel_scope.cancel()
 
-        anyio.run(run, backend_options=serve.LOOP)
+        anyio.run(run, backend_options=process.LOOP)
 
 
 @pytest.fixture
--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -6,24 +6,24 @@
 import anyio
 import pytest
 
-from quartzrouter.ledger.deliver import Courier
-from quartzrouter.ledger.serve import Ledger
-from quartzrouter.ledger.wire import Client as LedgerClient
-from quartzrouter.interface import Dispatch
-from quartzrouter.net import serve
-from quartzrouter.net.report import Report
-from quartzrouter.plan.load import load
-from quartzrouter.plan.sets import Asked
-from quartzrouter.purges.words import AskMembers, AskStatus, Leave, Send
-from quartzrouter.rehearse import Tally
-from quartzrouter.rehearse.purges import rehearse
-from quartzrouter.site.logs import logger
-from quartzrouter.site.serve import Planned
-from quartzrouter.stand.guards import GUARDS
-from quartzrouter.stand.links import Link
-from quartzrouter.standin.boxes import Box
-from quartzrouter.standin.disk import FaultyDisk
-from quartzrouter.standin.loopback import Client, free_port
+from quartzrouter.config.loader import load
+from quartzrouter.config.request_sets import Asked
+from quartzrouter.fakes.caches import PurgeableCache
+from quartzrouter.fakes.faulty_disk import FaultyDisk
+from quartzrouter.fakes.loopback import Client, free_port
+from quartzrouter.fault_harness.mutations import MUTATIONS
+from quartzrouter.fault_harness.proxied_links import ProxiedLink
+from quartzrouter.fault_scenarios import ScenarioReport
+from quartzrouter.fault_scenarios.purges import rehearse
+from quartzrouter.purge_log.delivery import DeliveryWorker
+from quartzrouter.purge_log.line_connection import QueryClient as LedgerClient
+from quartzrouter.purge_log.server import PurgeLogServer
+from quartzrouter.purges.messages import MemberLeave, MembersQuery, PurgeRequest, StatusQuery
+from quartzrouter.routing.model import Forward
+from quartzrouter.server import process
+from quartzrouter.server.rate_limited_log import RateLimitedLog
+from quartzrouter.standalone.process import StandaloneProcess
+from quartzrouter.standalone.structured_log import logger
 
 PLAN = """{
   deployment: { name: "t", home: "north", listen: "127.0.0.1:%(port)d", descriptors: 256 },
@@ -50,7 +50,7 @@
         above, chance = {}, random.Random(1)
         self.boxes = {}
         for name in ("n1", "p", "o"):
-            box = Box(
+            box = PurgeableCache(
                 name, above, chance, name == "o", 5_000_000, lambda path: "rose, " + path[1:], source="o"
             )
             box.delay = delay if name == "o" else box.delay
@@ -66,10 +66,13 @@
         port = self.told.get("ledger") or await free_port()
         self.listeners = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
         if "link" not in self.told:
-            self.proxy = Link(("127.0.0.1", port), random.Random(1))
+            self.proxy = ProxiedLink(("127.0.0.1", port), random.Random(1))
             await self.proxy.start(self.tasks)
             self.told["link"] = self.proxy.port
-        self.told["ledger"], self.ledger = port, Ledger(self.disk, 300_000, Report("l", serve.clock))
+        self.told["ledger"], self.ledger = (
+            port,
+            PurgeLogServer(self.disk, 300_000, RateLimitedLog("l", process.wall_clock)),
+        )
         self.tasks.start_soon(self.ledger.run, list(self.listeners.listeners))
 
     async def stop_ledger(self):
@@ -83,7 +86,7 @@
         loaded = load(str(self.path))
         assert loaded.plan, [fault.shown() for fault in loaded.faults.errors]
         self.router, self.scope = (
-            Planned(str(self.path), loaded.plan, logger("error", "json")),
+            StandaloneProcess(str(self.path), loaded.plan, logger("error", "json")),
             anyio.CancelScope(),
         )
 
@@ -106,11 +109,11 @@
 
     async def joined(self):
         """Until the router holds a lease."""
-        while not self.router.fleet.lease.holds(serve.clock()):
+        while not self.router.fleet.lease.holds(process.wall_clock()):
             await anyio.sleep(0.005)
 
     async def purge(self, kind, *values):
-        return await LedgerClient([("127.0.0.1", self.told["ledger"])]).ask(Send(kind, values))
+        return await LedgerClient([("127.0.0.1", self.told["ledger"])]).ask(PurgeRequest(kind, values))
 
     async def get(self, path="/a"):
         """When the copy was made that the router answers with, in us."""
@@ -130,7 +133,7 @@
                     await scene(Site(tmp_path, tasks))
                     tasks.cancel_scope.cancel()
 
-        anyio.run(run, backend_options=serve.LOOP)
+        anyio.run(run, backend_options=process.LOOP)
 
     return play
 
@@ -225,7 +228,7 @@
         assert site.router.reducer.follower.held == (1 if kept else 0)
         await site.joined()
         assert await site.get() >= taken.when > first
-        members = (await LedgerClient([("127.0.0.1", site.told["ledger"])]).ask(AskMembers())).members
+        members = (await LedgerClient([("127.0.0.1", site.told["ledger"])]).ask(MembersQuery())).members
         assert [(m.name, m.held) for m in members] == [("t-0", 1)]
 
     play(scene)
@@ -239,7 +242,7 @@
         taken = await site.purge("object", "/a")
         while not site.router.fleet.marks.forgotten:
             await anyio.sleep(0.05)
-            site.router.fleet.expire(serve.clock())
+            site.router.fleet.expire(process.wall_clock())
         assert len(site.router.fleet.marks) == 0
         assert await site.get() >= taken.when > first
 
@@ -253,10 +256,10 @@
     async def scene(site):
         await site.start()
         await site.joined()
-        at, report = [("127.0.0.1", site.told["ledger"])], Report("courier", serve.clock)
+        at, report = [("127.0.0.1", site.told["ledger"])], RateLimitedLog("courier", process.wall_clock)
         for name in ("n1", "p"):
             box = ("127.0.0.1", site.boxes[name].port)
-            site.tasks.start_soon(Courier(name, box, at, 300_000, report, 500.0).run)
+            site.tasks.start_soon(DeliveryWorker(name, box, at, 300_000, report, 500.0).run)
         while site.router.fleet.caught != {"n1": 0, "p": 0}:
             await anyio.sleep(0.01)
         await site.get()
@@ -267,7 +270,7 @@
         assert not site.boxes["n1"].copies and not site.boxes["p"].copies
         client = LedgerClient(at)
         while not (
-            status := await client.ask(AskStatus())
+            status := await client.ask(StatusQuery())
         ).complete:  # the ledger's first lease may still run
             await anyio.sleep(0.01)
         assert status.delays["purges"] == 1
@@ -284,15 +287,15 @@
         fleet, force = site.router.fleet, site.router.force
         fleet.marks.forgotten, fleet.caught = 1, {"n1": 1}
         ruling = force.rule(Asked("north", "", "/a", "GET", {}, {}), "")
-        given = Dispatch(0, "n1", "o", 1, 0, True, False, 1_000_000, 1 << 62)
+        given = Forward(0, "n1", "o", 1, 0, True, False, 1_000_000, 1 << 62)
         fleet.caught = {"n1": 1}
         assert force._oldest(ruling, given, fleet.lease.heard) == 0
-        assert force._oldest(ruling, replace(given, source="p"), fleet.lease.heard) == 1_000_000
+        assert force._oldest(ruling, replace(given, fill_source="p"), fleet.lease.heard) == 1_000_000
         site.proxy.hold()
         await site.stop_ledger()
         while site.router.link.out is not None:
             await anyio.sleep(0.02)
-        site.router.link.tell(Leave())
+        site.router.link.tell(MemberLeave())
         assert site.router.link.out is None
 
     play(scene)
@@ -317,7 +320,7 @@
     taken = await site.purge("object", "/a")
     while not site.router.fleet.marks.forgotten:
         await anyio.sleep(0.05)
-        site.router.fleet.expire(serve.clock())
+        site.router.fleet.expire(process.wall_clock())
     return taken
 
 
@@ -327,7 +330,7 @@
 )
 def test_each_guard_is_what_keeps_a_purge(play, monkeypatch, guard, case, out):
     if out:
-        monkeypatch.setattr(*GUARDS[guard])
+        monkeypatch.setattr(*MUTATIONS[guard])
 
     async def scene(site):
         await site.start("life: 1s")
@@ -345,7 +348,7 @@
 
 @pytest.mark.parametrize("guard", [(), ("marks",)])
 def test_a_fleet_under_load_keeps_all_purges_and_the_checker_sees_when_not(guard):
-    tally = Tally()
+    tally = ScenarioReport()
     rehearse(3, tally, guard, 6.0)
     old = [broken for broken in tally.broken if "with a copy" in broken]
     if guard:
--- a/tests/test_stand.py
+++ b/tests/test_stand.py
@@ -9,16 +9,16 @@
 import anyio
 import pytest
 
-from quartzrouter.net.clock import Time
-from quartzrouter.rehearse import Tally
-from quartzrouter.rehearse.sharing import FEW, SCENES, Shape, play, rehearse
-from quartzrouter.sharing.budget import Budget, S
-from quartzrouter.stand import checks, schedule
-from quartzrouter.stand.clocks import Page, clocks
-from quartzrouter.stand.history import Event, History
-from quartzrouter.stand.links import Link
-from quartzrouter.stand.schedule import Fault
-from quartzrouter.standin.boxes import LOST
+from quartzrouter.fakes.caches import LOST
+from quartzrouter.fault_harness import fault_schedule, history_checks
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_harness.history import History, HistoryEvent
+from quartzrouter.fault_harness.proxied_links import ProxiedLink
+from quartzrouter.fault_harness.skewed_clocks import ClockPage, clocks
+from quartzrouter.fault_scenarios import ScenarioReport
+from quartzrouter.fault_scenarios.sharing import FEW, SCENES, ScenarioSize, play, rehearse
+from quartzrouter.quota.budget import Budget, S
+from quartzrouter.server.clock import RouterClock
 
 # -- checkers ------------------------------------------------------------------------------------------------
 
@@ -26,36 +26,49 @@
 def history(*events):
     """Events by hand: (us, what, path)."""
     made = History()
-    made.events = [Event(at, what, "x", {"path": path, "status": "200"}) for at, what, path in events]
+    made.events = [HistoryEvent(at, what, "x", {"path": path, "status": "200"}) for at, what, path in events]
     return made
 
 
 def test_reqs_in_hand_count_each_req_once():
     seen = history(
-        (1, "arrive", "/a/1"), (2, "arrive", "/a/1"), (3, "arrive", "/a/2"), (4, "leave", "/a/1"),
-        (5, "arrive", "/b/1"), (5, "leave", "/a/1"), (5, "arrive", "/a/3"),
-    )  # fmt: skip
-    assert checks.in_hand(seen, "/a/") == (2, 3)
-    assert checks.in_hand(seen, "/a/", since=4)[0] == 2 and checks.in_hand(seen, "/c/") == (0, 0)
+        (1, "arrive", "/a/1"),
+        (2, "arrive", "/a/1"),
+        (3, "arrive", "/a/2"),
+        (4, "leave", "/a/1"),
+        (5, "arrive", "/b/1"),
+        (5, "leave", "/a/1"),
+        (5, "arrive", "/a/3"),
+    )
+    assert history_checks.in_hand(seen, "/a/") == (2, 3)
+    assert history_checks.in_hand(seen, "/a/", since=4)[0] == 2 and history_checks.in_hand(seen, "/c/") == (
+        0,
+        0,
+    )
 
 
 def test_a_window_counts_what_was_surely_let_through_in_it():
     budget = Budget("b", rate=10.0, burst=5.0, floors=0.0, routers=1, life=S)
     at_once = [(n, n + 10) for n in range(60)]  # 60 reqs in 70 us, where 15 and 1 of a floor may be
-    excess, since, until = checks.over(at_once, budget)
+    excess, since, until = history_checks.over(at_once, budget)
     assert excess == pytest.approx(60 - budget.most(until - since)) and (since, until) == (0, 69)
-    assert checks.over(at_once[:16], budget)[0] <= 0
+    assert history_checks.over(at_once[:16], budget)[0] <= 0
     waited = [(n, 10 * S) for n in range(60)]  # let through at any time in ten seconds
-    assert checks.over(waited, budget)[0] < 0
+    assert history_checks.over(waited, budget)[0] < 0
 
 
 def test_reqs_without_an_answer_are_found():
     seen = history(
-        (0, "send", "/a/1"), (0, "send", "/a/2"), (0, "send", "/a/3"), (3, "end", "/a/1"), (9, "end", "/a/2"),
-        (4, "cut", "/a/4"), (9, "arrive", "/x"),
-    )  # fmt: skip
-    assert [event.told["path"] for event in checks.unanswered(seen, 5)] == ["/a/2", "/a/3"]
-    assert checks.answers(seen, "/a/", 0, 5) == {"200": 2, "none": 1}
+        (0, "send", "/a/1"),
+        (0, "send", "/a/2"),
+        (0, "send", "/a/3"),
+        (3, "end", "/a/1"),
+        (9, "end", "/a/2"),
+        (4, "cut", "/a/4"),
+        (9, "arrive", "/x"),
+    )
+    assert [event.told["path"] for event in history_checks.unanswered(seen, 5)] == ["/a/2", "/a/3"]
+    assert history_checks.answers(seen, "/a/", 0, 5) == {"200": 2, "none": 1}
 
 
 # -- schedules -----------------------------------------------------------------------------------------------
@@ -63,10 +76,10 @@
 
 def test_a_schedule_is_drawn_again_from_its_seed_written_and_read(tmp_path):
     kinds = {"cut": (["a", "b"], (10, 500), (0, 1)), "stop": (["c"], (1, 2), (0,))}
-    first, again = (schedule.drawn(random.Random(4), kinds, 20, 3_000) for _ in range(2))
+    first, again = (fault_schedule.drawn(random.Random(4), kinds, 20, 3_000) for _ in range(2))
     assert first == again and all(fault.at + fault.lasts <= 3_000 for fault in first)
-    schedule.write(tmp_path / "s", first)
-    assert schedule.read(tmp_path / "s") == first
+    fault_schedule.write(tmp_path / "s", first)
+    assert fault_schedule.read(tmp_path / "s") == first
 
 
 def test_a_schedule_is_cut_down_to_what_fails():
@@ -77,9 +90,9 @@
         tried.append(len(some))
         return {"r5", "r17"} <= {fault.who for fault in some}
 
-    assert [fault.who for fault in schedule.shrunk(faults, fails)] == ["r5", "r17"]
+    assert [fault.who for fault in fault_schedule.shrunk(faults, fails)] == ["r5", "r17"]
     assert len(tried) <= 64
-    assert len(schedule.shrunk(faults, lambda some: False)) == 24
+    assert len(fault_schedule.shrunk(faults, lambda some: False)) == 24
 
 
 # -- links and clocks ----------------------------------------------------------------------------------------
@@ -96,7 +109,7 @@
 
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
-        link = Link(("127.0.0.1", port), random.Random(1))
+        link = ProxiedLink(("127.0.0.1", port), random.Random(1))
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
 
@@ -133,9 +146,7 @@
     linked(scene)
 
 
-@pytest.mark.parametrize(
-    "only, said", [("lose", b""), ("double", b"a\na\nb\nb\n"), ("swap", b"")], ids=str
-)  # fmt: skip
+@pytest.mark.parametrize("only, said", [("lose", b""), ("double", b"a\na\nb\nb\n"), ("swap", b"")], ids=str)
 def test_lines_are_spoilt_as_told(only, said):
     async def scene(link, client):
         link.up.spoil, link.up.only = 1.0, (only,)
@@ -162,7 +173,7 @@
 
 
 def test_a_process_reads_its_clocks_off_the_page(tmp_path):
-    page = Page(tmp_path / "p", 5 * S, 100_000)
+    page = ClockPage(tmp_path / "p", 5 * S, 100_000)
     wall, even = clocks(str(page.path))
     first, steadily = wall(), even()
     page.jump(-5 * S)
@@ -174,7 +185,7 @@
 
     def __init__(self):
         self.wall = self.even = 1_000 * S
-        self.time = Time(lambda: self.wall, lambda: self.even)
+        self.time = RouterClock(lambda: self.wall, lambda: self.even)
 
     def passes(self, time, off=0):
         """The reads over that time, with the wall clock set off at its start."""
@@ -207,12 +218,12 @@
 # -- fleets --------------------------------------------------------------------------------------------------
 
 
-SHARED = Shape(routers=6, rate=60, slots=12, demand=80.0, askers=6, seconds=12.0, quiet=4_000)
+SHARED = ScenarioSize(routers=6, rate=60, slots=12, demand=80.0, askers=6, seconds=12.0, quiet=4_000)
 TAKEN_OUT = ("a share doesn't end", "a share counts from its answer")  # all: `quartzrouter rehearse guards`
 
 
 def drawn():
-    tally = Tally()
+    tally = ScenarioReport()
     rehearse(3, tally, shape=SHARED)
     return tally.broken, tally.figures
 
@@ -233,9 +244,10 @@
     """All fleets at a time, each in a process of its own: one by one they take 40 s, most of it waiting."""
     with ProcessPoolExecutor(4, get_context("spawn")) as pool:
         yield {
-            "drawn": pool.submit(drawn), "jumped": pool.submit(jumped),
+            "drawn": pool.submit(drawn),
+            "jumped": pool.submit(jumped),
             **{guard: pool.submit(without, guard) for guard in TAKEN_OUT},
-        }  # fmt: skip
+        }
 
 
 def test_six_routers_and_two_ledgers_share_limits_through_faults_of_all_kinds(plays):
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -14,14 +14,14 @@
 
 import anyio
 import pytest
-
 from standins import WHOLE, World, free_port
-from quartzrouter.net import serve
-from quartzrouter.net.loop import LOOP, Loop
+
+from quartzrouter.server import process
+from quartzrouter.server.event_loop import LOOP, EventLoop
 
 # what is put into the process, ahead of main
 TIMER = """
-reducer.Reducer.due = property(lambda self: 0)
+state_machine.RouterStateMachine.due = property(lambda self: 0)
 """
 READABLE = """
 async def more(self):
@@ -30,37 +30,37 @@
     while True:
         await anyio.wait_readable(ends[0])
         await anyio.lowlevel.checkpoint()  # else a stop may never reach it
-Service._start_more = lambda self: self.tasks.start_soon(more, self)
+RouterProcess._start_more = lambda self: self.tasks.start_soon(more, self)
 """
 READER = """
 ends = socket.socketpair()
 ends[1].send(b"x")
 def nobody(): pass
-Service._start_more = lambda self: asyncio.get_running_loop().add_reader(ends[0], nobody)
+RouterProcess._start_more = lambda self: asyncio.get_running_loop().add_reader(ends[0], nobody)
 """
 SOON = """
 async def more(self):
     while True:
         await anyio.lowlevel.checkpoint()
-Service._start_more = lambda self: self.tasks.start_soon(more, self)
+RouterProcess._start_more = lambda self: self.tasks.start_soon(more, self)
 """
 NOW = """
-route = control.Router.route
-control.Router.route = lambda self, req, now: Hold(0) if req.vhost == "sale" else route(self, req, now)
+route = Router.route
+Router.route = lambda self, req, now: Defer(0) if req.traffic_class == "sale" else route(self, req, now)
 """
 WAIT = """
-wait = control.Router.wait
-control.Router.wait = lambda self, now: replace(wait(self, now), time=0)
+maintenance = Router.maintenance
+Router.maintenance = lambda self, now: replace(maintenance(self, now), time=0)
 """
 PROCESS = """
 import asyncio, os, socket, sys, anyio
 from dataclasses import replace
-from quartzrouter import control
-from quartzrouter.interface import Hold
-from quartzrouter.net import reducer, serve
-from quartzrouter.net.serve import Service
+from quartzrouter.routing.model import Defer
+from quartzrouter.routing.router import Router
+from quartzrouter.server import process, state_machine
+from quartzrouter.server.process import RouterProcess
 {}
-sys.exit(serve.main(os.environ))
+sys.exit(process.main(os.environ))
 """
 SLACK = 0.5  # s after its time by which a req must have had its final answer
 
@@ -79,8 +79,9 @@
                     self.world.frames = []
                     self.world.tell(cache, await self.world.listen(tasks, self.world.journal), **other)
                     environ = os.environ | {
-                        "NODE_CONFIG": str(self.world.path), "NODE_LISTEN": f"127.0.0.1:{self.port}",
-                    }  # fmt: skip
+                        "NODE_CONFIG": str(self.world.path),
+                        "NODE_LISTEN": f"127.0.0.1:{self.port}",
+                    }
                     self.process = subprocess.Popen(
                         [sys.executable, "-c", self.program], env=environ, stderr=subprocess.PIPE, text=True
                     )
@@ -176,9 +177,12 @@
 
 @pytest.mark.parametrize(
     "more, heard",
-    [("", []), ('os.system("true")', ["AUDIT os.system"]),
-     ("socket.socket(socket.AF_UNIX).bind('\\0quartzrouter-test')", ["AUDIT socket.bind AF_UNIX"])],
-)  # fmt: skip
+    [
+        ("", []),
+        ('os.system("true")', ["AUDIT os.system"]),
+        ("socket.socket(socket.AF_UNIX).bind('\\0quartzrouter-test')", ["AUDIT socket.bind AF_UNIX"]),
+    ],
+)
 def test_the_platforms_router_starts_no_process_and_meets_others_over_ipv4_only(tmp_path, more, heard):
     """The platform refuses fork, and nobody comes to another kind of socket."""
 
@@ -211,7 +215,7 @@
     """uvloop rounded it, and the scope set it anew hundreds of times until the millisecond had passed."""
     set_for = []
 
-    class Counting(Loop):
+    class Counting(EventLoop):
         def call_at(self, when, callback, *args, context=None):
             set_for.append(when)
             return super().call_at(when, callback, *args, context=context)
@@ -223,7 +227,7 @@
 
     anyio.run(run, backend_options={"loop_factory": Counting})
     assert len(set_for) <= len(range(100, 6_000, 170))  # some hundreds without it
-    assert serve.LOOP["loop_factory"] is Loop
+    assert process.LOOP["loop_factory"] is EventLoop
 
 
 async def slices(router, on, off):
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -4,26 +4,32 @@
 from dataclasses import dataclass, replace
 
 import pytest
-
 from conftest import Drive
-from quartzrouter.interface import Cold, Dispatch, Tier
-from quartzrouter.sharing import warming as module
-from quartzrouter.sharing.budget import Refusal
-from quartzrouter.sharing.warming import ColdAsk, ColdGrant, Parts, Terms, Warming
-from quartzrouter.stand import guards
+
+from quartzrouter.fault_harness import mutations
+from quartzrouter.quota import slow_start as module
+from quartzrouter.quota.budget import QuotaRefusal
+from quartzrouter.quota.slow_start import (
+    SlowStartAllocator,
+    SlowStartClient,
+    SlowStartGrant,
+    SlowStartRequest,
+    SlowStartTerms,
+)
+from quartzrouter.routing.model import Forward, SlowStartDemand, Tier
 
 MS, S = 1_000, 1_000_000
-TERMS = Terms(window=S, floors=0.2, routers=8, life=500 * MS)
+TERMS = SlowStartTerms(window=S, floors=0.2, routers=8, life=500 * MS)
 MOST = 800 * MS  # us that all may spend in a window
 UNIT = 50 * MS
 
 
 def ask(number=1, most=MOST, want=MOST, left=0, unit=UNIT, server="n0", figures=TERMS.figures, tier="cache"):
-    return ColdAsk(server, tier, number, most, want, left, unit, figures)
+    return SlowStartRequest(server, tier, number, most, want, left, unit, figures)
 
 
 def granter(now=0):
-    made = Warming({"cache": TERMS}, now)
+    made = SlowStartAllocator({"cache": TERMS}, now)
     return made, now + TERMS.span
 
 
@@ -32,7 +38,7 @@
 
 def test_a_granter_waits_until_what_was_granted_before_it_is_over():
     made, free = granter()
-    assert made.ask(ask(), "a", "t", free - 1) == ColdGrant("n0", 1, 0)
+    assert made.ask(ask(), "a", "t", free - 1) == SlowStartGrant("n0", 1, 0)
     assert made.ask(ask(2), "a", "t", free).time == 640 * MS  # all but the floors: nobody else wants any
 
 
@@ -66,15 +72,20 @@
 @pytest.mark.parametrize(
     "said,place",
     [
-        (ask(figures=1), "figures"), (ask(tier="hub"), "tier"), (ask(server=""), "server"),
-        (ask(server="x" * 65), "server"), (ask(most=-1), "most"), (ask(want=10**13), "want"),
-        (ask(left=-5), "left"), (ask(unit=-1), "unit"),
+        (ask(figures=1), "figures"),
+        (ask(tier="hub"), "tier"),
+        (ask(server=""), "server"),
+        (ask(server="x" * 65), "server"),
+        (ask(most=-1), "most"),
+        (ask(want=10**13), "want"),
+        (ask(left=-5), "left"),
+        (ask(unit=-1), "unit"),
     ],
-)  # fmt: skip
+)
 def test_odd_words_are_counted_and_not_obeyed(said, place):
     made, now = granter()
     found = made.ask(said, "a", "t", now)
-    assert isinstance(found, Refusal) and found.place == place and made.refused == 1 and not made.pots
+    assert isinstance(found, QuotaRefusal) and found.place == place and made.refused == 1 and not made.pots
 
 
 def test_late_and_doubled_words_are_not_obeyed_and_another_process_is():
@@ -122,15 +133,15 @@
 
 
 def cold(wanted, most=MOST, unit=UNIT):
-    return [Cold("n0", Tier.CACHE, most, wanted, unit)]
+    return [SlowStartDemand("n0", Tier.CACHE, most, wanted, unit)]
 
 
 def test_a_part_runs_out_by_itself_counted_from_the_asking():
     clock = Clock()
-    parts = Parts({"cache": TERMS}, clock)
+    parts = SlowStartClient({"cache": TERMS}, clock)
     (said,) = parts.asks(cold(2 * UNIT))
     clock.now += 300 * MS  # the answer is late
-    parts.granted([ColdGrant("n0", said.number, 2 * UNIT)])
+    parts.granted([SlowStartGrant("n0", said.number, 2 * UNIT)])
     assert parts.left == {"n0": 2 * UNIT}
     parts.left["n0"] -= UNIT  # as the decisions do
     parts.look()
@@ -142,24 +153,24 @@
 
 def test_a_grant_counts_once_and_only_where_it_was_asked_for():
     clock = Clock()
-    parts = Parts({"cache": TERMS}, clock)
+    parts = SlowStartClient({"cache": TERMS}, clock)
     (said,) = parts.asks(cold(UNIT))
-    grant = ColdGrant("n0", said.number, UNIT)
-    parts.granted([grant, grant, ColdGrant("n0", 99, UNIT), ColdGrant("n9", said.number, UNIT)])
+    grant = SlowStartGrant("n0", said.number, UNIT)
+    parts.granted([grant, grant, SlowStartGrant("n0", 99, UNIT), SlowStartGrant("n9", said.number, UNIT)])
     assert parts.left == {"n0": UNIT} and parts.odd == 3
     assert parts.asks([]) == () and parts.left == {} and not parts.parts  # it is warm
 
 
 def test_what_is_wanted_fades_and_is_then_asked_for_no_more():
     clock = Clock()
-    parts = Parts({"cache": TERMS}, clock)
+    parts = SlowStartClient({"cache": TERMS}, clock)
     assert parts.asks(cold(0)) == ()
     said = 0
     for n in range(40):
         clock.now += TERMS.every
         said += len(parts.asks(cold(UNIT if n == 0 else 0)))
     assert 1 <= said < 10
-    assert Parts({}, clock).asks(cold(UNIT)) == () and Parts({}, clock).wait() is None
+    assert SlowStartClient({}, clock).asks(cold(UNIT)) == () and SlowStartClient({}, clock).wait() is None
 
 
 # -- in the decisions ----------------------------------------------------------------------------------------
@@ -181,17 +192,21 @@
         for at in router.roster.peers[Tier.CACHE]:
             router.roster.started[at] = played.now
         router.granted = dict(granted)
-        router.loads({}, played.now)  # nobody else has anything out
+        router.set_fleet_load({}, played.now)  # nobody else has anything out
         found = [played.req(n, "page", f"obj-{n}", quiet=True) for n in range(8)]
-        return [each.be for each in found if isinstance(each, Dispatch) and each.be[0] == "c"], router
+        return [
+            each.endpoint for each in found if isinstance(each, Forward) and each.endpoint[0] == "c"
+        ], router
 
     assert sent({})[0] == []
     found, router = sent({"c1": 900 * MS})
     assert set(found) == {"c1"} and len(found) == 2 and router.granted["c1"] == 100 * MS  # 400 ms each
-    told = {each.server: each for each in router.cold(10 * S)}
-    assert set(told) == {"c1", "c2", "c3"} and any(each.wanted >= each.unit > 0 for each in told.values())
-    assert all(each.wanted == 0 for each in router.cold(10 * S))  # since it was last asked
-    assert router.cold(100 * S) == []  # they are warm
+    told = {each.endpoint: each for each in router.slow_start_demand(10 * S)}
+    assert set(told) == {"c1", "c2", "c3"} and any(
+        each.demand >= each.largest_request > 0 for each in told.values()
+    )
+    assert all(each.demand == 0 for each in router.slow_start_demand(10 * S))  # since it was last asked
+    assert router.slow_start_demand(100 * S) == []  # they are warm
 
 
 def test_loads_that_are_told_stand_in_for_own_reqs_times_routers():
@@ -201,7 +216,7 @@
     one, two = router.roster.index["c1"], router.roster.index["c2"]
     router.load[one], router.load[two] = 2, 1
     assert router._load(one, played.now) == 16
-    router.loads({"c1": 3, "c2": -1, "gone": 4}, played.now)
+    router.set_fleet_load({"c1": 3, "c2": -1, "gone": 4}, played.now)
     assert router._load(one, played.now) == 5
     assert router._load(two, played.now) == 8  # not known isn't none
     assert router._load(one, played.now + S) == 16  # too old
@@ -213,12 +228,12 @@
         played = driven()
         router, now = played.router, played.now
         router.me = me
-        router.left_out({"c1": now + S}, now)
+        router.set_ejected_by_peers({"c1": now + S}, now)
         mark = router.health.of[router.roster.index["c1"]]
         turns.add(mark.told - now - S)
-        router.left_out({}, now + S)  # it has ended: this one's turn is still to come
+        router.set_ejected_by_peers({}, now + S)  # it has ended: this one's turn is still to come
         assert mark.told > now + S
-        router.left_out({}, now + 3 * S)
+        router.set_ejected_by_peers({}, now + 3 * S)
         assert mark.told == 0
     assert len(turns) > 8 and max(turns) < S
 
@@ -226,8 +241,8 @@
 def test_few_servers_wait_for_their_turn():
     played = driven()
     router, now = played.router, played.now
-    router.left_out({"c1": now + 10 * MS}, now)
-    router.left_out({"c2": now + S}, now + 10 * MS)  # two of four would be out by others' word
+    router.set_ejected_by_peers({"c1": now + 10 * MS}, now)
+    router.set_ejected_by_peers({"c2": now + S}, now + 10 * MS)  # two of four would be out by others' word
     marks = {name: router.health.of[router.roster.index[name]] for name in ("c1", "c2")}
     assert marks["c1"].told == 0 and marks["c2"].told > now
 
@@ -254,7 +269,7 @@
         chance = self.chance
         self.drift = [chance.randint(-fast, fast) for _ in range(routers)]
         self.offset = [chance.randint(0, 10**12) for _ in range(routers)]
-        self.routers = [Parts({"cache": TERMS}, lambda n=n: self.clock(n)) for n in range(routers)]
+        self.routers = [SlowStartClient({"cache": TERMS}, lambda n=n: self.clock(n)) for n in range(routers)]
         self.tokens = ["t"] * routers
         self.demand = [chance.choice((1.0, 8.0, 24.0)) for _ in range(routers)]  # reqs a second
         self.rests = [0] * routers  # until when it sends nothing, and goes on to ask
@@ -273,7 +288,7 @@
 
     def begin(self):
         now = self.now - (10 * S if "waits" in self.out or not self.now else 0)
-        return Warming({"cache": TERMS}, now)
+        return SlowStartAllocator({"cache": TERMS}, now)
 
     def send(self, n, what, said):
         chance = self.chance
@@ -291,7 +306,7 @@
             self.due.remove((at, n, what, said))
             if what == "ask":
                 given = self.granter.ask(said, f"r{n}", self.tokens[n], self.now)
-                if isinstance(given, ColdGrant):
+                if isinstance(given, SlowStartGrant):
                     self.send(n, "grant", given)
             else:
                 self.routers[n].granted([said])
@@ -299,7 +314,7 @@
             if chance.random() < 0.001:
                 self.deaf[n] = self.now + chance.randint(100, 3000) * MS
             if chance.random() < 0.0005:  # another process: what it held is gone, and its count begins anew
-                self.routers[n] = parts = Parts({"cache": TERMS}, lambda n=n: self.clock(n))
+                self.routers[n] = parts = SlowStartClient({"cache": TERMS}, lambda n=n: self.clock(n))
                 self.tokens[n] += "'"
             self.wanted[n] += self.demand[n] * self.STEP / S * chance.choice((0, 0, 0, 4))
             parts.look()
@@ -341,12 +356,12 @@
 
 GUARDS = {
     "a granter waits for what another may have granted": ("waits", None),
-    "a part ends": (Terms, "ends", lambda self, asked: asked + 60 * S),
-    "a part counts from its asking": (Terms, "ends", lambda self, asked: asked + 4 * self.life),
-    "grants of a life before count as well": (Terms, "span", property(lambda self: self.window)),
-    "a grant counts once": (Parts, "granted", None),
-    "a granter looks at what is granted": (module.Pot, "lately", lambda self, since: 0),
-    "the floors are kept apart": (Warming, "_time", None),
+    "a part ends": (SlowStartTerms, "ends", lambda self, asked: asked + 60 * S),
+    "a part counts from its asking": (SlowStartTerms, "ends", lambda self, asked: asked + 4 * self.life),
+    "grants of a life before count as well": (SlowStartTerms, "span", property(lambda self: self.window)),
+    "a grant counts once": (SlowStartClient, "granted", None),
+    "a granter looks at what is granted": (module.EndpointAccount, "lately", lambda self, since: 0),
+    "the floors are kept apart": (SlowStartAllocator, "_time", None),
 }
 
 
@@ -356,9 +371,9 @@
     if of == "waits":
         out = ("waits",)
     elif guard == "a grant counts once":
-        monkeypatch.setattr(*guards.COLD["a doubled part of a cold server counts twice"])
+        monkeypatch.setattr(*mutations.COLD["a doubled part of a cold server counts twice"])
     elif guard == "the floors are kept apart":
-        time = Warming._time
+        time = SlowStartAllocator._time
 
         def whole(self, pot, said, by, now):
             terms, self.terms = self.terms, {"cache": TERMS._replace(floors=0.0)}
@@ -367,7 +382,7 @@
             finally:
                 self.terms = terms
 
-        monkeypatch.setattr(Warming, "_time", whole)
+        monkeypatch.setattr(SlowStartAllocator, "_time", whole)
     else:
         monkeypatch.setattr(of, name, what[0])
     assert any(Played(seed, out).worst() > 0 for seed in SEEDS)
