--- a/quartzrouter/configuration.py
+++ b/quartzrouter/configuration.py
@@ -103,11 +103,11 @@
         multiple = rules.figure("tip_multiple") or 1.0
         self.vhosts = [self._vhost(n, band, fam) for n, band in enumerate(setup.parts("categories"))]
         self.arguments = {
-            "me": setup.count("me"),
+            "router_number": setup.count("me"),
             "seed": seed,
-            "home": home,
-            "vhosts": self.vhosts,
-            "permits": Capabilities(
+            "home_location": home,
+            "traffic_classes": self.vhosts,
+            "capabilities": Capabilities(
                 max_attempts=limits.count("try_limit", 1, least=1),
                 pass_through=fam.may("pass_through_ok", False, bool),
                 request_collapsing=fam.may("shares_fills", True, bool),
@@ -120,23 +120,23 @@
                 and BUSY in self.fields
                 and not limits.may("probes", False, bool),
             ),
-            "cold_cache": SlowStart(
+            "cache_slow_start": SlowStart(
                 initial_share=rules.figure("cold_from", most=1),
                 ramp_time=rules.count("ramp_time_us"),
                 overload_factor=multiple,
                 window=window,
                 routers=max(1, fam.at("zone_balancers", served, 0, int) or everyone),
             ),
-            "cold_parent": SlowStart(
+            "parent_slow_start": SlowStart(
                 initial_share=fam.figure("parent_floor", most=1),
                 ramp_time=fam.count("parent_cold_us"),
                 overload_factor=fam.figure("parent_fall_multiple") or multiple,
                 window=window,
                 routers=everyone,
             ),
-            "purge_life": fam.count("gone_everywhere_us"),
-            "pace": fam.figure("flow_kb_per_s"),
-            "rated": setup.may("weights", "silent", str) != "silent",
+            "purge_lifetime": fam.count("gone_everywhere_us"),
+            "transfer_rate": fam.figure("flow_kb_per_s"),
+            "has_capacity_ratings": setup.may("weights", "silent", str) != "silent",
         }
 
     def check_shape(self) -> None:
@@ -144,7 +144,7 @@
         how, key = self.load_report.may("how", "silent", str), self.load_report.key
         if how not in HOWS:
             raise ConfigurationError(f"{key('how')} is {how!r:.60}; it may be {', '.join(HOWS)}")
-        probes = self.arguments["permits"].health_checks
+        probes = self.arguments["capabilities"].health_checks
         if how == "pull" and not probes:
             raise ConfigurationError(f"{key('how')} is 'pull', which needs settings.limits.probes to be true")
         if how == "piggyback" and probes:
@@ -225,7 +225,7 @@
         self.briefing = DeploymentSettings(told.need("settings", dict), self.seed)
         self.briefing.check_shape()
         if flow := told.figure("flow_bytes_per_s"):  # on the wire; the settings have the simulator's
-            self.briefing.arguments["pace"] = flow / KB
+            self.briefing.arguments["transfer_rate"] = flow / KB
         if not self.briefing.vhosts:
             raise ConfigurationError("settings.categories is empty")
 
--- a/quartzrouter/drill/host.py
+++ b/quartzrouter/drill/host.py
@@ -88,9 +88,7 @@
 
     def on_probe_done(self, event: dict[str, Any], now: int) -> None:
         name, ending = wire.need(event, "cache", str), wire.ending(event)
-        self.router.record_health_check(
-            name, ending, wire.report(event.get("load"), self.briefing.fields), now
-        )
+        self.router.record_health_check(name, ending, now)
 
     def on_fired(self, event: dict[str, Any], now: int) -> None:
         self.fired(wire.need(event, "tag", int), now)
--- a/quartzrouter/fault_scenarios/warming.py
+++ b/quartzrouter/fault_scenarios/warming.py
@@ -11,7 +11,7 @@
 from quartzrouter.fault_harness.fault_schedule import Fault
 from quartzrouter.fault_scenarios import ScenarioReport
 from quartzrouter.fault_scenarios.sharing import ANSWER_WITHIN, S, ScenarioResult, ScenarioSize, play
-from quartzrouter.routing.router import COLD_SHARE
+from quartzrouter.routing.slow_start import BUDGET_SHARE
 
 AT = 2_500  # ms: when routers are told of the cache
 FLOOR, RAMP, MULTIPLE, WINDOW = 0.25, 16 * S, 2.0, S  # the plan's defaults
@@ -46,7 +46,7 @@
     def at(end: int) -> float:
         age = max(0, end - since - window)
         can = SHAPE.weight * (FLOOR + (1 - FLOOR) * min(1.0, age / RAMP))
-        return can * MULTIPLE * window * COLD_SHARE / UNIT + ONE
+        return can * MULTIPLE * window * BUDGET_SHARE / UNIT + ONE
 
     return at
 
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -25,9 +25,11 @@
 from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
 from quartzrouter.quota.client import QuotaClient
 from quartzrouter.quota.slow_start import SlowStartClient
+from quartzrouter.routing.freshness import Freshness
 from quartzrouter.routing.model import (
     AttemptResult,
     AttemptStatus,
+    CacheCount,
     Decision,
     Endpoint,
     EndpointState,
@@ -41,7 +43,7 @@
     Tier,
     TrafficClass,
 )
-from quartzrouter.routing.router import Freshness, Histogram, Router
+from quartzrouter.routing.router import Router
 
 MS = 1_000
 LOOK_EVERY = 50 * MS  # us between counts of a pool's caches: a cache that fails is out within 50 ms anyway
@@ -55,7 +57,7 @@
     def __init__(self, pool: Pool, router: Router):
         self.pool, self.router = pool, router
         self.due = 0
-        self.up: tuple[int, int] = (0, 0)
+        self.caches = CacheCount(0, 0)
         self.counted = -NEVER
 
     def takes(self, line: Endpoint) -> bool:
@@ -66,17 +68,10 @@
         self.router.update_endpoints([line for line in lines if self.takes(line)], whole, now)
         self.due, self.counted = 0, -NEVER
 
-    def count(self, now: int) -> tuple[int, int]:
+    def count(self, now: int) -> CacheCount:
         if not 0 <= now - self.counted < LOOK_EVERY:
-            roster, health = self.router.roster, self.router.health
-            listed = [
-                at
-                for at, be in roster.be.items()
-                if be.tier is Tier.CACHE and be.state is not EndpointState.GONE
-            ]
-            up = [at for at in listed if roster.up(at) and max(health.of[at].out, health.of[at].told) <= now]
-            self.up, self.counted = (len(up), len(listed)), now
-        return self.up
+            self.caches, self.counted = self.router.count_caches(now), now
+        return self.caches
 
 
 class MultiPoolRouter:
@@ -99,9 +94,9 @@
         self.arguments, self.fleet, self.shares, self.parts = dict(arguments), fleet, shares, parts
         self.plan, self.matcher, self.holds = plan, Matcher(plan.routes), holds(plan)
         self.repeats = repeats(plan)
-        self.limits = RateLimiter(plan.limits, shares, arguments["home"])
+        self.limits = RateLimiter(plan.limits, shares, arguments["home_location"])
         self.pools = PoolSelector(plan.pools, plan.splits)
-        self.purges = Freshness(arguments["purge_life"])  # for routers that come later
+        self.purges = Freshness(arguments["purge_lifetime"])  # for routers that come later
         self.lines: dict[str, Endpoint] = {}
         self.pool_routers: dict[str, PoolRouter] = {}
         self.leaving: list[PoolRouter] = []  # of pools that are gone
@@ -109,7 +104,7 @@
         self.rulings: dict[int, RouteSelection] = {}
         self.budgets: dict[str, float] = {}  # by policy: further dispatches saved up
         self.touched: set[PoolRouter] = set()
-        self.vhosts = self._vhosts()
+        self.traffic_classes = self._traffic_classes()
         self._assign(0)
 
     # -- the plan --------------------------------------------------------------------------------------
@@ -120,13 +115,13 @@
         self.repeats = repeats(plan)
         self.limits.replace(plan.limits)
         if self.shares:
-            self.shares.replace(budgets(plan, (self.arguments["home"],)))
+            self.shares.replace(budgets(plan, (self.arguments["home_location"],)))
         self.pools.replace(plan.pools, plan.splits)
         self.budgets = {name: kept for name, kept in self.budgets.items() if name in plan.policies}
-        self.vhosts = self._vhosts()
+        self.traffic_classes = self._traffic_classes()
         self._assign(now)
 
-    def _vhosts(self) -> dict[str, TrafficClass]:
+    def _traffic_classes(self) -> dict[str, TrafficClass]:
         """Each vhost, and each as the policies of its routes change it."""
         found = dict(self.plan.vhosts)
         for route in self.plan.routes:
@@ -143,48 +138,43 @@
         """A Router for each pool: the one of that name, or a new one that knows the list and the purges."""
         before, self.pool_routers = self.pool_routers, {}
         gone = [pool_router for name, pool_router in before.items() if name not in self.plan.pools]
-        self.leaving = [pool_router for pool_router in (*self.leaving, *gone) if pool_router.router.flights]
+        self.leaving = [
+            pool_router for pool_router in (*self.leaving, *gone) if pool_router.router.has_requests()
+        ]
         for name, pool in self.plan.pools.items():
             known = before.get(name)
             pool_router = known or PoolRouter(pool, self._router())
-            pool_router.pool, pool_router.router.roster.homes = pool, self._homes(pool)
-            pool_router.router.vhosts.update(self.vhosts)
-            for vhost in self.vhosts:
-                pool_router.router.sending.setdefault(vhost, Histogram(4 * MS))
+            pool_router.pool = pool
+            pool_router.router.set_locations(self._homes(pool))
+            pool_router.router.add_traffic_classes(self.traffic_classes)
             if self.lines:
                 pool_router.hear(list(self.lines.values()), True, now)
                 if not known:
-                    self._spent(pool_router.router, now)
+                    pool_router.router.exhaust_slow_start(now)
             self.pool_routers[name] = pool_router
         for pool_router in self._all():
             self._share(pool_router, len(self._all()))
         self.touched.update(self.pool_routers.values())
 
     def _router(self) -> Router:
-        router = Router(**(self.arguments | {"vhosts": list(self.vhosts.values())}))
-        router.purges.at = dict(self.purges.at)
+        router = Router(**(self.arguments | {"traffic_classes": list(self.traffic_classes.values())}))
+        router.set_purges(self.purges)
         if self.parts:
-            router.granted = self.parts.left  # one for all pools: what one has used, another has not
+            router.share_slow_start_grants(
+                self.parts.left
+            )  # one for all pools: what one has used, another has not
         return router
 
     def _share(self, pool_router: PoolRouter, pools: int) -> None:
         """Cold servers' budgets and sources' limits are shared by all routers, and by all pools of each."""
-        everyone, home = self.arguments["cold_parent"].routers, (self.arguments["home"],)
-        for key, tier in (("cold_cache", Tier.CACHE), ("cold_parent", Tier.PARENT)):
+        everyone, home = self.arguments["parent_slow_start"].routers, (self.arguments["home_location"],)
+        for key, tier in (("cache_slow_start", Tier.CACHE), ("parent_slow_start", Tier.PARENT)):
             cold: SlowStart = self.arguments[key]
             reach = cold.routers if pool_router.pool.stores == home else everyone
-            warm = pool_router.router.warm[tier]
-            warm.cold = replace(cold, routers=reach * pools)
             shared = self.parts.terms.get(tier.value) if self.parts else None
-            warm.own = shared.floors if shared else 1.0
-        pool_router.router.fills.routers = everyone * pools
-
-    @staticmethod
-    def _spent(router: Router, now: int) -> None:
-        """A new Router has no budget for what is cold until a window has passed: others have used theirs."""
-        for at, started in router.roster.started.items():
-            if started and (warm := router.warm.get(router.roster.be[at].tier)):
-                warm.spend(at, NEVER, now)
+            own_share = shared.floors if shared else 1.0
+            pool_router.router.share_slow_start(tier, reach * pools, own_share)
+        pool_router.router.share_fill_limits(everyone * pools)
 
     def _homes(self, pool: Pool) -> tuple[str, ...]:
         """Where a pool's caches stand; one that names caches only has them wherever they are."""
@@ -201,7 +191,7 @@
             return LimitExceeded("", self.come_back(ruling, 0))
         wanted = self.pools.of(ruling.route.pool, ruling.obj, ruling.client)
         pool = self.pools.serving(wanted, lambda name: self.pool_routers[name].count(now), now)
-        value = self.vhosts[vhost_name(ruling.route)].priority_weight
+        value = self.traffic_classes[vhost_name(ruling.route)].priority_weight
         denied = self.limits.admit(req_id, keys(self.plan, ruling, pool), value, now)
         if denied:
             return LimitExceeded(denied.limit, self.come_back(ruling, denied.come_back))
@@ -231,7 +221,7 @@
 
     def come_back(self, ruling: RouteSelection, time: int) -> int:
         """The time that a denial names: the policy's or the limit's, within what may be named."""
-        return min(ruling.policy.come_back or time, self.arguments["permits"].max_retry_after)
+        return min(ruling.policy.come_back or time, self.arguments["capabilities"].max_retry_after)
 
     def dispatches(self, ruling: RouteSelection) -> int:
         """How many the req may have; one only where its policy's budget is used up."""
@@ -283,7 +273,7 @@
         """Whether a copy that came may be passed on, by the fleet's purges."""
         if self.fleet is None or ruling.vhost.uncacheable or copy is None:
             return True
-        usual = self.vhosts.get(vhost_name(ruling.route), ruling.vhost).max_age
+        usual = self.traffic_classes.get(vhost_name(ruling.route), ruling.vhost).max_age
         bound = answer.max_age if not usual or answer.max_age < usual else 0
         return self.fleet.good(marked(ruling), self._store(answer.endpoint), copy, written, bound)
 
@@ -291,9 +281,9 @@
         """Forgets a req that its Router has ended."""
         pool_router = self.where[req_id]
         self.touched.add(pool_router)
-        if req_id not in pool_router.router.flights:
+        if not pool_router.router.is_in_flight(req_id):
             del self.where[req_id], self.rulings[req_id]
-            if pool_router in self.leaving and not pool_router.router.flights:
+            if pool_router in self.leaving and not pool_router.router.has_requests():
                 self.leaving.remove(pool_router)
 
     # -- as a Router ---------------------------------------------------------------------------------------
@@ -306,16 +296,17 @@
         counted = self.repeats.get(ruling.route.name) if further else None
         if counted:
             keys_ = keys(self.plan, ruling, self.where[req_id].pool.name, counted)
-            router.retries.free, paid = self.limits.may_repeat(keys_, now), router.retries.paid
+            router.allow_retries(self.limits.may_repeat(keys_, now))
+            spent_before = router.retries_spent
         answer = ask(router)
         if counted:
-            router.retries.free = True
-            if router.retries.paid > paid:
+            router.allow_retries(True)
+            if router.retries_spent > spent_before:
                 self.limits.repeated(keys_, now)
         return answer
 
     def route(self, req: Request, now: int) -> Decision | None:
-        further = req.id in self.where[req.id].router.flights  # it was on hold
+        further = self.where[req.id].router.is_in_flight(req.id)  # it was on hold
         answer = self._asked(req.id, further, lambda router: router.route(req, now), now)
         answer = self._told(req.id, answer, False, now)
         self._done(req.id)
@@ -353,15 +344,13 @@
         self.touched.update(self._all())
 
     def record_purge(self, group: int | None, obj: str | None, age: int, now: int) -> None:
-        self.purges.add(group, obj, now - age, now)
+        self.purges.record(group, obj, now - age, now)
         for pool_router in self._all():
             pool_router.router.record_purge(group, obj, age, now)
 
-    def record_health_check(
-        self, name: str, ending: AttemptStatus, report: dict[str, float], now: int
-    ) -> None:
+    def record_health_check(self, name: str, ending: AttemptStatus, now: int) -> None:
         for pool_router in self._all():
-            pool_router.router.record_health_check(name, ending, report, now)
+            pool_router.router.record_health_check(name, ending, now)
         self.touched.update(self._all())
 
     def health_observations(self, now: int) -> dict[str, HealthObservation]:
--- a/quartzrouter/pool_routing/pools.py
+++ b/quartzrouter/pool_routing/pools.py
@@ -7,8 +7,9 @@
 import xxhash
 
 from quartzrouter.config.model import Pool, Split
+from quartzrouter.routing.model import CacheCount
 
-Up = Callable[[str], tuple[int, int]]  # of a pool: caches that may be sent to, and those listed
+Up = Callable[[str], CacheCount]  # of a pool: caches that may be sent to, and those listed
 
 
 @dataclass(slots=True)
@@ -49,11 +50,12 @@
             if self._serves(at, up, now):
                 return at
             at = self.pools[at].fallback
-        return next((one for one in chain if up(one)[0]), name)
+        return next((one for one in chain if up(one).available), name)
 
     def _serves(self, name: str, up: Up, now: int) -> bool:
         pool, standing = self.pools[name], self.standing[name]
-        there, listed = up(name)
+        caches = up(name)
+        there, listed = caches.available, caches.listed
         if pool.at_least is None or pool.fallback is None:
             return there > 0
         if standing.serving:
--- /dev/null
+++ b/quartzrouter/routing/endpoint_selection.py
@@ -0,0 +1,106 @@
+"""Which endpoint an attempt goes to.  No I/O."""
+
+from quartzrouter.routing.admission import Admission
+from quartzrouter.routing.endpoints import EndpointList
+from quartzrouter.routing.fill_source import MAX_LOOKUPS
+from quartzrouter.routing.in_flight import InFlightRequest
+from quartzrouter.routing.load import LoadEstimator
+from quartzrouter.routing.model import Capabilities, Tier
+from quartzrouter.routing.outlier_detection import OutlierDetector
+from quartzrouter.routing.placement import Placement
+from quartzrouter.routing.retries import RetryPolicy
+from quartzrouter.routing.slow_start import SlowStartLimiter
+
+
+class EndpointSelector:
+    """Narrows the caches to those that may be sent a request, and places the request at one of them.
+
+    Requests that caches don't keep, and those that no cache may be sent, go past the caches where the
+    deployment allows it.
+    """
+
+    def __init__(
+        self,
+        capabilities: Capabilities,
+        endpoints: EndpointList,
+        placement: Placement,
+        health: OutlierDetector,
+        load: LoadEstimator,
+        admission: Admission,
+        retries: RetryPolicy,
+        slow_start: SlowStartLimiter,
+    ) -> None:
+        self.capabilities = capabilities
+        self.endpoints = endpoints
+        self.placement = placement
+        self.health = health
+        self.load = load
+        self.admission = admission
+        self.retries = retries
+        self.slow_start = slow_start
+
+    def _bypasses_caches(self, in_flight: InFlightRequest) -> bool:
+        return in_flight.traffic_class.uncacheable and self.capabilities.pass_through
+
+    def eligible_caches(self, in_flight: InFlightRequest, sending_time: int, now: int) -> list[int]:
+        """The caches that may be sent a request, in its object's rendezvous order."""
+        if self._bypasses_caches(in_flight):
+            return []
+        endpoints = self.endpoints
+        order = self.placement.rendezvous_order(in_flight.request.object_key, Tier.CACHE, endpoints)
+        allowed = [
+            index for index in order if self.retries.allows_endpoint(in_flight, endpoints.by_index[index])
+        ]
+        healthy = [
+            index for index in allowed if self.health.is_usable(index, self.load.in_flight[index], now)
+        ]
+        candidates = healthy or allowed
+        untried = [index for index in candidates if index not in in_flight.failed_endpoints]
+        candidates = untried or candidates
+        self.slow_start.note_unmet_demand(Tier.CACHE, candidates, sending_time, now)
+        return [index for index in candidates if self.slow_start.allows(index, sending_time, now)]
+
+    def choose(
+        self, in_flight: InFlightRequest, caches: list[int], source: int | None, now: int
+    ) -> int | None:
+        """Places a request at a cache, or at its fill source where no cache is to serve it.
+
+        :param caches: see ``eligible_caches()``.
+        :param source: the fill source that was selected for the request.
+        :returns: None where no endpoint is free.
+        """
+        if self._bypasses_caches(in_flight):
+            return source if self._allows_source(in_flight, source) else None
+        if caches:
+            return self.placement.pick(
+                in_flight.request.object_key,
+                caches,
+                lambda index: self.load.estimate(index, now),
+                lambda index: self.admission.is_saturated(in_flight, index, now),
+                now,
+            )
+        if self.capabilities.pass_through and in_flight.possible_execution is None:
+            return source
+        return None
+
+    def _allows_source(self, in_flight: InFlightRequest, source: int | None) -> bool:
+        if source is None:
+            return False
+        return self.retries.allows_endpoint(in_flight, self.endpoints.by_index[source])
+
+    def choose_for_lookup(self, in_flight: InFlightRequest, endpoint: int, caches: list[int]) -> int | None:
+        """Chooses a cache that is asked for what it holds, without a fill.
+
+        Guards against fills of what another cache of the location holds, while fills come late.
+
+        :param endpoint: the cache that was chosen; it is asked unless it was before.
+        :returns: None where it is time to fill.
+        """
+        has_looked_enough = len(in_flight.caches_without_copy) >= MAX_LOOKUPS
+        leaves_attempt_for_fill = in_flight.attempts_started + 2 <= self.capabilities.max_attempts
+        if has_looked_enough or not leaves_attempt_for_fill:
+            return None
+        unasked = [index for index in caches if index not in in_flight.caches_without_copy]
+        if endpoint in unasked:
+            return endpoint
+        return unasked[0] if unasked else None
--- /dev/null
+++ b/quartzrouter/routing/estimators.py
@@ -0,0 +1,57 @@
+"""Coarse streaming estimators.  No I/O."""
+
+import math
+from itertools import accumulate
+
+BIN_COUNT = 36  # 1.3 ** 36 is over 12,000: from 4 ms to most of a minute, from 1 to 12,000 transfers
+BIN_GROWTH = 1.3  # each bin's upper edge over its lower one: finer than the spread of what is measured
+HALVED_AT = 400  # samples; then all bins are halved, so that an estimate follows within some tens of seconds
+MIN_SAMPLES = 12  # with fewer the caller's default stands: a mean of a handful says little
+
+
+class Histogram:
+    """A histogram with few logarithmic bins that forgets old samples.
+
+    Once it holds ``HALVED_AT`` samples, all its bins are halved.
+    """
+
+    def __init__(self, smallest: float) -> None:
+        """:param smallest: lower edge of the first bin; smaller values are counted there."""
+        self.smallest = smallest
+        self.bins = [0] * BIN_COUNT
+        self.samples = 0
+        self.total = 0.0
+
+    def add(self, value: float) -> None:
+        """Counts one sample."""
+        self.bins[self._bin_of(value)] += 1
+        self.samples += 1
+        self.total += value
+        if self.samples >= HALVED_AT:
+            self._halve()
+
+    def _bin_of(self, value: float) -> int:
+        steps = math.log(max(value, self.smallest) / self.smallest, BIN_GROWTH)
+        return min(BIN_COUNT - 1, max(0, int(steps)))
+
+    def _halve(self) -> None:
+        self.bins = [count // 2 for count in self.bins]
+        remaining = sum(self.bins)
+        self.total = self.total * remaining / self.samples
+        self.samples = remaining
+
+    def mean(self, default: float) -> float:
+        """:returns: the mean of the samples, or the default while there are fewer than ``MIN_SAMPLES``."""
+        return self.total / self.samples if self.samples >= MIN_SAMPLES else default
+
+    def quantile(self, share: float, default: float) -> float:
+        """Estimates a quantile by the middle of its bin.
+
+        :param share: between 0 and 1.
+        :returns: the quantile, or the default while there are fewer than ``MIN_SAMPLES`` samples.
+        """
+        if self.samples < MIN_SAMPLES:
+            return default
+        wanted = self.samples * share
+        bin_number = next(number for number, count in enumerate(accumulate(self.bins)) if count >= wanted)
+        return self.smallest * math.pow(BIN_GROWTH, bin_number + 0.5)
--- /dev/null
+++ b/quartzrouter/routing/fill_limits.py
@@ -0,0 +1,118 @@
+"""How many cache fills a source is given at once while fills come late.  No I/O.
+
+Guards against overload of parents, origins and the location's link: fills that come late are asked for
+again, which makes them later.  While fills are in trouble, caches are first asked for what they hold, and
+each source fills only as many known misses as come in time.  The limit rises with each fill in time and
+falls by a factor with late ones.  It stands for all routers, of which each takes its part.  Late fills that
+are mere chance can start it as well; it ends by itself within seconds.
+"""
+
+import math
+from collections import defaultdict
+from dataclasses import dataclass
+
+from quartzrouter.routing.units import MILLISECOND, SECOND
+
+INITIAL_LIMIT = 50.0  # known misses that a source fills at once, for all routers: what most sources bear
+MIN_LIMIT = 6.0  # of it: enough to notice that a source has recovered
+MAX_LIMIT = 200.0  # of it: beyond, the limit would fall too slowly at the next trouble
+MAX_GROWTH = 0.25  # of a limit, by each fill in time
+DECREASE_FACTOR = 0.85  # of a limit, by a late or failed fill ...
+DECREASE_INTERVAL = (
+    100 * MILLISECOND
+)  # ... at most so often: what is in flight then was sent under the old limit
+HALF_LIFE = 1 * SECOND  # of the recent fills and answers, so that trouble ends soon after its cause
+MIN_LATE_FILLS = 2.0  # recent late or failed fills that make trouble: fewer are chance
+MAX_LATE_FILLS = 4 * MIN_LATE_FILLS  # that are counted, so that trouble ends within seconds
+MIN_LATE_SHARE = 0.05  # of recent fills: a few late ones of very many are large objects
+LATE_SHARE_RATIO = 2.0  # of late fills over late answers without a fill: below, it isn't the fills
+
+
+@dataclass(slots=True)
+class RecentAnswers:
+    """Answers of one kind, the older the less they count.
+
+    :ivar late: late or failed ones.
+    :ivar total: all.
+    """
+
+    late: float = 0.0
+    total: float = 0.0
+
+    def decay(self, factor: float) -> None:
+        """Reduces both counts."""
+        self.late *= factor
+        self.total *= factor
+
+    def add(self, is_late: bool) -> None:
+        """Counts one answer."""
+        self.late = min(MAX_LATE_FILLS, self.late + is_late)
+        self.total += 1
+
+
+class FillLimiter:
+    """Concurrency limits of cache fills, by source.
+
+    :ivar routers: how many share the limits.
+    :ivar limits: known misses that a source fills at once, for all routers.
+    :ivar in_flight: known misses that a source fills for this router.
+    """
+
+    def __init__(self, routers: int) -> None:
+        self.routers = routers
+        self.recent_fills = RecentAnswers()
+        self.recent_other_answers = RecentAnswers()
+        self.counted_at = 0
+        self.limits: dict[int, float] = defaultdict(lambda: INITIAL_LIMIT)
+        self.in_flight: dict[int, int] = defaultdict(int)
+        self.next_decrease_at: dict[int, int] = defaultdict(int)
+
+    def record_answer(self, is_fill: bool, is_late: bool, now: int) -> None:
+        """Counts an answer of a cache.
+
+        :param is_fill: whether the cache had to fill a miss, as far as known.
+        :param is_late: whether it came late, or failed because of its source.
+        """
+        decay = self._decay(now)
+        self.recent_fills.decay(decay)
+        self.recent_other_answers.decay(decay)
+        self.counted_at = now
+        answers = self.recent_fills if is_fill else self.recent_other_answers
+        answers.add(is_late)
+
+    def _decay(self, now: int) -> float:
+        return math.pow(0.5, (now - self.counted_at) / HALF_LIFE)
+
+    def is_in_trouble(self, now: int) -> bool:
+        """:returns: whether fills come late, and more often than answers without a fill do."""
+        fills, others = self.recent_fills, self.recent_other_answers
+        if fills.late * self._decay(now) < MIN_LATE_FILLS:
+            return False
+        late_share_of_others = LATE_SHARE_RATIO * others.late / (others.total + 1)
+        return fills.late > fills.total * max(MIN_LATE_SHARE, late_share_of_others)
+
+    def has_room(self, source: int, draw: float) -> bool:
+        """Whether a source may be given one more known miss to fill.
+
+        :param draw: from 0 to 1 and fixed for a request: a part of the limit that is below one fill goes by
+            lot, and asking again doesn't help.
+        """
+        return self.in_flight[source] + draw < self.limits[source] / self.routers
+
+    def fill_succeeded(self, source: int) -> None:
+        """Raises a source's limit; little by little where this router's part is too small to say much."""
+        part = self.limits[source] / self.routers
+        growth = 1 + min(MAX_GROWTH * min(1.0, part / 2) ** 2, part**-2)
+        self.limits[source] = min(MAX_LIMIT, self.limits[source] * growth)
+
+    def fill_failed(self, source: int, now: int) -> None:
+        """Lowers a source's limit, unless it was lowered a moment ago."""
+        if now >= self.next_decrease_at[source]:
+            self.limits[source] = max(MIN_LIMIT, self.limits[source] * DECREASE_FACTOR)
+            self.next_decrease_at[source] = now + DECREASE_INTERVAL
+
+    def forget(self, source: int) -> None:
+        """Drops what is kept of a source."""
+        self.limits.pop(source, None)
+        self.in_flight.pop(source, None)
+        self.next_decrease_at.pop(source, None)
--- /dev/null
+++ b/quartzrouter/routing/load.py
@@ -0,0 +1,165 @@
+"""Estimates of the load of endpoints and of the link of the location.  No I/O."""
+
+from collections import defaultdict
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from math import exp, log
+
+from quartzrouter.routing.capacity import TransferCapacity
+from quartzrouter.routing.endpoints import EndpointList
+from quartzrouter.routing.slow_start import SlowStartBudget
+from quartzrouter.routing.units import MILLISECOND, SECOND
+
+REPORT_LIFETIME = 2 * SECOND  # a load report that is older says less than this router's own requests
+FLEET_LOAD_LIFETIME = 600 * MILLISECOND  # of the requests in flight at all routers: three messages' time
+FULL_UTILIZATION = 0.9  # of its capacity, as a cache reports it: noise leaves no finer line
+LOCATION_LINK_WEIGHT = 0.3  # of one report of the location's link in the running mean: reports are noisy
+SLOWDOWN_WEIGHT = 0.1  # of one answer in the running mean of slowdowns: sizes vary widely
+LOCATION_LINK_FULL = 1.5  # transfers on the location's link over those that fit; with more, fills come late
+
+
+@dataclass(slots=True)
+class UtilizationReport:
+    """What an endpoint said of its load.
+
+    :ivar reported_at: when it said so.
+    :ivar utilization: the share of its capacity in use.
+    """
+
+    reported_at: int
+    utilization: float
+
+
+@dataclass(slots=True)
+class FleetLoad:
+    """Requests that other routers have in flight.
+
+    :ivar reported_at: when they said so.
+    :ivar in_flight: by endpoint index; below 0: not known; endpoints that are not named have none.
+    """
+
+    reported_at: int = -FLEET_LOAD_LIFETIME
+    in_flight: dict[int, int] = field(default_factory=dict)
+
+
+class LoadEstimator:
+    """The load of endpoints, of all routers together as far as that is known.
+
+    :ivar in_flight: this router's attempts in flight, by endpoint.
+    :ivar as_fill_source: how many of those sent to others name an endpoint as the source of a fill.
+    :ivar reports: the last load report of an endpoint.
+    """
+
+    def __init__(
+        self, endpoints: EndpointList, capacity: TransferCapacity, cache_budget: SlowStartBudget
+    ) -> None:
+        """:param cache_budget: the slow-start budget of caches, which knows how many routers reach them."""
+        self.endpoints = endpoints
+        self.capacity = capacity
+        self.cache_budget = cache_budget
+        self.in_flight: dict[int, int] = defaultdict(int)
+        self.as_fill_source: dict[int, int] = defaultdict(int)
+        self.reports: dict[int, UtilizationReport] = {}
+        self.fleet_load = FleetLoad()
+
+    def attempt_started(self, endpoint: int, fill_source: int) -> None:
+        """Counts an attempt in flight."""
+        self.in_flight[endpoint] += 1
+        self.as_fill_source[fill_source] += fill_source != endpoint
+
+    def attempt_finished(self, endpoint: int, fill_source: int) -> None:
+        """Counts it no longer."""
+        self.in_flight[endpoint] -= 1
+        self.as_fill_source[fill_source] -= fill_source != endpoint
+
+    def record_utilization(self, index: int, utilization: float, now: int) -> None:
+        """Takes in an endpoint's load report."""
+        self.reports[index] = UtilizationReport(now, utilization)
+
+    def set_fleet_load(self, in_flight_elsewhere: Mapping[str, int], now: int) -> None:
+        """Takes in how many requests other routers have in flight at each endpoint.
+
+        Where demand is uneven, this router's own requests times the number of routers are far off.
+
+        :param in_flight_elsewhere: by endpoint name; below 0: not known.
+        """
+        index_of = self.endpoints.index_of
+        known = {index_of[name]: count for name, count in in_flight_elsewhere.items() if name in index_of}
+        self.fleet_load = FleetLoad(now, known)
+
+    def estimate(self, index: int, now: int) -> float:
+        """Estimates the requests in flight at an endpoint, of all routers.
+
+        :returns: by the endpoint's own report where there is a recent one, else by what other routers say,
+            else as if all routers had as many as this one.
+        """
+        report = self.reports.get(index)
+        if report is None or now - report.reported_at >= REPORT_LIFETIME:
+            return self._in_flight_everywhere(index, now)
+        capacity = self.capacity.of(index)
+        if report.utilization < FULL_UTILIZATION:
+            return report.utilization * capacity + self.in_flight[index]
+        # A full endpoint doesn't tell by how much it is over.
+        return max(self._in_flight_everywhere(index, now), capacity)
+
+    def _in_flight_everywhere(self, index: int, now: int) -> int:
+        own = self.in_flight[index]
+        if now - self.fleet_load.reported_at < FLEET_LOAD_LIFETIME:
+            elsewhere = self.fleet_load.in_flight.get(index, 0)
+            if elsewhere >= 0:
+                return own + elsewhere
+        return own * self.cache_budget.terms.routers
+
+    def contention(self, index: int, now: int) -> float:
+        """:returns: the transfers on an endpoint's link with one more, over those that it carries."""
+        return (self.estimate(index, now) + 1) / self.capacity.of(index)
+
+    def is_idle(self, index: int) -> bool:
+        """:returns: whether this router has nothing in flight at an endpoint, nor names it for fills."""
+        return not (self.in_flight[index] or self.as_fill_source[index])
+
+    def forget(self, index: int) -> None:
+        """Drops what is kept of an endpoint."""
+        self.in_flight.pop(index, None)
+        self.as_fill_source.pop(index, None)
+        self.reports.pop(index, None)
+
+
+class LocationLink:
+    """How full the link is by which the location's caches reach parents and origins.
+
+    :ivar measured_at: time of the last measurement.
+    :ivar utilization: transfers on the link over those that fit.
+    """
+
+    def __init__(self) -> None:
+        self.measured_at = -REPORT_LIFETIME
+        self.utilization = 0.0
+        self.log_slowdown_of_hits = 0.0
+        self.log_slowdown_of_fills = 0.0
+
+    def record_report(self, utilization: float, now: int) -> None:
+        """Takes in what a cache says of the link."""
+        self.utilization += LOCATION_LINK_WEIGHT * (utilization - self.utilization)
+        self.measured_at = now
+
+    def record_slowdown(self, is_fill: bool, slowdown: float) -> None:
+        """Takes in how much slower than at full rate an answer of a cache was sent.
+
+        Kept as a running mean of logarithms, so that few large objects don't decide.
+        """
+        if is_fill:
+            self.log_slowdown_of_fills += SLOWDOWN_WEIGHT * (log(slowdown) - self.log_slowdown_of_fills)
+        else:
+            self.log_slowdown_of_hits += SLOWDOWN_WEIGHT * (log(slowdown) - self.log_slowdown_of_hits)
+
+    def infer_utilization(self, now: int) -> None:
+        """Where no cache reports it: fills that are slower than hits show how full the link is."""
+        self.utilization = exp(self.log_slowdown_of_fills - self.log_slowdown_of_hits)
+        self.measured_at = now
+
+    def crowding(self, now: int) -> float:
+        """:returns: transfers on the link over those with which fills still come in time; 0: not known."""
+        if now - self.measured_at >= REPORT_LIFETIME:
+            return 0.0
+        return self.utilization / LOCATION_LINK_FULL
--- /dev/null
+++ b/quartzrouter/routing/outlier_detection.py
@@ -0,0 +1,267 @@
+"""Which endpoints are ejected because they fail, and when they may come back.  No I/O."""
+
+import logging
+from collections import defaultdict
+from collections.abc import Mapping
+from dataclasses import dataclass
+
+from quartzrouter.routing.endpoints import EndpointList
+from quartzrouter.routing.jitter import Jitter
+from quartzrouter.routing.model import AttemptStatus, HealthObservation, Tier
+from quartzrouter.routing.units import MILLISECOND, NEVER, SECOND
+
+log = logging.getLogger(__name__)
+
+MIN_FAILURES = 3  # recent ones, of an endpoint that wasn't ejected lately: fewer are chance
+MIN_FAILURE_SHARE = 0.25  # of recent answers ...
+PEER_FAILURE_RATIO = 2  # ... and so much more than its peers show: an outlier, not a fault of what all share
+RECENT_ANSWERS = 24  # then both counts are halved, so that a few seconds count
+FIRST_EJECTION = 1 * SECOND  # doubled at each consecutive ejection ...
+MAX_EJECTION = 8 * SECOND  # ... up to this: failures that last don't need to be tried often
+MAX_DOUBLINGS = 6  # of the first ejection, far beyond the longest: keeps the number small
+MIN_SUCCESSES = 4  # recent ones until an endpoint that came back is trusted as before ...
+SUCCESSES_PER_FAILURE = 3  # ... and more than so many for each recent failure
+HEALTH_CHECK_INTERVAL = (
+    500 * MILLISECOND
+)  # of what is ejected or suspected: cheap beside the requests it saves
+OWN_OBSERVATION_TIME = (
+    500 * MILLISECOND
+)  # an endpoint that served so lately, and failed in none of twice as long, stays
+PEER_RETURN_SPREAD = (
+    1 * SECOND
+)  # in which routers try again what others had ejected: the first find out for all
+MAX_PEER_EJECTED_SHARE = 1 / 3  # of listed endpoints that wait for their turn or are ejected by others' word
+
+FAILED_HEALTH_CHECK = frozenset(
+    {
+        AttemptStatus.CONNECTION_REFUSED,
+        AttemptStatus.TIMED_OUT,
+        AttemptStatus.ERROR,
+        AttemptStatus.CONNECTION_LOST,
+    }
+)
+
+
+@dataclass(slots=True)
+class EndpointHealth:
+    """What is known of one endpoint's health.
+
+    :ivar successes: recent ones.
+    :ivar failures: recent ones.
+    :ivar consecutive_ejections: without having been trusted in between.
+    :ivar ejected_until: until when it gets no request.
+    :ivar saturated_until: until when it counts as saturated, as it has refused a request for capacity.
+    :ivar connection_failed_at: when a connection to it failed, if it hasn't answered since.
+    :ivar ejected_by_peers_until: until when it gets no request by the word of other routers, and until this
+        router's turn to try it again.
+    :ivar last_success_at: time of its last success.
+    :ivar last_failure_at: time of its last failure.
+    :ivar total_successes: since it was listed.
+    :ivar total_failures: since it was listed.
+    :ivar next_health_check_at: when it is to be checked.
+    :ivar last_health_check_at: when its last health check was due.
+    """
+
+    successes: int = 0
+    failures: int = 0
+    consecutive_ejections: int = 0
+    ejected_until: int = 0
+    saturated_until: int = 0
+    connection_failed_at: int | None = None
+    ejected_by_peers_until: int = 0
+    last_success_at: int = -NEVER
+    last_failure_at: int = -NEVER
+    total_successes: int = 0
+    total_failures: int = 0
+    next_health_check_at: int = NEVER
+    last_health_check_at: int = -HEALTH_CHECK_INTERVAL
+
+    def is_ejected(self, now: int) -> bool:
+        """:returns: whether it is ejected, by this router or by the word of others."""
+        return max(self.ejected_until, self.ejected_by_peers_until) > now
+
+    def served_well_lately(self, now: int) -> bool:
+        """:returns: whether this router's own requests show it to be healthy."""
+        has_served = self.last_success_at > now - OWN_OBSERVATION_TIME
+        return has_served and self.last_failure_at <= now - 2 * OWN_OBSERVATION_TIME
+
+
+class OutlierDetector:
+    """Ejects endpoints that fail more than their peers, and lets them come back.
+
+    Guards against endpoints that answer at once, but with errors, and so draw the most requests; and against
+    dead ones that are still listed.  A late answer is no failure: where many routers share few parents, the
+    most crowded one is late for all of them, and ejecting it would send its objects to parents that must
+    fetch them anew from the origin.  Where all fail, none is an outlier, and half of a tier always stays.
+
+    :ivar by_index: the health of each endpoint that was used.  Health checks fall due in the order in which
+        they were first used.
+    """
+
+    def __init__(self, endpoints: EndpointList, jitter: Jitter) -> None:
+        self.endpoints = endpoints
+        self.jitter = jitter
+        self.by_index: dict[int, EndpointHealth] = defaultdict(EndpointHealth)
+
+    def record_success(self, index: int, now: int) -> None:
+        """Takes in that an endpoint has served a request."""
+        health = self.by_index[index]
+        health.successes += 1
+        health.total_successes += 1
+        health.last_success_at = now
+        outweighs_failures = health.successes > SUCCESSES_PER_FAILURE * health.failures
+        if health.successes >= MIN_SUCCESSES and outweighs_failures:
+            health.consecutive_ejections = 0
+        if health.successes + health.failures >= RECENT_ANSWERS:
+            health.successes //= 2
+            health.failures //= 2
+
+    def record_failure(self, index: int, now: int, connection_failed: bool) -> None:
+        """Takes in that an endpoint has failed, and ejects it if it is an outlier.
+
+        :param connection_failed: whether it could not be reached: it is ejected at once, and is warming up
+            when it answers again, as it has probably restarted.
+        """
+        peers = self.endpoints.by_tier[self.endpoints.by_index[index].tier]
+        health = self.by_index[index]
+        others = [self.by_index[peer] for peer in peers if peer != index]
+        health.failures += 1
+        health.total_failures += 1
+        health.last_failure_at = now
+        if connection_failed:
+            health.connection_failed_at = now
+            self._eject(index, health, now)
+        elif self._is_outlier(health, others) and self._may_eject_one_more(peers, now):
+            self._eject(index, health, now)
+
+    @staticmethod
+    def _is_outlier(health: EndpointHealth, others: list[EndpointHealth]) -> bool:
+        answers_of_others = sum(other.successes + other.failures for other in others)
+        share_of_others = sum(other.failures for other in others) / max(1, answers_of_others)
+        share = health.failures / (health.successes + health.failures)
+        needed = 1 if health.consecutive_ejections else MIN_FAILURES
+        is_above_peers = share > max(MIN_FAILURE_SHARE, PEER_FAILURE_RATIO * share_of_others)
+        return is_above_peers and health.failures >= needed
+
+    def _may_eject_one_more(self, peers: list[int], now: int) -> bool:
+        """Whether at least half of the peers would stay."""
+        ejected = sum(self.by_index[peer].ejected_until > now for peer in peers)
+        return 2 * (ejected + 1) <= len(peers)
+
+    def _eject(self, index: int, health: EndpointHealth, now: int) -> None:
+        if health.ejected_until > now:
+            return
+        health.consecutive_ejections += 1
+        doublings = min(health.consecutive_ejections - 1, MAX_DOUBLINGS)
+        duration = min(MAX_EJECTION, FIRST_EJECTION << doublings)
+        health.ejected_until = now + duration + self.jitter.below(duration // 4)
+        health.next_health_check_at = now + HEALTH_CHECK_INTERVAL
+        health.successes = 0
+        health.failures = 0
+        name = self.endpoints.by_index[index].name
+        log.info("endpoint %s ejected (consecutive ejection %d)", name, health.consecutive_ejections)
+
+    def is_usable(self, index: int, in_flight: int, now: int) -> bool:
+        """Whether an endpoint may be sent a request.
+
+        After an ejection it gets one request at a time until one has succeeded.
+
+        :param in_flight: requests that it has now.
+        """
+        health = self.by_index[index]
+        if health.is_ejected(now):
+            return False
+        is_on_trial = health.consecutive_ejections > 0 and health.successes == 0
+        return in_flight == 0 or not is_on_trial
+
+    def suspect(self, index: int, now: int) -> None:
+        """Has an endpoint checked soon, as what happened doesn't tell whether it is to blame."""
+        health = self.by_index[index]
+        health.next_health_check_at = max(now, health.last_health_check_at + HEALTH_CHECK_INTERVAL)
+
+    def record_health_check(self, index: int, status: AttemptStatus, now: int) -> None:
+        """Takes in the result of a health check."""
+        if status in FAILED_HEALTH_CHECK:
+            self.record_failure(index, now, status is AttemptStatus.CONNECTION_REFUSED)
+        elif status is AttemptStatus.SUCCEEDED:
+            health = self.by_index[index]
+            if health.ejected_until > now and health.connection_failed_at:
+                self.endpoint_recovered(index, health.connection_failed_at)
+
+    def health_checks_due(self, now: int) -> list[int]:
+        """:returns: the endpoints to be checked now; each is returned once."""
+        due = [index for index, health in self.by_index.items() if health.next_health_check_at <= now]
+        for index in due:
+            health = self.by_index[index]
+            health.last_health_check_at = health.next_health_check_at
+            is_ejected = health.ejected_until > now
+            health.next_health_check_at = now + HEALTH_CHECK_INTERVAL if is_ejected else NEVER
+        return due
+
+    def endpoint_restarted(self, index: int) -> None:
+        """Ends an ejection, as the endpoint list tells of a new start."""
+        health = self.by_index[index]
+        health.consecutive_ejections = 0
+        health.ejected_until = 0
+
+    def endpoint_recovered(self, index: int, since: int) -> None:
+        """Takes an endpoint that could not be reached back in, in slow start.
+
+        Guards against overload of an endpoint that has restarted before the endpoint list tells so.
+
+        :param since: when it may have started.
+        """
+        self.endpoints.started_at[index] = max(self.endpoints.started_at[index], since)
+        health = self.by_index[index]
+        health.ejected_until = 0
+        health.connection_failed_at = None
+        log.info("endpoint %s recovered, slow start begins", self.endpoints.by_index[index].name)
+
+    def set_ejected_by_peers(self, ejected_until: Mapping[str, int], now: int) -> None:
+        """Takes in what other routers have found to fail.
+
+        Spares requests that this router would lose to find out by itself.  Where only others can't reach an
+        endpoint, what this router saw itself lately goes first.  Guards against a rush of all routers when an
+        ejection ends: each has its turn, so that few find out if the endpoint still fails.
+
+        :param ejected_until: by endpoint name; those that are not named are ejected by nobody else any more.
+        """
+        waiting = []
+        for index, endpoint in self.endpoints.by_index.items():
+            health = self.by_index[index]
+            is_waiting = now < health.ejected_by_peers_until <= now + PEER_RETURN_SPREAD
+            if health.served_well_lately(now):
+                health.ejected_by_peers_until = 0
+            elif endpoint.name in ejected_until:
+                turn = self.jitter.fixed_for(endpoint.name, PEER_RETURN_SPREAD)
+                health.ejected_by_peers_until = ejected_until[endpoint.name] + turn
+            elif is_waiting:
+                waiting.append(health)
+            else:
+                health.ejected_by_peers_until = 0
+        if len(ejected_until) + len(waiting) > MAX_PEER_EJECTED_SHARE * len(self.endpoints.by_index):
+            for health in waiting:
+                health.ejected_by_peers_until = 0
+
+    def observations(self, in_flight: Mapping[int, int], now: int) -> list[HealthObservation]:
+        """What this router has seen of each cache itself.
+
+        :param in_flight: requests that it has at each endpoint.
+        """
+        found = []
+        for index in self.endpoints.by_tier[Tier.CACHE]:
+            health = self.by_index[index]
+            found.append(
+                HealthObservation(
+                    cache=self.endpoints.by_index[index].name,
+                    ejected=health.ejected_until > now,
+                    completed=health.total_successes,
+                    failed=health.total_failures,
+                    in_flight=in_flight[index],
+                )
+            )
+        return found
+
+    def forget(self, index: int) -> None:
+        """Drops what is kept of an endpoint."""
+        self.by_index.pop(index, None)
--- /dev/null
+++ b/quartzrouter/routing/placement.py
@@ -0,0 +1,106 @@
+"""Which cache a request goes to: Fine Dynamic Replication.  No I/O.
+
+Wang, Pai and Peterson, "The Effectiveness of Request Redirection on CDN Robustness", section 3.4.2.
+"""
+
+import zlib
+from collections.abc import Callable
+from hashlib import blake2b
+from typing import NamedTuple
+
+from quartzrouter.routing.endpoints import EndpointList
+from quartzrouter.routing.model import Tier
+from quartzrouter.routing.units import SECOND
+
+QUIET_PERIOD = (
+    10 * SECOND
+)  # a degree unchanged for so long drops by one: the start value of the paper's design
+TABLE_SIZE = 8_192  # entries of the table of degrees: the paper asks for far more than there are caches
+MAX_CACHED_ORDERS = 4_096  # objects whose rendezvous order is kept: 2 MB, and an order is soon computed anew
+
+
+class ReplicationDegree(NamedTuple):
+    """How many caches hold the objects that share an entry of the table.
+
+    :ivar degree: the size of the replica set.
+    :ivar changed_at: time of the last change.
+    """
+
+    degree: int
+    changed_at: int
+
+
+class Placement:
+    """Rendezvous order of endpoints per object, and the replica set that grows with an object's load."""
+
+    def __init__(self, quiet_period: int = QUIET_PERIOD, table_size: int = TABLE_SIZE) -> None:
+        """:param quiet_period: time without a change of a degree after which it drops by one."""
+        self.quiet_period = quiet_period
+        self.table = [ReplicationDegree(1, 0)] * table_size
+        self.orders: dict[tuple[str, Tier], list[int]] = {}
+
+    def rendezvous_order(self, object_key: str, tier: Tier, endpoints: EndpointList) -> list[int]:
+        """Orders a tier's endpoints by a hash of object and endpoint, the same at every router.
+
+        The hash is BLAKE2b, 8 bytes.  With a cyclic check sum the scores of endpoints hang together, and
+        their shares of the objects become uneven.
+
+        :returns: indices, the highest hash first.
+        """
+        order = self.orders.get((object_key, tier))
+        if order is None:
+            order = self._compute_order(object_key, endpoints.by_tier[tier], endpoints)
+            self.orders[object_key, tier] = order
+            if len(self.orders) > MAX_CACHED_ORDERS:
+                del self.orders[next(iter(self.orders))]
+        return order
+
+    @staticmethod
+    def _compute_order(object_key: str, indices: list[int], endpoints: EndpointList) -> list[int]:
+        scores = {}
+        for index in indices:
+            text = f"{object_key}\0{endpoints.by_index[index].name}"
+            scores[index] = blake2b(text.encode(), digest_size=8).digest()
+        return sorted(indices, key=scores.__getitem__, reverse=True)
+
+    def endpoints_changed(self) -> None:
+        """Drops the orders that were computed for another endpoint list."""
+        self.orders.clear()
+
+    def pick(
+        self,
+        object_key: str,
+        order: list[int],
+        load: Callable[[int], float],
+        is_saturated: Callable[[int], bool],
+        now: int,
+    ) -> int:
+        """Picks the least loaded endpoint of the object's replica set.
+
+        If that one is saturated, the replica set grows up to the first endpoint in order that isn't, or to
+        all of them if each is.  After a quiet period without a change it shrinks by one.
+
+        :param order: the eligible endpoints in rendezvous order; not empty.
+        :param load: the load of an endpoint; of equal ones the first in order is picked.
+        :param is_saturated: whether an endpoint should get no further request.
+        :returns: an index of the order; its first where all are saturated.
+        """
+        slot = zlib.crc32(object_key.encode()) % len(self.table)
+        degree, changed_at = self.table[slot]
+        picked = min(order[:degree], key=load)
+        new_degree = degree
+        if is_saturated(picked):
+            new_degree, picked = self._first_unsaturated(order, is_saturated)
+        elif degree > 1 and now - changed_at > self.quiet_period:
+            new_degree = degree - 1
+        if new_degree != degree:
+            self.table[slot] = ReplicationDegree(new_degree, now)
+        return picked
+
+    @staticmethod
+    def _first_unsaturated(order: list[int], is_saturated: Callable[[int], bool]) -> tuple[int, int]:
+        """Returns the replica set's new size, and the endpoint picked."""
+        for position, index in enumerate(order, 1):
+            if not is_saturated(index):
+                return position, index
+        return len(order), order[0]
--- /dev/null
+++ b/quartzrouter/routing/retries.py
@@ -0,0 +1,115 @@
+"""Whether a request may be sent once more, and whether it may be rejected.  No I/O."""
+
+from quartzrouter.routing.in_flight import InFlightRequest
+from quartzrouter.routing.model import Capabilities, Endpoint, Idempotency
+from quartzrouter.routing.units import MILLISECOND, NEVER, SECOND
+
+MAX_UNEXPLAINED_ERRORS = (
+    3  # of one request, from different caches: then it is the request that can't be served
+)
+RETRIES_PER_REQUEST = 0.3  # tokens that each first attempt earns: no retry storm of ours
+MAX_RETRY_TOKENS = 20.0  # saved up for a moment at which an endpoint fails
+DEDUPLICATION_MARGIN = 50 * MILLISECOND  # a retry leaves so long before its key is forgotten: network delays
+RETRY_AFTER = SECOND // 2  # that is named to clients, where they may be told so much: overload lasts longer
+
+
+def retry_after(capabilities: Capabilities) -> int:
+    """:returns: the time that is named to a client with a rejection; 0: none may be."""
+    return min(capabilities.max_retry_after, RETRY_AFTER)
+
+
+class RetryPolicy:
+    """Limits retries by idempotency, deduplication window, attempts and a budget.
+
+    :ivar max_attempts: of each request.
+    :ivar tokens: retries that are left in the budget.
+    :ivar shared_limits_allow: whether limits that this router shares with others allow a retry now.
+    :ivar retries_spent: retries made so far.
+    """
+
+    def __init__(self, max_attempts: int) -> None:
+        self.max_attempts = max_attempts
+        self.tokens = MAX_RETRY_TOKENS
+        self.shared_limits_allow = True
+        self.retries_spent = 0
+
+    def allows_attempt(self, in_flight: InFlightRequest, now: int) -> bool:
+        """Whether a request may be sent now, for the first time or again; the budget apart."""
+        if in_flight.is_over or in_flight.is_streaming or in_flight.attempts:
+            return False
+        if in_flight.attempts_started >= self._max_attempts(in_flight):
+            return False
+        if len(in_flight.unexplained_errors) >= MAX_UNEXPLAINED_ERRORS:
+            return False
+        return now < in_flight.deadline and now < self.send_by(in_flight)
+
+    def _max_attempts(self, in_flight: InFlightRequest) -> int:
+        return min(in_flight.request.max_attempts or self.max_attempts, self.max_attempts)
+
+    def send_by(self, in_flight: InFlightRequest) -> int:
+        """The time by which the next attempt has to be sent.
+
+        Guards against a second execution: a connection may come up late, when whoever discards repeats has
+        forgotten the request's key.
+
+        :returns: ``NEVER`` where it makes no difference; 0 where no further attempt may be sent at all.
+        """
+        first_execution = in_flight.possible_execution
+        idempotency = in_flight.traffic_class.idempotency
+        if first_execution is None or idempotency is Idempotency.IDEMPOTENT:
+            return NEVER
+        if idempotency is Idempotency.NON_IDEMPOTENT:
+            return 0
+        return (
+            first_execution.started_at + in_flight.traffic_class.deduplication_window - DEDUPLICATION_MARGIN
+        )
+
+    def allows_endpoint(self, in_flight: InFlightRequest, endpoint: Endpoint) -> bool:
+        """Whether an endpoint would discard a repeat, if the request may have been executed elsewhere.
+
+        Guards against a second execution at an endpoint that doesn't know the keys of the first one's cell
+        or location.
+        """
+        first_execution = in_flight.possible_execution
+        traffic_class = in_flight.traffic_class
+        if first_execution is None or traffic_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        scope = traffic_class.deduplication_scope
+        if scope == "all":
+            return True
+        first_endpoint = first_execution.endpoint
+        if endpoint.location != first_endpoint.location:
+            return False
+        return scope == "zone" or endpoint.cell == first_endpoint.cell
+
+    def allows_rejection(self, in_flight: InFlightRequest) -> bool:
+        """Whether the client may be told to come again.
+
+        Guards against a second execution by the client's own repeat: it may only be invited where nothing was
+        executed, or where any endpoint discards the repeat.
+        """
+        traffic_class = in_flight.traffic_class
+        if in_flight.possible_execution is None or traffic_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        has_key = traffic_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+        return has_key and traffic_class.deduplication_scope == "all"
+
+    def try_spend(self, in_flight: InFlightRequest) -> bool:
+        """Charges one attempt to the retry budget.
+
+        A first attempt is free and earns ``RETRIES_PER_REQUEST`` tokens; a retry costs one.
+
+        Guards against retry storms: without the budget, endpoints that fail under load get more attempts the
+        more of them fail, and never recover.
+
+        :returns: False where the attempt is a retry and no token is left; nothing is charged then.
+        """
+        is_retry = in_flight.attempts_started > 0
+        if not is_retry:
+            self.tokens = min(MAX_RETRY_TOKENS, self.tokens + RETRIES_PER_REQUEST)
+            return True
+        if self.tokens < 1 or not self.shared_limits_allow:
+            return False
+        self.tokens -= 1
+        self.retries_spent += 1
+        return True
--- /dev/null
+++ b/quartzrouter/routing/slow_start.py
@@ -0,0 +1,215 @@
+"""What an endpoint that has started lately may be sent.  No I/O.
+
+Guards against overload of endpoints that are warming up: one that has just started does a fraction of what
+it does later, and falls over if it is sent more than a multiple of that for a while.  Routers that don't talk
+to each other each keep to their part of a budget, so that the sum of all stays below it in every window.
+"""
+
+import math
+import zlib
+from collections import deque
+from dataclasses import dataclass, replace
+
+from quartzrouter.routing.capacity import TransferCapacity
+from quartzrouter.routing.endpoints import EndpointList
+from quartzrouter.routing.model import SlowStart, SlowStartDemand, Tier
+from quartzrouter.routing.units import NEVER
+
+BUDGET_SHARE = (
+    0.6  # of what an endpoint may be sent: sizes vary, and other routers' parts may be spent at once
+)
+LOTTERY_ODDS = 0.5  # of a part below one request, drawn per window: any window meets two that were drawn for
+
+
+@dataclass(slots=True)
+class Charge:
+    """Sending time that was spent on one endpoint.
+
+    :ivar charged_at: when.
+    :ivar sending_time: how much; 0 once it has turned out that the endpoint was not used.
+    """
+
+    charged_at: int
+    sending_time: int
+
+    def refund(self) -> None:
+        """Gives it back."""
+        self.sending_time = 0
+
+
+@dataclass(slots=True)
+class Demand:
+    """Sending time that this router spent on an endpoint, or would have spent.
+
+    :ivar total: all of it.
+    :ivar largest: of one request.
+    """
+
+    total: int = 0
+    largest: int = 0
+
+
+class SlowStartBudget:
+    """This router's part of what the endpoints of one tier may be sent while they are warming up.
+
+    :ivar terms: how an endpoint of the tier warms up, and how many routers share its budget.
+    :ivar own_share: share of the budget that is divided evenly among the routers.  1: all of it.  Less where
+        routers of a fleet are granted the rest as they need it.
+    :ivar charges: what was spent within the last window, by endpoint, oldest first.
+    :ivar demand: by endpoint, since it was last asked for.
+    """
+
+    def __init__(self, terms: SlowStart, router_number: int) -> None:
+        self.terms = terms
+        self.router_number = router_number
+        self.own_share = 1.0
+        self.charges: dict[int, deque[Charge]] = {}
+        self.demand: dict[int, Demand] = {}
+
+    def share(self, routers: int, own_share: float) -> None:
+        """Sets how many routers share a budget, and which share of it is divided evenly among them."""
+        self.terms = replace(self.terms, routers=routers)
+        self.own_share = own_share
+
+    def limit(self, capacity: float, started_at: int, now: int) -> float:
+        """What all routers together may spend on an endpoint in a window.
+
+        :param capacity: the transfers that its link carries.
+        :param started_at: clock time of its last start; 0: long ago.
+        :returns: sending time; infinite for an endpoint that is warm.
+        """
+        terms = self.terms
+        age_at_window_start = now - started_at - terms.window
+        has_slow_start = started_at and terms.ramp_time
+        if not has_slow_start or age_at_window_start >= terms.ramp_time:
+            return math.inf
+        ramped_share = (1 - terms.initial_share) * max(0, age_at_window_start) / terms.ramp_time
+        warm_share = terms.initial_share + ramped_share
+        return capacity * warm_share * terms.overload_factor * terms.window * BUDGET_SHARE
+
+    def has_room(self, index: int, sending_time: int, limit: float, now: int) -> bool:
+        """Whether this router's part allows one more request.
+
+        A part below one request goes by lot, drawn per router, endpoint and window of the clock: the odds are
+        ``LOTTERY_ODDS`` of the part, since any window of time touches two that were drawn for.
+
+        :param limit: see ``limit()``.
+        """
+        if limit == math.inf:
+            return True
+        part = limit * self.own_share / self.terms.routers
+        spent = sum(charge.sending_time for charge in self._recent_charges(index, now))
+        if spent or part >= sending_time:
+            return spent + sending_time <= part
+        draw = zlib.crc32(b"%d/%d/%d" % (self.router_number, index, now // self.terms.window)) / 2**32
+        return draw < LOTTERY_ODDS * part / sending_time
+
+    def charge(self, index: int, sending_time: int, now: int) -> Charge:
+        """Spends sending time on an endpoint.
+
+        :returns: the charge, which may be refunded.
+        """
+        charge = Charge(now, sending_time)
+        self._recent_charges(index, now).append(charge)
+        return charge
+
+    def _recent_charges(self, index: int, now: int) -> deque[Charge]:
+        charges = self.charges.get(index)
+        if charges is None:
+            charges = self.charges[index] = deque()
+        while charges and charges[0].charged_at <= now - self.terms.window:
+            charges.popleft()
+        return charges
+
+    def note_demand(self, index: int, sending_time: int) -> None:
+        """Notes what a request spent, or would have spent, for those who grant parts of the budget."""
+        demand = self.demand.setdefault(index, Demand())
+        demand.total += sending_time
+        demand.largest = max(demand.largest, sending_time)
+
+    def take_demand(self, index: int) -> Demand:
+        """:returns: the demand for an endpoint since the last call."""
+        return self.demand.pop(index, None) or Demand()
+
+    def forget(self, index: int) -> None:
+        """Drops what is kept of an endpoint."""
+        self.charges.pop(index, None)
+        self.demand.pop(index, None)
+
+
+class SlowStartLimiter:
+    """Applies the budgets of caches and parents to endpoints; origins have none.
+
+    :ivar granted: by endpoint name, sending time that was granted to this router beyond its own part.
+    """
+
+    def __init__(
+        self,
+        endpoints: EndpointList,
+        capacity: TransferCapacity,
+        cache_budget: SlowStartBudget,
+        parent_budget: SlowStartBudget,
+    ) -> None:
+        self.endpoints = endpoints
+        self.capacity = capacity
+        self.budgets = {Tier.CACHE: cache_budget, Tier.PARENT: parent_budget}
+        self.granted: dict[str, int] = {}
+
+    def allows(self, index: int, sending_time: int, now: int) -> bool:
+        """Whether an endpoint may be sent one more request of this sending time."""
+        budget = self.budgets.get(self.endpoints.by_index[index].tier)
+        if budget is None or self._has_room(budget, index, sending_time, now):
+            return True
+        return self.granted.get(self.endpoints.by_index[index].name, 0) >= sending_time
+
+    def charge(self, index: int, sending_time: int, now: int) -> Charge:
+        """Charges a request to an endpoint of a tier with a budget: to the own part first, then to grants."""
+        endpoint = self.endpoints.by_index[index]
+        budget = self.budgets[endpoint.tier]
+        if budget.own_share >= 1:
+            return budget.charge(index, sending_time, now)
+        budget.note_demand(index, sending_time)
+        if self._has_room(budget, index, sending_time, now):
+            return budget.charge(index, sending_time, now)
+        self.granted[endpoint.name] = self.granted.get(endpoint.name, 0) - sending_time
+        return Charge(now, sending_time)
+
+    def note_unmet_demand(self, tier: Tier, order: list[int], sending_time: int, now: int) -> None:
+        """Notes a request that the first endpoint of an order may not be sent, so that more is granted."""
+        budget = self.budgets[tier]
+        if budget.own_share < 1 and order and not self.allows(order[0], sending_time, now):
+            budget.note_demand(order[0], sending_time)
+
+    def take_demand(self, now: int) -> list[SlowStartDemand]:
+        """:returns: the endpoints that are warming up, with this router's demand since the last call."""
+        found = []
+        for tier, budget in self.budgets.items():
+            for index in self.endpoints.by_tier[tier]:
+                limit = self._limit(budget, index, now)
+                demand = budget.take_demand(index)
+                if limit < math.inf:
+                    name = self.endpoints.by_index[index].name
+                    found.append(SlowStartDemand(name, tier, int(limit), demand.total, demand.largest))
+        return found
+
+    def exhaust(self, now: int) -> None:
+        """Treats all budgets as spent for one window.
+
+        Guards against a second use of a budget: a router for a new pool doesn't know what others of the same
+        process have sent lately.
+        """
+        for index, started_at in self.endpoints.started_at.items():
+            budget = self.budgets.get(self.endpoints.by_index[index].tier)
+            if started_at and budget:
+                budget.charge(index, NEVER, now)
+
+    def forget(self, index: int) -> None:
+        """Drops what is kept of an endpoint."""
+        for budget in self.budgets.values():
+            budget.forget(index)
+
+    def _has_room(self, budget: SlowStartBudget, index: int, sending_time: int, now: int) -> bool:
+        return budget.has_room(index, sending_time, self._limit(budget, index, now), now)
+
+    def _limit(self, budget: SlowStartBudget, index: int, now: int) -> float:
+        return budget.limit(self.capacity.of(index), self.endpoints.started_at[index], now)
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -17,7 +17,8 @@
 from quartzrouter.configuration import Configuration, ConfigurationError, read
 from quartzrouter.routing import LOGGER_NAME
 from quartzrouter.routing.model import Idempotency as RepeatEffect
-from quartzrouter.routing.router import Router, retry_after
+from quartzrouter.routing.retries import retry_after
+from quartzrouter.routing.router import Router
 from quartzrouter.server import endpoint_watch, responses
 from quartzrouter.server.cache_connections import CacheConnections
 from quartzrouter.server.client_connections import ClientConnections, parse_request
@@ -84,7 +85,7 @@
         decisions_log.setLevel(logging.INFO)
         self.reducer = self._reducer()
         clients = configuration.sockets // 3
-        come_back = retry_after(configuration.briefing.arguments["permits"])
+        come_back = retry_after(configuration.briefing.arguments["capabilities"])
         room = configuration.memory // REQS_SHARE
         self.front = ClientConnections(self.feed, clients, room, self._reader(), self.report, come_back)
         self.backend = CacheConnections(
@@ -94,7 +95,7 @@
             configuration.briefing.idle_most / 1e6,
             configuration.briefing.connect_within / 1e6,
             self._copy_of(),
-            configuration.briefing.arguments["permits"].load_in_responses,
+            configuration.briefing.arguments["capabilities"].load_in_responses,
         )
         self.journal = endpoint_watch.EndpointWatch(
             configuration.journal, configuration.position, configuration.briefing, self.feed, self.report
--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -261,7 +261,7 @@
                 if (
                     ending is not AttemptStatus.NOT_SENT
                 ):  # for want of room here, which says nothing of the cache
-                    self.router.record_health_check(name, ending, {}, now)
+                    self.router.record_health_check(name, ending, now)
             case StatusQueried(ticket):
                 self.effects.append(SendResponse(ticket, responses.health(self.listed and not self.stopping)))
             case ConfigurationReloaded(address):
@@ -355,7 +355,7 @@
 
     def _kept(self, call: ClientRequest) -> bool:
         """Whether caches keep copies of it, so that an answer has a tag and a time."""
-        return not self.router.vhosts[call.vhost].uncacheable
+        return not self.router.traffic_classes[call.vhost].uncacheable
 
     def _fields(self, call: ClientRequest) -> list[tuple[str, str]]:
         """What is passed on beside what the platform's page names."""
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -168,7 +168,7 @@
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
             self.report.say("process", f"SIGHUP: nothing changes: {faults[0].head}{more}")
             return
-        home = self.configuration.briefing.arguments["home"]
+        home = self.configuration.briefing.arguments["home_location"]
         if home not in loaded.plan.stores:
             self.report.say(
                 "process", f"SIGHUP: nothing changes: the home store '{home}' is gone; restart for that"
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -144,7 +144,7 @@
             begun = max(0, good + bad + new.in_flight - old.in_flight)
             if new.ejected or good or bad or new.in_flight:
                 said.append(messages.CacheObservation(name, new.ejected, good, bad, new.in_flight, begun))
-        told = (self.force.arguments["home"], tuple(said[:SIGHTS_MOST]), len(self.seen))
+        told = (self.force.arguments["home_location"], tuple(said[:SIGHTS_MOST]), len(self.seen))
         return [QueueMessage(HealthReport(*told, self.force.plan.deployment["counts"]))]
 
     def _judged(self, judgements: tuple[messages.EjectionVerdict, ...], now: int) -> None:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -84,7 +84,7 @@
 class Drive(logging.Handler):
     """Three caches c1 to c3, two parents p1 and p2, the origin o; 1000 KB take a second to send."""
 
-    def __init__(self, lines, rated=True, **permits):
+    def __init__(self, lines, rated=True, router_number=0, **permits):
         super().__init__()
         self.lines, self.now, self.hops, self.last = lines, 10 * S, {}, {}
         decisions_log = logging.getLogger(LOGGER_NAME)
@@ -102,16 +102,16 @@
         )
         cold = SlowStart(initial_share=0.25, ramp_time=16 * S, overload_factor=2.0, window=S, routers=2)
         self.router = Router(
-            me=0,
+            router_number=router_number,
             seed=7,
-            home="north",
-            permits=Capabilities(**(given | permits)),
-            cold_cache=cold,
-            cold_parent=cold,
-            purge_life=6 * S,
-            pace=1000.0,
-            rated=rated,
-            vhosts=[
+            home_location="north",
+            capabilities=Capabilities(**(given | permits)),
+            cache_slow_start=cold,
+            parent_slow_start=cold,
+            purge_lifetime=6 * S,
+            transfer_rate=1000.0,
+            has_capacity_ratings=rated,
+            traffic_classes=[
                 vhost("clip", priority_weight=2.0, latency_objective=500 * MS, client_timeout=5 * S),
                 vhost("page", max_age=8 * S, stale_grace=20 * S),
                 vhost("sale", Idempotency.IDEMPOTENT_WITH_KEY, priority_weight=3.0, uncacheable=True),
@@ -143,7 +143,7 @@
         return answer
 
     def req(self, id, vhost, obj="a", kb=200.0, part=0, group=1, timeout=None, quiet=False):
-        timeout = timeout or self.router.vhosts[vhost].client_timeout // MS
+        timeout = timeout or self.router.traffic_classes[vhost].client_timeout // MS
         self.last[id] = Request(id, vhost, obj, group, part, kb, timeout * MS)
         return self.ask(id, quiet)
 
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -9,7 +9,7 @@
 from conftest import MS, S, listed, vhost
 from hypothesis import given, settings
 
-from quartzrouter.routing import router as router_module
+from quartzrouter.routing.estimators import MIN_SAMPLES
 from quartzrouter.routing.model import (
     AttemptResult,
     AttemptStatus,
@@ -19,6 +19,7 @@
     Request,
     SlowStart,
 )
+from quartzrouter.routing.router import Router
 
 SENDING = 25 * MS  # of a req, at full pace
 LINKS = {"c1": 6.0, "p1": 20.0}  # transfers at once, as the list rates a cache and a hub
@@ -42,23 +43,23 @@
     """
     found = []
     for me in range(routers):
-        router = router_module.Router(
-            me=me,
+        router = Router(
+            router_number=me,
             seed=7 + me,
-            home="north",
-            permits=PERMITS,
-            cold_cache=cold,
-            cold_parent=cold,
-            purge_life=6 * S,
-            pace=1000.0,
-            rated=True,
-            vhosts=[vhost("page")],
+            home_location="north",
+            capabilities=PERMITS,
+            cache_slow_start=cold,
+            parent_slow_start=cold,
+            purge_lifetime=6 * S,
+            transfer_rate=1000.0,
+            has_capacity_ratings=True,
+            traffic_classes=[vhost("page")],
         )
         router.update_endpoints(listed(dict.fromkeys(["c1", "c2", "c3", "p1", "o"], "up")), True, 10 * S)
         router.update_endpoints(listed({at: "up"}, started=10 * S), False, 10 * S)
         if not fresh or me % fresh:
-            for _ in range(router_module.FEW):
-                router.sending["page"].add(SENDING)
+            for _ in range(MIN_SAMPLES):
+                router.sending_times.by_class["page"].add(SENDING)
         found.append(router)
     return found
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,20 +1,21 @@
 """Each test plays a short scene; its decisions must be those of tests/traces/, which are there to be read."""
 
 import pytest
+from conftest import S
 
-from quartzrouter.routing import router as router_module
+from quartzrouter.routing.fill_limits import FillLimiter
 from quartzrouter.routing.model import AttemptStatus, FillStatus, Forward, Tier
 
 
 def test_walk_grows_past_busy_caches_and_shrinks_after_quiet(drive):
     for n in range(10):
         drive.req(n, "page", kb=10)
-    drive.print(f"walk length {max(drive.router.walk.table)[0]}")
+    drive.print(f"walk length {max(drive.router.placement.table).degree}")
     for n in range(10):
         drive.end(n, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True)
     drive.pass_(11_000)
     drive.req(20, "page", kb=10)
-    drive.print(f"walk length {max(drive.router.walk.table)[0]}")
+    drive.print(f"walk length {max(drive.router.placement.table).degree}")
 
 
 def test_fills_of_an_object_meet_at_one_parent_and_skip_a_failing_one(drive):
@@ -46,7 +47,7 @@
     drive.end(0, AttemptStatus.CONNECTION_REFUSED)
     drive.pass_(600)
     drive.print(f"probes {drive.router.maintenance(drive.now).probes}")
-    drive.router.record_health_check(lost, AttemptStatus.SUCCEEDED, {}, drive.now)
+    drive.router.record_health_check(lost, AttemptStatus.SUCCEEDED, drive.now)
     for n in range(1, 4):
         drive.req(n, "clip", "a")
 
@@ -90,9 +91,11 @@
 
 def test_late_outcomes_of_a_req_that_left_settle_the_counts(drive):
     drive.req(0, "clip", "a")
-    drive.print(f"call off hop {drive.router.cancel_request(0)}, load {sorted(drive.router.load.values())}")
+    drive.print(
+        f"call off hop {drive.router.cancel_request(0)}, load {sorted(drive.router.load.in_flight.values())}"
+    )
     drive.end(0, AttemptStatus.CANCELLED)
-    drive.print(f"load {sorted(drive.router.load.values())}, in hand {len(drive.router.flights)}")
+    drive.print(f"load {sorted(drive.router.load.in_flight.values())}, in hand {len(drive.router.in_flight)}")
 
 
 @pytest.mark.parametrize("drive", [{"pass_through": False}], indirect=True)
@@ -116,7 +119,7 @@
     drive.req(10, "page", "d")
     drive.end(10, AttemptStatus.NOT_FOUND)
     drive.end(10, AttemptStatus.NOT_FOUND)
-    drive.router.fills.limit.update(dict.fromkeys(range(5), 0))
+    drive.router.fills.limits.update(dict.fromkeys(range(5), 0))
     drive.req(11, "page", "e")
     drive.end(11, AttemptStatus.NOT_FOUND)
     drive.end(11, AttemptStatus.NOT_FOUND)
@@ -138,22 +141,22 @@
         drive.print(f"probes {doubted}")
         for name in doubted:
             drive.router.record_health_check(
-                name, AttemptStatus.TIMED_OUT if name == parent else AttemptStatus.SUCCEEDED, {}, drive.now
+                name, AttemptStatus.TIMED_OUT if name == parent else AttemptStatus.SUCCEEDED, drive.now
             )
 
 
 def test_many_routers_take_parts_of_what_a_source_fills_in_trouble(drive):
     for routers in (1, 10, 100):
-        fills = router_module.FillLimiter(start=50, least=5, most=200, routers=routers)
+        fills = FillLimiter(routers)
         for n in range(9):
-            fills.failed(0, n * router_module.S)
+            fills.fill_failed(0, n * S)
         taken = 0
         for router in range(routers):
-            fills.out[0] = 0
-            while fills.room(0, router / routers):
-                fills.out[0] += 1
-            taken += fills.out[0]
-        drive.print(f"{routers} routers: limit {fills.limit[0]:.1f}, {taken} reqs of all routers are filled")
+            fills.in_flight[0] = 0
+            while fills.has_room(0, router / routers):
+                fills.in_flight[0] += 1
+            taken += fills.in_flight[0]
+        drive.print(f"{routers} routers: limit {fills.limits[0]:.1f}, {taken} reqs of all routers are filled")
 
 
 def test_refusals_that_tell_nothing_put_out_the_parent_they_share(drive):
@@ -220,22 +223,22 @@
                 FillStatus.UNKNOWN,
                 quiet=True,
             )
-        if 2 * n + 1 in drive.router.flights:
+        if 2 * n + 1 in drive.router.in_flight:
             drive.end(2 * n + 1, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True)
         drive.pass_(1_000)
         drive.list(**{f"c{n + 10}": "gone"})
     drive.lines[:] = [line for line in drive.lines if "log" not in line]
     router = drive.router
     parts = {
-        "listed": router.roster.be,
-        "index": router.roster.index,
-        "started": router.roster.started,
-        "load": router.load,
-        "naming": router.naming,
-        "health": router.health.of,
-        "limits": router.fills.limit,
-        "cold caches": router.warm[Tier.CACHE].sent,
-        "reqs": router.flights,
+        "listed": router.endpoints.by_index,
+        "index": router.endpoints.index_of,
+        "started": router.endpoints.started_at,
+        "load": router.load.in_flight,
+        "naming": router.load.as_fill_source,
+        "health": router.health.by_index,
+        "limits": router.fills.limits,
+        "cold caches": router.slow_start.budgets[Tier.CACHE].charges,
+        "reqs": router.in_flight,
     }
     drive.print(f"{held} has a req; kept: {', '.join(f'{name} {len(part)}' for name, part in parts.items())}")
 
@@ -249,7 +252,8 @@
             n, AttemptStatus.SUCCEEDED, FillStatus.FROM_PARENT, elapsed=1_500 if late else 50, quiet=True
         )
         if n in (75, 79):
-            drive.print(f"{drive.router.fills.seen[0]:.1f} late of {drive.router.fills.seen[1]:.1f} fills")
+            recent_fills = drive.router.fills.recent_fills
+            drive.print(f"{recent_fills.late:.1f} late of {recent_fills.total:.1f} fills")
             drive.req(100 + n, "page", f"p{n}")
 
 
@@ -286,7 +290,7 @@
                 quiet=True,
                 time_to_first_byte=waited * 1_000,
             )
-        told.print(f"after {waited} ms, trouble with fills: {told.router.fills.troubled(told.now)}")
+        told.print(f"after {waited} ms, trouble with fills: {told.router.fills.is_in_trouble(told.now)}")
 
 
 def test_without_probes_a_cache_that_is_back_is_taken_for_cold(told):
@@ -337,10 +341,12 @@
                 200 * (slow if n % 2 else 1),
                 True,
             )
-        told.print(f"fills {slow} times as slow as hits: link taken for {told.router.link_in[1]:.1f}")
+        told.print(
+            f"fills {slow} times as slow as hits: link taken for {told.router.location_link.utilization:.1f}"
+        )
 
 
 def test_reports_are_passed_over_where_the_settings_name_none(drive):
     drive.req(0, "clip", "a", quiet=True)
     drive.end(0, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True, utilization=0.95, link_utilization=4.0)
-    drive.print(f"busy {drive.router.reports}, link {drive.router.link_in[1]}")
+    drive.print(f"busy {drive.router.load.reports}, link {drive.router.location_link.utilization}")
--- a/tests/test_force.py
+++ b/tests/test_force.py
@@ -18,6 +18,7 @@
 from quartzrouter.routing.model import (
     AttemptResult,
     AttemptStatus,
+    CacheCount,
     Endpoint,
     EndpointState,
     Fail,
@@ -112,11 +113,15 @@
     for _ in range(2_000):
         now += 20 * MS
         up = chance.choice([1, 2, 2, 3])  # around at_least all the time
-        served.append(pools.serving("first", lambda name, up=up: (up, 4) if name == "first" else (3, 3), now))
+        served.append(
+            pools.serving(
+                "first", lambda name, up=up: CacheCount(up, 4) if name == "first" else CacheCount(3, 3), now
+            )
+        )
     assert pools.standing["first"].changes == 1 and served[-1] == "second"
     for _ in range(40):
         now += 50 * MS
-        served.append(pools.serving("first", lambda name: (4, 4), now))
+        served.append(pools.serving("first", lambda name: CacheCount(4, 4), now))
     assert pools.standing["first"].changes == 2 and served[-1] == "first"
     back = served.index("first", served.index("second")) - 2_000
     assert back * 50 * MS >= S - 50 * MS
@@ -124,12 +129,20 @@
 
 def test_the_fullest_serves_where_all_are_short():
     pools = fallback()
-    assert pools.serving("first", lambda name: {"first": (1, 4), "second": (0, 3)}[name], 0) == "first"
-    assert pools.serving("first", lambda name: {"first": (0, 4), "second": (0, 3)}[name], 0) in (
+    assert (
+        pools.serving("first", lambda name: {"first": CacheCount(1, 4), "second": CacheCount(0, 3)}[name], 0)
+        == "first"
+    )
+    assert pools.serving(
+        "first", lambda name: {"first": CacheCount(0, 4), "second": CacheCount(0, 3)}[name], 0
+    ) in (
         "first",
         "second",
     )
-    assert pools.serving("first", lambda name: {"first": (0, 4), "second": (1, 3)}[name], 0) == "second"
+    assert (
+        pools.serving("first", lambda name: {"first": CacheCount(0, 4), "second": CacheCount(1, 3)}[name], 0)
+        == "second"
+    )
 
 
 def test_a_split_is_stable_and_moves_what_it_must():
@@ -319,7 +332,10 @@
     played.force.replace(played.load(text), played.now)
     assert played.force.pool_routers["near"].router is router
     third = played.force.pool_routers["third"].router
-    assert third.purges.at == router.purges.at and third.roster.homes == ("north", "south")
+    assert third.freshness.purged_at == router.freshness.purged_at and third.endpoints.locations == (
+        "north",
+        "south",
+    )
     assert isinstance(played.end(AttemptStatus.CONNECTION_LOST, 1), Forward)
     assert played.end(AttemptStatus.SUCCEEDED, 1) is None and not played.force.where
     assert answer.endpoint.startswith("n")
@@ -370,7 +386,7 @@
     after = sent_cold(changed, lambda: changed.force.replace(changed.load(text), changed.now))
     assert 0 < after <= before
     routers = {
-        pool_router.router.warm[Tier.CACHE].cold.routers
+        pool_router.router.slow_start.budgets[Tier.CACHE].terms.routers
         for pool_router in changed.force.pool_routers.values()
     }
     assert routers == {6}  # one router, six pools
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -9,7 +9,7 @@
 from standins import WHOLE
 
 from quartzrouter.configuration import DeploymentSettings
-from quartzrouter.routing import router
+from quartzrouter.routing import router, timeouts
 from quartzrouter.routing.model import FillStatus
 from quartzrouter.server import cache_connections, endpoint_watch, responses, state_machine
 
@@ -122,7 +122,9 @@
     paced.came(15 * S, 41, LARGE)
     paced.play(30 * S)
     own = LARGE / 1_000 / PACE * S
-    patience = router.PATIENCE * (400 * MS + 2.0 * own)  # of its target, 3 s, where its client waits for 5
+    patience = timeouts.OBJECTIVE_MULTIPLE * (
+        400 * MS + 2.0 * own
+    )  # of its target, 3 s, where its client waits for 5
     assert 15 * S + patience <= paced.ends[41] <= 15 * S + patience + 10 * MS
     assert (41, 0) not in paced.sending
 
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -433,7 +433,8 @@
         await client.begin(1)
         trace.append(await client.end())
         router = world.service.reducer.router
-        trace.append(f"busy {[busy for _, busy in router.reports.values()]}, link {router.link_in[1] > 0}")
+        reported = [report.utilization for report in router.load.reports.values()]
+        trace.append(f"busy {reported}, link {router.location_link.utilization > 0}")
 
     for how in ("silent", "piggyback"):
         trace.append(f"load_report.how = {how}")
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -9,7 +9,7 @@
 
 def empty(play):
     held = play.reducer
-    assert not held.hands and not held.router.flights and not any(held.router.load.values())
+    assert not held.hands and not held.router.in_flight and not any(held.router.load.in_flight.values())
 
 
 def test_a_req_goes_out_and_its_answer_is_passed_on(play):
--- a/tests/test_reducer_machine.py
+++ b/tests/test_reducer_machine.py
@@ -223,8 +223,10 @@
             self.time(1_000)
         assert not self.owed(), "without an answer"
         held = self.reducer
-        assert not (held.hands or held.ids or held.reqs or held.router.flights or self.opened)
-        assert not any(held.router.load.values()) and not any(held.router.naming.values())
+        assert not (held.hands or held.ids or held.reqs or held.router.in_flight or self.opened)
+        assert not any(held.router.load.in_flight.values()) and not any(
+            held.router.load.as_fill_source.values()
+        )
         self.time(1_000)
         assert not held.held
         assert self.exited == self.stopped
