--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -15,16 +15,9 @@
 
 from quartzrouter.routing.model import AttemptStatus, FillStatus, LoadReport
 from quartzrouter.server.attempt_failure import CONNECTION_LOST, Cause, Failure, Stage
+from quartzrouter.server.effects import SendRequest, StartHealthCheck
+from quartzrouter.server.events import AttemptEnded, ConnectionReady, Event, HealthCheckDone, ResponseHead
 from quartzrouter.server.ring_buffer import RingBuffer
-from quartzrouter.server.state_machine import (
-    AttemptEnded,
-    ConnectionReady,
-    Event,
-    HealthCheckDone,
-    ResponseHead,
-    SendRequest,
-    StartHealthCheck,
-)
 from quartzrouter.server.stream import Pending, Stream, connect
 
 INCOMING, OUTGOING = 1 << 15, 1 << 14  # bytes in each direction: most answers in one or two reads
--- a/quartzrouter/server/client_connections.py
+++ b/quartzrouter/server/client_connections.py
@@ -11,9 +11,9 @@
 
 from quartzrouter.server import fastcgi, responses
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.events import ClientGone, ClientRequest, Event, RequestReceived, StatusQueried
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 from quartzrouter.server.ring_buffer import RingBuffer
-from quartzrouter.server.state_machine import ClientGone, ClientRequest, Event, RequestReceived, StatusQueried
 from quartzrouter.server.stream import Pending, Stream
 
 INCOMING = 1 << 14  # bytes: longer records are taken in pieces
--- a/quartzrouter/server/endpoint_watch.py
+++ b/quartzrouter/server/endpoint_watch.py
@@ -3,13 +3,13 @@
 import random
 import struct
 from collections.abc import Callable
-from typing import NamedTuple
 
 import anyio
 
 from quartzrouter.configuration import DeploymentSettings, Section, address
 from quartzrouter.routing.model import Endpoint, EndpointState
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.events import EndpointUpdate, PurgeNotice
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 from quartzrouter.server.ring_buffer import RingBuffer
 from quartzrouter.server.stream import connect
@@ -27,20 +27,6 @@
 BY_NUMBER = (EndpointState.UP, EndpointState.DRAINING, EndpointState.GONE)
 
 
-class EndpointUpdate(NamedTuple):
-    """Lines of the cache list, and the addresses of the caches by id."""
-
-    lines: list[Endpoint]
-    addresses: dict[str, tuple[str, int]]
-    whole: bool
-
-
-class PurgeNotice(NamedTuple):
-    group: int | None
-    obj: str | None
-    when: int  # us
-
-
 class MalformedFrame(Exception):
     """Bytes that no journal service writes; stops at the connection."""
 
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -22,27 +22,29 @@
 from quartzrouter.server.cache_connections import CacheConnections
 from quartzrouter.server.client_connections import ClientConnections, parse_request
 from quartzrouter.server.clock import RouterClock, steady_clock, wall_clock
-from quartzrouter.server.event_loop import LOOP
-from quartzrouter.server.rate_limited_log import ForwardingHandler, RateLimitedLog
-from quartzrouter.server.spin_guard import FLOOR, SpinGuard, TickGuard
-from quartzrouter.server.state_machine import (
-    AttemptEnded,
+from quartzrouter.server.effects import (
     CancelAttempt,
-    ClientGone,
-    ClientRequest,
     CloseIdleConnections,
-    ConfigurationReloaded,
-    Event,
     ExitProcess,
     FollowDiscovery,
     OpenConnection,
-    RouterStateMachine,
     SendRequest,
     SendResponse,
-    ShutdownRequested,
     StartHealthCheck,
+)
+from quartzrouter.server.event_loop import LOOP
+from quartzrouter.server.events import (
+    AttemptEnded,
+    ClientGone,
+    ClientRequest,
+    ConfigurationReloaded,
+    Event,
+    ShutdownRequested,
     TimerFired,
 )
+from quartzrouter.server.rate_limited_log import ForwardingHandler, RateLimitedLog
+from quartzrouter.server.spin_guard import FLOOR, SpinGuard, TickGuard
+from quartzrouter.server.state_machine import RouterStateMachine
 from quartzrouter.server.stream import Stream
 from quartzrouter.signals import Signals
 
--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -6,7 +6,6 @@
 
 import heapq
 from dataclasses import dataclass
-from typing import Any, NamedTuple
 
 from quartzrouter.configuration import KB
 from quartzrouter.routing.driver import MAINTENANCE_TIMER, RouterDriver
@@ -21,8 +20,33 @@
 )
 from quartzrouter.routing.router import Router
 from quartzrouter.server import responses
-from quartzrouter.server.attempt_failure import Failure
-from quartzrouter.server.endpoint_watch import EndpointUpdate, PurgeNotice
+from quartzrouter.server.effects import (
+    CancelAttempt,
+    CloseIdleConnections,
+    Effect,
+    ExitProcess,
+    FollowDiscovery,
+    OpenConnection,
+    SendRequest,
+    SendResponse,
+    StartHealthCheck,
+)
+from quartzrouter.server.events import (
+    AttemptEnded,
+    ClientGone,
+    ClientRequest,
+    ConfigurationReloaded,
+    ConnectionReady,
+    EndpointUpdate,
+    Event,
+    HealthCheckDone,
+    PurgeNotice,
+    RequestReceived,
+    ResponseHead,
+    ShutdownRequested,
+    StatusQueried,
+    TimerFired,
+)
 
 MS = 1_000
 
@@ -31,175 +55,6 @@
 DONE, SAME, LACKING, FULL, OVER = 200, 304, 404, 503, 504  # what a cache answers; others are errors
 
 
-class ClientRequest(NamedTuple):
-    """A req as the client sent it."""
-
-    id: str
-    vhost: str
-    obj: str
-    part: int
-    group: int | None
-    timeout: int  # us
-    key: str | None = None
-    held: str | None = None  # the tag of the client's copy
-    body: bytes = b""
-    waited: int = 0  # us between its last byte's arrival at this machine and its reading
-    ruling: Any = None  # what a plan says of it, where there is one
-
-
-# -- events ----------------------------------------------------------------------------------------
-
-
-class RequestReceived(NamedTuple):
-    ticket: int
-    call: ClientRequest
-
-
-class ClientGone(NamedTuple):
-    """The client has gone, or has stopped waiting."""
-
-    ticket: int
-
-
-class ConnectionReady(NamedTuple):
-    """A connection is there; the next byte would be the first."""
-
-    ticket: int
-    hop: int
-
-
-class ResponseHead(NamedTuple):
-    ticket: int
-    hop: int
-    status: int
-    length: int | None
-    never_ran: bool
-    marked: bool  # with the tag and the time of the copy
-    told: FillStatus
-    copy: Any = None  # what else an installation of our own reads of it
-    report: LoadReport = LoadReport()
-
-
-class AttemptEnded(NamedTuple):
-    """The dispatch has ended: with the whole of an answer, or with a failure."""
-
-    ticket: int
-    hop: int
-    failure: Failure | None = None
-    body: bytes = b""
-
-
-class HealthCheckDone(NamedTuple):
-    name: str
-    ending: AttemptStatus
-
-
-class StatusQueried(NamedTuple):
-    """/health."""
-
-    ticket: int
-
-
-class TimerFired(NamedTuple):
-    pass
-
-
-class ConfigurationReloaded(NamedTuple):
-    """SIGHUP, and a configuration that can be used: where the journal service now is."""
-
-    journal: tuple[str, int]
-
-
-class ShutdownRequested(NamedTuple):
-    """SIGTERM."""
-
-
-Event = (
-    RequestReceived
-    | ClientGone
-    | ConnectionReady
-    | ResponseHead
-    | AttemptEnded
-    | HealthCheckDone
-    | StatusQueried
-    | TimerFired
-    | ConfigurationReloaded
-    | ShutdownRequested
-    | EndpointUpdate
-    | PurgeNotice
-)
-
-
-# -- effects ---------------------------------------------------------------------------------------
-
-
-class OpenConnection(NamedTuple):
-    """Get a connection for a dispatch, and say when it is ready."""
-
-    ticket: int
-    hop: int
-    name: str
-    address: tuple[str, int]
-
-
-class SendRequest(NamedTuple):
-    """Send this on the connection that is ready, and read the answer."""
-
-    ticket: int
-    hop: int
-    target: str
-    fields: list[tuple[str, str]]
-    body: bytes
-
-
-class CancelAttempt(NamedTuple):
-    """Give the dispatch up: close its connection; nothing more is heard of it."""
-
-    ticket: int
-    hop: int
-
-
-class SendResponse(NamedTuple):
-    """The answer to a client."""
-
-    ticket: int
-    data: bytes
-
-
-class StartHealthCheck(NamedTuple):
-    name: str
-    address: tuple[str, int]
-    timeout: int
-
-
-class CloseIdleConnections(NamedTuple):
-    """Close what is pooled for a cache."""
-
-    name: str
-
-
-class FollowDiscovery(NamedTuple):
-    """Hear the journal service there, from the last number held."""
-
-    address: tuple[str, int]
-
-
-class ExitProcess(NamedTuple):
-    pass
-
-
-Effect = (
-    OpenConnection
-    | SendRequest
-    | CancelAttempt
-    | SendResponse
-    | StartHealthCheck
-    | CloseIdleConnections
-    | FollowDiscovery
-    | ExitProcess
-)
-
-
 @dataclass(slots=True)
 class PendingAttempt:
     """The one dispatch of a req that is out."""
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -17,7 +17,8 @@
 from quartzrouter.quota.client import NOTHING, QuotaClient, QuotaCounters, shown
 from quartzrouter.quota.slow_start import SlowStartClient
 from quartzrouter.server import process
-from quartzrouter.server.endpoint_watch import EndpointUpdate, initial_snapshot
+from quartzrouter.server.endpoint_watch import initial_snapshot
+from quartzrouter.server.events import EndpointUpdate
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 from quartzrouter.signals import Signals
 from quartzrouter.standalone import purge_membership
--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -8,7 +8,7 @@
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.routing.model import Idempotency
 from quartzrouter.server.client_connections import KEY, NUMBER, TIMEOUT_MOST, TOKEN, InvalidRequest
-from quartzrouter.server.state_machine import ClientRequest
+from quartzrouter.server.events import ClientRequest
 
 PATH_MOST = 2_048  # characters: longer paths name nothing
 PARAMS_MOST = 64  # of a query
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -24,19 +24,9 @@
 from quartzrouter.routing.model import AttemptStatus, HealthObservation, Request
 from quartzrouter.routing.model import Idempotency as Repeats
 from quartzrouter.server import responses
-from quartzrouter.server.endpoint_watch import EndpointUpdate
-from quartzrouter.server.state_machine import (
-    DONE,
-    SAME,
-    AttemptEnded,
-    ClientRequest,
-    Effect,
-    Event,
-    PendingAttempt,
-    PendingRequest,
-    RouterStateMachine,
-    SendResponse,
-)
+from quartzrouter.server.effects import Effect, SendResponse
+from quartzrouter.server.events import AttemptEnded, ClientRequest, EndpointUpdate, Event
+from quartzrouter.server.state_machine import DONE, SAME, PendingAttempt, PendingRequest, RouterStateMachine
 
 log = logging.getLogger("quartzrouter.routing.router")  # what changes the decisions is told where they are
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -23,7 +23,7 @@
     TrafficClass,
 )
 from quartzrouter.routing.router import Router
-from quartzrouter.server import attempt_failure, endpoint_watch, state_machine
+from quartzrouter.server import attempt_failure, events, state_machine
 
 MS, S = 1_000, 1_000_000
 SETUP = {
@@ -194,7 +194,7 @@
 
     def list(self, whole=False, **states):
         addresses = {name: (f"127.0.0.{n}", 80) for n, name in enumerate(states, 1)}
-        self.do(f"list {states}", endpoint_watch.EndpointUpdate(listed(states), addresses, whole))
+        self.do(f"list {states}", events.EndpointUpdate(listed(states), addresses, whole))
 
     def came(self, ticket, vhost="page", **other):
         given = {
@@ -207,27 +207,25 @@
         }
         self.do(
             f"req {ticket} {vhost}",
-            state_machine.RequestReceived(ticket, state_machine.ClientRequest(**(given | other))),
+            events.RequestReceived(ticket, events.ClientRequest(**(given | other))),
         )
 
     def answered(self, ticket, status=200, length=None, never_ran=False, marked=True, hop=0):
-        event = state_machine.ResponseHead(ticket, hop, status, length, never_ran, marked, FillStatus.UNKNOWN)
+        event = events.ResponseHead(ticket, hop, status, length, never_ran, marked, FillStatus.UNKNOWN)
         self.do(f"req {ticket} head {status}", event)
 
     def over(self, ticket, *failure, hop=0, body=b""):
-        event = state_machine.AttemptEnded(
-            ticket, hop, attempt_failure.Failure(*failure) if failure else None, body
-        )
+        event = events.AttemptEnded(ticket, hop, attempt_failure.Failure(*failure) if failure else None, body)
         self.do(f"req {ticket} over {failure[1].name.lower() if failure else 'whole'}", event)
 
     def ready(self, ticket, hop=0):
-        self.do(f"req {ticket} ready", state_machine.ConnectionReady(ticket, hop))
+        self.do(f"req {ticket} ready", events.ConnectionReady(ticket, hop))
 
     def until(self, ms):
         """Lets the timers fire up to that time."""
         while self.reducer.due <= self.start + ms * MS:
             self.now = max(self.now, self.reducer.due)
-            self.do("tick", state_machine.TimerFired(), quiet=True)
+            self.do("tick", events.TimerFired(), quiet=True)
         self.now = self.start + ms * MS
 
     def do(self, text, event, quiet=False):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -23,6 +23,7 @@
     cache_connections,
     client_connections,
     endpoint_watch,
+    events,
     fastcgi,
     process,
     stream,
@@ -312,7 +313,7 @@
         assert "first" in await client.end()
         await anyio.sleep(2 * cache_connections.REST)
         if purged:
-            world.service.feed(endpoint_watch.PurgeNotice(None, f"{7:016x}", world.service.time()))
+            world.service.feed(events.PurgeNotice(None, f"{7:016x}", world.service.time()))
         world.answers = {7: [gate, FIRST, WHOLE]}
         await client.begin(2, **same)
         await until(lambda: asked(world, 7) == 2)
@@ -788,7 +789,7 @@
             world.frames = [purge]
             await follow(world.journal)
             await until(lambda: purged)
-            assert purged == [endpoint_watch.PurgeNotice(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
+            assert purged == [events.PurgeNotice(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
             assert service.journal.held == 2
             tasks.cancel_scope.cancel()
 
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -11,7 +11,7 @@
 from quartzrouter.configuration import DeploymentSettings
 from quartzrouter.routing import router
 from quartzrouter.routing.model import FillStatus
-from quartzrouter.server import cache_connections, endpoint_watch, responses, state_machine
+from quartzrouter.server import cache_connections, effects, events, responses, state_machine
 
 PACE = 300  # KB a second
 LARGE, SMALL = 240_000, 5_000  # bytes
@@ -37,7 +37,7 @@
         self.sending, self.stuck = {}, set()
         names = dict.fromkeys(["c1", "c2", "c3", "p1", "o"], "up")
         addresses = {name: (f"127.0.0.{n}", 80) for n, name in enumerate(names, 1)}
-        self.step(endpoint_watch.EndpointUpdate(listed(names), addresses, True))
+        self.step(events.EndpointUpdate(listed(names), addresses, True))
 
     def at(self, when, event):
         self.numbers += 1
@@ -46,30 +46,28 @@
     def step(self, event):
         for effect in self.reducer.step(event, self.now):
             match effect:
-                case state_machine.OpenConnection(ticket, hop):
-                    self.at(self.now + MS, state_machine.ConnectionReady(ticket, hop))
-                case state_machine.SendRequest(ticket, hop):
+                case effects.OpenConnection(ticket, hop):
+                    self.at(self.now + MS, events.ConnectionReady(ticket, hop))
+                case effects.SendRequest(ticket, hop):
                     self.sending[ticket, hop] = True
-                    head = state_machine.ResponseHead(
+                    head = events.ResponseHead(
                         ticket, hop, 200, self.sizes[ticket], False, True, FillStatus.HIT
                     )
                     took = self.sizes[ticket] / 1000 / PACE * S * 1.5  # the link is shared
                     self.at(self.now + 30 * MS + (0 if self.head_first else int(took)), head)
                     if ticket not in self.stuck:
-                        self.at(
-                            self.now + 30 * MS + int(took), state_machine.AttemptEnded(ticket, hop, None, b"")
-                        )
-                case state_machine.CancelAttempt(ticket, hop):
+                        self.at(self.now + 30 * MS + int(took), events.AttemptEnded(ticket, hop, None, b""))
+                case effects.CancelAttempt(ticket, hop):
                     self.sending.pop((ticket, hop), None)
-                case state_machine.SendResponse(ticket, data):
+                case effects.SendResponse(ticket, data):
                     self.ends[ticket] = self.now
                     if data == responses.ok(b""):
                         self.done.add(ticket)
 
     def came(self, when, ticket, size):
         self.sizes[ticket] = size
-        call = state_machine.ClientRequest(f"{ticket:016x}", "page", f"{ticket % 50:016x}", 0, 1, 5 * S)
-        self.at(when, state_machine.RequestReceived(ticket, call))
+        call = events.ClientRequest(f"{ticket:016x}", "page", f"{ticket % 50:016x}", 0, 1, 5 * S)
+        self.at(when, events.RequestReceived(ticket, call))
 
     def play(self, until):
         while True:
@@ -79,11 +77,11 @@
             self.now = max(self.now, due)
             if self.events and self.events[0][0] <= self.now:
                 event = heapq.heappop(self.events)[2]
-                over = isinstance(event, (state_machine.ResponseHead, state_machine.AttemptEnded))
+                over = isinstance(event, (events.ResponseHead, events.AttemptEnded))
                 if not over or (event.ticket, event.hop) in self.sending:
                     self.step(event)
             else:
-                self.step(state_machine.TimerFired())
+                self.step(events.TimerFired())
 
     def share(self, size):
         these = [ticket for ticket, each in self.sizes.items() if each == size]
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -3,7 +3,7 @@
 from conftest import listed
 
 from quartzrouter.routing.model import AttemptStatus, Defer
-from quartzrouter.server import endpoint_watch, state_machine
+from quartzrouter.server import events
 from quartzrouter.server.attempt_failure import Cause, Stage
 
 
@@ -37,7 +37,7 @@
             play.answered(ticket, length=3)
         if stage == "over":
             play.over(ticket, body=b"abc")
-        play.do(f"req {ticket} left while {stage}", state_machine.ClientGone(ticket))
+        play.do(f"req {ticket} left while {stage}", events.ClientGone(ticket))
         play.over(ticket, body=b"abc")
     empty(play)
 
@@ -48,17 +48,17 @@
     play.list(**{be: "draining"})
     play.ready(1)
     play.came(2)
-    play.do("purge of another group", endpoint_watch.PurgeNotice(6, None, play.now))
-    play.do("purge of another object", endpoint_watch.PurgeNotice(None, f"{8:016x}", play.now))
+    play.do("purge of another group", events.PurgeNotice(6, None, play.now))
+    play.do("purge of another object", events.PurgeNotice(None, f"{8:016x}", play.now))
     play.ready(2)
     play.came(3)
-    play.do("purge of the object", endpoint_watch.PurgeNotice(None, f"{7:016x}", play.now))
+    play.do("purge of the object", events.PurgeNotice(None, f"{7:016x}", play.now))
     play.ready(3)
     play.came(4)
-    play.do("purge of the group", endpoint_watch.PurgeNotice(5, None, play.now))
+    play.do("purge of the group", events.PurgeNotice(5, None, play.now))
     play.ready(4)
     play.now += 2_500_000
-    play.do("tick", state_machine.TimerFired())
+    play.do("tick", events.TimerFired())
     play.came(5, timeout=1000)
     play.now += 2_000_000
     play.ready(5)
@@ -106,7 +106,7 @@
                 play.over(ticket)
             else:
                 play.over(ticket, Stage.ASKING, way)
-        play.do(f"req {ticket} left", state_machine.ClientGone(ticket))
+        play.do(f"req {ticket} left", events.ClientGone(ticket))
         play.until(10_000 * ticket)
     empty(play)
 
@@ -136,7 +136,7 @@
 def test_addresses_of_what_has_gone_end(play):
     for n in range(100):
         for state in ("up", "gone"):
-            lines = endpoint_watch.EndpointUpdate(
+            lines = events.EndpointUpdate(
                 listed({f"c{n + 10}": state}), {f"c{n + 10}": ("127.0.0.9", n)}, False
             )
             play.do("", lines, quiet=True)
@@ -147,17 +147,17 @@
 
 
 def test_a_reload_asks_for_the_journal_at_its_new_address(play):
-    play.do("reload", state_machine.ConfigurationReloaded(("127.0.0.9", 4222)))
-    play.do("stop", state_machine.ShutdownRequested())
-    play.do("reload", state_machine.ConfigurationReloaded(("127.0.0.8", 4222)))
+    play.do("reload", events.ConfigurationReloaded(("127.0.0.9", 4222)))
+    play.do("stop", events.ShutdownRequested())
+    play.do("reload", events.ConfigurationReloaded(("127.0.0.8", 4222)))
 
 
 def test_sigterm_with_reqs_in_hand(play):
-    play.do("health", state_machine.StatusQueried(90))
+    play.do("health", events.StatusQueried(90))
     play.came(1, timeout=3_000_000)
     play.ready(1)
-    play.do("stop", state_machine.ShutdownRequested())
-    play.do("health", state_machine.StatusQueried(91))
+    play.do("stop", events.ShutdownRequested())
+    play.do("health", events.StatusQueried(91))
     play.until(900)
     play.came(2)
     play.until(1_100)
@@ -176,7 +176,7 @@
         play.over(ticket, Stage.CONNECTING, Cause.REFUSED)
     play.until(600)
     name = min(play.reducer.probing)
-    play.do(f"probe of {name} done", state_machine.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
+    play.do(f"probe of {name} done", events.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
     play.list(c1="gone", c2="up")
 
 
@@ -202,8 +202,8 @@
     play.reducer.router.route = lambda req, now: Defer(0)
     play.came(1)
     for _ in range(3):
-        play.do("tick", state_machine.TimerFired())
+        play.do("tick", events.TimerFired())
         assert play.reducer.due <= play.now
     play.now += 2_000_001
-    play.do("tick", state_machine.TimerFired())
+    play.do("tick", events.TimerFired())
     empty(play)
--- a/tests/test_reducer_machine.py
+++ b/tests/test_reducer_machine.py
@@ -8,7 +8,7 @@
 from quartzrouter.configuration import DeploymentSettings
 from quartzrouter.routing import router
 from quartzrouter.routing.model import FillStatus
-from quartzrouter.server import attempt_failure, endpoint_watch, state_machine
+from quartzrouter.server import attempt_failure, effects, events, state_machine
 
 CACHES = ("c1", "c2", "p1", "o")
 PURGE_LIFE = 6 * S
@@ -52,7 +52,7 @@
         self.down, self.purged = set(), {}
         self.stopped = self.exited = False
         addresses = {name: (f"127.0.0.{n}", 80) for n, name in enumerate(CACHES, 1)}
-        self.lines = lambda **states: endpoint_watch.EndpointUpdate(
+        self.lines = lambda **states: events.EndpointUpdate(
             listed(states, started), addresses, len(states) > 1
         )
         self.step(self.lines(**dict.fromkeys(CACHES, "up")))
@@ -60,22 +60,22 @@
     def step(self, event):
         for effect in self.reducer.step(event, self.now):
             match effect:
-                case state_machine.SendResponse(ticket, _) if ticket in self.vhost:
+                case effects.SendResponse(ticket, _) if ticket in self.vhost:
                     assert ticket not in self.replied, "a second answer"
                     self.replied[ticket] = effect
-                case state_machine.OpenConnection(ticket, hop, name):
+                case effects.OpenConnection(ticket, hop, name):
                     self.may_begin(ticket, name)
                     assert not any(other == ticket for other, _ in self.opened), "two at a time"
                     self.opened[ticket, hop] = name
-                case state_machine.SendRequest(ticket, hop, _, fields):
+                case effects.SendRequest(ticket, hop, _, fields):
                     name = self.opened[ticket, hop]
                     self.may_begin(ticket, name)
                     self.may_run(ticket)
                     self.young_enough(ticket, dict(fields))
                     self.written[ticket, hop] = self.now
-                case state_machine.CancelAttempt(ticket, hop):
+                case effects.CancelAttempt(ticket, hop):
                     self.ended(ticket, hop, ran=True)
-                case state_machine.ExitProcess():
+                case effects.ExitProcess():
                     assert not self.owed(), "an end before the last answer"
                     self.exited = True
 
@@ -117,10 +117,10 @@
     def came(self, vhost, obj, group, timeout):
         self.tickets += 1
         self.vhost[self.tickets], self.object[self.tickets] = vhost, (f"{obj:016x}", group)
-        call = state_machine.ClientRequest(
+        call = events.ClientRequest(
             f"{self.tickets:016x}", vhost, f"{obj:016x}", 0, group, timeout * MS, key="a" * 32
         )
-        self.step(state_machine.RequestReceived(self.tickets, call))
+        self.step(events.RequestReceived(self.tickets, call))
 
     @precondition(lambda self: self.tickets)
     @rule(data=st.data())
@@ -128,7 +128,7 @@
         ticket = data.draw(st.integers(1, self.tickets))
         if ticket not in self.replied:
             self.gone.add(ticket)
-        self.step(state_machine.ClientGone(ticket))
+        self.step(events.ClientGone(ticket))
 
     # -- attempts ----------------------------------------------------------------------------------
 
@@ -139,14 +139,14 @@
     @rule(data=st.data())
     def ready(self, data):
         if key := self.attempt(data, written=False):
-            self.step(state_machine.ConnectionReady(*key))
+            self.step(events.ConnectionReady(*key))
 
     @rule(data=st.data(), failure=st.sampled_from(FAILURES))
     def failed(self, data, failure):
         key = self.attempt(data, written=failure.stage >= attempt_failure.Stage.ASKING)
         if key:
             self.ended(*key, ran=not failure.ending().never_ran)
-            self.step(state_machine.AttemptEnded(*key, failure))
+            self.step(events.AttemptEnded(*key, failure))
 
     @rule(data=st.data(), answer=st.sampled_from(STATUSES), marked=st.booleans())
     def answered(self, data, answer, marked):
@@ -154,10 +154,10 @@
         if not key:
             return
         status, never_ran = answer
-        self.step(state_machine.ResponseHead(*key, status, 5, never_ran, marked, FillStatus.UNKNOWN))
+        self.step(events.ResponseHead(*key, status, 5, never_ran, marked, FillStatus.UNKNOWN))
         if key in self.opened:
             self.ended(*key, ran=not (never_ran or status == 404))
-            self.step(state_machine.AttemptEnded(*key, None, b"abcde"))
+            self.step(events.AttemptEnded(*key, None, b"abcde"))
 
     @rule(passed=st.sampled_from([400, 2_900, 2_960, 3_100]))
     def breaks_off_and_tries_again(self, passed):
@@ -165,10 +165,10 @@
         self.came("hold", 1, 1, 6_000)
         for again in (False, True):
             if key := next((key for key in self.opened if key[0] == self.tickets), None):
-                self.step(state_machine.ConnectionReady(*key))
+                self.step(events.ConnectionReady(*key))
                 if not again and key in self.written:
                     self.ended(*key, ran=True)
-                    self.step(state_machine.AttemptEnded(*key, FAILURES[3]))
+                    self.step(events.AttemptEnded(*key, FAILURES[3]))
                     self.time(passed)
 
     # -- what is told ------------------------------------------------------------------------------
@@ -181,25 +181,23 @@
     @rule(whole=st.booleans(), obj=st.integers(1, 2), group=st.integers(1, 2))
     def purge(self, whole, obj, group):
         self.purged[group if whole else f"{obj:016x}"] = self.now
-        self.step(
-            state_machine.PurgeNotice(group if whole else None, None if whole else f"{obj:016x}", self.now)
-        )
+        self.step(events.PurgeNotice(group if whole else None, None if whole else f"{obj:016x}", self.now))
 
     @rule()
     def reload(self):
-        self.step(state_machine.ConfigurationReloaded(("127.0.0.9", 80)))
+        self.step(events.ConfigurationReloaded(("127.0.0.9", 80)))
 
     @rule()
     def stop(self):
         self.stopped = True
-        self.step(state_machine.ShutdownRequested())
+        self.step(events.ShutdownRequested())
 
     @rule(passed=st.sampled_from([1, 10, 60, 400, 1_500, 3_100]))
     def time(self, passed):
         until = self.now + passed * MS
         while self.reducer.due <= until:
             self.now = max(self.now, self.reducer.due)
-            self.step(state_machine.TimerFired())
+            self.step(events.TimerFired())
         self.now = until
 
     # -- ever, and at the end ------------------------------------------------------------------------
