--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -112,7 +112,7 @@
         """
         if self.last is None or not copy or copy != self.last.copy:
             return False
-        limit = next((int(value) / 1e3 for name, value in write.fields if name == "X-Fresh-Ms"), math.inf)
+        limit = next((int(value) / 1e3 for name, value in write.headers if name == "X-Fresh-Ms"), math.inf)
         return write.target != self.last.target or asked - self.last.came >= limit
 
     def quiet(self) -> bool:
@@ -274,7 +274,7 @@
             self.feed(ConnectionReady(ticket, hop))
             write = await order()
             stage, asked = Stage.ASKING, anyio.current_time()
-            await connection.ask(write.target, write.fields, write.body)
+            await connection.ask(write.target, write.headers, write.body)
             while not isinstance(event := await connection.next(), h11.EndOfMessage):
                 if isinstance(event, h11.Response):
                     stage = Stage.ANSWERED
@@ -284,7 +284,7 @@
                         raise MalformedResponse("the answer before it, once more")
                     head = read_head(ticket, hop, event.status_code, fields, self.copy_of, self.reports)
                     self.feed(head)
-                    need = ANSWER_MOST if head.length is None else head.length
+                    need = ANSWER_MOST if head.content_length is None else head.content_length
                     await self.room.take(need)
                     held = need
                 elif isinstance(event, h11.Data):
@@ -322,7 +322,7 @@
         ending, connection = AttemptStatus.ERROR, None
         try:
             with anyio.move_on_after(probe.timeout / 1e6) as scope:
-                found = await self._connect(probe.name, probe.address)
+                found = await self._connect(probe.endpoint, probe.address)
                 if isinstance(found, Failure):
                     ending = found.ending()
                     return
@@ -332,7 +332,7 @@
                     if isinstance(event, h11.Response) and event.status_code == 200:
                         ending = AttemptStatus.SUCCEEDED
                 kept, connection = connection, None
-                self._keep(probe.name, kept, "/alive", ())
+                self._keep(probe.endpoint, kept, "/alive", ())
             if scope.cancelled_caught:
                 ending = AttemptStatus.TIMED_OUT
         except CONNECTION_LOST:
@@ -342,7 +342,7 @@
         finally:
             if connection is not None:
                 self._close(connection)
-            self.feed(HealthCheckDone(probe.name, ending))
+            self.feed(HealthCheckDone(probe.endpoint, ending))
 
     def forget(self, name: str) -> None:
         for connection in self.pool.pop(name, []):
--- a/quartzrouter/server/client_connections.py
+++ b/quartzrouter/server/client_connections.py
@@ -107,14 +107,14 @@
     if group > 255:
         raise InvalidRequest(f"X-Tag is {group}")
     return ClientRequest(
-        id=field("X-Correlation-Id", TOKEN),
-        vhost=vhost,
-        obj=field("X-Subject", TOKEN),
-        part=int(field("X-Chunk", NUMBER)),
-        group=group,
+        correlation_id=field("X-Correlation-Id", TOKEN),
+        traffic_class=vhost,
+        object_key=field("X-Subject", TOKEN),
+        chunk=int(field("X-Chunk", NUMBER)),
+        tag=group,
         timeout=timeout * 1000,
-        key=field("X-Operation-Key", KEY) if keyed else maybe("X-Operation-Key", KEY),
-        held=maybe("X-Known", TOKEN),
+        idempotency_key=field("X-Operation-Key", KEY) if keyed else maybe("X-Operation-Key", KEY),
+        if_none_match=maybe("X-Known", TOKEN),
     )
 
 
@@ -275,7 +275,7 @@
         if intake.call is None:
             self.front.feed(StatusQueried(ticket))
         else:
-            call = intake.call._replace(body=bytes(intake.body), waited=waited)
+            call = intake.call._replace(body=bytes(intake.body), queueing_time=waited)
             self.front.feed(RequestReceived(ticket, call))
 
     def refuse(self, id: int, error: Exception) -> None:
--- a/quartzrouter/server/effects.py
+++ b/quartzrouter/server/effects.py
@@ -1,61 +1,80 @@
-"""Effects of the router's state machine: what RouterStateMachine.step() asks its process to do."""
+"""Effects of the router's state machine: what it asks its process to do.
+
+``RouterStateMachine.step()`` returns them in the order in which they are to be carried out.  What
+becomes of them comes back as events (``quartzrouter.server.events``).  Durations are microseconds.
+"""
 
 from typing import NamedTuple
 
 
 class OpenConnection(NamedTuple):
-    """Get a connection for a dispatch, and say when it is ready."""
+    """Get a connection for an attempt, and answer with ``ConnectionReady``.
+
+    :param address: host and port of the endpoint.
+    """
 
-    ticket: int
-    hop: int
-    name: str
+    request_id: int
+    attempt_number: int
+    endpoint: str
     address: tuple[str, int]
 
 
 class SendRequest(NamedTuple):
-    """Send this on the connection that is ready, and read the answer."""
+    """Send a request on the connection that is ready, and read the response.
+
+    :param target: path of the request.
+    :param headers: name and value of each header, in the order in which they are sent.
+    """
 
-    ticket: int
-    hop: int
+    request_id: int
+    attempt_number: int
     target: str
-    fields: list[tuple[str, str]]
+    headers: list[tuple[str, str]]
     body: bytes
 
 
 class CancelAttempt(NamedTuple):
-    """Give the dispatch up: close its connection; nothing more is heard of it."""
+    """Give an attempt up: close its connection; no event of it follows."""
 
-    ticket: int
-    hop: int
+    request_id: int
+    attempt_number: int
 
 
 class SendResponse(NamedTuple):
-    """The answer to a client."""
+    """Send the final response to a client.
 
-    ticket: int
+    :param data: head and body, as the client's server reads them from a FastCGI responder.
+    """
+
+    request_id: int
     data: bytes
 
 
 class StartHealthCheck(NamedTuple):
-    name: str
+    """Check an endpoint, and answer with ``HealthCheckDone``.
+
+    :param timeout: an endpoint that has not answered by then counts as hanging.
+    """
+
+    endpoint: str
     address: tuple[str, int]
     timeout: int
 
 
 class CloseIdleConnections(NamedTuple):
-    """Close what is pooled for a cache."""
+    """Close the pooled connections of an endpoint."""
 
-    name: str
+    endpoint: str
 
 
 class FollowDiscovery(NamedTuple):
-    """Hear the journal service there, from the last number held."""
+    """Follow the discovery service at this address, from the last event held."""
 
     address: tuple[str, int]
 
 
 class ExitProcess(NamedTuple):
-    pass
+    """End the process: each request that was accepted has had its response."""
 
 
 Effect = (
--- a/quartzrouter/server/events.py
+++ b/quartzrouter/server/events.py
@@ -1,4 +1,12 @@
-"""Events of the router's state machine: what has come about outside, for RouterStateMachine.step()."""
+"""Events of the router's state machine: what has happened outside of it.
+
+The process (``quartzrouter.server.process``) and the connections make them and hand each one to
+``RouterStateMachine.step()``.  Times and durations are whole microseconds.
+
+``request_id`` numbers requests within this process; ``attempt_number`` counts the attempts of one
+request from 0.  Together they name an attempt, and an event of an attempt that has been cancelled
+meanwhile is passed over.
+"""
 
 from typing import Any, NamedTuple
 
@@ -7,93 +15,134 @@
 
 
 class ClientRequest(NamedTuple):
-    """A req as the client sent it."""
-
-    id: str
-    vhost: str
-    obj: str
-    part: int
-    group: int | None
-    timeout: int  # us
-    key: str | None = None
-    held: str | None = None  # the tag of the client's copy
+    """A request as its client sent it.
+
+    :param correlation_id: the client's own name for it; one at a time may be in use.
+    :param traffic_class: name of the class that it is routed under.
+    :param object_key: the object that it asks for.
+    :param chunk: which part of the object.
+    :param tag: the purge group of the object, if it is in one.
+    :param timeout: microseconds for which the client waits.
+    :param idempotency_key: by which caches recognise a repeat of the same operation.
+    :param if_none_match: the entity tag of the copy that the client holds, if it holds one.
+    :param queueing_time: microseconds between the arrival of its last byte at this machine and its reading.
+    :param route_selection: the route and policy that apply to it, in a router under its own configuration.
+    """
+
+    correlation_id: str
+    traffic_class: str
+    object_key: str
+    chunk: int
+    tag: int | None
+    timeout: int
+    idempotency_key: str | None = None
+    if_none_match: str | None = None
     body: bytes = b""
-    waited: int = 0  # us between its last byte's arrival at this machine and its reading
-    ruling: Any = None  # what a plan says of it, where there is one
-
-
-class EndpointUpdate(NamedTuple):
-    """Lines of the cache list, and the addresses of the caches by id."""
-
-    lines: list[Endpoint]
-    addresses: dict[str, tuple[str, int]]
-    whole: bool
-
-
-class PurgeNotice(NamedTuple):
-    group: int | None
-    obj: str | None
-    when: int  # us
+    queueing_time: int = 0
+    route_selection: Any = None
 
 
 class RequestReceived(NamedTuple):
-    ticket: int
-    call: ClientRequest
+    """A request has come whole, and its client has not taken it back."""
+
+    request_id: int
+    client_request: ClientRequest
 
 
 class ClientGone(NamedTuple):
-    """The client has gone, or has stopped waiting."""
+    """The client of a request has gone, or has stopped waiting."""
 
-    ticket: int
+    request_id: int
 
 
 class ConnectionReady(NamedTuple):
-    """A connection is there; the next byte would be the first."""
+    """The connection for an attempt is up; nothing has been written on it."""
 
-    ticket: int
-    hop: int
+    request_id: int
+    attempt_number: int
 
 
 class ResponseHead(NamedTuple):
-    ticket: int
-    hop: int
+    """Status and headers of the response to an attempt.
+
+    :param status: the HTTP status code.
+    :param content_length: bytes of the body; None where the response doesn't say.
+    :param never_ran: the endpoint says that the request had no effect there.
+    :param has_copy_headers: it names the copy in the response and the time it was made.
+    :param fill_status: where the response says that it came from.
+    :param cached_copy: what a router under its own configuration reads of the copy's age.
+    """
+
+    request_id: int
+    attempt_number: int
     status: int
-    length: int | None
+    content_length: int | None
     never_ran: bool
-    marked: bool  # with the tag and the time of the copy
-    told: FillStatus
-    copy: Any = None  # what else an installation of our own reads of it
-    report: LoadReport = LoadReport()
+    has_copy_headers: bool
+    fill_status: FillStatus
+    cached_copy: Any = None
+    load_report: LoadReport = LoadReport()
 
 
 class AttemptEnded(NamedTuple):
-    """The dispatch has ended: with the whole of an answer, or with a failure."""
+    """An attempt has ended: with the whole of a response, or with a failure.
+
+    :param failure: None where the whole response has come.
+    """
 
-    ticket: int
-    hop: int
+    request_id: int
+    attempt_number: int
     failure: Failure | None = None
     body: bytes = b""
 
 
 class HealthCheckDone(NamedTuple):
-    name: str
-    ending: AttemptStatus
+    """A health check has ended."""
+
+    endpoint: str
+    status: AttemptStatus
+
+
+class EndpointUpdate(NamedTuple):
+    """A part of the endpoint list, or all of it.
+
+    :param addresses: host and port by the endpoint's name.
+    :param is_snapshot: the list is whole; endpoints that it lacks are gone.
+    """
+
+    endpoints: list[Endpoint]
+    addresses: dict[str, tuple[str, int]]
+    is_snapshot: bool
+
+
+class PurgeNotice(NamedTuple):
+    """All copies that are older than the purge have to go: of one object, or of all objects with a tag.
+
+    :param purged_at: microseconds since the epoch.
+    """
+
+    tag: int | None
+    object_key: str | None
+    purged_at: int
 
 
 class StatusQueried(NamedTuple):
-    """/health."""
+    """Somebody asks /health whether the router is ready."""
 
-    ticket: int
+    request_id: int
 
 
 class TimerFired(NamedTuple):
-    pass
+    """The time that ``RouterStateMachine.due`` named has come."""
 
 
 class ConfigurationReloaded(NamedTuple):
-    """SIGHUP, and a configuration that can be used: where the journal service now is."""
+    """SIGHUP, and a configuration that can be used.
 
-    journal: tuple[str, int]
+    :param discovery_address: host and port of the discovery service.
+    """
+
+    discovery_address: tuple[str, int]
 
 
 class ShutdownRequested(NamedTuple):
@@ -107,10 +156,10 @@
     | ResponseHead
     | AttemptEnded
     | HealthCheckDone
+    | EndpointUpdate
+    | PurgeNotice
     | StatusQueried
     | TimerFired
     | ConfigurationReloaded
     | ShutdownRequested
-    | EndpointUpdate
-    | PurgeNotice
 )
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -155,7 +155,10 @@
         except Exception:
             self.report.say("fault", f"{type(event).__name__}: {traceback.format_exc()}")
             effects = self.reducer.effects
-            if not isinstance(event, ClientGone) and (failed := getattr(event, "ticket", None)) is not None:
+            if (
+                not isinstance(event, ClientGone)
+                and (failed := getattr(event, "request_id", None)) is not None
+            ):
                 self.events.append(ClientGone(failed))
         if effects or not isinstance(event, TimerFired):
             self.done += 1
--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -109,7 +109,9 @@
             case PurgeNotice(group, obj, when):
                 self.router.record_purge(group, obj, max(0, now - when), now)
                 for hand in self.hands.values():
-                    if hand.going and (hand.call.obj.lower() == obj if obj else hand.call.group == group):
+                    if hand.going and (
+                        hand.call.object_key.lower() == obj if obj else hand.call.tag == group
+                    ):
                         hand.going.stale = True
             case HealthCheckDone(name, ending):
                 self.probing.discard(name)
@@ -185,32 +187,32 @@
     # -- events --------------------------------------------------------------------------------------
 
     def _came(self, ticket: int, call: ClientRequest, now: int) -> None:
-        if call.id.lower() in self.ids:
+        if call.correlation_id.lower() in self.ids:
             self.effects.append(SendResponse(ticket, responses.invalid(409, "X-Correlation-Id is in use")))
             return
         self.hands[ticket] = PendingRequest(call)
-        self.ids.add(call.id.lower())
+        self.ids.add(call.correlation_id.lower())
         if self.closed:
             self._reply(ticket, responses.overloaded(0))
             return
-        self._timer(now + call.timeout - call.waited, "req", ticket)
+        self._timer(now + call.timeout - call.queueing_time, "req", ticket)
         self.take(self._req(ticket, call), now)
 
     def _req(self, ticket: int, call: ClientRequest) -> Request:
         return Request(
             ticket,
-            call.vhost,
-            call.obj.lower(),
-            call.group,
-            call.part,
+            call.traffic_class,
+            call.object_key.lower(),
+            call.tag,
+            call.chunk,
             size_kb=0.0,
             timeout=call.timeout,
-            queueing_time=call.waited,
+            queueing_time=call.queueing_time,
         )
 
     def _kept(self, call: ClientRequest) -> bool:
         """Whether caches keep copies of it, so that an answer has a tag and a time."""
-        return not self.router.vhosts[call.vhost].uncacheable
+        return not self.router.vhosts[call.traffic_class].uncacheable
 
     def _fields(self, call: ClientRequest) -> list[tuple[str, str]]:
         """What is passed on beside what the platform's page names."""
@@ -219,7 +221,7 @@
     def _left(self, ticket: int, now: int) -> None:
         if (hand := self.hands.get(ticket)) and not hand.gone:
             hand.gone = True
-            self.ids.discard(hand.call.id.lower())
+            self.ids.discard(hand.call.correlation_id.lower())
             self.left(ticket, now)
             if hand.going and not hand.going.ready:  # nothing of it has gone out, and nothing will
                 self._end(ticket, hand.going, AttemptStatus.NOT_SENT, now)
@@ -232,9 +234,9 @@
             self._end(ticket, going, AttemptStatus.NOT_SENT, now)
             return
         going.ready = True
-        fields = [("X-Hop-Id", call.id), ("X-Budget", str(max(1, (going.until - now) // MS)))]
-        if call.key:
-            fields.append(("X-Replay-Key", call.key))
+        fields = [("X-Hop-Id", call.correlation_id), ("X-Budget", str(max(1, (going.until - now) // MS)))]
+        if call.idempotency_key:
+            fields.append(("X-Replay-Key", call.idempotency_key))
         if given.fill_source != given.endpoint:
             fields.append(("X-Parent", given.fill_source))
         if given.cache_priority:
@@ -247,21 +249,24 @@
             if on
         ]:
             fields.append(("X-Opts", "+".join(opts)))
-        if call.held:
-            fields.append(("X-Have", call.held))
+        if call.if_none_match:
+            fields.append(("X-Have", call.if_none_match))
         fields += self._fields(call)
-        target = f"/x/{call.vhost}/{call.obj}/{call.part}"
+        target = f"/x/{call.traffic_class}/{call.object_key}/{call.chunk}"
         self.effects.append(SendRequest(ticket, given.attempt_number, target, fields, call.body))
 
     def _head(self, ticket: int, going: PendingAttempt, head: ResponseHead, now: int) -> None:
         call = self.hands[ticket].call
         going.head = head
-        unmarked = head.status in (DONE, SAME) and self._kept(call) and not head.marked
-        if unmarked or (head.status == SAME and not call.held):
+        unmarked = head.status in (DONE, SAME) and self._kept(call) and not head.has_copy_headers
+        if unmarked or (head.status == SAME and not call.if_none_match):
             self._end(
                 ticket, going, AttemptStatus.CONNECTION_LOST, now
             )  # nothing that may be passed on; it may have run
-        elif head.length and (until := self.router.response_deadline(ticket, head.length / KB)) > going.until:
+        elif (
+            head.content_length
+            and (until := self.router.response_deadline(ticket, head.content_length / KB)) > going.until
+        ):
             going.until = until
             self._timer(until, "hop", ticket, going.answer.attempt_number)
 
@@ -286,11 +291,11 @@
             if self.addresses.get(name, where) != where:
                 self.effects.append(CloseIdleConnections(name))
             self.addresses[name] = where
-        told = {line.name: line.state for line in event.lines}
-        if event.whole:
+        told = {line.name: line.state for line in event.endpoints}
+        if event.is_snapshot:
             told |= {name: EndpointState.GONE for name in self.addresses if name not in told}
         self.listed |= bool(told)
-        self.router.update_endpoints(event.lines, event.whole, now)
+        self.router.update_endpoints(event.endpoints, event.is_snapshot, now)
         down = {name for name, state in told.items() if state is not EndpointState.UP}
         self.effects += [CloseIdleConnections(name) for name in sorted(down)]
         for name, state in told.items():
@@ -344,7 +349,9 @@
         hand = self.hands[ticket]
         hand.going = None
         told, report = (
-            (going.head.told, going.head.report) if going.head else (FillStatus.UNKNOWN, LoadReport())
+            (going.head.fill_status, going.head.load_report)
+            if going.head
+            else (FillStatus.UNKNOWN, LoadReport())
         )
         over = hand.gone or ending is AttemptStatus.SUCCEEDED
         if over:
@@ -360,7 +367,7 @@
         hand = self.hands[ticket]
         if not hand.gone:
             self.effects.append(SendResponse(ticket, data))
-            self.ids.discard(hand.call.id.lower())
+            self.ids.discard(hand.call.correlation_id.lower())
         hand.gone = True
         if not hand.going:
             del self.hands[ticket]
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -188,8 +188,8 @@
         hosts = {"hosts": {"complete": True, "members": members(plan)}}
         (lines,) = initial_snapshot([Section(hosts)], self.configuration.briefing)
         listed, now = self.reducer.addresses, self._time()
-        fresh = [line if line.name in listed else replace(line, started_at=now) for line in lines.lines]
-        return lines._replace(lines=fresh)
+        fresh = [line if line.name in listed else replace(line, started_at=now) for line in lines.endpoints]
+        return lines._replace(endpoints=fresh)
 
 
 def configuration(plan: Plan) -> Configuration:
--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -40,15 +40,15 @@
         if told is not None and not (NUMBER.fullmatch(told) and 0 < int(told) <= TIMEOUT_MOST):
             raise InvalidRequest(f"X-Deadline-Ms is {told!r:.40}")
         return ClientRequest(
-            id=_token(params, "HTTP_X_CORRELATION_ID") or secrets.token_hex(8),
-            vhost=vhost.name,
-            obj=_token(params, "HTTP_X_SUBJECT") or ruling.obj,
-            part=ruling.part,
-            group=ruling.group,
+            correlation_id=_token(params, "HTTP_X_CORRELATION_ID") or secrets.token_hex(8),
+            traffic_class=vhost.name,
+            object_key=_token(params, "HTTP_X_SUBJECT") or ruling.obj,
+            chunk=ruling.part,
+            tag=ruling.group,
             timeout=self.force.timeout(ruling, int(told) * 1000 if told else 0),
-            key=key,
-            held=_token(params, "HTTP_X_KNOWN"),
-            ruling=ruling,
+            idempotency_key=key,
+            if_none_match=_token(params, "HTTP_X_KNOWN"),
+            route_selection=ruling,
         )
 
     def asked(self, params: dict[str, str]) -> Asked:
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -158,14 +158,14 @@
     def _outdated(self, news: ApplyPurges, now: int) -> None:
         """Dispatches decided before a purge that are not written yet are decided anew; the rest is judged."""
         for hand in self.hands.values() if news.purges else ():
-            if hand.going and not hand.going.ready and not hand.call.ruling.vhost.uncacheable:
-                hand.going.stale |= self.force.bound_now(hand.call.ruling, hand.going.answer, now)
+            if hand.going and not hand.going.ready and not hand.call.route_selection.vhost.uncacheable:
+                hand.going.stale |= self.force.bound_now(hand.call.route_selection, hand.going.answer, now)
 
     def _over(self, ticket: int, going: PendingAttempt, event: AttemptEnded, now: int) -> None:
         call, head = self.hands[ticket].call, going.head
         brings = event.failure is None and head.status in (DONE, SAME)
-        if brings and not self.force.good(call.ruling, going.answer, head.copy, going.since):
-            again = call.ruling.vhost.idempotency is Repeats.IDEMPOTENT
+        if brings and not self.force.good(call.route_selection, going.answer, head.cached_copy, going.since):
+            again = call.route_selection.vhost.idempotency is Repeats.IDEMPOTENT
             self._end(
                 ticket,
                 going,
@@ -177,7 +177,7 @@
             super()._over(ticket, going, event, now)
 
     def _came(self, ticket: int, call: ClientRequest, now: int) -> None:
-        denied = self.force.admit(ticket, call.ruling, now)
+        denied = self.force.admit(ticket, call.route_selection, now)
         if self.force.shares and self.force.shares.fresh:
             self.effects += self._asks(now)  # a budget that nothing is held of waits for no timer
         if denied is not None:
@@ -191,22 +191,22 @@
     def _req(self, ticket: int, call: ClientRequest) -> Request:
         return Request(
             ticket,
-            vhost_name(call.ruling.route),
-            call.obj.lower(),
-            call.group,
-            call.part,
+            vhost_name(call.route_selection.route),
+            call.object_key.lower(),
+            call.tag,
+            call.chunk,
             size_kb=0.0,
             timeout=call.timeout,
-            tenant=call.ruling.tenant or None,
-            max_attempts=self.force.dispatches(call.ruling),
-            queueing_time=call.waited,
+            tenant=call.route_selection.tenant or None,
+            max_attempts=self.force.dispatches(call.route_selection),
+            queueing_time=call.queueing_time,
         )
 
     def _kept(self, call: ClientRequest) -> bool:
-        return not call.ruling.vhost.uncacheable  # of the plan it came with
+        return not call.route_selection.vhost.uncacheable  # of the plan it came with
 
     def _fields(self, call: ClientRequest) -> list[tuple[str, str]]:
-        return [("X-Path", call.ruling.path)]
+        return [("X-Path", call.route_selection.path)]
 
     def _left(self, ticket: int, now: int) -> None:
         self.force.release(ticket)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -198,11 +198,11 @@
 
     def came(self, ticket, vhost="page", **other):
         given = {
-            "id": f"{ticket:016x}",
-            "vhost": vhost,
-            "obj": f"{7:016x}",
-            "part": 0,
-            "group": 5,
+            "correlation_id": f"{ticket:016x}",
+            "traffic_class": vhost,
+            "object_key": f"{7:016x}",
+            "chunk": 0,
+            "tag": 5,
             "timeout": 2 * S,
         }
         self.do(
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -78,7 +78,7 @@
             if self.events and self.events[0][0] <= self.now:
                 event = heapq.heappop(self.events)[2]
                 over = isinstance(event, (events.ResponseHead, events.AttemptEnded))
-                if not over or (event.ticket, event.hop) in self.sending:
+                if not over or (event.request_id, event.attempt_number) in self.sending:
                     self.step(event)
             else:
                 self.step(events.TimerFired())
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -13,15 +13,15 @@
 
 
 def test_a_req_goes_out_and_its_answer_is_passed_on(play):
-    play.came(1, held=f"{9:016x}")
+    play.came(1, if_none_match=f"{9:016x}")
     play.ready(1)
     play.answered(1, length=6)
     play.over(1, body=b"abcdef")
-    play.came(2, held=f"{9:016x}")
+    play.came(2, if_none_match=f"{9:016x}")
     play.ready(2)
     play.answered(2, 304)
     play.over(2)
-    play.came(3, vhost="hold", key="k", body=b"two pots")
+    play.came(3, vhost="hold", idempotency_key="k", body=b"two pots")
     play.ready(3)
     play.answered(3, length=0, marked=False)
     play.over(3)
@@ -127,7 +127,7 @@
     play.came(2)
     play.ready(2)
     play.until(4_100)
-    play.came(3, vhost="hold", key="k")
+    play.came(3, vhost="hold", idempotency_key="k")
     play.ready(3)
     play.until(6_200)
     empty(play)
@@ -172,7 +172,7 @@
 
 def test_a_cache_that_is_lost_is_probed_and_its_connections_are_dropped(play):
     for ticket in (1, 2, 3):
-        play.came(ticket, obj=f"{ticket:016x}")
+        play.came(ticket, object_key=f"{ticket:016x}")
         play.over(ticket, Stage.CONNECTING, Cause.REFUSED)
     play.until(600)
     name = min(play.reducer.probing)
@@ -191,9 +191,9 @@
 
 
 def test_a_req_that_has_waited_is_turned_away_by_its_own_time(play):
-    play.came(1, waited=1_000)
-    play.came(2, waited=1_900_000)
-    play.came(3, waited=2_500_000)
+    play.came(1, queueing_time=1_000)
+    play.came(2, queueing_time=1_900_000)
+    play.came(3, queueing_time=2_500_000)
     empty_but = {1}
     assert set(play.reducer.hands) == empty_but
 
--- a/tests/test_reducer_machine.py
+++ b/tests/test_reducer_machine.py
@@ -118,7 +118,7 @@
         self.tickets += 1
         self.vhost[self.tickets], self.object[self.tickets] = vhost, (f"{obj:016x}", group)
         call = events.ClientRequest(
-            f"{self.tickets:016x}", vhost, f"{obj:016x}", 0, group, timeout * MS, key="a" * 32
+            f"{self.tickets:016x}", vhost, f"{obj:016x}", 0, group, timeout * MS, idempotency_key="a" * 32
         )
         self.step(events.RequestReceived(self.tickets, call))
 
