--- a/benchmarks/purges.py
+++ b/benchmarks/purges.py
@@ -21,7 +21,7 @@
 from quartzrouter.purges.messages import Purge, PurgeRequest
 from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
 from quartzrouter.purges.replica import ApplyPurges, PurgeReplica, SendMessage
-from quartzrouter.server.event_loop import LOOP
+from quartzrouter.server.event_loop import BACKEND_OPTIONS
 from quartzrouter.server.process import wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
@@ -207,6 +207,6 @@
     if "req" in wanted:
         req()
     if "ledger" in wanted:
-        anyio.run(_ledger, backend_options=LOOP)
+        anyio.run(_ledger, backend_options=BACKEND_OPTIONS)
     if "members" in wanted:
-        anyio.run(_members, backend_options=LOOP)
+        anyio.run(_members, backend_options=BACKEND_OPTIONS)
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -30,11 +30,11 @@
 from quartzrouter.signals import Signals
 signals = Signals().__enter__()
 from quartzrouter.configuration import Configuration, read
-from quartzrouter.server import serve
+from quartzrouter.server import process
 import anyio
 note = lambda: came.append(time.monotonic())
 note()
-class Service(serve.Service):
+class Service(process.RouterProcess):
     async def _run(self):
         note()
         await super()._run()
@@ -46,7 +46,7 @@
 note()
 service = Service(configuration, None, signals)
 note()
-anyio.run(service.run, backend_options=serve.LOOP)
+anyio.run(service.run, backend_options=process.BACKEND_OPTIONS)
 """
 
 
@@ -82,8 +82,10 @@
 
 def health(port: int) -> bool:
     """Whether /health answers 200, over FastCGI on a connection of its own."""
-    params = (fastcgi.PARAMS, b"\x0b\x07SCRIPT_NAME/health")
-    ask = Client.records_of(begin(), params, (fastcgi.PARAMS, b""), (fastcgi.STDIN, b""))
+    params = (fastcgi.RecordType.PARAMS, b"\x0b\x07SCRIPT_NAME/health")
+    ask = Client.records_of(
+        begin(), params, (fastcgi.RecordType.PARAMS, b""), (fastcgi.RecordType.STDIN, b"")
+    )
     try:
         with socket.create_connection(("127.0.0.1", port), 1) as connection:
             connection.sendall(ask)
--- a/quartzrouter/cli/keeper.py
+++ b/quartzrouter/cli/keeper.py
@@ -22,7 +22,7 @@
     from quartzrouter.lease_service.plan_terms import LeasesNotConfigured
     from quartzrouter.lease_service.token_storage import ForeignFolder, TokenStorage
     from quartzrouter.server.clock import wall_clock
-    from quartzrouter.server.event_loop import LOOP
+    from quartzrouter.server.event_loop import BACKEND_OPTIONS
     from quartzrouter.standalone.structured_log import StructuredLog, logger
 
     report = StructuredLog(name, wall_clock, logger())
@@ -30,7 +30,7 @@
         read = reader(path, name)
         read()
         numbers = TokenStorage(folder, name, lambda line: report.say("lease", line)) if folder else None
-        anyio.run(server.serve, name, read, report, numbers, backend_options=LOOP)
+        anyio.run(server.serve, name, read, report, numbers, backend_options=BACKEND_OPTIONS)
     except (LeasesNotConfigured, ForeignFolder, OSError) as error:
         click.echo(f"quartzrouter: {path}: {error}", err=True)
         sys.exit(1)
--- a/quartzrouter/cli/ledger.py
+++ b/quartzrouter/cli/ledger.py
@@ -48,7 +48,7 @@
 
     from quartzrouter.purge_log import server
     from quartzrouter.server.clock import steady_clock, wall_clock
-    from quartzrouter.server.event_loop import LOOP
+    from quartzrouter.server.event_loop import BACKEND_OPTIONS
     from quartzrouter.standalone.structured_log import StructuredLog, logger
 
     report, budgets = StructuredLog("ledger", wall_clock, logger()), budgets_of(plan) if plan else None
@@ -62,7 +62,7 @@
 
             claims = claims_of(checked(plan), plan, task, name, report)
         told = (folder, listen, grace, report, standby, wall_clock, budgets, steady_clock, claims, task or "")
-        sys.exit(anyio.run(server.serve, *told, backend_options=LOOP))
+        sys.exit(anyio.run(server.serve, *told, backend_options=BACKEND_OPTIONS))
     except Faulty as error:
         click.echo(f"quartzrouter: {error}", err=True)
         sys.exit(1)
--- a/quartzrouter/cli/purge.py
+++ b/quartzrouter/cli/purge.py
@@ -240,7 +240,7 @@
     from quartzrouter.configuration import address
     from quartzrouter.purge_log.delivery import deliver as run
     from quartzrouter.server.clock import wall_clock
-    from quartzrouter.server.event_loop import LOOP
+    from quartzrouter.server.event_loop import BACKEND_OPTIONS
     from quartzrouter.standalone.structured_log import StructuredLog, logger
 
     made = checked(path)
@@ -258,7 +258,7 @@
     report = StructuredLog(name or "courier", wall_clock, logger())
     claims = claims_of(made, path, task, name, report) if task else None
     told = (caches, ledgers, made.purges["grace"], report, rate, claims, task)
-    anyio.run(run, *told, backend_options=LOOP)
+    anyio.run(run, *told, backend_options=BACKEND_OPTIONS)
 
 
 def claims_of(plan, path: str, task: str, name: str | None, report):
--- a/quartzrouter/fakes/loopback.py
+++ b/quartzrouter/fakes/loopback.py
@@ -26,8 +26,8 @@
     return answer.replace(TAG, tag(head.split(b" ", 2)[1]))
 
 
-def begin(role=fastcgi.RESPONDER):
-    return fastcgi.BEGIN, bytes((0, role, fastcgi.KEEP_CONN, 0, 0, 0, 0, 0))
+def begin(role=fastcgi.ROLE_RESPONDER):
+    return fastcgi.RecordType.BEGIN_REQUEST, bytes((0, role, fastcgi.FLAG_KEEP_CONNECTION, 0, 0, 0, 0, 0))
 
 
 class Client:
@@ -54,15 +54,15 @@
         )
         pieces = [
             begin(role),
-            (fastcgi.PARAMS, params),
-            (fastcgi.PARAMS, b""),
+            (fastcgi.RecordType.PARAMS, params),
+            (fastcgi.RecordType.PARAMS, b""),
         ]
-        pieces += [(fastcgi.STDIN, body[at : at + 60_000]) for at in range(0, len(body), 60_000)]
-        return self.records_of(*pieces, *([(fastcgi.STDIN, b"")] if whole else []), id=id)
+        pieces += [(fastcgi.RecordType.STDIN, body[at : at + 60_000]) for at in range(0, len(body), 60_000)]
+        return self.records_of(*pieces, *([(fastcgi.RecordType.STDIN, b"")] if whole else []), id=id)
 
     @staticmethod
     def records_of(*pieces, id=1):
-        return b"".join(fastcgi.record(kind, id, data) for kind, data in pieces)
+        return b"".join(fastcgi.encode_record(kind, id, data) for kind, data in pieces)
 
     async def send(self, *pieces, id=1):
         await self.stream.send(self.records_of(*pieces, id=id))
@@ -72,15 +72,16 @@
         said = self.said
         while True:
             while record := self.records.next():
-                if record.kind == fastcgi.STDOUT:
-                    said[record.id] = said.get(record.id, b"") + record.content
-                elif record.kind == fastcgi.END:
-                    status, _, body = said.pop(record.id, b"").partition(b"\r\n")
+                if record.record_type == fastcgi.RecordType.STDOUT:
+                    said[record.request_id] = said.get(record.request_id, b"") + record.content
+                elif record.record_type == fastcgi.RecordType.END_REQUEST:
+                    status, _, body = said.pop(record.request_id, b"").partition(b"\r\n")
                     body = body.rpartition(b"\r\n\r\n")[2]
                     status = status.decode()
-                    return f"{record.id}: {status} {body[:40]} end {record.content[3]} {record.content[4]}"
+                    ended = f"end {record.content[3]} {record.content[4]}"
+                    return f"{record.request_id}: {status} {body[:40]} {ended}"
                 else:
-                    return f"record of kind {record.kind}: {record.content}"
+                    return f"record of kind {record.record_type}: {record.content}"
             try:
                 self.ring.put(await self.stream.receive(self.ring.free))
             except (anyio.EndOfStream, anyio.BrokenResourceError):
--- a/quartzrouter/fault_harness/child_process.py
+++ b/quartzrouter/fault_harness/child_process.py
@@ -15,7 +15,7 @@
 from quartzrouter.configuration import address
 from quartzrouter.fault_harness.skewed_clocks import clocks
 from quartzrouter.server import process as net
-from quartzrouter.server.event_loop import LOOP
+from quartzrouter.server.event_loop import BACKEND_OPTIONS
 
 
 def main(page: str, what: str, *told: str) -> int:
@@ -36,7 +36,7 @@
         report, granted = StructuredLog("ledger", wall, logger()), budgets_of(plan) if plan != "-" else None
         beside = address(standby, "standby") if standby != "-" else None
         told = (folder, address(listen, "listen"), int(grace), report, beside, wall, granted, even)
-        return anyio.run(server.serve, *told, backend_options=LOOP)
+        return anyio.run(server.serve, *told, backend_options=BACKEND_OPTIONS)
     if what == "keeper":
         from quartzrouter.cli.keeper import reader
         from quartzrouter.lease_service import server as keeper
@@ -48,7 +48,9 @@
         numbers = (
             TokenStorage(folder, name, lambda said: report.say("lease", said)) if folder != "-" else None
         )
-        anyio.run(keeper.serve, name, reader(path, name), report, numbers, even, backend_options=LOOP)
+        anyio.run(
+            keeper.serve, name, reader(path, name), report, numbers, even, backend_options=BACKEND_OPTIONS
+        )
         return 0
     if what == "claimant":
         from quartzrouter.fault_harness.witness import claimant
@@ -56,7 +58,7 @@
         path, task, name, port, *guards = told
         _take_out(guards, wall)
         report = StructuredLog(name, wall, logger())
-        anyio.run(claimant, path, task, name, int(port), report, even, wall, backend_options=LOOP)
+        anyio.run(claimant, path, task, name, int(port), report, even, wall, backend_options=BACKEND_OPTIONS)
         return 0
     from quartzrouter.config.loader import load
     from quartzrouter.standalone import process as site
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -77,7 +77,7 @@
     _files(tally)
     _spoilt(chance, tally)
     _pairs(chance, tally)
-    anyio.run(partial(_loopback, chance, tally), backend_options=process.LOOP)
+    anyio.run(partial(_loopback, chance, tally), backend_options=process.BACKEND_OPTIONS)
 
 
 def _reader(files: dict[str, str]):
--- a/quartzrouter/fault_scenarios/purges.py
+++ b/quartzrouter/fault_scenarios/purges.py
@@ -297,7 +297,9 @@
 def rehearse(
     seed: int, tally: ScenarioReport, guards: tuple[str, ...] = (), seconds: float = SECONDS
 ) -> None:
-    anyio.run(partial(_play, random.Random(seed), tally, guards, seconds), backend_options=process.LOOP)
+    anyio.run(
+        partial(_play, random.Random(seed), tally, guards, seconds), backend_options=process.BACKEND_OPTIONS
+    )
 
 
 async def _script(fleet: PurgedFleet, tally: ScenarioReport, tasks: anyio.abc.TaskGroup, unit: float) -> None:
--- a/quartzrouter/fault_scenarios/sharing.py
+++ b/quartzrouter/fault_scenarios/sharing.py
@@ -343,7 +343,7 @@
     chance: random.Random, shape: ScenarioSize, faults: Sequence[Fault], guards: Sequence[str] = ()
 ) -> ScenarioResult:
     """Plays a schedule once, and has the checkers read its history."""
-    return anyio.run(partial(_play, chance, shape, faults, guards), backend_options=process.LOOP)
+    return anyio.run(partial(_play, chance, shape, faults, guards), backend_options=process.BACKEND_OPTIONS)
 
 
 async def _play(
--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -316,7 +316,7 @@
     def drop(self, ticket: int, hop: int) -> None:
         """Ends a dispatch's connection now, ahead of its task: the next one may go out at once."""
         if connection := self.asked.get((ticket, hop)):
-            connection.stream.shut()
+            connection.stream.shutdown()
 
     async def probe(self, probe: StartHealthCheck) -> None:
         ending, connection = AttemptStatus.ERROR, None
--- a/quartzrouter/server/client_connections.py
+++ b/quartzrouter/server/client_connections.py
@@ -55,7 +55,9 @@
         return len(self.params) + len(self.body)
 
     def add(self, kind: int, data: bytes, room: int) -> None:
-        into, most = (self.params, PARAMS_MOST) if kind == fastcgi.PARAMS else (self.body, BODY_MOST)
+        into, most = (
+            (self.params, PARAMS_MOST) if kind == fastcgi.RecordType.PARAMS else (self.body, BODY_MOST)
+        )
         if len(into) + len(data) > most:
             raise InvalidRequest("too long", 413)
         if len(data) > room:
@@ -198,20 +200,20 @@
         if id == 0:
             if self.piled:
                 self._fault([])
-            elif kind == fastcgi.GET_VALUES:
+            elif kind == fastcgi.RecordType.GET_VALUES:
                 known = {
                     "FCGI_MAX_CONNS": self.front.most,
                     "FCGI_MAX_REQS": self.front.most * OPEN_MOST,
                     "FCGI_MPXS_CONNS": 1,
                 }
-                self.write(0, [fastcgi.values(fastcgi.pairs(content), known)])
+                self.write(0, [fastcgi.encode_values_result(fastcgi.decode_pairs(content), known)])
             else:
-                self.write(0, [fastcgi.unknown(kind)])
-        elif kind == fastcgi.BEGIN:
+                self.write(0, [fastcgi.encode_unknown_type(kind)])
+        elif kind == fastcgi.RecordType.BEGIN_REQUEST:
             self._begin(id, content)
-        elif kind == fastcgi.ABORT:
+        elif kind == fastcgi.RecordType.ABORT_REQUEST:
             self._abort(id)
-        elif kind in (fastcgi.PARAMS, fastcgi.STDIN):
+        elif kind in (fastcgi.RecordType.PARAMS, fastcgi.RecordType.STDIN):
             if (intake := self.intakes.get(id)) and not intake.whole:
                 self._more(id, intake, kind, content)
             else:
@@ -219,7 +221,7 @@
                 if self.passed > LINGER_MOST and not self.closing:
                     self.closing = True
                     self.more.set()
-        elif kind != fastcgi.DATA:
+        elif kind != fastcgi.RecordType.DATA:
             raise fastcgi.ProtocolError(f"a record of type {kind} for req {id}")
 
     def _begin(self, id: int, content: bytes) -> None:
@@ -227,17 +229,21 @@
             raise fastcgi.ProtocolError("BEGIN_REQUEST of a wrong length")
         if id in self.intakes or id in self.tickets:
             raise fastcgi.ProtocolError(f"record id {id} is taken")
-        if content[0] << 8 | content[1] != fastcgi.RESPONDER:
-            self._fault([fastcgi.end(id, protocol=fastcgi.UNKNOWN_ROLE)])
+        if content[0] << 8 | content[1] != fastcgi.ROLE_RESPONDER:
+            self._fault([fastcgi.encode_end_request(id, protocol_status=fastcgi.ProtocolStatus.UNKNOWN_ROLE)])
         elif self.closing or self.unanswered >= OPEN_MOST:
-            self._fault([] if self.piled else [fastcgi.end(id, protocol=fastcgi.OVERLOADED)])
+            self._fault(
+                []
+                if self.piled
+                else [fastcgi.encode_end_request(id, protocol_status=fastcgi.ProtocolStatus.OVERLOADED)]
+            )
         else:
-            self.intakes[id] = IncomingRequest(bool(content[2] & fastcgi.KEEP_CONN), self.heard)
+            self.intakes[id] = IncomingRequest(bool(content[2] & fastcgi.FLAG_KEEP_CONNECTION), self.heard)
 
     def _abort(self, id: int) -> None:
         if (intake := self.intakes.pop(id, None)) is not None:
             self.front.room += intake.size
-            self.write(0, [fastcgi.end(id, whole=False)])
+            self.write(0, [fastcgi.encode_end_request(id, completed=False)])
         elif (ticket := self.tickets.get(id)) is not None:
             self.front.feed(ClientGone(ticket))
             self.reply(ticket, b"", whole=False)
@@ -248,8 +254,8 @@
         try:
             if content:
                 intake.add(kind, content, self.front.room)
-            elif kind == fastcgi.PARAMS:
-                params = fastcgi.pairs(bytes(intake.params))
+            elif kind == fastcgi.RecordType.PARAMS:
+                params = fastcgi.decode_pairs(bytes(intake.params))
                 intake.length, well = body_length(params), params.get("SCRIPT_NAME") == "/health"
                 intake.call = None if well else self.front.call(params)
                 intake.whole = well
@@ -287,7 +293,7 @@
         intake = self.intakes.pop(id)
         self.front.room += intake.size
         self.closing |= not intake.keep
-        self._fault(fastcgi.reply(id, data))
+        self._fault(fastcgi.encode_response(id, data))
 
     def _fault(self, records: list[bytes]) -> None:
         self.faults += 1
@@ -323,7 +329,7 @@
         if not self.idle or self.stream.pending() is Pending.UNREAD:
             return False
         self.shut = True
-        self.stream.finish()
+        self.stream.finish_sending()
         self.stream.drain()
         self.scope.cancel()
         self.front.open.discard(self)
@@ -344,7 +350,10 @@
         self.front.clients.pop(ticket, None)
         self.front.room += size
         self.closing |= not keep
-        self.write(ticket, fastcgi.reply(id, data) if whole else [fastcgi.end(id, whole=False)])
+        self.write(
+            ticket,
+            fastcgi.encode_response(id, data) if whole else [fastcgi.encode_end_request(id, completed=False)],
+        )
 
     def write(self, ticket: int, records: list[bytes]) -> None:
         if ticket not in self.waiting:
@@ -506,6 +515,6 @@
         with contextlib.suppress(*CONNECTION_LOST):
             await client.flush()
             client.shut = True
-            client.stream.finish()
+            client.stream.finish_sending()
             await anyio.sleep(LINGER)
         tasks.cancel_scope.cancel()
--- a/quartzrouter/server/event_loop.py
+++ b/quartzrouter/server/event_loop.py
@@ -1,4 +1,4 @@
-"""The loop under every process of the program: uvloop, told only deadlines that it can keep."""
+"""The event loop under every process of the program: uvloop, with deadlines that it can keep."""
 
 import asyncio
 import math
@@ -8,11 +8,12 @@
 
 import uvloop
 
-TICKS = 1_000  # a second: uvloop's clock and its timers go by whole milliseconds
-LATE = 0.02  # s behind its time at which a timer counts as late: usual turns take a few ms
-TURNS = 6  # of the loop that it then waits: what has come is read, taken up by its task, and fed
-# to have a callback run: which argument it is
-WAYS = {"call_soon": 0, "call_at": 1, "call_later": 1}
+CLOCK_RESOLUTION = 1_000  # ticks a second: uvloop's clock and its timers go by whole milliseconds
+LATE_AFTER = 0.02  # s behind its time at which a timer counts as late: usual iterations take a few ms
+# Iterations that a late timer lets pass: what has arrived is read, its task runs, and its event is handled.
+LATE_TIMER_ITERATIONS = 6
+# Methods that have a callback run, with the position of the callback among their arguments.
+SCHEDULING_METHODS = {"call_soon": 0, "call_at": 1, "call_later": 1}
 
 
 class EventLoop(uvloop.Loop):
@@ -21,75 +22,88 @@
     uvloop rounds a timer to the nearest millisecond of a clock that goes by milliseconds. One set for
     12.3 ms fires at 12 ms of that clock; a cancel scope then finds its deadline still ahead and sets its
     timer anew, which for less than half a millisecond means at once, and so spins until the clock has gone
-    on. Put up to a whole millisecond, a deadline has passed when its timer fires.
+    on. Rounded up to a whole millisecond, a deadline has passed when its timer fires.
 
-    What it runs can be counted for a while (`watch`), which costs too much to do all the time.
+    Callbacks can be counted for a while (``start_counting``), which costs too much to do all the time.
     """
 
-    seen: Counter[str] | None = None
+    callback_counts: Counter[str] | None = None
 
     def call_at(
         self, when: float, callback: Callable[..., object], *args: Any, context: Any = None
     ) -> asyncio.TimerHandle:
-        """As asyncio's.
+        """Schedules a callback, as asyncio's loop does.
 
-        :param when: s of this loop's clock; up to a millisecond later is the callback's time.
+        :param when: s of this loop's clock; the callback runs up to a millisecond later.
         """
-        due = PendingTimer(self, math.ceil(when * TICKS) / TICKS, callback, args)
-        due.handle = super().call_at(due.when, due, context=context)
-        return due.handle
+        timer = PendingTimer(self, math.ceil(when * CLOCK_RESOLUTION) / CLOCK_RESOLUTION, callback, args)
+        timer.handle = super().call_at(timer.when, timer, context=context)
+        return timer.handle
 
     def add_reader(self, fd: Any, callback: Callable[..., object], *args: Any) -> None:
-        """As asyncio's."""
-        super().add_reader(fd, self._readable, callback, args)
+        """Watches a descriptor for bytes to read, as asyncio's loop does."""
+        super().add_reader(fd, self._run_reader, callback, args)
 
-    def _readable(self, callback: Callable[..., object], args: tuple) -> None:
-        if self.seen is not None:
-            self.seen[named(callback)] += 1
+    def _run_reader(self, callback: Callable[..., object], args: tuple) -> None:
+        if self.callback_counts is not None:
+            self.callback_counts[callback_name(callback)] += 1
         callback(*args)
 
-    def watch(self, seen: Counter[str]) -> None:
-        """Counts by name what is set going from now on, until `unwatch`."""
-        self.seen = seen
-        for way, at in WAYS.items():
-            setattr(self, way, self._counted(getattr(self, way), at))
+    def start_counting(self, counts: Counter[str]) -> None:
+        """Counts what is scheduled from now on, until ``stop_counting``.
 
-    def unwatch(self) -> None:
-        self.seen = None
-        for way in WAYS:
-            delattr(self, way)
-
-    def _counted(self, way: Callable[..., Any], at: int) -> Callable[..., Any]:
-        def counted(*arguments: Any, **more: Any) -> Any:
-            self.seen[named(arguments[at])] += 1
-            return way(*arguments, **more)
+        :param counts: filled by name of the callback.
+        """
+        self.callback_counts = counts
+        for method_name, callback_position in SCHEDULING_METHODS.items():
+            method = getattr(self, method_name)
+            setattr(self, method_name, self._counting(method, callback_position))
+
+    def stop_counting(self) -> None:
+        """Ends the counting; scheduling costs what it did before."""
+        self.callback_counts = None
+        for method_name in SCHEDULING_METHODS:
+            delattr(self, method_name)
+
+    def _counting(self, method: Callable[..., Any], callback_position: int) -> Callable[..., Any]:
+        def counted(*arguments: Any, **keywords: Any) -> Any:
+            self.callback_counts[callback_name(arguments[callback_position])] += 1
+            return method(*arguments, **keywords)
 
         return counted
 
 
 class PendingTimer:
-    """What a timer does at its time.
+    """What a timer runs at its time.
+
+    Guards against timeouts that go ahead of responses: a loop that has stood still (the process was
+    stopped, or got no CPU) runs its timers before it looks at what has arrived meanwhile, so requests
+    whose responses are there would time out. A late timer therefore lets some iterations go first.
 
-    A loop that has stood still runs its timers before it looks at what has come meanwhile, so that answers
-    that are there would run out of time.  A late timer therefore lets some turns go first.
+    :param when: s of the loop's clock.
     """
 
-    __slots__ = ("args", "callback", "handle", "loop", "turns", "when")
+    __slots__ = ("args", "callback", "handle", "iterations_left", "loop", "when")
 
     def __init__(self, loop: EventLoop, when: float, callback: Callable[..., object], args: tuple):
-        self.loop, self.when, self.callback, self.args = loop, when, callback, args
-        self.turns, self.handle = TURNS, None
+        self.loop = loop
+        self.when = when
+        self.callback = callback
+        self.args = args
+        self.iterations_left = LATE_TIMER_ITERATIONS
+        self.handle: asyncio.TimerHandle | None = None
 
     def __call__(self) -> None:
-        if self.turns and self.loop.time() - self.when > LATE:
-            self.turns -= 1
+        """Runs the callback, or comes back at the next iteration where the loop is late."""
+        if self.iterations_left and self.loop.time() - self.when > LATE_AFTER:
+            self.iterations_left -= 1
             self.loop.call_soon(self)
         elif not self.handle.cancelled():
             self.callback(*self.args)
 
 
-def named(callback: Any) -> str:
-    """What a callback of the loop does: the task of a step, else the function."""
+def callback_name(callback: Any) -> str:
+    """Names what a callback of the loop does: the task whose step it is, else the function."""
     callback = getattr(callback, "callback", callback)
     task = getattr(callback, "__self__", None)
     if isinstance(task, asyncio.Task):
@@ -97,4 +111,4 @@
     return getattr(callback, "__qualname__", None) or type(callback).__name__
 
 
-LOOP = {"loop_factory": EventLoop}  # as backend_options of anyio.run
+BACKEND_OPTIONS = {"loop_factory": EventLoop}  # ``backend_options`` of anyio.run
--- a/quartzrouter/server/fastcgi.py
+++ b/quartzrouter/server/fastcgi.py
@@ -1,106 +1,223 @@
-"""FastCGI 1.0 records, both ways; no sockets and no state beyond the bytes that are handed in."""
+"""FastCGI 1.0 records, both ways: no sockets, and no state beyond the bytes that are handed in.
 
+Names are those of the FastCGI specification. ``RecordReader`` decodes what clients send; the ``encode_``
+functions make what goes to them.
+"""
+
+import struct
+from enum import IntEnum
 from typing import NamedTuple
 
+from quartzrouter.server.errors import ServerError
 from quartzrouter.server.ring_buffer import RingBuffer
 
-BEGIN, ABORT, END, PARAMS, STDIN, STDOUT, STDERR, DATA, GET_VALUES, GET_VALUES_RESULT, UNKNOWN = range(1, 12)
-COMPLETE, CANT_MULTIPLEX, OVERLOADED, UNKNOWN_ROLE = range(4)  # protocol status
-RESPONDER = 1
-KEEP_CONN = 1
-HEAD = 8
-STREAMS = (PARAMS, STDIN, STDOUT, STDERR, DATA)  # taken in pieces, as they come
-SHORT_MOST = 4_096  # bytes in a record of any other kind
-PIECE = 16_376  # bytes of content in a record of ours; answers on one connection take turns at these
 
+class RecordType(IntEnum):
+    """The type of a record, its second byte."""
+
+    BEGIN_REQUEST = 1
+    ABORT_REQUEST = 2
+    END_REQUEST = 3
+    PARAMS = 4
+    STDIN = 5
+    STDOUT = 6
+    STDERR = 7
+    DATA = 8
+    GET_VALUES = 9
+    GET_VALUES_RESULT = 10
+    UNKNOWN_TYPE = 11
+
+
+class ProtocolStatus(IntEnum):
+    """Why a request has ended, as END_REQUEST says it."""
+
+    REQUEST_COMPLETE = 0
+    CANT_MPX_CONN = 1
+    OVERLOADED = 2
+    UNKNOWN_ROLE = 3
+
+
+MANAGEMENT_ID = 0  # request id of records that are about the connection, not about a request
+ROLE_RESPONDER = 1
+FLAG_KEEP_CONNECTION = 1  # of BEGIN_REQUEST: the connection outlives the request
+VERSION = 1
+APP_STATUS_COMPLETED = 0  # of END_REQUEST: all of the response was written before it
+APP_STATUS_ABORTED = 1
+
+RECORD_HEADER = struct.Struct(">BBHHBx")  # version, type, request id, content length, padding length
+BEGIN_REQUEST_BODY = struct.Struct(">HB5x")  # role, flags
+END_REQUEST_BODY = struct.Struct(">IB3x")  # application status, protocol status
+ALIGNMENT = 8  # bytes: contents are padded to a multiple of it, as the specification recommends
+
+# Contents of these are taken in pieces, as they come, so that no record has to fit into a ring buffer.
+STREAM_TYPES = (
+    RecordType.PARAMS,
+    RecordType.STDIN,
+    RecordType.STDOUT,
+    RecordType.STDERR,
+    RecordType.DATA,
+)
+MAX_DISCRETE_CONTENT = 4_096  # bytes in a record of any other type: these are read whole
+# Bytes of content in a STDOUT record of ours. Responses on one connection take turns at records, so this
+# bounds how long a large one keeps a small one waiting.
+MAX_STDOUT_CONTENT = 16_376
 
-class ProtocolError(Exception):
-    """Bytes that are no FastCGI; stops at the connection."""
+LONG_LENGTH_FLAG = 0x80  # of a length's first byte in a name-value pair: it has four bytes, not one
+LONG_LENGTH_MASK = 0x7FFFFFFF
+
+
+class ProtocolError(ServerError):
+    """Bytes that are not FastCGI, or records that may not follow each other; ends the connection."""
 
 
 class Record(NamedTuple):
-    kind: int
-    id: int
+    """A record as it was read, or a piece of one that belongs to a stream."""
+
+    record_type: int  # any byte: types that the specification doesn't know come too
+    request_id: int
     content: bytes
 
 
 class RecordReader:
-    """Reads records out of a ring, which may be shorter than one of a stream: that comes in several."""
+    """Reads records out of a ring buffer, which may be shorter than a record of a stream.
+
+    :param ring: what the connection's reader fills.
+    """
 
     def __init__(self, ring: RingBuffer):
-        self.ring, self.kind, self.id, self.left, self.padding = ring, 0, 0, 0, 0
+        self._ring = ring
+        self._record_type = 0
+        self._request_id = 0
+        self._content_left = 0  # bytes of the record that are still to be read
+        self._padding_left = 0
 
     def next(self) -> Record | None:
-        """The next record, or what has come of one, or None until there is more."""
-        ring = self.ring
-        if not self.left:
-            passed = min(self.padding, len(ring))
-            ring.drop(passed)
-            self.padding -= passed
-            if self.padding or len(ring) < HEAD:
+        """Reads the next record, or what has come of a stream's record.
+
+        :returns: None where more bytes are needed.
+        :raises ProtocolError: the bytes are no record, or one that is too long.
+        """
+        if not self._content_left:
+            if not self._skip_padding() or len(self._ring) < RECORD_HEADER.size:
                 return None
-            version, self.kind, id_high, id_low, high, low, self.padding, _ = ring.take(HEAD)
-            if version != 1:
-                raise ProtocolError(f"version {version}")
-            self.id, self.left = id_high << 8 | id_low, high << 8 | low
-            if self.kind not in STREAMS and self.left > SHORT_MOST:
-                raise ProtocolError(f"a record of type {self.kind} with {self.left} bytes")
-            if not self.left:
-                return Record(self.kind, self.id, b"")
-        if not len(ring) or (self.kind not in STREAMS and len(ring) < self.left):
+            self._read_header()
+            if not self._content_left:
+                return Record(self._record_type, self._request_id, b"")
+        is_stream = self._record_type in STREAM_TYPES
+        if not len(self._ring) or (not is_stream and len(self._ring) < self._content_left):
             return None
-        content = ring.take(self.left)
-        self.left -= len(content)
-        return Record(self.kind, self.id, content)
+        content = self._ring.take(self._content_left)
+        self._content_left -= len(content)
+        return Record(self._record_type, self._request_id, content)
+
+    def _skip_padding(self) -> bool:
+        """Drops the padding behind the last record; False where some of it has yet to come."""
+        available = min(self._padding_left, len(self._ring))
+        self._ring.drop(available)
+        self._padding_left -= available
+        return not self._padding_left
+
+    def _read_header(self) -> None:
+        header = RECORD_HEADER.unpack(self._ring.take(RECORD_HEADER.size))
+        version, self._record_type, self._request_id, self._content_left, self._padding_left = header
+        if version != VERSION:
+            raise ProtocolError(f"version {version}")
+        if self._record_type not in STREAM_TYPES and self._content_left > MAX_DISCRETE_CONTENT:
+            raise ProtocolError(f"a record of type {self._record_type} with {self._content_left} bytes")
+
+
+def decode_begin_request(content: bytes) -> tuple[int, int]:
+    """Decodes the content of a BEGIN_REQUEST.
+
+    :returns: the role and the flags.
+    :raises ProtocolError: it has a wrong length.
+    """
+    if len(content) != BEGIN_REQUEST_BODY.size:
+        raise ProtocolError("BEGIN_REQUEST of a wrong length")
+    role, flags = BEGIN_REQUEST_BODY.unpack(content)
+    return role, flags
+
+
+def decode_pairs(data: bytes) -> dict[str, str]:
+    """Decodes name-value pairs; names and values are taken as Latin-1, as CGI has them.
+
+    :raises ProtocolError: the data ends within a pair.
+    """
+    pairs = {}
+    text = data.decode("latin-1")
+    position = 0
+    while position < len(data):
+        name_length, position = _decode_length(data, position)
+        value_length, position = _decode_length(data, position)
+        name_end = position + name_length
+        value_end = name_end + value_length
+        if value_end > len(data):
+            raise ProtocolError("a pair is cut off")
+        pairs[text[position:name_end]] = text[name_end:value_end]
+        position = value_end
+    return pairs
 
 
-def record(kind: int, id: int, content: bytes) -> bytes:
-    padding = -len(content) % 8
-    head = bytes((1, kind, id >> 8, id & 0xFF, len(content) >> 8, len(content) & 0xFF, padding, 0))
-    return head + content + bytes(padding)
+def _decode_length(data: bytes, position: int) -> tuple[int, int]:
+    """Decodes the length at a position; returns it with the position behind it."""
+    is_long = position < len(data) and data[position] & LONG_LENGTH_FLAG
+    size = 4 if is_long else 1
+    end = position + size
+    if end > len(data):
+        raise ProtocolError("a pair is cut off")
+    if not is_long:
+        return data[position], end
+    return int.from_bytes(data[position:end], "big") & LONG_LENGTH_MASK, end
 
 
-def stdout(id: int, data: bytes) -> list[bytes]:
-    return [record(STDOUT, id, data[at : at + PIECE]) for at in range(0, len(data), PIECE)]
+def encode_record(record_type: int, request_id: int, content: bytes) -> bytes:
+    """Encodes one record, padded.
 
+    :param content: at most 65,535 bytes.
+    """
+    padding = -len(content) % ALIGNMENT
+    header = RECORD_HEADER.pack(VERSION, record_type, request_id, len(content), padding)
+    return header + content + bytes(padding)
 
-def reply(id: int, data: bytes) -> list[bytes]:
-    """All records of a whole answer."""
-    return [*stdout(id, data), record(STDOUT, id, b""), end(id)]
 
+def encode_stdout(request_id: int, data: bytes) -> list[bytes]:
+    """Encodes a piece of a response, without the end of the stream."""
+    return [
+        encode_record(RecordType.STDOUT, request_id, data[start : start + MAX_STDOUT_CONTENT])
+        for start in range(0, len(data), MAX_STDOUT_CONTENT)
+    ]
 
-def end(id: int, whole: bool = True, protocol: int = COMPLETE) -> bytes:
-    return record(END, id, bytes((0, 0, 0, 0 if whole else 1, protocol, 0, 0, 0)))
 
+def encode_response(request_id: int, data: bytes) -> list[bytes]:
+    """Encodes a whole response: its STDOUT records, the end of that stream, and END_REQUEST."""
+    end_of_stream = encode_record(RecordType.STDOUT, request_id, b"")
+    return [*encode_stdout(request_id, data), end_of_stream, encode_end_request(request_id)]
 
-def unknown(kind: int) -> bytes:
-    return record(UNKNOWN, 0, bytes((kind,)) + bytes(7))
 
+def encode_end_request(
+    request_id: int,
+    completed: bool = True,
+    protocol_status: ProtocolStatus = ProtocolStatus.REQUEST_COMPLETE,
+) -> bytes:
+    """Encodes the record that ends a request.
 
-def pairs(data: bytes) -> dict[str, str]:
-    """Name-value pairs; names and values are taken as Latin-1, as CGI has them."""
-    found, at, text = {}, 0, data.decode("latin-1")
-    while at < len(data):
-        lengths = []
-        for _ in range(2):
-            wide = 4 if at < len(data) and data[at] & 0x80 else 1
-            if at + wide > len(data):
-                raise ProtocolError("a pair is cut off")
-            lengths.append(data[at] if wide == 1 else int.from_bytes(data[at : at + 4], "big") & 0x7FFFFFFF)
-            at += wide
-        name, value = at + lengths[0], at + lengths[0] + lengths[1]
-        if value > len(data):
-            raise ProtocolError("a pair is cut off")
-        found[text[at:name]] = text[name:value]
-        at = value
-    return found
+    :param completed: False where the request was aborted, and its response isn't whole.
+    """
+    app_status = APP_STATUS_COMPLETED if completed else APP_STATUS_ABORTED
+    content = END_REQUEST_BODY.pack(app_status, protocol_status)
+    return encode_record(RecordType.END_REQUEST, request_id, content)
+
+
+def encode_unknown_type(record_type: int) -> bytes:
+    """Encodes the answer to a management record of a type that isn't known here."""
+    return encode_record(RecordType.UNKNOWN_TYPE, MANAGEMENT_ID, bytes((record_type,)) + bytes(7))
 
 
-def values(asked: dict[str, str], known: dict[str, int]) -> bytes:
-    """The answer to FCGI_GET_VALUES: those that are known of those that are asked for."""
+def encode_values_result(requested: dict[str, str], values: dict[str, int]) -> bytes:
+    """Encodes the answer to GET_VALUES: of the names that are requested, those with a value here."""
     content = b""
-    for name in asked:
-        if name in known:
-            value = str(known[name]).encode()
+    for name in requested:
+        if name in values:
+            value = str(values[name]).encode()
             content += bytes((len(name), len(value))) + name.encode() + value
-    return record(GET_VALUES_RESULT, 0, content)
+    return encode_record(RecordType.GET_VALUES_RESULT, MANAGEMENT_ID, content)
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -32,7 +32,7 @@
     SendResponse,
     StartHealthCheck,
 )
-from quartzrouter.server.event_loop import LOOP
+from quartzrouter.server.event_loop import BACKEND_OPTIONS
 from quartzrouter.server.events import (
     AttemptEnded,
     ClientGone,
@@ -43,7 +43,7 @@
     TimerFired,
 )
 from quartzrouter.server.rate_limited_log import ForwardingHandler, RateLimitedLog
-from quartzrouter.server.spin_guard import FLOOR, SpinGuard, TickGuard
+from quartzrouter.server.spin_guard import MIN_PAUSE, SpinGuard, TickGuard
 from quartzrouter.server.state_machine import RouterStateMachine
 from quartzrouter.server.stream import Stream
 from quartzrouter.signals import Signals
@@ -149,7 +149,7 @@
         due, failed = self.reducer.due, None
         if isinstance(event, AttemptEnded) and event.failure:
             failure = event.failure
-            self.report.say("dispatch", f"{failure.cause.name} while {failure.stage.name}: {failure.detail}")
+            self.report.say("attempt", f"{failure.cause.name} while {failure.stage.name}: {failure.detail}")
         try:
             effects = self.reducer.step(event, self._time())
         except Exception:
@@ -224,12 +224,12 @@
         while True:
             self.changed = anyio.Event()
             wait = (self.reducer.due - self._time()) / 1e6
-            with anyio.move_on_after(max(wait, self.ticks.floor)):
+            with anyio.move_on_after(max(wait, self.ticks.pause)):
                 await self.changed.wait()
             if self.reducer.due <= self._time():
                 self.feed(TimerFired())
-                again = self.reducer.due - self.now < FLOOR * 1e6
-                self.ticks.played(self.done > played, self.reducer.due_for if again else None)
+                again = self.reducer.due - self.now < MIN_PAUSE * 1e6
+                self.ticks.record_tick(self.done > played, self.reducer.due_for if again else None)
                 played = self.done
 
     async def _accept_all(self) -> None:
@@ -306,8 +306,8 @@
         loop, come = asyncio.get_running_loop(), anyio.Event()
         self.signals.wake = lambda: loop.call_soon_threadsafe(come.set)
         while True:
-            while self.signals.received:
-                number = self.signals.received.popleft()
+            while self.signals.pending:
+                number = self.signals.pending.popleft()
                 if number == signal.SIGHUP:
                     self._reload()
                 else:
@@ -344,7 +344,7 @@
         for event in endpoint_watch.initial_snapshot(configuration.known, configuration.briefing):
             self.reducer.step(event, now)
         host, port = configuration.listen
-        if self.signals.ending:
+        if self.signals.stop_pending:
             self.report.say("process", "told to end before it listened: stopped")
             return
         try:
@@ -380,7 +380,7 @@
         service = RouterProcess(
             Configuration(read(environ), environ), lambda: Configuration(read(environ), environ), signals
         )
-        anyio.run(service.run, backend_options=LOOP)
+        anyio.run(service.run, backend_options=BACKEND_OPTIONS)
     except ConfigurationError as error:
         print(f"quartzrouter: {error}", file=sys.stderr)
         return 1
--- a/quartzrouter/server/rate_limited_log.py
+++ b/quartzrouter/server/rate_limited_log.py
@@ -1,43 +1,77 @@
-"""Lines to standard error, so many of a kind in a time; what was left out is counted in the next one."""
+"""A log to standard error with a rate limit per kind of line; what was suppressed is counted."""
 
 import logging
 import sys
 from collections.abc import Callable
+from dataclasses import dataclass
 
-AT_ONCE = 20  # lines of a kind: the start of a trouble in full
-EVERY = 500_000  # us for each further one: two a second can still be read
-KINDS = 64  # kinds that are kept apart; beyond, the oldest is forgotten
+BURST = 20  # lines of a kind at once: the start of a trouble in full
+INTERVAL = 500_000  # us for each further line: two a second can still be read
+MAX_KINDS = 64  # kinds that are counted apart; beyond, the oldest is forgotten
+
+
+@dataclass(slots=True)
+class KindState:
+    """The token bucket of one kind of line."""
+
+    tokens: float  # lines that may be written now
+    refilled_at: int  # us
+    suppressed: int = 0  # lines left out since the last one that was written
 
 
 class RateLimitedLog:
+    """Writes lines with a kind, so many of each kind in a time.
+
+    Guards against floods: a client that sends what can't be used makes a line each time, which would be
+    more than a log takes, and would keep the process from its requests.
+
+    :param name: the router's, at the head of each line.
+    :param clock: gives the time in microseconds.
+    """
+
     def __init__(self, name: str, clock: Callable[[], int]):
-        self.name, self.clock = name, clock
-        self.kinds: dict[str, list[float]] = {}  # kind: lines that may go, when that was reckoned, left out
+        self.name = name
+        self.clock = clock
+        self.kinds: dict[str, KindState] = {}
 
     def say(self, kind: str, line: str) -> None:
+        """Writes a line, or counts it as suppressed where its kind is over the limit."""
         now = self.clock()
-        state = self.kinds.setdefault(kind, [AT_ONCE, now, 0])
-        if len(self.kinds) > KINDS:
-            del self.kinds[next(iter(self.kinds))]
-        state[0] = min(AT_ONCE, state[0] + max(0, now - state[1]) / EVERY)
-        state[1] = now
-        if state[0] < 1:
-            state[2] += 1
+        state = self.kinds.get(kind)
+        if state is None:
+            state = self.kinds[kind] = KindState(BURST, now)
+            if len(self.kinds) > MAX_KINDS:
+                del self.kinds[next(iter(self.kinds))]
+        elapsed = max(0, now - state.refilled_at)
+        state.tokens = min(BURST, state.tokens + elapsed / INTERVAL)
+        state.refilled_at = now
+        if state.tokens < 1:
+            state.suppressed += 1
             return
-        left_out, state[0], state[2] = round(state[2]), state[0] - 1, 0
-        self.write(kind, line, left_out)
+        suppressed = state.suppressed
+        state.tokens -= 1
+        state.suppressed = 0
+        self.write(kind, line, suppressed)
 
-    def write(self, kind: str, line: str, left_out: int) -> None:
-        more = f" ({left_out} like it left out)" if left_out else ""
-        print(f"quartzrouter {self.name}: {kind}: {line}{more}", file=sys.stderr, flush=True)
+    def write(self, kind: str, line: str, suppressed: int) -> None:
+        """Writes one line; subclasses write elsewhere.
+
+        :param suppressed: lines of the kind that were left out since the last one.
+        """
+        note = f" ({suppressed} similar lines suppressed)" if suppressed else ""
+        print(f"quartzrouter {self.name}: {kind}: {line}{note}", file=sys.stderr, flush=True)
 
 
 class ForwardingHandler(logging.Handler):
-    """The module's log lines, as lines of the report."""
+    """Writes what the routing package logs as lines of the kind ``decisions``.
+
+    :param log: takes the lines.
+    """
 
-    def __init__(self, report: RateLimitedLog):
+    def __init__(self, log: RateLimitedLog):
         super().__init__(logging.INFO)
-        self.report = report
+        self.log = log
 
     def emit(self, record: logging.LogRecord) -> None:
-        self.report.say("decisions", record.getMessage())
+        """Forwards one record."""
+        self.log.say("decisions", record.getMessage())
--- a/quartzrouter/server/ring_buffer.py
+++ b/quartzrouter/server/ring_buffer.py
@@ -1,46 +1,71 @@
-"""A ring buffer of bytes: one per connection and direction; an empty one takes up nothing."""
+"""A ring buffer of bytes: one per connection and direction."""
 
 
 class RingBuffer:
-    def __init__(self, size: int):
-        self.size, self.start, self.used = size, 0, 0
-        self.store = bytearray()
+    """A first-in, first-out buffer of bytes with a fixed capacity.
+
+    Most connections are idle most of the time, so an empty buffer holds no memory: the storage is
+    allocated by the first write and released when the last byte is taken.
+
+    :param capacity: bytes that it can hold.
+    """
+
+    def __init__(self, capacity: int):
+        self.capacity = capacity
+        self._start = 0
+        self._length = 0
+        self._storage = bytearray()
 
     def __len__(self) -> int:
-        return self.used
+        """Bytes that it holds."""
+        return self._length
 
     @property
     def free(self) -> int:
-        return self.size - self.used
+        """Bytes that can be added."""
+        return self.capacity - self._length
 
     def put(self, data: bytes | memoryview) -> None:
+        """Appends all of the data.
+
+        :raises ValueError: it doesn't fit; nothing is appended then.
+        """
         if len(data) > self.free:
             raise ValueError("no room in the ring")
-        if not self.used:
-            self.store = bytearray(self.size)
-        at = (self.start + self.used) % self.size
-        first = min(len(data), self.size - at)
-        self.store[at : at + first] = data[:first]
-        self.store[: len(data) - first] = data[first:]
-        self.used += len(data)
+        if not self._length:
+            self._storage = bytearray(self.capacity)
+        write_position = (self._start + self._length) % self.capacity
+        until_wrap = min(len(data), self.capacity - write_position)
+        self._storage[write_position : write_position + until_wrap] = data[:until_wrap]
+        self._storage[: len(data) - until_wrap] = data[until_wrap:]
+        self._length += len(data)
 
     def peek(self, count: int) -> bytes:
-        """Up to so many bytes from the front, which stay."""
-        count = min(count, self.used)
-        end = self.start + count
-        if end <= self.size:
-            return bytes(self.store[self.start : end])
-        return bytes(self.store[self.start :]) + bytes(self.store[: end - self.size])
+        """Copies bytes from the front, which stay in the buffer.
+
+        :returns: ``count`` bytes, or all that there are where they are fewer.
+        """
+        count = min(count, self._length)
+        end = self._start + count
+        if end <= self.capacity:
+            return bytes(self._storage[self._start : end])
+        return bytes(self._storage[self._start :]) + bytes(self._storage[: end - self.capacity])
 
     def drop(self, count: int) -> None:
-        if count > self.used:
+        """Removes bytes from the front.
+
+        :raises ValueError: it holds fewer; nothing is removed then.
+        """
+        if count > self._length:
             raise ValueError("more than the ring holds")
-        self.used -= count
-        self.start = (self.start + count) % self.size
-        if not self.used:
-            self.start, self.store = 0, bytearray()
+        self._length -= count
+        self._start = (self._start + count) % self.capacity
+        if not self._length:
+            self._start = 0
+            self._storage = bytearray()
 
     def take(self, count: int) -> bytes:
+        """Removes and returns up to ``count`` bytes from the front."""
         data = self.peek(count)
         self.drop(len(data))
         return data
--- a/quartzrouter/server/stream.py
+++ b/quartzrouter/server/stream.py
@@ -1,9 +1,9 @@
-"""Connections whose sockets this process alone reads, writes and closes: nothing lies between it and the
-kernel.
+"""TCP connections whose sockets this process alone reads, writes and closes.
 
-A stream of the loop's reads ahead of whoever asks, keeps bytes back that were handed to it, and closes its
-descriptor on an error by itself: a look at such a connection says little of it, and what looks at the
-descriptor a moment later may look at another connection's.
+Nothing lies between a ``Stream`` and the kernel. The event loop's own streams read ahead of whoever asks,
+hold back bytes that were handed to them, and close their descriptor on an error by themselves. A look at
+such a connection says little about it, and a look at its descriptor a moment later may be a look at
+another connection that was given the same number.
 """
 
 import contextlib
@@ -15,32 +15,42 @@
 
 import anyio
 
-DRAINED_MOST = 1 << 18  # bytes read and dropped at a close: more than a receive buffer holds here
-PIECE = 1 << 14  # bytes of them in a read
+MAX_DRAINED = 1 << 18  # bytes read and dropped at a close: more than a receive buffer holds here
+DRAIN_CHUNK = 1 << 14  # bytes of them in a read
 
 
 class Pending(IntEnum):
-    """What has come of a connection and wasn't read, in the order in which connections are given up."""
+    """What has arrived on a connection and wasn't read, in the order in which connections are given up."""
 
-    ENDED = 0  # the other side has closed it, or it is lost
-    QUIET = 1
+    ENDED = 0  # the peer has closed it, or it is lost
+    QUIET = 1  # nothing
     UNREAD = 2  # bytes; an end may be behind them
 
 
 class Stream:
-    """One connection; errors are those of progress.LOST."""
+    """One TCP connection, as its socket.
+
+    Reads and writes raise what ``attempt_failure.CONNECTION_LOST`` lists once the connection has ended.
+
+    :param raw: a connected socket, which the stream owns from now on.
+    :raises OSError: the connection has ended already.
+    """
 
     def __init__(self, raw: socket.socket):
         self.raw = raw
         raw.setblocking(False)
         raw.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
-    async def receive(self, most: int) -> bytes:
-        """The next bytes, some at least; raises anyio.EndOfStream at the other side's end."""
+    async def receive(self, max_bytes: int) -> bytes:
+        """Waits for the next bytes.
+
+        :returns: at least one byte, at most ``max_bytes``.
+        :raises anyio.EndOfStream: the peer has ended its side.
+        """
         while True:
-            await self._until(anyio.wait_readable)
+            await self._wait(anyio.wait_readable)
             try:
-                data = self.raw.recv(most)
+                data = self.raw.recv(max_bytes)
             except BlockingIOError:
                 continue
             if not data:
@@ -48,34 +58,40 @@
             return data
 
     async def send(self, data: bytes) -> None:
-        """Returns once the kernel has all of it."""
-        left = memoryview(data)
-        while left:
+        """Writes all of the data; returns once the kernel has it."""
+        unsent = memoryview(data)
+        while unsent:
             try:
-                left = left[self.raw.send(left) :]
+                sent = self.raw.send(unsent)
             except BlockingIOError:
-                await self._until(anyio.wait_writable)
+                await self._wait(anyio.wait_writable)
+            else:
+                unsent = unsent[sent:]
 
-    async def _until(self, ready: Callable[[socket.socket], Awaitable[None]]) -> None:
+    async def _wait(self, wait_ready: Callable[[socket.socket], Awaitable[None]]) -> None:
+        """Waits for the socket, which may have been closed by its owner."""
         if self.raw.fileno() < 0:
             raise anyio.ClosedResourceError
-        await ready(self.raw)
+        await wait_ready(self.raw)
 
     def pending(self) -> Pending:
-        """What a read would find, without reading it; of any kernel, at this instant."""
+        """Tells what a read would find at this instant, without reading it.
+
+        It peeks, which works under any kernel; TCP_INFO is all zeros under some.
+        """
         try:
             return Pending.UNREAD if self.raw.recv(1, socket.MSG_PEEK) else Pending.ENDED
         except BlockingIOError:
             return Pending.QUIET
-        except OSError:  # reset, or closed here
+        except OSError:  # reset by the peer, or closed here
             return Pending.ENDED
 
-    def finish(self) -> None:
-        """Says that nothing more will be written; what was written still arrives."""
+    def finish_sending(self) -> None:
+        """Ends this side of the connection; what was written before still arrives."""
         self._shutdown(socket.SHUT_WR)
 
-    def shut(self) -> None:
-        """Ends it both ways; whoever waits for it is woken."""
+    def shutdown(self) -> None:
+        """Ends both sides at once; a task that waits for the connection is woken."""
         self._shutdown(socket.SHUT_RDWR)
 
     def _shutdown(self, how: int) -> None:
@@ -83,31 +99,41 @@
             self.raw.shutdown(how)
 
     def drain(self) -> None:
-        """Reads and drops what has come: a close over unread bytes would take the last answers with it."""
+        """Reads and drops what has arrived, to a bound.
+
+        Guards against a reset: the kernel answers a close over unread bytes with one, and the peer then
+        loses the last responses, which it may not have read yet.
+        """
         try:
-            for _ in range(DRAINED_MOST // PIECE):
-                if not self.raw.recv(PIECE):
+            for _ in range(MAX_DRAINED // DRAIN_CHUNK):
+                if not self.raw.recv(DRAIN_CHUNK):
                     return
         except OSError:
             return
 
     def close(self) -> None:
+        """Closes the socket; its descriptor may be another connection's from now on."""
         self.raw.close()
 
 
 async def connect(address: tuple[str, int]) -> Stream:
-    """A connection to an IP address and port; raises OSError, of which errno says why."""
-    family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+    """Opens a connection.
+
+    :param address: an IP address and a port.
+    :raises OSError: it could not be opened; ``errno`` says why.
+    """
+    host, _ = address
+    family = socket.AF_INET6 if ":" in host else socket.AF_INET
     raw = socket.socket(family, socket.SOCK_STREAM)
     try:
         raw.setblocking(False)
-        code = raw.connect_ex(address)
-        if code == errno.EINPROGRESS:
+        error_code = raw.connect_ex(address)
+        if error_code == errno.EINPROGRESS:
             await anyio.wait_writable(raw)
-            code = raw.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-        if code:
-            raise OSError(code, os.strerror(code))
+            error_code = raw.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+        if error_code:
+            raise OSError(error_code, os.strerror(error_code))
         return Stream(raw)
-    except BaseException:
+    except BaseException:  # a cancelled attempt, too, may not leave its descriptor open
         raw.close()
         raise
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -203,7 +203,7 @@
     :param signals: those that listen already.
     """
     try:
-        anyio.run(StandaloneProcess(path, plan, log, signals).run, backend_options=process.LOOP)
+        anyio.run(StandaloneProcess(path, plan, log, signals).run, backend_options=process.BACKEND_OPTIONS)
     except ConfigurationError as error:
         print(f"quartzrouter: {path}: {error}", file=sys.stderr)
         return 1
--- a/quartzrouter/standalone/structured_log.py
+++ b/quartzrouter/standalone/structured_log.py
@@ -1,6 +1,6 @@
-"""Structured logs of a router under a plan: logfmt on a terminal, a JSON object a line otherwise.
+"""Structured logs of a standalone router: logfmt on a terminal, a JSON object a line otherwise.
 
-Lines are counted and left out by the report, as on the platform; structlog writes those that go.
+Lines are counted and suppressed by ``RateLimitedLog``, as on the platform; structlog writes those that go.
 """
 
 import sys
@@ -12,29 +12,30 @@
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-OF_KIND = {"fault": "error", "dispatch": "warning", "client": "warning", "journal": "warning"}  # others: info
+# By kind of line; all others are written at "info".
+LEVEL_BY_KIND = {"fault": "error", "attempt": "warning", "client": "warning", "journal": "warning"}
 
 
 def logger(level: str = "info", form: str = "auto", out: Any = None) -> Any:
-    """A logger for a process.
+    """Makes a structlog logger for a process.
 
-    :param level: the least that is written.
-    :param form: "logfmt", "json", or "auto" by whether out is a terminal.
+    :param level: the least level that is written, a key of ``LEVELS``.
+    :param form: "logfmt", "json", or "auto" by whether ``out`` is a terminal.
+    :param out: a text stream; standard error where it is left out.
     """
     out = out or sys.stderr
     if form == "auto":
         form = "logfmt" if out.isatty() else "json"
-    render = (
-        structlog.processors.LogfmtRenderer(key_order=["time", "level", "event"])
-        if form == "logfmt"
-        else structlog.processors.JSONRenderer()
-    )
+    if form == "logfmt":
+        renderer = structlog.processors.LogfmtRenderer(key_order=["time", "level", "event"])
+    else:
+        renderer = structlog.processors.JSONRenderer()
     return structlog.wrap_logger(
         structlog.PrintLogger(out),
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True, key="time"),
-            render,
+            renderer,
         ],
         wrapper_class=structlog.make_filtering_bound_logger(LEVELS[level]),
         cache_logger_on_first_use=True,
@@ -42,12 +43,19 @@
 
 
 class StructuredLog(RateLimitedLog):
-    """The report, with its lines to a structured log."""
+    """A rate-limited log whose lines go to a structured one.
+
+    :param name: the router's, on each line.
+    :param clock: gives the time in microseconds.
+    :param log: a structlog logger.
+    """
 
     def __init__(self, name: str, clock: Callable[[], int], log: Any):
         super().__init__(name, clock)
         self.log = log.bind(router=name)
 
-    def write(self, kind: str, line: str, left_out: int) -> None:
-        more = {"left_out": left_out} if left_out else {}
-        getattr(self.log, OF_KIND.get(kind, "info"))(line, kind=kind, **more)
+    def write(self, kind: str, line: str, suppressed: int) -> None:
+        """Writes one line at its kind's level; the key ``left_out`` counts those suppressed before it."""
+        counts = {"left_out": suppressed} if suppressed else {}
+        write_at_level = getattr(self.log, LEVEL_BY_KIND.get(kind, "info"))
+        write_at_level(line, kind=kind, **counts)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -95,7 +95,7 @@
                     await scene(lambda: self.connect(port))
                     tasks.cancel_scope.cancel()
 
-        anyio.run(run, backend_options=process.LOOP)
+        anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
     def router(self, environ):
         return process.RouterProcess(
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -101,7 +101,7 @@
                 tasks.cancel_scope.cancel()
         return crowd.ends
 
-    ends = anyio.run(run, backend_options=process.LOOP)
+    ends = anyio.run(run, backend_options=process.BACKEND_OPTIONS)
     print(ends)
     assert sum(ends.values()) == 3_000 and ends["answered"] > 2_700
     assert ends["lost"] == 0
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -29,9 +29,9 @@
     )
     names += b"\x01\x01A1"
     data = (
-        fastcgi.record(fastcgi.BEGIN, 300, bytes((0, 1, 1, 0, 0, 0, 0, 0)))
-        + fastcgi.record(fastcgi.PARAMS, 300, names)
-        + fastcgi.record(fastcgi.STDIN, 300, b"")
+        fastcgi.encode_record(fastcgi.RecordType.BEGIN_REQUEST, 300, bytes((0, 1, 1, 0, 0, 0, 0, 0)))
+        + fastcgi.encode_record(fastcgi.RecordType.PARAMS, 300, names)
+        + fastcgi.encode_record(fastcgi.RecordType.STDIN, 300, b"")
     )
     for step in (1, 7, len(data)):
         ring, params, pieces = RingBuffer(1000), b"", 0
@@ -39,27 +39,29 @@
         for at in range(0, len(data), step):
             ring.put(data[at : at + step])
             while record := records.next():
-                if record.kind == fastcgi.PARAMS:
+                if record.record_type == fastcgi.RecordType.PARAMS:
                     params, pieces = params + record.content, pieces + 1
                 else:
-                    trace.append(f"step {step}: kind {record.kind} id {record.id} {record.content}")
-        trace.append(f"step {step}: {pieces} pieces, {fastcgi.pairs(params)}".replace(long, "x * 200"))
+                    trace.append(
+                        f"step {step}: kind {record.record_type} id {record.request_id} {record.content}"
+                    )
+        trace.append(f"step {step}: {pieces} pieces, {fastcgi.decode_pairs(params)}".replace(long, "x * 200"))
 
 
 @pytest.mark.parametrize("data", [b"\x05a", b"\x01\x01a", b"\x81\x00\x00", b"\xff\xff\xff\xff\x01ab"])
 def test_pairs_that_are_cut_off(data):
     with pytest.raises(fastcgi.ProtocolError):
-        fastcgi.pairs(data)
+        fastcgi.decode_pairs(data)
 
 
 def test_records_out(trace):
     for data in (
-        *fastcgi.stdout(1, b"x" * 20_000),
-        fastcgi.end(258),
-        fastcgi.end(1, whole=False),
-        fastcgi.end(1, protocol=fastcgi.OVERLOADED),
-        fastcgi.unknown(77),
-        fastcgi.values({"FCGI_MPXS_CONNS": "", "OTHER": ""}, {"FCGI_MPXS_CONNS": 1}),
+        *fastcgi.encode_stdout(1, b"x" * 20_000),
+        fastcgi.encode_end_request(258),
+        fastcgi.encode_end_request(1, completed=False),
+        fastcgi.encode_end_request(1, protocol_status=fastcgi.ProtocolStatus.OVERLOADED),
+        fastcgi.encode_unknown_type(77),
+        fastcgi.encode_values_result({"FCGI_MPXS_CONNS": "", "OTHER": ""}, {"FCGI_MPXS_CONNS": 1}),
         responses.head(200, 3),
         responses.not_modified(),
         responses.overloaded(1_500),
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -28,7 +28,7 @@
     process,
     stream,
 )
-from quartzrouter.signals import KEPT, Signals
+from quartzrouter.signals import MAX_PENDING, Signals
 
 FULL = b"HTTP/1.1 503 Busy\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
 BIG = WHOLE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + bytes(240_000)
@@ -94,7 +94,7 @@
     async def scene(connect):
         client, other = await connect(), await connect()
         more = client.req(2, body=bytes(client_connections.INCOMING), whole=False) if "behind" in way else b""
-        abort = fastcgi.record(fastcgi.ABORT, 1, b"") if "abort" in way else b""
+        abort = fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b"") if "abort" in way else b""
         write(client, client.req(1) + more + abort)
         if "end" in way:
             close(client)
@@ -118,7 +118,7 @@
         monkeypatch.setattr(cache_connections, "connect", held)
         await client.begin(1)
         await until(lambda: come)
-        await client.send((fastcgi.ABORT, b""))
+        await client.send((fastcgi.RecordType.ABORT_REQUEST, b""))
         assert "end 1 0" in await client.end()  # taken back
         gate.set()
         await client.begin(2)
@@ -156,7 +156,7 @@
         while not any(each.stream.pending() is stream.Pending.UNREAD for each in asking()):
             await anyio.sleep(0)
         if way == "abort":
-            write(client, fastcgi.record(fastcgi.ABORT, 1, b""))
+            write(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
         else:
             close(client)
         await settled(world)
@@ -186,9 +186,9 @@
             before, pile = pile, len(mine.outgoing) + sum(map(len, mine.waiting.values()))
             await anyio.sleep(0.05)
         assert mine.piled
-        await client.send((fastcgi.GET_VALUES, b"\x0f\x00FCGI_MPXS_CONNS"), id=0)
+        await client.send((fastcgi.RecordType.GET_VALUES, b"\x0f\x00FCGI_MPXS_CONNS"), id=0)
         await until(lambda: mine.faults)  # read, and not answered
-        write(client, fastcgi.record(fastcgi.ABORT, 1, b""))
+        write(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
         await until(lambda: 1 not in mine.tickets)
         full.set()
         await settled(world)
@@ -213,7 +213,7 @@
         assert mine.closing
         await client.begin(90)
         assert "end 0 2" in await client.end()  # overloaded: it may come again
-        await client.send((fastcgi.ABORT, b""))
+        await client.send((fastcgi.RecordType.ABORT_REQUEST, b""))
         assert "end 1 0" in await client.end()  # taken back
         full.set()
         await settled(world)
@@ -264,7 +264,7 @@
             if not ends:
                 ends.append(ticket)
                 taken = next(iter(world.service.backend.asked.values()))
-                taken.stream.shut()  # as its cache would
+                taken.stream.shutdown()  # as its cache would
             await hear(self, ticket)
 
         monkeypatch.setattr(client_connections.ClientConnection, "hear", late)
@@ -377,7 +377,7 @@
         assert order == ["large", "small"] and budget.free == cache_connections.ANSWER_MOST - 50_000
         assert not budget.waiting
 
-    anyio.run(run, backend_options=process.LOOP)
+    anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
 
 # -- lists and windows -----------------------------------------------------------------------------
@@ -467,7 +467,7 @@
                 tasks.cancel_scope.cancel()
         return router.returncode, said
 
-    return anyio.run(run, backend_options=process.LOOP)
+    return anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
 
 def test_a_reload_before_the_program_is_loaded_ends_nothing(world):
@@ -511,7 +511,7 @@
         with signals:
             signals.wake = lambda: 1 / 0
         os.kill(os.getpid(), signal.SIGHUP)
-        assert list(signals.received) == [signal.SIGHUP]
+        assert list(signals.pending) == [signal.SIGHUP]
 
 
 def test_what_reaches_a_router_at_its_end_is_answered_and_nothing_is_reset(world, monkeypatch):
@@ -579,7 +579,7 @@
         one, two = socket.socketpair()
         try:
             assert number in (one.fileno(), two.fileno())  # the descriptor is taken again
-            pooled.stream.shut()
+            pooled.stream.shutdown()
             assert not pooled.quiet()
             one.setblocking(False)
             one.send(b"still there")
@@ -638,7 +638,7 @@
         for id in range(1, 21):
             flood = await connect()
             data = flood.req(id) + flood.req(2, body=bytes(4_000), whole=False)
-            data += fastcgi.record(fastcgi.STDIN, 99, bytes(8_000))
+            data += fastcgi.encode_record(fastcgi.RecordType.STDIN, 99, bytes(8_000))
             with contextlib.suppress(BlockingIOError):
                 os.write(raw(flood).fileno(), data)
             close(flood)
@@ -708,10 +708,10 @@
         os.kill(os.getpid(), signal.SIGTERM)
         for _ in range(1_000):
             os.kill(os.getpid(), signal.SIGHUP)
-        assert signals.ending and len(signals.received) <= KEPT + 2
+        assert signals.stop_pending and len(signals.pending) <= MAX_PENDING + 2
         for _ in range(1_000):
             os.kill(os.getpid(), signal.SIGINT)
-        assert signal.SIGHUP in signals.received and len(signals.received) <= KEPT + 2
+        assert signal.SIGHUP in signals.pending and len(signals.pending) <= MAX_PENDING + 2
 
 
 # -- reloads, late connections, floods ---------------------------------------------------------------
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -116,5 +116,5 @@
         world.router({"NODE_CONFIG": str(world.path), "NODE_LISTEN": f"127.0.0.1:{port}"})
 
     with pytest.raises(ConfigurationError) as refused:
-        anyio.run(run, backend_options=process.LOOP)
+        anyio.run(run, backend_options=process.BACKEND_OPTIONS)
     assert key in str(refused.value) and "\n" not in str(refused.value)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -413,7 +413,7 @@
                 await scene(tasks, keepers, claims)
                 tasks.cancel_scope.cancel()
 
-    anyio.run(main, backend_options=net.LOOP)
+    anyio.run(main, backend_options=net.BACKEND_OPTIONS)
 
 
 def test_a_task_goes_to_another_within_milliseconds_once_its_work_has_ended():
@@ -662,7 +662,7 @@
             told["passed"] = {name: hold.told for name, hold in holds.items()}
             tasks.cancel_scope.cancel()
 
-    anyio.run(main, backend_options=net.LOOP)
+    anyio.run(main, backend_options=net.BACKEND_OPTIONS)
     assert [told[n] for n in range(4)] == [("old", 4, 1), ("new", 7, 2), ("old", 7, 2), ("ended", 7, 2)]
     assert told["passed"] == {"old": [7], "new": [], "ended": []}
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -72,7 +72,7 @@
                 await scene(tasks)
                 tasks.cancel_scope.cancel()
 
-    anyio.run(run, backend_options=process_module.LOOP)
+    anyio.run(run, backend_options=process_module.BACKEND_OPTIONS)
 
 
 async def until(member, kind):
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -74,10 +74,10 @@
         for said in (
             b"\x02" + bytes(7),
             b"GET / HTTP/1.1\r\n\r\n",
-            fastcgi.record(fastcgi.BEGIN, 1, b"short"),
-            fastcgi.record(fastcgi.END, 1, bytes(8)),
-            fastcgi.record(fastcgi.GET_VALUES, 0, b"\x0f"),
-            fastcgi.record(fastcgi.BEGIN, 1, b"\x00\x01" + bytes(6)) * 2,
+            fastcgi.encode_record(fastcgi.RecordType.BEGIN_REQUEST, 1, b"short"),
+            fastcgi.encode_record(fastcgi.RecordType.END_REQUEST, 1, bytes(8)),
+            fastcgi.encode_record(fastcgi.RecordType.GET_VALUES, 0, b"\x0f"),
+            fastcgi.encode_record(fastcgi.RecordType.BEGIN_REQUEST, 1, b"\x00\x01" + bytes(6)) * 2,
         ):
             client = await connect()
             await client.stream.send(said)
@@ -85,14 +85,16 @@
         client = await connect()
         await client.begin(1, role=2)
         trace.append(await client.end())
-        await client.stream.send(fastcgi.record(77, 0, b""))
+        await client.stream.send(fastcgi.encode_record(77, 0, b""))
         trace.append(await client.end())
-        await client.stream.send(fastcgi.record(fastcgi.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS"))
+        await client.stream.send(
+            fastcgi.encode_record(fastcgi.RecordType.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS")
+        )
         trace.append(await client.end())
         for id in range(1, 34):
             await client.send(begin(), id=id)
         trace.append(await client.end())
-        await client.send((fastcgi.ABORT, b""), id=7)
+        await client.send((fastcgi.RecordType.ABORT_REQUEST, b""), id=7)
         trace.append(await client.end())
         await client.begin(40)
         trace.append(await client.end())
@@ -115,11 +117,11 @@
 
     async def body_without_end(client):
         await client.begin(1, whole=False)
-        await stream(client, fastcgi.STDIN)
+        await stream(client, fastcgi.RecordType.STDIN)
 
     async def params_without_end(client):
         await client.send(begin())
-        await stream(client, fastcgi.PARAMS)
+        await stream(client, fastcgi.RecordType.PARAMS)
 
     async def announced(client, length="60000000"):
         await client.begin(1, whole=False, CONTENT_LENGTH=length)
@@ -138,7 +140,11 @@
         for id in range(1, 33):
             await client.begin(id, whole=False)
         await client.stream.send(
-            b"".join(fastcgi.record(k, n, b"") for n in range(1, 33) for k in (fastcgi.STDIN, fastcgi.ABORT))
+            b"".join(
+                fastcgi.encode_record(k, n, b"")
+                for n in range(1, 33)
+                for k in (fastcgi.RecordType.STDIN, fastcgi.RecordType.ABORT_REQUEST)
+            )
         )
 
     async def again(client):
@@ -193,7 +199,7 @@
         for id in (1, 2):
             await client.begin(id)
             await anyio.sleep(0.1)
-            await client.send((fastcgi.ABORT, b""), id=id)
+            await client.send((fastcgi.RecordType.ABORT_REQUEST, b""), id=id)
             trace.append(await client.end())
         await client.begin(3)
         trace.append(await client.end())
@@ -303,7 +309,7 @@
             setattr(decisions, call, lambda *arguments: 1 / 0)
             await client.begin(1)
             if call == "cancel_request":
-                await client.send((fastcgi.ABORT, b""))
+                await client.send((fastcgi.RecordType.ABORT_REQUEST, b""))
             trace.append(f"{call}: {await client.end()}")
             delattr(decisions, call)
         await client.begin(2)
@@ -319,9 +325,9 @@
         for id in range(1, 5):
             await client.begin(id, body=bytes(40_000), whole=False)
         for id in (4, 1):
-            await client.send((fastcgi.STDIN, b""), id=id)
+            await client.send((fastcgi.RecordType.STDIN, b""), id=id)
             trace.append(await client.end())
-        await client.send((fastcgi.ABORT, b""), id=2)
+        await client.send((fastcgi.RecordType.ABORT_REQUEST, b""), id=2)
         trace.append(await client.end())
         await client.stream.aclose()
         await anyio.sleep(0.05)
@@ -340,7 +346,9 @@
             await anyio.sleep(0)
             self.taken += 1
             self.held = max([self.held, *(sum(map(len, client.waiting.values())) for client in room.open)])
-            return fastcgi.record(fastcgi.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS") * (most // 32)
+            return fastcgi.encode_record(fastcgi.RecordType.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS") * (
+                most // 32
+            )
 
         async def send(self, data):
             await anyio.sleep_forever()
@@ -365,7 +373,7 @@
         trace.append(f"{len(room.open)} open")
 
     room = None
-    anyio.run(run, backend_options=process_module.LOOP)
+    anyio.run(run, backend_options=process_module.BACKEND_OPTIONS)
 
 
 def test_idle_clients_make_room_for_a_new_one(world, trace):
@@ -420,7 +428,7 @@
                 assert "Traceback" not in error
                 tasks.cancel_scope.cancel()
 
-    anyio.run(run, backend_options=process_module.LOOP)
+    anyio.run(run, backend_options=process_module.BACKEND_OPTIONS)
 
 
 def test_load_told_in_answers_follows_from_the_settings_alone(world, trace):
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -50,7 +50,7 @@
                 router.wait()
         return sorted(took)
 
-    took = anyio.run(run, backend_options=process.LOOP)
+    took = anyio.run(run, backend_options=process.BACKEND_OPTIONS)
     print("ready after", *(f"{each:.2f}" for each in took), "s")
     assert len(took) == ROUTERS
     assert took[ROUTERS * 9 // 10 - 1] <= MOST
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -79,7 +79,7 @@
                     await scene(lambda: self.connect(self.told["port"]))
                     tasks.cancel_scope.cancel()
 
-        anyio.run(run, backend_options=process.LOOP)
+        anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
 
 @pytest.fixture
--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -133,7 +133,7 @@
                     await scene(Site(tmp_path, tasks))
                     tasks.cancel_scope.cancel()
 
-        anyio.run(run, backend_options=process.LOOP)
+        anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
     return play
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -17,7 +17,7 @@
 from standins import WHOLE, World, free_port
 
 from quartzrouter.server import process
-from quartzrouter.server.event_loop import LOOP, EventLoop
+from quartzrouter.server.event_loop import BACKEND_OPTIONS, EventLoop
 
 # what is put into the process, ahead of main
 TIMER = """
@@ -97,7 +97,7 @@
 
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
         began = time.monotonic()
-        anyio.run(run, backend_options=LOOP)
+        anyio.run(run, backend_options=BACKEND_OPTIONS)
         after = resource.getrusage(resource.RUSAGE_CHILDREN)
         self.cpu = after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
         self.share = self.cpu / (time.monotonic() - began)
@@ -116,12 +116,12 @@
 @pytest.mark.parametrize(
     "fault, named",
     [
-        (TIMER, "ticks in a row with nothing done; due again"),
-        (WAIT, "ticks in a row with nothing done; due again: tag 0"),
+        (TIMER, "timer ticks in a row without effect; due again"),
+        (WAIT, "timer ticks in a row without effect; due again: tag 0"),
         (READABLE, "more"),
         (READER, "nobody"),
         (SOON, "more"),
-        (NOW, "ticks in a row with nothing done; due again: tag"),
+        (NOW, "timer ticks in a row without effect; due again: tag"),
     ],
 )
 def test_what_spins_is_named_and_braked_and_reqs_get_their_answers(tmp_path, fault, named):
@@ -136,7 +136,7 @@
 
     router = Process(tmp_path, PROCESS.format(fault))
     router.play(scene)
-    lines = [line for line in router.said.splitlines() if ": turns: " in line]
+    lines = [line for line in router.said.splitlines() if ": event loop: " in line]
     print(router.share, router.answers, *lines, sep="\n")
     assert any(name in line for line in lines for name in named.split("|"))
     assert len(lines) < 60  # said, and not without end
@@ -208,7 +208,7 @@
     router = Process(tmp_path, PROCESS.format(""))
     router.play(scene, limits={"sockets": 1024})
     assert len(router.answers) == 600 and all("200" in said for said, _ in router.answers.values())
-    assert ": turns: " not in router.said
+    assert ": event loop: " not in router.said
 
 
 def test_a_deadline_that_runs_out_sets_its_timer_once():
@@ -227,7 +227,7 @@
 
     anyio.run(run, backend_options={"loop_factory": Counting})
     assert len(set_for) <= len(range(100, 6_000, 170))  # some hundreds without it
-    assert process.LOOP["loop_factory"] is EventLoop
+    assert process.BACKEND_OPTIONS["loop_factory"] is EventLoop
 
 
 async def slices(router, on, off):
@@ -279,7 +279,7 @@
                         time.sleep(0.3)  # as when the process is stopped
                         return await near.receive()
 
-    assert anyio.run(run, backend_options=LOOP) == b"answer"
+    assert anyio.run(run, backend_options=BACKEND_OPTIONS) == b"answer"
 
 
 def test_a_half_made_environment_is_made_again(tmp_path):
