--- a/quartzrouter/fault_scenarios/leases.py
+++ b/quartzrouter/fault_scenarios/leases.py
@@ -292,7 +292,9 @@
 
     :param enough: looks at what was found so far.
     """
-    return anyio.run(partial(_play, chance, shape, faults, guards, enough), backend_options=process.LOOP)
+    return anyio.run(
+        partial(_play, chance, shape, faults, guards, enough), backend_options=process.BACKEND_OPTIONS
+    )
 
 
 def _folder() -> tempfile.TemporaryDirectory:
