--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -23,27 +23,29 @@
 from quartzrouter.server.cache_connections import CacheConnections
 from quartzrouter.server.client_connections import ClientConnections, parse_request
 from quartzrouter.server.clock import RouterClock, steady_clock, wall_clock
-from quartzrouter.server.event_loop import LOOP
-from quartzrouter.server.rate_limited_log import ForwardingHandler, RateLimitedLog
-from quartzrouter.server.spin_guard import FLOOR, SpinGuard, TickGuard
-from quartzrouter.server.state_machine import (
-    AttemptEnded,
+from quartzrouter.server.effects import (
     CancelAttempt,
-    ClientGone,
-    ClientRequest,
     CloseIdleConnections,
-    ConfigurationReloaded,
-    Event,
     ExitProcess,
     FollowDiscovery,
     OpenConnection,
-    RouterStateMachine,
     SendRequest,
     SendResponse,
-    ShutdownRequested,
     StartHealthCheck,
+)
+from quartzrouter.server.event_loop import BACKEND_OPTIONS
+from quartzrouter.server.events import (
+    AttemptEnded,
+    ClientGone,
+    ClientRequest,
+    ConfigurationReloaded,
+    Event,
+    ShutdownRequested,
     TimerFired,
 )
+from quartzrouter.server.rate_limited_log import ForwardingHandler, RateLimitedLog
+from quartzrouter.server.spin_guard import MIN_PAUSE, SpinGuard, TickGuard
+from quartzrouter.server.state_machine import RouterStateMachine
 from quartzrouter.server.stream import Stream
 from quartzrouter.signals import Signals
 
@@ -148,13 +150,16 @@
         due, failed = self.reducer.due, None
         if isinstance(event, AttemptEnded) and event.failure:
             failure = event.failure
-            self.report.say("dispatch", f"{failure.cause.name} while {failure.stage.name}: {failure.detail}")
+            self.report.say("attempt", f"{failure.cause.name} while {failure.stage.name}: {failure.detail}")
         try:
             effects = self.reducer.step(event, self._time())
         except Exception:
             self.report.say("fault", f"{type(event).__name__}: {traceback.format_exc()}")
             effects = self.reducer.effects
-            if not isinstance(event, ClientGone) and (failed := getattr(event, "ticket", None)) is not None:
+            if (
+                not isinstance(event, ClientGone)
+                and (failed := getattr(event, "request_id", None)) is not None
+            ):
                 self.events.append(ClientGone(failed))
         if effects or not isinstance(event, TimerFired):
             self.done += 1
@@ -223,12 +228,12 @@
         while True:
             self.changed = anyio.Event()
             wait = (self.reducer.due - self._time()) / 1e6
-            with anyio.move_on_after(max(wait, self.ticks.floor)):
+            with anyio.move_on_after(max(wait, self.ticks.pause)):
                 await self.changed.wait()
             if self.reducer.due <= self._time():
                 self.feed(TimerFired())
-                again = self.reducer.due - self.now < FLOOR * 1e6
-                self.ticks.played(self.done > played, self.reducer.due_for if again else None)
+                again = self.reducer.due - self.now < MIN_PAUSE * 1e6
+                self.ticks.record_tick(self.done > played, self.reducer.due_for if again else None)
                 played = self.done
 
     async def _accept_all(self) -> None:
@@ -305,8 +310,8 @@
         loop, come = asyncio.get_running_loop(), anyio.Event()
         self.signals.wake = lambda: loop.call_soon_threadsafe(come.set)
         while True:
-            while self.signals.received:
-                number = self.signals.received.popleft()
+            while self.signals.pending:
+                number = self.signals.pending.popleft()
                 if number == signal.SIGHUP:
                     self._reload()
                 else:
@@ -343,7 +348,7 @@
         for event in endpoint_watch.initial_snapshot(configuration.known, configuration.briefing):
             self.reducer.step(event, now)
         host, port = configuration.listen
-        if self.signals.ending:
+        if self.signals.stop_pending:
             self.report.say("process", "told to end before it listened: stopped")
             return
         try:
@@ -379,7 +384,7 @@
         service = RouterProcess(
             Configuration(read(environ), environ), lambda: Configuration(read(environ), environ), signals
         )
-        anyio.run(service.run, backend_options=LOOP)
+        anyio.run(service.run, backend_options=BACKEND_OPTIONS)
     except ConfigurationError as error:
         print(f"quartzrouter: {error}", file=sys.stderr)
         return 1
