--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -149,7 +149,7 @@
 
         def planned(n: int, now: int, force=force, count=count) -> None:
             at = n % count
-            ruling = force.rule(Asked("s1", f"h{at}.example", f"/area/sub{at}/{n % 500}"), "10.0.0.7")
+            ruling = force.select_route(Asked("s1", f"h{at}.example", f"/area/sub{at}/{n % 500}"), "10.0.0.7")
             assert force.admit(n, ruling, now) is None
             told = Request(n, vhost_name(ruling.route), ruling.obj, None, 0, 0.0, 3_000_000)
             answer = force.route(told, now)
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -272,8 +272,8 @@
                     for name in ("n1", "n2"):
                         await caches[name].start(tasks)
                     await anyio.sleep(0.3)
-            changes = service.force.pools.standing["near"].changes
-            held, where = len(service.force.limits.held), len(service.force.where)
+            changes = service.force.pools.states["near"].changes
+            held, where = len(service.force.limits.held), len(service.force.router_of)
             os.kill(os.getpid(), signal.SIGTERM)
             await put(SITE.format(**told | {"crowd": 1}))  # a plan replaced during SIGTERM
             last = Client(await _connect(told["port"]))
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -1,22 +1,26 @@
-"""A plan in force, standing where one Router stands: a Router a pool, each req handed to its pool's.
+"""A plan in force: one router for each pool, and each request handed to its pool's.  No I/O.
 
-A new plan takes over at once: routers of pools whose name stays go on with what they have learnt, those of
-pools that are gone live until their last req has ended, and every req ends under the plan it came with.
+A new plan takes over at once.  Routers of pools whose name stays keep what they have learnt, those of pools
+that are gone live until their last request has ended, and each request ends under the plan it came with.
 """
 
-from collections.abc import Callable, Mapping
+from collections.abc import Callable, Iterable, Mapping
 from dataclasses import replace
 from typing import Any
 
 from quartzrouter.config.matcher import Matcher
-from quartzrouter.config.model import POLICY_OVERRIDES, TRAFFIC_CLASS_FIELDS, Plan, Pool, belongs
+from quartzrouter.config.model import Plan, Pool
 from quartzrouter.config.request_sets import Asked
+from quartzrouter.pool_routing.fleet_reports import merge_demand, merge_observations
+from quartzrouter.pool_routing.policy_budgets import PolicyBudgets
+from quartzrouter.pool_routing.policy_classes import effective_traffic_classes
+from quartzrouter.pool_routing.pool_router import PoolRouter
 from quartzrouter.pool_routing.pools import PoolSelector
+from quartzrouter.pool_routing.purge_bounds import PurgeBounds
 from quartzrouter.pool_routing.rate_limits import LimitExceeded, RateLimiter
 from quartzrouter.pool_routing.route_selection import (
     RouteSelection,
     keys,
-    marked,
     repeats,
     select_route,
     vhost_name,
@@ -41,46 +45,20 @@
     SlowStart,
     SlowStartDemand,
     Tier,
-    TrafficClass,
 )
 from quartzrouter.routing.router import Router
+from quartzrouter.routing.units import MILLISECOND, NEVER
 
-MS = 1_000
-LOOK_EVERY = 50 * MS  # us between counts of a pool's caches: a cache that fails is out within 50 ms anyway
-BUDGET_MOST = 10.0  # further dispatches that a policy may save up
-NEVER = 1 << 62  # us
-
-
-class PoolRouter:
-    """A pool's Router, and when it wants to be asked again."""
-
-    def __init__(self, pool: Pool, router: Router):
-        self.pool, self.router = pool, router
-        self.due = 0
-        self.caches = CacheCount(0, 0)
-        self.counted = -NEVER
-
-    def takes(self, line: Endpoint) -> bool:
-        told = {"tier": "cache", "at": line.location, "kind": line.machine_type, "cell": line.cell}
-        return line.tier is not Tier.CACHE or belongs(self.pool, line.name, told)
-
-    def hear(self, lines: list[Endpoint], whole: bool, now: int) -> None:
-        self.router.update_endpoints([line for line in lines if self.takes(line)], whole, now)
-        self.due, self.counted = 0, -NEVER
-
-    def count(self, now: int) -> CacheCount:
-        if not 0 <= now - self.counted < LOOK_EVERY:
-            self.caches, self.counted = self.router.count_caches(now), now
-        return self.caches
+MIN_MAINTENANCE_INTERVAL = 1 * MILLISECOND  # so that a timer that is due at once doesn't spin
 
 
 class MultiPoolRouter:
-    """Speaks like a Router to the host of the decisions.
+    """Stands where one ``Router`` stands, and decides under a plan.
 
-    :param arguments: those of a Router, for the deployment as a whole.
-    :param fleet: the fleet's purges, where there is a ledger of them.
-    :param shares: what this router has of limits that it shares.
-    :param parts: what it has of what cold servers may be sent, where routers share that.
+    :ivar pool_routers: by pool.
+    :ivar leaving: routers of pools that are gone, with requests in flight.
+    :ivar router_of: the router of each request in flight, by request id.
+    :ivar selections: the route of each request in flight, by request id.
     """
 
     def __init__(
@@ -90,323 +68,326 @@
         fleet: FleetPurges | None = None,
         shares: QuotaClient | None = None,
         parts: SlowStartClient | None = None,
-    ):
-        self.arguments, self.fleet, self.shares, self.parts = dict(arguments), fleet, shares, parts
-        self.plan, self.matcher, self.holds = plan, Matcher(plan.routes), holds(plan)
-        self.repeats = repeats(plan)
-        self.limits = RateLimiter(plan.limits, shares, arguments["home_location"])
+    ) -> None:
+        """:param arguments: those of a ``Router``, for the deployment as a whole.
+        :param fleet: the fleet's purges, where there is a purge log.
+        :param shares: what this router has of limits that routers share.
+        :param parts: what it has of what endpoints that are warming up may be sent, where routers share that.
+        """
+        self.arguments = dict(arguments)
+        self.home_location: str = arguments["home_location"]
+        self.fleet = fleet
+        self.shares = shares
+        self.parts = parts
+        self.limits = RateLimiter(plan.limits, shares, self.home_location)
         self.pools = PoolSelector(plan.pools, plan.splits)
-        self.purges = Freshness(arguments["purge_lifetime"])  # for routers that come later
-        self.lines: dict[str, Endpoint] = {}
+        self.policy_budgets = PolicyBudgets()
+        self.purge_bounds = PurgeBounds(fleet)
+        self.freshness = Freshness(arguments["purge_lifetime"])  # for routers that are made later
+        self.endpoints: dict[str, Endpoint] = {}
         self.pool_routers: dict[str, PoolRouter] = {}
-        self.leaving: list[PoolRouter] = []  # of pools that are gone
-        self.where: dict[int, PoolRouter] = {}  # by req
-        self.rulings: dict[int, RouteSelection] = {}
-        self.budgets: dict[str, float] = {}  # by policy: further dispatches saved up
-        self.touched: set[PoolRouter] = set()
-        self.traffic_classes = self._traffic_classes()
-        self._assign(0)
+        self.leaving: list[PoolRouter] = []
+        self.router_of: dict[int, PoolRouter] = {}
+        self.selections: dict[int, RouteSelection] = {}
+        self.needs_maintenance: set[PoolRouter] = set()
+        self._take_in(plan)
+        self._assign_routers(0)
 
     # -- the plan --------------------------------------------------------------------------------------
 
     def replace(self, plan: Plan, now: int) -> None:
-        """The new plan, from this moment on."""
-        self.plan, self.matcher, self.holds = plan, Matcher(plan.routes), holds(plan)
-        self.repeats = repeats(plan)
+        """Puts a new plan in force."""
         self.limits.replace(plan.limits)
         if self.shares:
-            self.shares.replace(budgets(plan, (self.arguments["home_location"],)))
+            self.shares.replace(budgets(plan, (self.home_location,)))
         self.pools.replace(plan.pools, plan.splits)
-        self.budgets = {name: kept for name, kept in self.budgets.items() if name in plan.policies}
-        self.traffic_classes = self._traffic_classes()
-        self._assign(now)
-
-    def _traffic_classes(self) -> dict[str, TrafficClass]:
-        """Each vhost, and each as the policies of its routes change it."""
-        found = dict(self.plan.vhosts)
-        for route in self.plan.routes:
-            if route.policy:
-                policy, base = self.plan.policies[route.policy], self.plan.vhosts[route.vhost]
-                told = {key: getattr(policy, key) for key in POLICY_OVERRIDES}
-                changes = {
-                    TRAFFIC_CLASS_FIELDS[key]: value for key, value in told.items() if value is not None
-                }
-                found[vhost_name(route)] = replace(base, name=vhost_name(route), **changes)
-        return found
-
-    def _assign(self, now: int) -> None:
-        """A Router for each pool: the one of that name, or a new one that knows the list and the purges."""
-        before, self.pool_routers = self.pool_routers, {}
-        gone = [pool_router for name, pool_router in before.items() if name not in self.plan.pools]
-        self.leaving = [
-            pool_router for pool_router in (*self.leaving, *gone) if pool_router.router.has_requests()
-        ]
+        self.policy_budgets.keep_only(plan.policies)
+        self._take_in(plan)
+        self._assign_routers(now)
+
+    def _take_in(self, plan: Plan) -> None:
+        self.plan = plan
+        self.matcher = Matcher(plan.routes)
+        self.longest_in_flight = holds(plan)
+        self.limits_on_retries = repeats(plan)
+        self.traffic_classes = effective_traffic_classes(plan)
+
+    def _assign_routers(self, now: int) -> None:
+        """Gives each pool the router of that name, or a new one that knows the endpoints and the purges."""
+        before = self.pool_routers
+        self._retire(pool_router for name, pool_router in before.items() if name not in self.plan.pools)
+        self.pool_routers = {}
         for name, pool in self.plan.pools.items():
-            known = before.get(name)
-            pool_router = known or PoolRouter(pool, self._router())
+            is_new = name not in before
+            pool_router = PoolRouter(pool, self._new_router()) if is_new else before[name]
             pool_router.pool = pool
-            pool_router.router.set_locations(self._homes(pool))
+            pool_router.router.set_locations(self._locations(pool))
             pool_router.router.add_traffic_classes(self.traffic_classes)
-            if self.lines:
-                pool_router.hear(list(self.lines.values()), True, now)
-                if not known:
+            if self.endpoints:
+                pool_router.update_endpoints(self.endpoints.values(), True, now)
+                if is_new:
                     pool_router.router.exhaust_slow_start(now)
             self.pool_routers[name] = pool_router
         for pool_router in self._all():
-            self._share(pool_router, len(self._all()))
-        self.touched.update(self.pool_routers.values())
+            self._share_budgets(pool_router, len(self._all()))
+        self.needs_maintenance.update(self.pool_routers.values())
+
+    def _retire(self, gone: Iterable[PoolRouter]) -> None:
+        candidates = [*self.leaving, *gone]
+        self.leaving = [pool_router for pool_router in candidates if pool_router.router.has_requests()]
 
-    def _router(self) -> Router:
-        router = Router(**(self.arguments | {"traffic_classes": list(self.traffic_classes.values())}))
-        router.set_purges(self.purges)
+    def _new_router(self) -> Router:
+        arguments = self.arguments | {"traffic_classes": list(self.traffic_classes.values())}
+        router = Router(**arguments)
+        router.set_purges(self.freshness)
         if self.parts:
-            router.share_slow_start_grants(
-                self.parts.left
-            )  # one for all pools: what one has used, another has not
+            router.share_slow_start_grants(self.parts.left)
         return router
 
-    def _share(self, pool_router: PoolRouter, pools: int) -> None:
-        """Cold servers' budgets and sources' limits are shared by all routers, and by all pools of each."""
-        everyone, home = self.arguments["parent_slow_start"].routers, (self.arguments["home_location"],)
+    def _share_budgets(self, pool_router: PoolRouter, pools: int) -> None:
+        """Divides slow-start budgets and limits of fill sources by all routers, and by the pools of each."""
+        everyone = self.arguments["parent_slow_start"].routers
         for key, tier in (("cache_slow_start", Tier.CACHE), ("parent_slow_start", Tier.PARENT)):
-            cold: SlowStart = self.arguments[key]
-            reach = cold.routers if pool_router.pool.stores == home else everyone
-            shared = self.parts.terms.get(tier.value) if self.parts else None
-            own_share = shared.floors if shared else 1.0
-            pool_router.router.share_slow_start(tier, reach * pools, own_share)
+            slow_start: SlowStart = self.arguments[key]
+            is_at_home = pool_router.pool.stores == (self.home_location,)
+            routers = slow_start.routers if is_at_home else everyone
+            terms = self.parts.terms.get(tier.value) if self.parts else None
+            own_share = terms.floors if terms else 1.0
+            pool_router.router.share_slow_start(tier, routers * pools, own_share)
         pool_router.router.share_fill_limits(everyone * pools)
 
-    def _homes(self, pool: Pool) -> tuple[str, ...]:
+    def _locations(self, pool: Pool) -> tuple[str, ...]:
         """Where a pool's caches stand; one that names caches only has them wherever they are."""
         return pool.stores or tuple({self.plan.caches[name]["at"] for name in pool.caches})
 
-    # -- one req -----------------------------------------------------------------------------------------
+    def _all(self) -> list[PoolRouter]:
+        return [*self.pool_routers.values(), *self.leaving]
+
+    # -- before a request is taken in --------------------------------------------------------------------
 
-    def rule(self, asked: Asked, client: str) -> RouteSelection | None:
+    def select_route(self, asked: Asked, client: str) -> RouteSelection | None:
+        """:returns: the route of a request; None where no route takes it."""
         return select_route(self.plan, self.matcher, asked, client)
 
-    def admit(self, req_id: int, ruling: RouteSelection, now: int) -> LimitExceeded | None:
-        """Finds the pool, and takes the req into its limits; what is denied is denied at once."""
-        if ruling.policy.deny:
-            return LimitExceeded("", self.come_back(ruling, 0))
-        wanted = self.pools.of(ruling.route.pool, ruling.obj, ruling.client)
-        pool = self.pools.serving(wanted, lambda name: self.pool_routers[name].count(now), now)
-        value = self.traffic_classes[vhost_name(ruling.route)].priority_weight
-        denied = self.limits.admit(req_id, keys(self.plan, ruling, pool), value, now)
-        if denied:
-            return LimitExceeded(denied.limit, self.come_back(ruling, denied.come_back))
-        self.rulings[req_id], self.where[req_id] = ruling, self.pool_routers[pool]
+    def admit(self, request_id: int, selection: RouteSelection, now: int) -> LimitExceeded | None:
+        """Finds the pool of a request, and takes the request into its limits.
+
+        :returns: the limit that turns it away; no limit by name where its policy rejects all.
+        """
+        if selection.policy.deny:
+            return LimitExceeded("", self.retry_after(selection, 0))
+        wanted = self.pools.resolve_split(selection.route.pool, selection.obj, selection.client)
+        pool = self.pools.serving(wanted, lambda name: self._count_caches(name, now), now)
+        weight = self.traffic_classes[vhost_name(selection.route)].priority_weight
+        exceeded = self.limits.admit(request_id, keys(self.plan, selection, pool), weight, now)
+        if exceeded:
+            return LimitExceeded(exceeded.limit, self.retry_after(selection, exceeded.come_back))
+        self.selections[request_id] = selection
+        self.router_of[request_id] = self.pool_routers[pool]
         return None
 
-    def timeout(self, ruling: RouteSelection, told: int) -> int:
-        """us until the client no longer waits.  Where reqs in hand are shared, no longer than is reckoned
-        with: a slot is given to another router once a req that was let through in it must be over.
+    def _count_caches(self, pool: str, now: int) -> CacheCount:
+        return self.pool_routers[pool].count_caches(now)
+
+    def client_timeout(self, selection: RouteSelection, requested: int) -> int:
+        """The time until the client of a request no longer waits.
+
+        Guards against more requests in flight than a shared limit allows: a slot is given to another router
+        once a request that was let through in it must be over, so none may be in flight for longer.
 
-        :param told: us, by the client; 0: it told none.
+        :param requested: by the client; 0: it named no time.
         """
-        timeout = told or ruling.vhost.client_timeout
-        for name in ruling.route.limits if self.holds else ():
-            timeout = min(timeout, self.holds.get(name, timeout))
+        timeout = requested or selection.vhost.client_timeout
+        for name in selection.route.limits if self.longest_in_flight else ():
+            timeout = min(timeout, self.longest_in_flight.get(name, timeout))
         return timeout
 
-    def release(self, req_id: int) -> None:
-        """The req has had its final answer."""
-        self.limits.release(req_id)
-
-    def forget(self, req_id: int) -> None:
-        """The req was admitted and refused for another reason before any Router heard of it."""
-        self.release(req_id)
-        self.where.pop(req_id, None)
-        self.rulings.pop(req_id, None)
-
-    def come_back(self, ruling: RouteSelection, time: int) -> int:
-        """The time that a denial names: the policy's or the limit's, within what may be named."""
-        return min(ruling.policy.come_back or time, self.arguments["capabilities"].max_retry_after)
-
-    def dispatches(self, ruling: RouteSelection) -> int:
-        """How many the req may have; one only where its policy's budget is used up."""
-        policy = ruling.policy
-        if policy.budget is None or not ruling.route.policy:
-            return policy.dispatches or 0
-        saved = self.budgets.get(ruling.route.policy, BUDGET_MOST)
-        self.budgets[ruling.route.policy] = min(BUDGET_MOST, saved + policy.budget)
-        return (policy.dispatches or 0) if saved >= 1 else 1
-
-    def _told(self, req_id: int, answer: Decision | None, further: bool, now: int) -> Decision | None:
-        ruling = self.rulings[req_id]
-        policy = ruling.policy
-        if isinstance(answer, Forward):
-            if self.fleet and not ruling.vhost.uncacheable:
-                oldest = self._oldest(ruling, answer, now)
-                again = further and oldest != answer.max_age  # what is joined may be as old as the last
-                joins = answer.allow_collapsing and not again
-                answer = replace(answer, max_age=oldest, allow_collapsing=joins)
-            if further and policy.budget is not None and ruling.route.policy:
-                saved = self.budgets.get(ruling.route.policy, BUDGET_MOST)
-                self.budgets[ruling.route.policy] = max(0.0, saved - 1)
-            if policy.rank is not None and answer.cache_priority > policy.rank:
-                return replace(answer, cache_priority=policy.rank)
-        elif isinstance(answer, Reject):
-            return replace(answer, retry_after=self.come_back(ruling, answer.retry_after))
+    def retry_after(self, selection: RouteSelection, time: int) -> int:
+        """:returns: the time that a rejection names: the policy's or the given one, as far as allowed."""
+        max_retry_after: int = self.arguments["capabilities"].max_retry_after
+        return min(selection.policy.come_back or time, max_retry_after)
+
+    def max_attempts(self, selection: RouteSelection) -> int:
+        """:returns: how many attempts a request may have; 0: as many as the deployment allows."""
+        return self.policy_budgets.max_attempts(selection)
+
+    def release(self, request_id: int) -> None:
+        """Takes a request out of its limits: it has its final answer."""
+        self.limits.release(request_id)
+
+    def forget(self, request_id: int) -> None:
+        """Drops a request that was admitted, and refused before any router heard of it."""
+        self.release(request_id)
+        self.router_of.pop(request_id, None)
+        self.selections.pop(request_id, None)
+
+    # -- requests, as with a Router ------------------------------------------------------------------------
+
+    def route(self, request: Request, now: int) -> Decision | None:
+        """Decides on a request that was admitted; see ``Router.route()``."""
+        was_deferred = self.router_of[request.id].router.is_in_flight(request.id)
+        answer = self._ask(request.id, was_deferred, lambda router: router.route(request, now), now)
+        answer = self._apply_plan(request.id, answer, False, now)
+        self._forget_if_over(request.id)
         return answer
 
-    def _oldest(self, ruling: RouteSelection, answer: Forward, now: int) -> int:
-        """How old a copy may be by the fleet's purges as well."""
-        held_by = [
-            name for name in (answer.endpoint, answer.fill_source) if not self._origin(name)
-        ]  # which makes copies
-        return self.fleet.oldest(marked(ruling), self._store(answer.endpoint), held_by, answer.max_age, now)
-
-    def bound_now(self, ruling: RouteSelection, answer: Forward, now: int) -> bool:
-        """Whether a dispatch would now be decided with a lower age."""
-        bound = self._oldest(ruling, answer, now)
-        return bool(bound) and (not answer.max_age or bound < answer.max_age)
-
-    def _origin(self, name: str) -> bool:
-        return name in self.lines and self.lines[name].tier is Tier.ORIGIN
-
-    def _store(self, name: str) -> str:
-        """Where a cache stands; one that is gone may have stood anywhere."""
-        return self.lines[name].location if name in self.lines else "*"
-
-    def good(self, ruling: RouteSelection, answer: Forward, copy: CachedCopy | None, written: int) -> bool:
-        """Whether a copy that came may be passed on, by the fleet's purges."""
-        if self.fleet is None or ruling.vhost.uncacheable or copy is None:
-            return True
-        usual = self.traffic_classes.get(vhost_name(ruling.route), ruling.vhost).max_age
-        bound = answer.max_age if not usual or answer.max_age < usual else 0
-        return self.fleet.good(marked(ruling), self._store(answer.endpoint), copy, written, bound)
-
-    def _done(self, req_id: int) -> None:
-        """Forgets a req that its Router has ended."""
-        pool_router = self.where[req_id]
-        self.touched.add(pool_router)
-        if not pool_router.router.is_in_flight(req_id):
-            del self.where[req_id], self.rulings[req_id]
-            if pool_router in self.leaving and not pool_router.router.has_requests():
-                self.leaving.remove(pool_router)
-
-    # -- as a Router ---------------------------------------------------------------------------------------
-
-    def _asked(self, req_id: int, further: bool, ask: Callable[[Router], Decision | None], now: int):
-        """Asks a req's Router, with what others leave to this one as it stands right now."""
-        router, ruling = self.where[req_id].router, self.rulings[req_id]
-        if self.parts:
-            self.parts.look()
-        counted = self.repeats.get(ruling.route.name) if further else None
-        if counted:
-            keys_ = keys(self.plan, ruling, self.where[req_id].pool.name, counted)
-            router.allow_retries(self.limits.may_repeat(keys_, now))
-            spent_before = router.retries_spent
-        answer = ask(router)
-        if counted:
-            router.allow_retries(True)
-            if router.retries_spent > spent_before:
-                self.limits.repeated(keys_, now)
+    def attempt_finished(self, request_id: int, result: AttemptResult, now: int) -> Decision | None:
+        """Takes in the result of an attempt; see ``Router.attempt_finished()``."""
+        if request_id not in self.router_of:
+            return None
+        may_retry = not result.final and result.status is not AttemptStatus.SUCCEEDED
+        answer = self._ask(
+            request_id, may_retry, lambda router: router.attempt_finished(request_id, result, now), now
+        )
+        answer = self._apply_plan(request_id, answer, True, now)
+        self._forget_if_over(request_id)
         return answer
 
-    def route(self, req: Request, now: int) -> Decision | None:
-        further = self.where[req.id].router.is_in_flight(req.id)  # it was on hold
-        answer = self._asked(req.id, further, lambda router: router.route(req, now), now)
-        answer = self._told(req.id, answer, False, now)
-        self._done(req.id)
-        return answer
+    def response_deadline(self, request_id: int, size_kb: float) -> int:
+        """See ``Router.response_deadline()``."""
+        return self.router_of[request_id].router.response_deadline(request_id, size_kb)
 
-    def attempt_finished(self, req_id: int, outcome: AttemptResult, now: int) -> Decision | None:
-        pool_router = self.where.get(req_id)
+    def cancel_request(self, request_id: int) -> int | None:
+        """See ``Router.cancel_request()``."""
+        pool_router = self.router_of.get(request_id)
         if pool_router is None:
             return None
-        further = not outcome.final and outcome.status is not AttemptStatus.SUCCEEDED
-        answer = self._asked(
-            req_id, further, lambda router: router.attempt_finished(req_id, outcome, now), now
-        )
-        answer = self._told(req_id, answer, True, now)
-        self._done(req_id)
+        attempt_number = pool_router.router.cancel_request(request_id)
+        self._forget_if_over(request_id)
+        return attempt_number
+
+    def _ask(
+        self, request_id: int, may_retry: bool, ask: Callable[[Router], Decision | None], now: int
+    ) -> Decision | None:
+        """Asks a request's router, with what others leave to this one as it stands right now."""
+        router, selection = self.router_of[request_id].router, self.selections[request_id]
+        if self.parts:
+            self.parts.look()
+        limits = self.limits_on_retries.get(selection.route.name) if may_retry else None
+        if not limits:
+            return ask(router)
+        limit_keys = keys(self.plan, selection, self.router_of[request_id].pool.name, limits)
+        spent_before = router.retries_spent
+        router.allow_retries(self.limits.may_repeat(limit_keys, now))
+        answer = ask(router)
+        router.allow_retries(True)
+        if router.retries_spent > spent_before:
+            self.limits.repeated(limit_keys, now)
         return answer
 
-    def response_deadline(self, req_id: int, size_kb: float) -> int:
-        return self.where[req_id].router.response_deadline(req_id, size_kb)
+    def _apply_plan(
+        self, request_id: int, answer: Decision | None, is_retry: bool, now: int
+    ) -> Decision | None:
+        """Bounds a router's answer by the request's policy and by the fleet's purges."""
+        selection = self.selections[request_id]
+        if isinstance(answer, Reject):
+            return replace(answer, retry_after=self.retry_after(selection, answer.retry_after))
+        if not isinstance(answer, Forward):
+            return answer
+        if is_retry:
+            self.policy_budgets.spend(selection)
+        if self.purge_bounds.applies_to(selection):
+            max_age = self.purge_bounds.max_age(selection, answer, now)
+            # What a retry waits for together with others may be as old as what the attempt before it got.
+            is_bound_anew = is_retry and max_age != answer.max_age
+            allow_collapsing = answer.allow_collapsing and not is_bound_anew
+            answer = replace(answer, max_age=max_age, allow_collapsing=allow_collapsing)
+        max_priority = selection.policy.rank
+        if max_priority is not None and answer.cache_priority > max_priority:
+            answer = replace(answer, cache_priority=max_priority)
+        return answer
 
-    def cancel_request(self, req_id: int) -> int | None:
-        pool_router = self.where.get(req_id)
-        if pool_router is None:
-            return None
-        hop = pool_router.router.cancel_request(req_id)
-        self._done(req_id)
-        return hop
-
-    def update_endpoints(self, lines: list[Endpoint], whole: bool, now: int) -> None:
-        named = {line.name: line for line in lines}
-        self.lines = named if whole else self.lines | named
-        self.lines = {name: line for name, line in self.lines.items() if line.state is not EndpointState.GONE}
+    def _forget_if_over(self, request_id: int) -> None:
+        """Drops a request that its router has ended, and a leaving router with its last request."""
+        pool_router = self.router_of[request_id]
+        self.needs_maintenance.add(pool_router)
+        if pool_router.router.is_in_flight(request_id):
+            return
+        del self.router_of[request_id]
+        del self.selections[request_id]
+        if pool_router in self.leaving and not pool_router.router.has_requests():
+            self.leaving.remove(pool_router)
+
+    def is_outdated(self, selection: RouteSelection, answer: Forward, now: int) -> bool:
+        """:returns: whether an attempt would now be sent with a lower maximal age, by the fleet's purges."""
+        return self.purge_bounds.is_outdated(selection, answer, now)
+
+    def may_serve(
+        self, selection: RouteSelection, answer: Forward, copy: CachedCopy | None, written: int
+    ) -> bool:
+        """:returns: whether a copy that came may be passed on, by the fleet's purges."""
+        return self.purge_bounds.may_serve(selection, answer, copy, written, self.traffic_classes)
+
+    # -- endpoints, purges, health checks, as with a Router --------------------------------------------------
+
+    def update_endpoints(self, endpoints: Iterable[Endpoint], is_snapshot: bool, now: int) -> None:
+        """See ``Router.update_endpoints()``."""
+        named = {endpoint.name: endpoint for endpoint in endpoints}
+        merged = named if is_snapshot else self.endpoints | named
+        self.endpoints = {
+            name: endpoint for name, endpoint in merged.items() if endpoint.state is not EndpointState.GONE
+        }
+        self.purge_bounds.endpoints = self.endpoints
         for pool_router in self._all():
-            pool_router.hear(lines, whole, now)
-        self.touched.update(self._all())
+            pool_router.update_endpoints(named.values(), is_snapshot, now)
+        self.needs_maintenance.update(self._all())
 
-    def record_purge(self, group: int | None, obj: str | None, age: int, now: int) -> None:
-        self.purges.record(group, obj, now - age, now)
+    def record_purge(self, tag: int | None, object_key: str | None, age: int, now: int) -> None:
+        """See ``Router.record_purge()``."""
+        self.freshness.record(tag, object_key, now - age, now)
         for pool_router in self._all():
-            pool_router.router.record_purge(group, obj, age, now)
+            pool_router.router.record_purge(tag, object_key, age, now)
 
-    def record_health_check(self, name: str, ending: AttemptStatus, now: int) -> None:
+    def record_health_check(self, name: str, status: AttemptStatus, now: int) -> None:
+        """See ``Router.record_health_check()``."""
         for pool_router in self._all():
-            pool_router.router.record_health_check(name, ending, now)
-        self.touched.update(self._all())
+            pool_router.router.record_health_check(name, status, now)
+        self.needs_maintenance.update(self._all())
 
-    def health_observations(self, now: int) -> dict[str, HealthObservation]:
-        """What all pools' routers together have seen of each cache."""
-        found: dict[str, HealthObservation] = {}
+    def maintenance(self, now: int) -> MaintenanceActions:
+        """Asks those routers that something has happened to, or whose time has come."""
+        probes: dict[str, None] = {}
+        timeout, subscribe, due = 0, False, NEVER
         for pool_router in self._all():
-            for new in pool_router.router.health_observations(now):
-                old = found.get(new.cache, HealthObservation(new.cache, False, 0, 0, 0))
-                done, failed = old.completed + new.completed, old.failed + new.failed
-                in_hand = old.in_flight + new.in_flight
-                found[new.cache] = HealthObservation(
-                    new.cache, old.ejected or new.ejected, done, failed, in_hand
-                )
-        return found
+            if pool_router in self.needs_maintenance or pool_router.next_maintenance_at <= now:
+                actions = pool_router.maintenance(now)
+                probes |= dict.fromkeys(actions.probes)
+                timeout = actions.probe_timeout
+                subscribe = subscribe or actions.subscribe
+            due = min(due, pool_router.next_maintenance_at)
+        self.needs_maintenance.clear()
+        delay = max(MIN_MAINTENANCE_INTERVAL, due - now)
+        return MaintenanceActions(delay, tuple(probes), timeout, subscribe)
+
+    # -- what routers of a fleet tell one another ----------------------------------------------------------
+
+    def health_observations(self, now: int) -> dict[str, HealthObservation]:
+        """:returns: what the routers of all pools have seen of each cache, by its name."""
+        return merge_observations(
+            each for pool_router in self._all() for each in pool_router.router.health_observations(now)
+        )
 
     def slow_start_demand(self, now: int) -> list[SlowStartDemand]:
-        """Servers that have started lately, and what all pools' routers together would send them."""
-        found: dict[str, SlowStartDemand] = {}
-        for pool_router in self._all():
-            for new in pool_router.router.slow_start_demand(now):
-                old = found.get(new.endpoint, replace(new, demand=0, largest_request=0))
-                most, unit = min(old.limit, new.limit), max(old.largest_request, new.largest_request)
-                found[new.endpoint] = SlowStartDemand(
-                    new.endpoint, new.tier, most, old.demand + new.demand, unit
-                )
-        return list(found.values())
-
-    def set_fleet_load(self, in_hand: dict[str, int], own: dict[str, int], now: int) -> None:
-        """Reqs that all routers have out at each cache, -1 where that isn't known.
-
-        :param own: of them, this one's, as it had told.
-        """
-        others = {name: -1 if said < 0 else max(0, said - own.get(name, 0)) for name, said in in_hand.items()}
-        for pool_router in self._all():
-            pool_router.router.set_fleet_load(others, now)
+        """:returns: the endpoints that are warming up, and what the routers of all pools would send them."""
+        return merge_demand(
+            each for pool_router in self._all() for each in pool_router.router.slow_start_demand(now)
+        )
 
-    def set_ejected_by_peers(self, until: dict[str, int], now: int) -> None:
-        """What other routers have found bad, and until when (us)."""
-        for pool_router in self._all():
-            pool_router.router.set_ejected_by_peers(until, now)
-            pool_router.counted = -NEVER
-        self.touched.update(self._all())
+    def set_fleet_load(self, in_flight: Mapping[str, int], own: Mapping[str, int], now: int) -> None:
+        """Takes in the requests that all routers have in flight at each cache.
 
-    def maintenance(self, now: int) -> MaintenanceActions:
-        """Asks those routers that something happened to, or whose time has come."""
-        probes: dict[str, None] = {}
-        timeout, subscribe, due = 0, False, NEVER
+        :param in_flight: by cache; below 0: not known.
+        :param own: this process's part of them, as it told the fleet.
+        """
+        elsewhere = {
+            name: -1 if count < 0 else max(0, count - own.get(name, 0)) for name, count in in_flight.items()
+        }
         for pool_router in self._all():
-            if pool_router in self.touched or pool_router.due <= now:
-                told = pool_router.router.maintenance(now)
-                pool_router.due = now + told.time
-                probes |= dict.fromkeys(told.probes)
-                timeout, subscribe = told.probe_timeout, subscribe or told.subscribe
-            due = min(due, pool_router.due)
-        self.touched.clear()
-        return MaintenanceActions(max(MS, due - now), tuple(probes), timeout, subscribe)
+            pool_router.router.set_fleet_load(elsewhere, now)
 
-    def _all(self) -> list[PoolRouter]:
-        return [*self.pool_routers.values(), *self.leaving]
+    def set_ejected_by_peers(self, ejected_until: Mapping[str, int], now: int) -> None:
+        """See ``Router.set_ejected_by_peers()``."""
+        for pool_router in self._all():
+            pool_router.router.set_ejected_by_peers(ejected_until, now)
+            pool_router.endpoints_changed()
+        self.needs_maintenance.update(self._all())
--- a/quartzrouter/routing/admission.py
+++ b/quartzrouter/routing/admission.py
@@ -13,9 +13,7 @@
 
 SATURATED_LOAD = 2.5  # requests in flight over the transfers of a link: latency objectives leave such room
 MIN_SATURATED_LOAD = 2  # requests in flight, for each router: one alone says nothing of load
-SPARE_LOAD = (
-    0.9  # requests in flight over transfers of the location's links; above, copies only move the load
-)
+SPARE_LOAD = 0.9  # requests in flight over transfers of all links; above, copies only move the load
 SLOWDOWN_MARGIN = 1.4  # of the time to send a request: more will come while it is sent
 DEFER_TIME = 50 * MILLISECOND  # until a deferred request is decided anew: short beside any latency objective
 
--- a/quartzrouter/routing/failure_attribution.py
+++ b/quartzrouter/routing/failure_attribution.py
@@ -13,9 +13,7 @@
 from quartzrouter.routing.units import MILLISECOND, SECOND
 
 CACHE_SATURATED_TIME = 1 * SECOND  # after a refusal: it speaks of a queue that takes about that long to drain
-SOURCE_SATURATED_TIME = (
-    250 * MILLISECOND
-)  # a parent or the origin has no second to take its place: soon tried again
+SOURCE_SATURATED_TIME = 250 * MILLISECOND  # a parent or the origin has no second one: soon tried again
 
 NOT_SENT = frozenset({AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT})  # these say nothing of the endpoint
 EITHER_SIDE = frozenset({AttemptStatus.ERROR, AttemptStatus.TIMED_OUT, AttemptStatus.OVERLOADED})
--- a/quartzrouter/routing/fill_limits.py
+++ b/quartzrouter/routing/fill_limits.py
@@ -9,7 +9,6 @@
 
 import math
 from collections import defaultdict
-from dataclasses import dataclass
 
 from quartzrouter.routing.units import MILLISECOND, SECOND
 
@@ -18,9 +17,7 @@
 MAX_LIMIT = 200.0  # of it: beyond, the limit would fall too slowly at the next trouble
 MAX_GROWTH = 0.25  # of a limit, by each fill in time
 DECREASE_FACTOR = 0.85  # of a limit, by a late or failed fill ...
-DECREASE_INTERVAL = (
-    100 * MILLISECOND
-)  # ... at most so often: what is in flight then was sent under the old limit
+DECREASE_INTERVAL = 100 * MILLISECOND  # ... at most so often: what is in flight was sent under the old limit
 HALF_LIFE = 1 * SECOND  # of the recent fills and answers, so that trouble ends soon after its cause
 MIN_LATE_FILLS = 2.0  # recent late or failed fills that make trouble: fewer are chance
 MAX_LATE_FILLS = 4 * MIN_LATE_FILLS  # that are counted, so that trouble ends within seconds
@@ -28,7 +25,6 @@
 LATE_SHARE_RATIO = 2.0  # of late fills over late answers without a fill: below, it isn't the fills
 
 
-@dataclass(slots=True)
 class RecentAnswers:
     """Answers of one kind, the older the less they count.
 
@@ -36,8 +32,9 @@
     :ivar total: all.
     """
 
-    late: float = 0.0
-    total: float = 0.0
+    def __init__(self) -> None:
+        self.late = 0.0
+        self.total = 0.0
 
     def decay(self, factor: float) -> None:
         """Reduces both counts."""
--- a/quartzrouter/routing/freshness.py
+++ b/quartzrouter/routing/freshness.py
@@ -2,9 +2,7 @@
 
 from quartzrouter.routing.units import SECOND
 
-LIFETIME_MARGIN = (
-    1 * SECOND
-)  # beyond the time after which old copies are gone, as clocks and messages are late
+LIFETIME_MARGIN = 1 * SECOND  # beyond the lifetime of purges, as clocks and messages are late
 
 PurgeKey = tuple[int | None, str | None]  # (tag, None) or (None, object key)
 
--- a/quartzrouter/routing/load.py
+++ b/quartzrouter/routing/load.py
@@ -2,8 +2,8 @@
 
 from collections import defaultdict
 from collections.abc import Mapping
-from dataclasses import dataclass, field
 from math import exp, log
+from typing import NamedTuple
 
 from quartzrouter.routing.capacity import TransferCapacity
 from quartzrouter.routing.endpoints import EndpointList
@@ -18,8 +18,7 @@
 LOCATION_LINK_FULL = 1.5  # transfers on the location's link over those that fit; with more, fills come late
 
 
-@dataclass(slots=True)
-class UtilizationReport:
+class UtilizationReport(NamedTuple):
     """What an endpoint said of its load.
 
     :ivar reported_at: when it said so.
@@ -30,16 +29,15 @@
     utilization: float
 
 
-@dataclass(slots=True)
-class FleetLoad:
+class FleetLoad(NamedTuple):
     """Requests that other routers have in flight.
 
     :ivar reported_at: when they said so.
     :ivar in_flight: by endpoint index; below 0: not known; endpoints that are not named have none.
     """
 
-    reported_at: int = -FLEET_LOAD_LIFETIME
-    in_flight: dict[int, int] = field(default_factory=dict)
+    reported_at: int
+    in_flight: dict[int, int]
 
 
 class LoadEstimator:
@@ -60,7 +58,7 @@
         self.in_flight: dict[int, int] = defaultdict(int)
         self.as_fill_source: dict[int, int] = defaultdict(int)
         self.reports: dict[int, UtilizationReport] = {}
-        self.fleet_load = FleetLoad()
+        self.fleet_load = FleetLoad(-FLEET_LOAD_LIFETIME, {})
 
     def attempt_started(self, endpoint: int, fill_source: int) -> None:
         """Counts an attempt in flight."""
--- a/quartzrouter/routing/model.py
+++ b/quartzrouter/routing/model.py
@@ -6,6 +6,7 @@
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum
+from typing import NamedTuple
 
 
 class Idempotency(Enum):
@@ -332,8 +333,7 @@
 Decision = Forward | Defer | Reject | Fail
 
 
-@dataclass(frozen=True, slots=True)
-class CacheCount:
+class CacheCount(NamedTuple):
     """The caches that a router may use.
 
     :ivar available: those that requests may be sent to now.
--- a/quartzrouter/routing/outlier_detection.py
+++ b/quartzrouter/routing/outlier_detection.py
@@ -21,15 +21,9 @@
 MAX_DOUBLINGS = 6  # of the first ejection, far beyond the longest: keeps the number small
 MIN_SUCCESSES = 4  # recent ones until an endpoint that came back is trusted as before ...
 SUCCESSES_PER_FAILURE = 3  # ... and more than so many for each recent failure
-HEALTH_CHECK_INTERVAL = (
-    500 * MILLISECOND
-)  # of what is ejected or suspected: cheap beside the requests it saves
-OWN_OBSERVATION_TIME = (
-    500 * MILLISECOND
-)  # an endpoint that served so lately, and failed in none of twice as long, stays
-PEER_RETURN_SPREAD = (
-    1 * SECOND
-)  # in which routers try again what others had ejected: the first find out for all
+HEALTH_CHECK_INTERVAL = 500 * MILLISECOND  # of ejected and suspected endpoints: cheap beside what it saves
+OWN_OBSERVATION_TIME = 500 * MILLISECOND  # in which own requests show more than what others say
+PEER_RETURN_SPREAD = 1 * SECOND  # in which routers retry what others ejected: the first find out for all
 MAX_PEER_EJECTED_SHARE = 1 / 3  # of listed endpoints that wait for their turn or are ejected by others' word
 
 FAILED_HEALTH_CHECK = frozenset(
--- a/quartzrouter/routing/placement.py
+++ b/quartzrouter/routing/placement.py
@@ -12,9 +12,7 @@
 from quartzrouter.routing.model import Tier
 from quartzrouter.routing.units import SECOND
 
-QUIET_PERIOD = (
-    10 * SECOND
-)  # a degree unchanged for so long drops by one: the start value of the paper's design
+QUIET_PERIOD = 10 * SECOND  # a degree unchanged for so long drops by one: the paper's start value
 TABLE_SIZE = 8_192  # entries of the table of degrees: the paper asks for far more than there are caches
 MAX_CACHED_ORDERS = 4_096  # objects whose rendezvous order is kept: 2 MB, and an order is soon computed anew
 
--- a/quartzrouter/routing/retries.py
+++ b/quartzrouter/routing/retries.py
@@ -4,9 +4,7 @@
 from quartzrouter.routing.model import Capabilities, Endpoint, Idempotency
 from quartzrouter.routing.units import MILLISECOND, NEVER, SECOND
 
-MAX_UNEXPLAINED_ERRORS = (
-    3  # of one request, from different caches: then it is the request that can't be served
-)
+MAX_UNEXPLAINED_ERRORS = 3  # from different caches: then it is the request that can't be served
 RETRIES_PER_REQUEST = 0.3  # tokens that each first attempt earns: no retry storm of ours
 MAX_RETRY_TOKENS = 20.0  # saved up for a moment at which an endpoint fails
 DEDUPLICATION_MARGIN = 50 * MILLISECOND  # a retry leaves so long before its key is forgotten: network delays
--- a/quartzrouter/routing/slow_start.py
+++ b/quartzrouter/routing/slow_start.py
@@ -8,20 +8,17 @@
 import math
 import zlib
 from collections import deque
-from dataclasses import dataclass, replace
+from dataclasses import replace
 
 from quartzrouter.routing.capacity import TransferCapacity
 from quartzrouter.routing.endpoints import EndpointList
 from quartzrouter.routing.model import SlowStart, SlowStartDemand, Tier
 from quartzrouter.routing.units import NEVER
 
-BUDGET_SHARE = (
-    0.6  # of what an endpoint may be sent: sizes vary, and other routers' parts may be spent at once
-)
+BUDGET_SHARE = 0.6  # that is spent at most: sizes vary, and other routers spend at the same moment
 LOTTERY_ODDS = 0.5  # of a part below one request, drawn per window: any window meets two that were drawn for
 
 
-@dataclass(slots=True)
 class Charge:
     """Sending time that was spent on one endpoint.
 
@@ -29,15 +26,17 @@
     :ivar sending_time: how much; 0 once it has turned out that the endpoint was not used.
     """
 
-    charged_at: int
-    sending_time: int
+    __slots__ = ("charged_at", "sending_time")
+
+    def __init__(self, charged_at: int, sending_time: int) -> None:
+        self.charged_at = charged_at
+        self.sending_time = sending_time
 
     def refund(self) -> None:
         """Gives it back."""
         self.sending_time = 0
 
 
-@dataclass(slots=True)
 class Demand:
     """Sending time that this router spent on an endpoint, or would have spent.
 
@@ -45,8 +44,9 @@
     :ivar largest: of one request.
     """
 
-    total: int = 0
-    largest: int = 0
+    def __init__(self) -> None:
+        self.total = 0
+        self.largest = 0
 
 
 class SlowStartBudget:
--- a/quartzrouter/routing/timeouts.py
+++ b/quartzrouter/routing/timeouts.py
@@ -4,9 +4,7 @@
 from quartzrouter.routing.model import Idempotency
 from quartzrouter.routing.sending_times import SendingTimes
 
-OBJECTIVE_MULTIPLE = (
-    1.5  # of the latency objective: later answers earn little and hold places that others need
-)
+OBJECTIVE_MULTIPLE = 1.5  # of the latency objective: later answers earn little and hold up others
 LARGE_QUANTILE = 0.95  # of the sending times of a traffic class: what an answer of unknown size may take
 
 
--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -27,7 +27,7 @@
         """The req; raises Unusable with its status where it can't be used."""
         asked = self.asked(params)
         client = params.get("HTTP_X_CLIENT") or params.get("REMOTE_ADDR", "")
-        ruling = self.force.rule(asked, client)
+        ruling = self.force.select_route(asked, client)
         if ruling is None:
             raise InvalidRequest("no route takes it", 404)
         vhost = ruling.vhost
@@ -45,7 +45,7 @@
             object_key=_token(params, "HTTP_X_SUBJECT") or ruling.obj,
             chunk=ruling.part,
             tag=ruling.group,
-            timeout=self.force.timeout(ruling, int(told) * 1000 if told else 0),
+            timeout=self.force.client_timeout(ruling, int(told) * 1000 if told else 0),
             idempotency_key=key,
             if_none_match=_token(params, "HTTP_X_KNOWN"),
             route_selection=ruling,
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -159,12 +159,14 @@
         """Dispatches decided before a purge that are not written yet are decided anew; the rest is judged."""
         for hand in self.hands.values() if news.purges else ():
             if hand.going and not hand.going.ready and not hand.call.route_selection.vhost.uncacheable:
-                hand.going.stale |= self.force.bound_now(hand.call.route_selection, hand.going.answer, now)
+                hand.going.stale |= self.force.is_outdated(hand.call.route_selection, hand.going.answer, now)
 
     def _over(self, ticket: int, going: PendingAttempt, event: AttemptEnded, now: int) -> None:
         call, head = self.hands[ticket].call, going.head
         brings = event.failure is None and head.status in (DONE, SAME)
-        if brings and not self.force.good(call.route_selection, going.answer, head.cached_copy, going.since):
+        if brings and not self.force.may_serve(
+            call.route_selection, going.answer, head.cached_copy, going.since
+        ):
             again = call.route_selection.vhost.idempotency is Repeats.IDEMPOTENT
             self._end(
                 ticket,
@@ -198,7 +200,7 @@
             size_kb=0.0,
             timeout=call.timeout,
             tenant=call.route_selection.tenant or None,
-            max_attempts=self.force.dispatches(call.route_selection),
+            max_attempts=self.force.max_attempts(call.route_selection),
             queueing_time=call.queueing_time,
         )
 
--- a/tests/test_force.py
+++ b/tests/test_force.py
@@ -118,11 +118,11 @@
                 "first", lambda name, up=up: CacheCount(up, 4) if name == "first" else CacheCount(3, 3), now
             )
         )
-    assert pools.standing["first"].changes == 1 and served[-1] == "second"
+    assert pools.states["first"].changes == 1 and served[-1] == "second"
     for _ in range(40):
         now += 50 * MS
         served.append(pools.serving("first", lambda name: CacheCount(4, 4), now))
-    assert pools.standing["first"].changes == 2 and served[-1] == "first"
+    assert pools.states["first"].changes == 2 and served[-1] == "first"
     back = served.index("first", served.index("second")) - 2_000
     assert back * 50 * MS >= S - 50 * MS
 
@@ -150,13 +150,13 @@
         return PoolSelector({}, {"s": Split("s", "object", tuple(zip("abc", shares, strict=False)))})
 
     objects = [f"obj-{n}" for n in range(10_000)]
-    before = {obj: made(0.7, 0.3).of("s", obj, "") for obj in objects}
+    before = {obj: made(0.7, 0.3).resolve_split("s", obj, "") for obj in objects}
     assert abs(sum(pool == "a" for pool in before.values()) / 10_000 - 0.7) < 0.02
-    after = {obj: made(0.6, 0.4).of("s", obj, "") for obj in objects}
+    after = {obj: made(0.6, 0.4).resolve_split("s", obj, "") for obj in objects}
     moved = [obj for obj in objects if before[obj] != after[obj]]
     assert 0.08 < len(moved) / 10_000 < 0.12 and all(after[obj] == "b" for obj in moved)
     by_client = PoolSelector({}, {"s": Split("s", "client", (("a", 0.5), ("b", 0.5)))})
-    assert len({by_client.of("s", obj, "10.0.0.7") for obj in objects}) == 1
+    assert len({by_client.resolve_split("s", obj, "10.0.0.7") for obj in objects}) == 1
 
 
 # -- a whole plan ------------------------------------------------------------------------------------------
@@ -238,7 +238,7 @@
 
     def req(self, path, client="c"):
         self.ids += 1
-        ruling = self.force.rule(Asked("north", "", path, "GET", {}, {}), client)
+        ruling = self.force.select_route(Asked("north", "", path, "GET", {}, {}), client)
         denied = self.force.admit(self.ids, ruling, self.now)
         if denied:
             return Reject(denied.come_back)
@@ -252,7 +252,7 @@
             ruling.part,
             0.0,
             3 * S,
-            max_attempts=self.force.dispatches(ruling),
+            max_attempts=self.force.max_attempts(ruling),
         )
         return self.told(self.force.route(req, self.now))
 
@@ -337,7 +337,7 @@
         "south",
     )
     assert isinstance(played.end(AttemptStatus.CONNECTION_LOST, 1), Forward)
-    assert played.end(AttemptStatus.SUCCEEDED, 1) is None and not played.force.where
+    assert played.end(AttemptStatus.SUCCEEDED, 1) is None and not played.force.router_of
     assert answer.endpoint.startswith("n")
 
 
@@ -353,14 +353,14 @@
     assert played.force.leaving == [far]
     assert isinstance(played.end(AttemptStatus.CONNECTION_LOST, 1), Forward)
     assert played.end(AttemptStatus.SUCCEEDED, 1) is None
-    assert played.force.leaving == [] and not played.force.where and not played.force.rulings
+    assert played.force.leaving == [] and not played.force.router_of and not played.force.selections
     assert played.req("/far/a").endpoint.startswith("n")
 
 
 def sent_cold(played, change):
     """Dispatches to a cold cache within a window, with a change of the plan in its middle."""
     played.list(played.plan)
-    for name, line in list(played.force.lines.items()):
+    for name, line in list(played.force.endpoints.items()):
         if name == "n1":
             played.force.update_endpoints([replace(line, started_at=played.now)], False, played.now)
     sent = 0
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -169,7 +169,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await hup()
         assert len(said) == 240 and set(said) <= {"200", "503"} and said.count("200") > 150
-        assert not site.service.force.where and not site.service.force.limits.held
+        assert not site.service.force.router_of and not site.service.force.limits.held
 
     site.play_site(scene)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
@@ -315,9 +315,9 @@
         await client.begin(1, path="/a")
         await client.begin(2, path="/b", HTTP_X_CORRELATION_ID=f"{1:016x}")
         assert status(await client.end()) == "409"
-        assert len(site.service.force.where) == 1
+        assert len(site.service.force.router_of) == 1
         assert status(await client.end()) == "200"
 
     site.play_site(scene)
     force = site.service.force
-    assert not force.where and not force.rulings and not force.limits.held
+    assert not force.router_of and not force.selections and not force.limits.held
--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -286,11 +286,14 @@
         await site.joined()
         fleet, force = site.router.fleet, site.router.force
         fleet.marks.forgotten, fleet.caught = 1, {"n1": 1}
-        ruling = force.rule(Asked("north", "", "/a", "GET", {}, {}), "")
+        ruling = force.select_route(Asked("north", "", "/a", "GET", {}, {}), "")
         given = Forward(0, "n1", "o", 1, 0, True, False, 1_000_000, 1 << 62)
         fleet.caught = {"n1": 1}
-        assert force._oldest(ruling, given, fleet.lease.heard) == 0
-        assert force._oldest(ruling, replace(given, fill_source="p"), fleet.lease.heard) == 1_000_000
+        assert force.purge_bounds.max_age(ruling, given, fleet.lease.heard) == 0
+        assert (
+            force.purge_bounds.max_age(ruling, replace(given, fill_source="p"), fleet.lease.heard)
+            == 1_000_000
+        )
         site.proxy.hold()
         await site.stop_ledger()
         while site.router.link.out is not None:
