--- a/benchmarks/purges.py
+++ b/benchmarks/purges.py
@@ -13,11 +13,12 @@
 import anyio
 
 from quartzrouter.purge_log.disk import RealDisk
-from quartzrouter.purge_log.line_connection import QueryClient, lines
+from quartzrouter.purge_log.query_client import QueryClient
+from quartzrouter.purge_log.line_connection import read_lines
 from quartzrouter.purge_log.log import PurgeLog
 from quartzrouter.purge_log.server import PurgeLogServer
 from quartzrouter.purges import messages
-from quartzrouter.purges.freshness_lease import FreshnessLease, lease
+from quartzrouter.purges.freshness_lease import FreshnessLease, lease_length
 from quartzrouter.purges.messages import Purge, PurgeRequest
 from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
 from quartzrouter.purges.replica import ApplyPurges, PurgeReplica, SendMessage
@@ -56,7 +57,7 @@
             (self.objects if purge.kind == "object" else self.tags)[value] = when
 
     def newest(self, asked: PurgeLookup, tags, store: str) -> int:
-        best = max([self.objects.get(asked.obj, 0), *(self.tags.get(tag, 0) for tag in tags)])
+        best = max([self.objects.get(asked.object_key, 0), *(self.tags.get(tag, 0) for tag in tags)])
         for expression, when in self.patterns:
             if when > best and expression.fullmatch(asked.path):
                 best = when
@@ -66,7 +67,7 @@
 def filled(name: str, purges: list[Purge]) -> "PurgeIndex | Plain":
     held = PurgeIndex(LIFE, 10_000_000) if name == "own" else Plain()
     for purge in purges:
-        held.add(purge, purge.when)
+        held.add(purge, purge.purged_at)
     return held
 
 
@@ -111,8 +112,8 @@
         copy = CachedCopy(0, 5, ("t-a", "t-b"))
         began = time.perf_counter()
         for each in asked:
-            fleet.oldest(each, "north", ("c", "p"), 8_000_000, 10**9)
-            fleet.good(each, "north", copy, 10**9, 0)
+            fleet.max_age(each, "north", ("c", "p"), 8_000_000, 10**9)
+            fleet.accepts(each, "north", copy, 10**9, 0)
         print(f"{count:7} marks: {(time.perf_counter() - began) / LOOKS * 1e6:6.1f} us a req")
 
 
@@ -142,18 +143,20 @@
                 )
                 print(f"ledger: {many} purges at once: {many / (time.perf_counter() - began):.0f} purges/s")
                 for back in (100, 1_000, 10_000):
-                    follower = PurgeReplica("r", "watcher", "t", FreshnessLease(lease(GRACE)), many - back)
+                    follower = PurgeReplica(
+                        "r", "watcher", "t", FreshnessLease(lease_length(GRACE)), many - back
+                    )
                     began = time.perf_counter()
                     held, pieces = PurgeIndex(LIFE, 1 << 30), 0
                     stream = await anyio.connect_tcp(*at)
-                    await stream.send(messages.encode_line(follower.begin(0)))
-                    async for data in lines(stream):
-                        for given in follower.take(messages.decode_from_purge_log(data), wall_clock()):
+                    await stream.send(messages.encode_line(follower.start_connection()))
+                    async for data in read_lines(stream):
+                        for given in follower.receive(messages.decode_from_purge_log(data), wall_clock()):
                             if isinstance(given, ApplyPurges):
                                 for purge in given.purges:
-                                    held.add(purge, purge.when)
+                                    held.add(purge, purge.purged_at)
                                     pieces += 1
-                        if follower.held == many:
+                        if follower.applied_up_to == many:
                             break
                     await stream.aclose()
                     print(f"catching up: {back:6} missed: {(time.perf_counter() - began) * 1e3:7.1f} ms")
@@ -176,13 +179,13 @@
                 ledger, at = await _start(tasks, folder)
 
                 async def member(n: int, at=at) -> None:
-                    follower = PurgeReplica(f"r{n}", "router", "t", FreshnessLease(lease(GRACE)))
+                    follower = PurgeReplica(f"r{n}", "router", "t", FreshnessLease(lease_length(GRACE)))
                     stream = await anyio.connect_tcp(*at)
-                    await stream.send(messages.encode_line(follower.begin(wall_clock())))
-                    async for data in lines(stream):
-                        for given in follower.take(messages.decode_from_purge_log(data), wall_clock()):
+                    await stream.send(messages.encode_line(follower.start_connection()))
+                    async for data in read_lines(stream):
+                        for given in follower.receive(messages.decode_from_purge_log(data), wall_clock()):
                             if isinstance(given, SendMessage):
-                                await stream.send(messages.encode_line(given.said))
+                                await stream.send(messages.encode_line(given.message))
 
                 for n in range(count):
                     tasks.start_soon(member, n)
@@ -192,10 +195,13 @@
                     await client.ask(PurgeRequest("tag", ("rose",), key=f"k{n}"))
                     await anyio.sleep(0.004)
                 await anyio.sleep(0.3)
-                told = {k: round(v / 1000, 1) for k, v in ledger.book.told_delays().items() if k[0] in "ph"}
+                told = {
+                    k: round(v / 1000, 1) for k, v in ledger.registry.delay_summary().items() if k[0] in "ph"
+                }
                 print(
                     f"{count:3} routers: ms from taking to the last acknowledgement {told}, "
-                    f"promised {ledger.book.promise / 1000:.0f}, missed {ledger.book.missed}"
+                    f"promised {ledger.registry.current_promise / 1000:.0f}, "
+                    f"missed {ledger.registry.missed_promises}"
                 )
                 tasks.cancel_scope.cancel()
 
--- a/quartzrouter/cli/fleet.py
+++ b/quartzrouter/cli/fleet.py
@@ -21,9 +21,9 @@
 
     members, told = ran(ask, ledgers, MembersQuery()), ran(ask, ledgers, QuotaQuery())
     routers = [each for each in members.members if each.kind == "router"]
-    silent = [each.name for each in routers if not each.live]
+    silent = [each.name for each in routers if not each.is_live]
     if as_json:
-        live = [each.name for each in routers if each.live]
+        live = [each.name for each in routers if each.is_live]
         said = {"epoch": told.epoch, "live": live, "silent": silent, "budgets": len(told.budgets)}
         click.echo(json.dumps(said | {"refused": told.refused}))
         return
--- a/quartzrouter/cli/ledger.py
+++ b/quartzrouter/cli/ledger.py
@@ -46,7 +46,7 @@
     """Take purges and hand them to the fleet until SIGTERM; exit with 3 if another ledger took over."""
     import anyio
 
-    from quartzrouter.purge_log import server
+    from quartzrouter.purge_log import process
     from quartzrouter.server.clock import steady_clock, wall_clock
     from quartzrouter.server.event_loop import LOOP
     from quartzrouter.standalone.structured_log import StructuredLog, logger
@@ -62,11 +62,11 @@
 
             claims = claims_of(checked(plan), plan, task, name, report)
         told = (folder, listen, grace, report, standby, wall_clock, budgets, steady_clock, claims, task or "")
-        sys.exit(anyio.run(server.serve, *told, backend_options=LOOP))
+        sys.exit(anyio.run(process.serve, *told, backend_options=LOOP))
     except Faulty as error:
         click.echo(f"quartzrouter: {error}", err=True)
         sys.exit(1)
-    except server.FAULTS as error:
+    except process.START_ERRORS as error:
         click.echo(f"quartzrouter: {folder}: {error}", err=True)
         sys.exit(1)
 
@@ -95,17 +95,18 @@
 @FOLDER
 def check(folder: str) -> None:
     """Read a folder whole, and say what it holds; exit with 1 if it is damaged."""
-    from quartzrouter.purge_log.segments import LogDamaged, highest_epoch, read
+    from quartzrouter.purge_log.errors import LogDamaged
+    from quartzrouter.purge_log.segments import highest_epoch, read_log
 
     disk = _disk(folder)
     try:
-        found = read(disk)
+        found = read_log(disk)
     except LogDamaged as damage:
         click.echo(f"{folder}: {damage}", err=True)
         sys.exit(1)
     click.echo(
-        f"{folder}: epoch {highest_epoch(disk)}, purges {found.before + 1} to {found.head}, "
-        f"{found.cut} bytes of a write that was cut short"
+        f"{folder}: epoch {highest_epoch(disk)}, purges {found.trimmed_up_to + 1} to {found.head}, "
+        f"{found.torn_bytes} bytes of a write that was cut short"
     )
 
 
@@ -113,7 +114,7 @@
 @FOLDER
 def repair(folder: str) -> None:
     """Give up what follows the first damage.  It may have been promised, so purge all afterwards."""
-    from quartzrouter.purge_log.segments import LogDamaged
+    from quartzrouter.purge_log.errors import LogDamaged
     from quartzrouter.purge_log.segments import repair as mend
 
     try:
--- a/quartzrouter/cli/purge.py
+++ b/quartzrouter/cli/purge.py
@@ -76,24 +76,30 @@
     taken = [answer for answer in answers if not isinstance(answer, RequestRejected)]
     if as_json:
         click.echo(
-            json.dumps([{"number": t.number, "promise_us": t.promise, "again": t.again} for t in taken])
+            json.dumps(
+                [
+                    {"number": t.sequence_number, "promise_us": t.promised_within, "again": t.is_duplicate}
+                    for t in taken
+                ]
+            )
         )
     elif len(taken) > MANY:
-        click.echo(f"purges {taken[0].number} to {taken[-1].number} are taken")
+        click.echo(f"purges {taken[0].sequence_number} to {taken[-1].sequence_number} are taken")
     else:
         for answer in taken:
-            again = ", as it had been before" if answer.again else ""
+            again = ", as it had been before" if answer.is_duplicate else ""
             click.echo(
-                f"purge {answer.number} is taken{again}; promised within {answer.promise / 1000:.0f} ms"
+                f"purge {answer.sequence_number} is taken{again}; "
+                f"promised within {answer.promised_within / 1000:.0f} ms"
             )
-    complete = ran(_complete, ledgers, taken[-1].number, wait) if wait and taken else None
+    complete = ran(_complete, ledgers, taken[-1].sequence_number, wait) if wait and taken else None
     if complete is not None:
         _show(complete, as_json)
-    sys.exit(1 if refused else 2 if complete is not None and not complete.complete else 0)
+    sys.exit(1 if refused else 2 if complete is not None and not complete.is_complete else 0)
 
 
 async def _send(ledgers, sends: "list[messages.PurgeRequest]") -> list:
-    from quartzrouter.purge_log.line_connection import QueryClient
+    from quartzrouter.purge_log.query_client import QueryClient
 
     with click.progressbar(
         length=len(sends), label="sending", file=sys.stderr, hidden=len(sends) < MANY
@@ -104,13 +110,13 @@
 async def _complete(ledgers, number: int, wait: int) -> "messages.PurgeStatus":
     import anyio
 
-    from quartzrouter.purge_log.line_connection import QueryClient
+    from quartzrouter.purge_log.query_client import QueryClient
     from quartzrouter.purges.messages import StatusQuery
 
     client, until = QueryClient(ledgers), anyio.current_time() + wait / 1e6
     while True:
         told = await client.ask(StatusQuery(number))
-        if getattr(told, "complete", True) or anyio.current_time() >= until:
+        if getattr(told, "is_complete", True) or anyio.current_time() >= until:
             return told
         await anyio.sleep(LOOK_EVERY)
 
@@ -125,7 +131,7 @@
 
     told = ran(ask, ledgers, StatusQuery(number))
     _show(told, as_json)
-    sys.exit(0 if told.complete else 1)
+    sys.exit(0 if told.is_complete else 1)
 
 
 def _show(told: "messages.PurgeStatus", as_json: bool) -> None:
@@ -139,18 +145,20 @@
     if as_json:
         click.echo(json.dumps(msgspec.to_builtins(told)))
         return
-    if not told.number:
+    if not told.sequence_number:
         click.echo("no purge has been taken yet")
         return
-    promised = f"{told.promise / 1000:.0f} ms promised"
-    if told.complete:
+    promised = f"{told.promised_within / 1000:.0f} ms promised"
+    if told.is_complete:
         took = (
-            f"after {told.took / 1000:.0f} ms, {promised}" if told.took else "before the ledger's last start"
+            f"after {told.completed_after / 1000:.0f} ms, {promised}"
+            if told.completed_after
+            else "before the ledger's last start"
         )
-        click.echo(f"purge {told.number}, {told.what}: complete {took}")
+        click.echo(f"purge {told.sequence_number}, {told.description}: complete {took}")
     else:
-        missing = ", ".join(told.missing) or "the ledger's own first lease"
-        click.echo(f"purge {told.number}, {told.what}: waits for {missing}; {promised}")
+        missing = ", ".join(told.waiting_for) or "the ledger's own first lease"
+        click.echo(f"purge {told.sequence_number}, {told.description}: waits for {missing}; {promised}")
     if told.delays.get("purges"):
         figures = ", ".join(f"{k} {told.delays[k] / 1000:.1f} ms" for k in ("p50", "p99", "highest"))
         click.echo(f"{told.delays['purges']} purges since its start: {figures}; {told.delays['missed']} late")
@@ -171,11 +179,11 @@
         return
     click.echo(f"epoch {told.epoch}, {told.head} purges")
     for member in told.members:
-        state = "away" if member.away else "live" if member.live else "silent"
-        behind = told.head - member.held
+        state = "away" if member.is_unreachable else "live" if member.is_live else "silent"
+        behind = told.head - member.applied_up_to
         click.echo(
-            f"{member.name:24} {member.kind:8} {state:7} at {member.held:<10} "
-            f"{f'{behind} behind' if behind else 'caught up':14} heard {member.heard / 1000:.0f} ms ago"
+            f"{member.name:24} {member.kind:8} {state:7} at {member.applied_up_to:<10} "
+            f"{f'{behind} behind' if behind else 'caught up':14} heard {member.silent_for / 1000:.0f} ms ago"
         )
 
 
@@ -208,18 +216,18 @@
 
     def feed(event: ConnectionOpened | MessageReceived) -> None:
         if isinstance(event, ConnectionOpened):
-            link.tell(follower.begin(wall_clock()))
+            link.send(follower.start_connection())
             return
-        for given in follower.take(event.said, wall_clock()):
+        for given in follower.receive(event.message, wall_clock()):
             match given:
                 case ApplyPurges(purges):
                     for each in purges:
                         click.echo(msgspec.json.encode(each).decode())
                     sys.stdout.flush()
                 case SendMessage(said):
-                    link.tell(said)
+                    link.send(said)
                 case EndConnection(reason, come_back):
-                    link.hang(reason, come_back)
+                    link.reconnect(reason, come_back)
 
     link = MemberClient(ledgers, 10_000_000, feed, RateLimitedLog("follow", wall_clock))
     async with anyio.create_task_group() as tasks:
@@ -283,7 +291,7 @@
 
 
 async def ask(ledgers, said):
-    from quartzrouter.purge_log.line_connection import QueryClient
+    from quartzrouter.purge_log.query_client import QueryClient
 
     return await QueryClient(ledgers).ask(said)
 
@@ -291,7 +299,7 @@
 def ran(what, *arguments):
     import anyio
 
-    from quartzrouter.purge_log.line_connection import Unreachable
+    from quartzrouter.purge_log.errors import Unreachable
 
     try:
         return anyio.run(what, *arguments)
--- a/quartzrouter/fault_harness/child_process.py
+++ b/quartzrouter/fault_harness/child_process.py
@@ -29,14 +29,14 @@
 
     if what == "ledger":
         from quartzrouter.cli.ledger import budgets_of
-        from quartzrouter.purge_log import server
+        from quartzrouter.purge_log import process
 
         folder, listen, grace, plan, standby, *guards = told
         _take_out(guards, wall)
         report, granted = StructuredLog("ledger", wall, logger()), budgets_of(plan) if plan != "-" else None
         beside = address(standby, "standby") if standby != "-" else None
         told = (folder, address(listen, "listen"), int(grace), report, beside, wall, granted, even)
-        return anyio.run(server.serve, *told, backend_options=LOOP)
+        return anyio.run(process.serve, *told, backend_options=LOOP)
     if what == "keeper":
         from quartzrouter.cli.keeper import reader
         from quartzrouter.lease_service import server as keeper
--- a/quartzrouter/fault_harness/fleet.py
+++ b/quartzrouter/fault_harness/fleet.py
@@ -12,8 +12,8 @@
 from quartzrouter.fault_harness.processes import FleetProcess
 from quartzrouter.fault_harness.proxied_links import ProxiedLink
 from quartzrouter.fault_harness.skewed_clocks import ClockPage
-from quartzrouter.purge_log.line_connection import QueryClient as LedgerClient
-from quartzrouter.purge_log.line_connection import Unreachable
+from quartzrouter.purge_log.query_client import QueryClient as LedgerClient
+from quartzrouter.purge_log.errors import Unreachable
 from quartzrouter.purges.messages import MembersQuery
 
 UP_WITHIN = 20.0  # s for a process to listen: Python starts in one, many at once on few cores in more
@@ -186,4 +186,4 @@
             members = (await client.ask(MembersQuery())).members
         except Unreachable:
             return 0
-        return sum(member.live and member.kind == "router" for member in members)
+        return sum(member.is_live and member.kind == "router" for member in members)
--- a/quartzrouter/fault_harness/mutations.py
+++ b/quartzrouter/fault_harness/mutations.py
@@ -8,7 +8,7 @@
 from quartzrouter.leases.proposer import Proposer
 from quartzrouter.leases.terms import LeaseTerms, VoteReply
 from quartzrouter.purge_log.log import PurgeLog
-from quartzrouter.purge_log.server import PurgeLogServer
+from quartzrouter.purge_log.quota_service import QuotaService
 from quartzrouter.purges.fleet_purges import FleetPurges
 from quartzrouter.purges.freshness_lease import FreshnessLease
 from quartzrouter.purges.purge_index import PurgeIndex
@@ -22,11 +22,11 @@
 # -- of purges -------------------------------------------------------------------------------------------
 
 PURGES = {
-    "lease": (FreshnessLease, "bound", lambda self, now: 0),
-    "judge": (FleetPurges, "good", lambda self, *arguments: True),
-    "marks": (PurgeIndex, "newest", lambda self, asked, tags, store, above=0: above),
-    "trust": (FleetPurges, "trusted", lambda self, held_by: True),
-    "bound": (FleetPurges, "oldest", lambda self, asked, store, held_by, usual, now: usual),
+    "lease": (FreshnessLease, "max_age", lambda self, now: 0),
+    "judge": (FleetPurges, "accepts", lambda self, *arguments: True),
+    "marks": (PurgeIndex, "newest", lambda self, lookup, tags, store, newer_than=0: newer_than),
+    "trust": (FleetPurges, "have_caught_up", lambda self, held_by: True),
+    "bound": (FleetPurges, "max_age", lambda self, lookup, store, held_by, usual_max_age, now: usual_max_age),
 }
 
 # -- of shares -------------------------------------------------------------------------------------------
@@ -41,7 +41,7 @@
     QuotaAllocator.__init__,
     QuotaAllocator._refusal,
     QuotaAllocator._holder,
-    PurgeLogServer._granted,
+    QuotaService._grant_one,
 )
 
 
@@ -152,7 +152,7 @@
     "a granter obeys a late ask": (QuotaAllocator, "_refusal", any_number),
     "a granter doesn't compare figures": (QuotaAllocator, "_refusal", any_figures),
     "a restarted router's slots are forgotten": (QuotaAllocator, "_holder", forgets),
-    "a granter doesn't look whether another has begun": (PurgeLog, "check", lambda self: None),
+    "a granter doesn't look whether another has begun": (PurgeLog, "check_epoch", lambda self: None),
 }
 # -- of what cold servers may be sent ----------------------------------------------------------------------
 
--- a/quartzrouter/fault_harness/proxied_links.py
+++ b/quartzrouter/fault_harness/proxied_links.py
@@ -7,7 +7,7 @@
 import anyio
 
 from quartzrouter.fakes.caches import LOST
-from quartzrouter.purge_log.line_connection import lines
+from quartzrouter.purge_log.line_connection import read_lines
 
 LOOK_EVERY = 0.005  # s between looks whether a held way is open again
 READ = 1 << 16
@@ -129,7 +129,7 @@
             while True:
                 yield await source.receive(READ)
         kept: bytes | None = None
-        async for line in lines(source):
+        async for line in read_lines(source):
             out = [line]
             if way.spoil and self.chance.random() < way.spoil:
                 way.spoilt += 1
--- a/quartzrouter/fault_harness/witness.py
+++ b/quartzrouter/fault_harness/witness.py
@@ -19,7 +19,7 @@
 from quartzrouter.fault_harness.history import History
 from quartzrouter.lease_service.client import ClusterLeaseClient, HeldLease
 from quartzrouter.lease_service.plan_terms import terms
-from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.purge_log.line_connection import connect, read_lines
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 LOOK_TO_ACT = 0.006  # s: a process is stopped anywhere, also there
@@ -42,7 +42,7 @@
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
         async with stream:
             try:
-                async for line in lines(stream):
+                async for line in read_lines(stream):
                     who, what, number = json.loads(line)
                     await stream.send(json.dumps(self._take(who, what, number)).encode() + b"\n")
             except LOST:
@@ -82,7 +82,7 @@
 
     async def work(hold: HeldLease) -> None:
         async with await connect(("127.0.0.1", port)) as stream:
-            heard = lines(stream)
+            heard = read_lines(stream)
 
             async def say(what: str) -> tuple[str, int]:
                 await stream.send(json.dumps([party, what, hold.number]).encode() + b"\n")
--- a/quartzrouter/fault_scenarios/purges.py
+++ b/quartzrouter/fault_scenarios/purges.py
@@ -19,9 +19,9 @@
 from quartzrouter.fault_harness.fleet import Clocks, Fleet
 from quartzrouter.fault_scenarios import ScenarioReport
 from quartzrouter.purge_log.disk import RealDisk
-from quartzrouter.purge_log.line_connection import QueryClient as LedgerClient
-from quartzrouter.purge_log.line_connection import Unreachable
-from quartzrouter.purge_log.segments import read
+from quartzrouter.purge_log.query_client import QueryClient as LedgerClient
+from quartzrouter.purge_log.errors import Unreachable
+from quartzrouter.purge_log.segments import read_log
 from quartzrouter.purges.messages import (
     MemberHello,
     MembersQuery,
@@ -100,10 +100,10 @@
     cut: list[tuple[int | None, int, int]] = field(default_factory=list)  # routers cut off: which, from, to
 
     def taken(self, send: PurgeRequest, taken: PurgeAccepted) -> None:
-        when = taken.when - self.skew
+        when = taken.purged_at - self.skew
         kind = "pattern" if send.kind == "object" else send.kind  # objects are named by their paths here
-        marks = self.marks[taken.number] = PurgeIndex(1 << 60, 1_000)
-        marks.add(Purge(taken.number, when, kind, send.values, send.vhost), when)
+        marks = self.marks[taken.sequence_number] = PurgeIndex(1 << 60, 1_000)
+        marks.add(Purge(taken.sequence_number, when, kind, send.values, send.vhost), when)
 
     def broken(self) -> list[str]:
         found = []
@@ -361,12 +361,12 @@
     """A second process under a name that is in use."""
     client = LedgerClient([("127.0.0.1", fleet.ledger_port)], 1.0)
     members = await client.ask(MembersQuery())
-    live = [member.name for member in members.members if member.kind == "router" and member.live]
+    live = [member.name for member in members.members if member.kind == "router" and member.is_live]
     if live:
         await client.close()
         await client.connect()
         await client.stream.send(encode_line(MemberHello(live[0], "router", "other", epoch=0)))
-        said = await client.next()
+        said = await client.receive()
         tally.expect(
             isinstance(said, RequestRejected) and said.place == "name", f"a second {live[0]} was told {said}"
         )
@@ -400,8 +400,8 @@
             if keep := os.environ.get("QUARTZROUTER_TRACE"):
                 Path(f"rehearse-{keep}.log").write_bytes((fleet.folder / "log").read_bytes())
         _judged(fleet, tally, fleet.faults())
-        found = read(RealDisk(str(fleet.folder / "ledger")))
-        kept = {purge.number for purge in found.purges}
+        found = read_log(RealDisk(str(fleet.folder / "ledger")))
+        kept = {purge.sequence_number for purge in found.purges}
         lost = [number for number in fleet.checker.marks if number not in kept]
         tally.expect(not lost, f"{len(lost)} purges were promised and are lost: {lost[:5]}")
 
@@ -410,15 +410,15 @@
     """Waits until the last purge is complete, and tells what the ledger says."""
     client = LedgerClient([("127.0.0.1", fleet.ledger_port)], 2.0)
     with anyio.move_on_after(6):
-        while not (told := await client.ask(StatusQuery())).complete:
+        while not (told := await client.ask(StatusQuery())).is_complete:
             await anyio.sleep(0.05)
     members = (await client.ask(MembersQuery())).members
-    tally.figures["caches away"] = [m.name for m in members if m.away]
-    tally.expect(told.complete, f"purge {told.number} waits for {told.missing}")
+    tally.figures["caches away"] = [m.name for m in members if m.is_unreachable]
+    tally.expect(told.is_complete, f"purge {told.sequence_number} waits for {told.waiting_for}")
     delays = {key: round(value / 1000, 1) for key, value in told.delays.items() if key.startswith(("p", "h"))}
     delays["purges"] = told.delays["purges"]
-    tally.figures["purges, delay since the last start in ms"] = f"{told.number}, {delays}"
-    tally.figures["promised in ms, missed"] = f"{told.promise / 1000:.0f}, {told.delays['missed']}"
+    tally.figures["purges, delay since the last start in ms"] = f"{told.sequence_number}, {delays}"
+    tally.figures["promised in ms, missed"] = f"{told.promised_within / 1000:.0f}, {told.delays['missed']}"
 
 
 def _judged(fleet: PurgedFleet, tally: ScenarioReport, faults: list[str]) -> None:
--- a/quartzrouter/lease_service/client.py
+++ b/quartzrouter/lease_service/client.py
@@ -15,7 +15,7 @@
 from quartzrouter.leases import messages
 from quartzrouter.leases.proposer import Effect, LeaseAcquired, LeaseLost, Proposer, SendToAcceptors
 from quartzrouter.leases.terms import NAME_MOST, LeaseTerms, VoteRelease
-from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.purge_log.line_connection import connect, read_lines
 from quartzrouter.purges.messages import encode_line
 from quartzrouter.purges.reconnect_backoff import ReconnectBackoff
 from quartzrouter.server.clock import steady_clock, wall_clock
@@ -54,7 +54,7 @@
                 why = str(error) or type(error).__name__
                 self.claims.report.say("lease", f"keeper {self.name}: {why}; connecting anew")
             self.out = None
-            await anyio.sleep(self.attempts.ended() / 1e6)
+            await anyio.sleep(self.attempts.next_delay() / 1e6)
 
     async def _follow(self) -> None:
         stream = await connect(self.address)
@@ -63,9 +63,9 @@
             tasks.start_soon(self._write, stream)
             tasks.start_soon(self._watch)
             self.claims.linked()
-            async for heard in lines(stream):
+            async for heard in read_lines(stream):
                 self.unanswered = 0
-                self.attempts.heard()
+                self.attempts.succeeded()
                 self.claims.heard(self.name, messages.decode_from_acceptor(heard))
             raise anyio.EndOfStream("it has closed the connection")
 
--- a/quartzrouter/lease_service/queries.py
+++ b/quartzrouter/lease_service/queries.py
@@ -4,7 +4,7 @@
 
 from quartzrouter.leases import messages
 from quartzrouter.leases.terms import AcceptorStatus
-from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.purge_log.line_connection import connect, read_lines
 from quartzrouter.purges.messages import MalformedMessage, encode_line
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 
@@ -19,7 +19,7 @@
         with anyio.fail_after(within):
             async with await connect(address) as stream:
                 await stream.send(encode_line(said or messages.StatusQuery()))
-                async for heard in lines(stream):
+                async for heard in read_lines(stream):
                     answer = messages.decode_from_acceptor(heard)
                     if isinstance(answer, messages.StatusReply):
                         return answer.keeps
--- a/quartzrouter/lease_service/server.py
+++ b/quartzrouter/lease_service/server.py
@@ -10,7 +10,7 @@
 from quartzrouter.leases import messages
 from quartzrouter.leases.acceptor import Acceptor
 from quartzrouter.leases.terms import AcceptorStatus, LeaseTerms, VoteRefusal
-from quartzrouter.purge_log.line_connection import lines
+from quartzrouter.purge_log.line_connection import read_lines
 from quartzrouter.purges.messages import MalformedMessage, encode_line
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 from quartzrouter.server.clock import steady_clock
@@ -68,7 +68,7 @@
         async with anyio.create_task_group() as tasks, give:
             tasks.start_soon(write)
             try:
-                async for heard in lines(stream):
+                async for heard in read_lines(stream):
                     if answer := await self._hear(messages.decode_to_acceptor(heard), give, names):
                         give.send_nowait(answer)
             except (messages.MalformedMessage, MalformedMessage) as error:
--- a/quartzrouter/model_checking/purge_model.py
+++ b/quartzrouter/model_checking/purge_model.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 
 from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
-from quartzrouter.purges.freshness_lease import lease
+from quartzrouter.purges.freshness_lease import lease_length
 from quartzrouter.purges.messages import (
     Heartbeat,
     MemberAck,
@@ -23,7 +23,7 @@
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
 
 GRACE = 80
-STEP = lease(GRACE)
+STEP = lease_length(GRACE)
 START = 1_000
 LIFE = 1_000_000
 ROSE = PurgeLookup("page", "rose", "", "/rose")
@@ -49,7 +49,7 @@
 
     def add(self, took: int) -> None: ...
 
-    def at(self, percent: float) -> int:
+    def percentile(self, percent: float) -> int:
         return 0
 
 
@@ -103,10 +103,12 @@
         left = {key: n for key, n in vars(self.bounds).items() if key != "routers"}
         world = World(START, [], [], left=left)
         self._open(world)
-        world.now += lease(GRACE)  # nobody holds a lease from before
+        world.now += lease_length(GRACE)  # nobody holds a lease from before
         for n in range(self.bounds.routers):
             fleet = FleetPurges(GRACE, LIFE, 100, 10)
-            world.routers.append(Router(PurgeReplica(f"r{n}", "router", "t", fleet.lease, life=LIFE), fleet))
+            world.routers.append(
+                Router(PurgeReplica(f"r{n}", "router", "t", fleet.lease, purge_lifetime=LIFE), fleet)
+            )
             for act in (self._connect, self._ack, self._check, self._beat, self._hear):
                 if not (act == self._beat and n not in world.ledgers[0].prepared):
                     act(world, *((n, 0) if act == self._connect else (n,)))
@@ -133,8 +135,8 @@
             book = ledger.book
             if left["purges"] and n == world.epoch - 1:
                 yield "purge", n
-            if book.last > book.head:
-                written = n < world.epoch - 1 or len(world.disk) >= book.last
+            if book.last_admitted > book.head:
+                written = n < world.epoch - 1 or len(world.disk) >= book.last_admitted
                 yield ("promise", n) if written else ("write", n)
             if left["crashes"]:
                 yield "crash", n, "keeps"
@@ -177,7 +179,7 @@
         world.now += STEP
         for ledger in world.ledgers:
             if ledger.alive:
-                ledger.book.tick(world.now)
+                ledger.book.update_completeness(world.now)
         for router in world.routers:
             router.calm = True
             if router.line:
@@ -198,8 +200,8 @@
         if book.epoch != world.epoch:
             self._end(world, at)
             return
-        world.told = [*world.told, *book.after(book.head, 9)]
-        book.durable(book.last, world.now)
+        world.told = [*world.told, *book.purges_after(book.head, 9)]
+        book.mark_durable(book.last_admitted, world.now)
 
     def _crash(self, world: World, at: int, what: str) -> None:
         world.left["crashes"] -= 1
@@ -220,13 +222,13 @@
 
     def _connect(self, world: World, n: int, at: int) -> None:
         router, book = world.routers[n], world.ledgers[at].book
-        member = book.hello(router.follower.begin(world.now), world.now)
+        member = book.join(router.follower.start_connection(), world.now)
         world.ledgers[at].prepared.pop(n, None)
-        router.line, router.calm = Line(at, router.follower.held), False
+        router.line, router.calm = Line(at, router.follower.applied_up_to), False
         if isinstance(member, RequestRejected):
             router.line.down.append(member)
             return
-        router.line.down.append(Welcome(book.epoch, book.head, world.now, book.lease))
+        router.line.down.append(Welcome(book.epoch, book.head, world.now, book.lease_length))
         self._hear(world, n)
 
     def _hear(self, world: World, n: int) -> None:
@@ -234,15 +236,15 @@
         router = world.routers[n]
         while router.line and router.line.down:
             said, router.line.down = router.line.down[0], router.line.down[1:]
-            for given in router.follower.take(said, world.now):
+            for given in router.follower.receive(said, world.now):
                 match given:
                     case ApplyPurges():
-                        router.fleet.apply(given, router.follower.held, world.now)
+                        router.fleet.apply(given, router.follower.applied_up_to, world.now)
                     case SendMessage(words) if router.line:
                         router.line.up = [words]  # the last says all that those before it say
                     case EndConnection():
                         router.line = None
-        if offsets := router.follower.offsets:
+        if offsets := router.follower.clock_offsets:
             least = min(offsets)  # all that is read of them
             offsets.clear()
             offsets.append(least)
@@ -251,16 +253,16 @@
         line = world.routers[n].line
         said, line.up = line.up[-1], []
         book = world.ledgers[line.ledger].book
-        if isinstance(said, MemberAck) and (member := book.members.get(f"r{n}")):
-            book.ack(member, said.held, said.mark, said.away, world.now)
+        if isinstance(said, MemberAck) and (member := book.members.by_name.get(f"r{n}")):
+            book.acknowledge(member, said.applied_up_to, said.ack_id, said.is_unreachable, world.now)
 
     def _check(self, world: World, n: int) -> None:
         """A beat begins: what it echoes is taken, then whether another ledger has begun is looked at."""
         world.routers[n].line.calm = False
         at = world.routers[n].line.ledger
         ledger = world.ledgers[at]
-        member = ledger.book.members.get(f"r{n}")
-        echo = ledger.book.echo(member) if member else 0
+        member = ledger.book.members.by_name.get(f"r{n}")
+        echo = ledger.book.ack_to_echo(member) if member else 0
         if ledger.book.epoch != world.epoch:
             self._end(world, at)
             return
@@ -272,7 +274,7 @@
         line = world.routers[n].line
         ledger = world.ledgers[line.ledger]
         book, echo = ledger.book, ledger.prepared.pop(n)
-        if news := book.after(line.sent, book.head - line.sent):
+        if news := book.purges_after(line.sent, book.head - line.sent):
             line.down.append(PurgeBatch(tuple(news)))
             line.sent = book.head
         line.down.append(Heartbeat(book.epoch, book.head, echo, world.now))
@@ -301,30 +303,34 @@
     # -- what must hold ------------------------------------------------------------------------------------
 
     def broken(self, world: World) -> str:
-        kept = {purge.number: purge for purge in world.disk}
+        kept = {purge.sequence_number: purge for purge in world.disk}
         for purge in world.told:
-            if kept.get(purge.number) != purge:
-                return f"purge {purge.number} was promised and is lost"
+            if kept.get(purge.sequence_number) != purge:
+                return f"purge {purge.sequence_number} was promised and is lost"
         for n, router in enumerate(world.routers):
             if wrong := self._answers(world, n, router.fleet):
                 return wrong
             ledger = world.ledgers[-1]
-            behind = router.follower.held < ledger.book.complete
-            if ledger.alive and behind and router.fleet.lease.holds(world.now):
-                return f"purge {ledger.book.complete} is told complete, and router {n} serves without it"
+            behind = router.follower.applied_up_to < ledger.book.complete_up_to
+            if ledger.alive and behind and router.fleet.lease.is_held(world.now):
+                return (
+                    f"purge {ledger.book.complete_up_to} is told complete, and router {n} serves without it"
+                )
         return ""
 
     @staticmethod
     def _answers(world: World, n: int, fleet: FleetPurges) -> str:
         """Whether a req now would get the copy that was there at the start, after a purge of it must hold."""
         age, now = world.now - START, world.now
-        bound = fleet.oldest(ROSE, "north", (), 0, now)
-        taken = (not bound or age <= bound) and fleet.good(ROSE, "north", CachedCopy(0, age, ()), now, bound)
-        fleet.tags.of.clear()  # it was but a question
-        fleet.old = 0
+        bound = fleet.max_age(ROSE, "north", (), 0, now)
+        taken = (not bound or age <= bound) and fleet.accepts(
+            ROSE, "north", CachedCopy(0, age, ()), now, bound
+        )
+        fleet.object_tags.by_object.clear()  # it was but a question
+        fleet.stale_copies = 0
         for purge in world.told:
-            if taken and purge.when + GRACE <= now:
-                return f"router {n} answers at {now} with a copy of {START}, purged at {purge.when}"
+            if taken and purge.purged_at + GRACE <= now:
+                return f"router {n} answers at {now} with a copy of {START}, purged at {purge.purged_at}"
         return ""
 
 
@@ -341,10 +347,10 @@
         return most + 1 if when is None else min(self.world.now - when, most + 1)
 
     def lease(self, when: int | None) -> int:
-        return self.age(when, lease(GRACE))
+        return self.age(when, lease_length(GRACE))
 
     def purges(self, purges) -> tuple:
-        return tuple((purge.number, self.age(purge.when)) for purge in purges)
+        return tuple((purge.sequence_number, self.age(purge.purged_at)) for purge in purges)
 
     def ledger(self, at: int, ledger: Ledger) -> tuple:
         if not ledger.alive:
@@ -352,39 +358,45 @@
         book = ledger.book
         members = []
         for n, router in enumerate(self.world.routers):
-            if member := book.members.get(f"r{n}"):
-                known = router.follower.sent if router.line and router.line.ledger == at else {}
+            if member := book.members.by_name.get(f"r{n}"):
+                known = router.follower.unechoed_acks if router.line and router.line.ledger == at else {}
                 acks = tuple((known[mark], self.age(when)) for mark, when in member.acks if mark in known)
-                live = (self.lease(member.heard), member.acked, member.gone)
-                members.append((n, member.held, live, acks))
+                live = (self.lease(member.last_heard_at), member.has_acknowledged, member.has_left)
+                members.append((n, member.applied_up_to, live, acks))
         prepared = tuple(sorted((n, self.echo(n, mark)) for n, mark in ledger.prepared.items()))
-        whens = (self.age(book.when), max(0, book.wait_until - self.world.now))
-        return (book.head, book.complete, whens, self.purges(book.purges), tuple(members), prepared)
+        whens = (self.age(book.last_purged_at), max(0, book.older_leases_end - self.world.now))
+        return (book.head, book.complete_up_to, whens, self.purges(book.purges), tuple(members), prepared)
 
     def echo(self, n: int, mark: int) -> int:
         """What a mark is worth: the age of the ack that it stands for."""
-        return self.lease(self.world.routers[n].follower.sent.get(mark))
+        return self.lease(self.world.routers[n].follower.unechoed_acks.get(mark))
 
     def router(self, n: int, router: Router) -> tuple:
         follower, fleet, line = router.follower, router.fleet, router.line
-        marks = tuple((purge.number, self.age(when)) for when, purge in fleet.recent)
+        marks = tuple((purge.sequence_number, self.age(when)) for when, purge in fleet.recent)
         heard = (
-            follower.held,
+            follower.applied_up_to,
             follower.epoch,
-            follower.welcomed,
-            follower.offset if follower.offsets else None,
+            follower.is_welcomed,
+            follower.clock_offset if follower.clock_offsets else None,
+        )
+        told = (
+            self.lease(fleet.lease.started_at),
+            marks,
+            fleet.low_watermark,
+            fleet.index.expired_up_to,
+            router.calm,
         )
-        told = (self.lease(fleet.lease.heard), marks, fleet.floor, fleet.marks.forgotten, router.calm)
         return (heard, told, self.line(n, line) if line else None)
 
     def line(self, n: int, line: Line) -> tuple:
         down = tuple(
-            ("beat", said.epoch, said.head, self.echo(n, said.echo), self.world.now - said.now)
+            ("beat", said.epoch, said.head, self.echo(n, said.echoed_ack), self.world.now - said.server_time)
             if isinstance(said, Heartbeat)
             else (type(said).__name__, *(self.purges(said.purges) if isinstance(said, PurgeBatch) else ()))
             for said in line.down
         )
-        up = tuple((said.held, self.echo(n, said.mark)) for said in line.up)
+        up = tuple((said.applied_up_to, self.echo(n, said.ack_id)) for said in line.up)
         return (line.ledger, line.sent, line.calm, down, up)
 
     def key(self) -> tuple:
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -265,7 +265,7 @@
         held_by = [
             name for name in (answer.endpoint, answer.fill_source) if not self._origin(name)
         ]  # which makes copies
-        return self.fleet.oldest(marked(ruling), self._store(answer.endpoint), held_by, answer.max_age, now)
+        return self.fleet.max_age(marked(ruling), self._store(answer.endpoint), held_by, answer.max_age, now)
 
     def bound_now(self, ruling: RouteSelection, answer: Forward, now: int) -> bool:
         """Whether a dispatch would now be decided with a lower age."""
@@ -285,7 +285,7 @@
             return True
         usual = self.vhosts.get(vhost_name(ruling.route), ruling.vhost).max_age
         bound = answer.max_age if not usual or answer.max_age < usual else 0
-        return self.fleet.good(marked(ruling), self._store(answer.endpoint), copy, written, bound)
+        return self.fleet.accepts(marked(ruling), self._store(answer.endpoint), copy, written, bound)
 
     def _done(self, req_id: int) -> None:
         """Forgets a req that its Router has ended."""
--- a/quartzrouter/pool_routing/route_selection.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -8,7 +8,7 @@
 from quartzrouter.config.request_sets import Asked
 from quartzrouter.pool_routing.rate_limits import LimitKey
 from quartzrouter.purges import purge_index
-from quartzrouter.purges.object_names import digits
+from quartzrouter.purges.object_names import object_id
 from quartzrouter.routing.model import TrafficClass
 
 GROUPS = 256
@@ -48,9 +48,9 @@
         route,
         plan.policies[route.policy] if route.policy else NOTHING,
         plan.vhosts[route.vhost],
-        digits(obj),
+        object_id(obj),
         part,
-        None if group is None else int(digits(group), 16) % GROUPS,
+        None if group is None else int(object_id(group), 16) % GROUPS,
         _tenant(route, found, asked),
         client,
         f"{asked.host}{asked.path}",
--- a/quartzrouter/purge_log/__init__.py
+++ b/quartzrouter/purge_log/__init__.py
@@ -1,1 +1,1 @@
-"""The ledger of purges: its log on a disk, its service, and those who connect to it."""
+"""The durable log of purges: its files, its server process, and the processes that connect to it."""
--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -1,267 +1,230 @@
-"""The process that brings purges to caches: a member of the ledger for each, and HTTP PURGE to it."""
+"""The courier: delivers purges to caches by HTTP PURGE, and is a member of the purge log for each of them."""
 
 import secrets
 import signal
 from collections.abc import Mapping, Sequence
 
 import anyio
-import h11
 
 from quartzrouter.leases.handle import LeaseClient, LeaseHandle
-from quartzrouter.purge_log.line_connection import connect
+from quartzrouter.purge_log.cache_connection import (
+    CacheConnection,
+    DeliveryFailed,
+    DeliveryRefused,
+    FencedOff,
+)
 from quartzrouter.purge_log.member_client import ConnectionOpened, MemberClient, MessageReceived
-from quartzrouter.purges.delivery_plan import ASK_EVERY, TIMEOUT, Delivery, DeliveryQueue
-from quartzrouter.purges.freshness_lease import FreshnessLease, lease
+from quartzrouter.purges.delivery_plan import POLL_INTERVAL, Delivery, DeliveryQueue
+from quartzrouter.purges.freshness_lease import FreshnessLease, lease_length
 from quartzrouter.purges.messages import Heartbeat
-from quartzrouter.purges.object_names import of_object
+from quartzrouter.purges.object_names import object_keys
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
-from quartzrouter.server.attempt_failure import CONNECTION_LOST
 from quartzrouter.server.clock import wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-CONNECTIONS = 2  # to one cache: purges on their way share them
-PURGED_TO = b"x-purged-to"
-LEASE_SEEN = b"x-purge-lease-seen"  # with 409: the number of a later lease
-READ = 1 << 14  # bytes
-
-
-class DeliveryFailed(Exception):
-    """The cache did not answer."""
-
-
-class DeliveryRefused(DeliveryFailed):
-    """The cache answered, and did not take it."""
-
-
-class FencedOff(DeliveryRefused):
-    """The cache has heard of a later lease."""
-
-    def __init__(self, seen: int):
-        super().__init__(f"a later lease has delivered, number {seen}")
-        self.seen = seen
-
-
-class DeliveryConnection:
-    """One connection to a cache, one req at a time."""
-
-    def __init__(self, address: tuple[str, int]):
-        self.address = address
-        self.stream: anyio.abc.ByteStream | None = None
-        self.lock = anyio.Lock()
-
-    async def ask(self, method: str, target: str, fields: Sequence[tuple[str, str]]) -> int:
-        """What the cache says it holds up to; raises Failed."""
-        async with self.lock:
-            good = False
-            try:
-                with anyio.fail_after(TIMEOUT / 1e6):
-                    held = await self._ask(method, target, fields)
-                good = True
-                return held
-            except DeliveryRefused:
-                good = True
-                raise
-            except (*CONNECTION_LOST, TimeoutError, h11.ProtocolError, ValueError) as error:
-                raise DeliveryFailed(
-                    f"{self.address[0]}:{self.address[1]}: {error or type(error).__name__}"
-                ) from None
-            finally:
-                if not good:  # nothing is known of what stands on it
-                    await self.close()
-
-    async def _ask(self, method: str, target: str, fields: Sequence[tuple[str, str]]) -> int:
-        if self.stream is None:
-            self.stream = await connect(self.address)
-            self.http = h11.Connection(h11.CLIENT)
-        head = [("Host", f"{self.address[0]}:{self.address[1]}"), *fields]
-        await self.stream.send(self.http.send(h11.Request(method=method, target=target, headers=head)))
-        await self.stream.send(self.http.send(h11.EndOfMessage()) or b"")
-        held, status, seen = 0, 0, 0
-        while not isinstance(event := self.http.next_event(), h11.EndOfMessage):
-            if event is h11.NEED_DATA:
-                try:
-                    self.http.receive_data(await self.stream.receive(READ))
-                except anyio.EndOfStream:
-                    self.http.receive_data(b"")
-            elif isinstance(event, h11.Response):
-                status = event.status_code
-                told = dict(event.headers)
-                held, seen = int(told.get(PURGED_TO, b"0")), int(told.get(LEASE_SEEN, b"0"))
-            elif isinstance(event, h11.ConnectionClosed):
-                raise ValueError("closed without an answer")
-        if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
-            self.http.start_next_cycle()
-        else:
-            await self.close()
-        if status == 409 and seen:
-            raise FencedOff(seen)
-        if status != 200:
-            raise DeliveryRefused(f"it answered {status}")
-        return held
-
-    async def close(self) -> None:
-        if self.stream is not None:
-            stream, self.stream = self.stream, None
-            with anyio.CancelScope(shield=True):
-                await anyio.aclose_forcefully(stream)
+CONNECTIONS_PER_CACHE = 2  # shared by the purges in flight
+SILENCE_TIMEOUT_LEASES = 4  # without a message, until the connection to the purge log counts as broken
+MICROSECONDS_PER_SECOND = 1e6
+MICROSECONDS_PER_MILLISECOND = 1_000
 
 
 class DeliveryWorker:
-    """Brings purges to one cache, and tells the ledger how far that has come.
+    """Delivers purges to one cache, and acknowledges them to the purge log as the cache confirms them.
 
+    :param name: of the cache, and of the member that stands for it.
+    :param address: of the cache.
+    :param purge_logs: their addresses.
+    :param grace: microseconds within which a purge must hold at every router.
     :param rate: purges a second.
-    :param hold: the task of delivering, where one of several processes does it.
+    :param lease_handle: of the task of delivering, where one of several processes does it.
     """
 
     def __init__(
         self,
         name: str,
         address: tuple[str, int],
-        ledgers: Sequence[tuple[str, int]],
+        purge_logs: Sequence[tuple[str, int]],
         grace: int,
         report: RateLimitedLog,
         rate: float,
-        hold: LeaseHandle | None = None,
+        lease_handle: LeaseHandle | None = None,
     ):
-        self.name, self.report, self.hold = name, report, hold
-        self.box = DeliveryQueue(name, rate)
-        self.lines = [DeliveryConnection(address) for _ in range(CONNECTIONS)]
-        self.follower = PurgeReplica(
-            name, "cache", secrets.token_hex(8), FreshnessLease(lease(grace)), acks=False
+        self.name = name
+        self.report = report
+        self.lease_handle = lease_handle
+        self.queue = DeliveryQueue(name, rate)
+        self.connections = [CacheConnection(address) for _ in range(CONNECTIONS_PER_CACHE)]
+        lease = lease_length(grace)
+        self.replica = PurgeReplica(
+            name, "cache", secrets.token_hex(8), FreshnessLease(lease), acks_on_receipt=False
         )
-        self.link = MemberClient(ledgers, 4 * lease(grace), self._feed, report)
-        self.wake = anyio.Event()
-        self.turn = 0
+        self.client = MemberClient(purge_logs, SILENCE_TIMEOUT_LEASES * lease, self._on_event, report)
+        self.queue_changed = anyio.Event()
+        self.deliveries_started = 0
 
     async def run(self) -> None:
-        async with anyio.create_task_group() as self.tasks:
-            await self._ask()
-            self.tasks.start_soon(self.link.run)
-            self.tasks.start_soon(self._look)
+        """Delivers until it is cancelled."""
+        async with anyio.create_task_group() as tasks:
+            await self._poll_cache()
+            tasks.start_soon(self.client.run)
+            tasks.start_soon(self._poll_cache_at_intervals)
             while True:
                 now = wall_clock()
-                for delivery in self.box.next(now):
-                    self.tasks.start_soon(self._deliver, delivery)
-                self.wake = anyio.Event()
-                with anyio.move_on_after((self.box.due(now) - now) / 1e6):
-                    await self.wake.wait()
+                for delivery in self.queue.next_deliveries(now):
+                    tasks.start_soon(self._deliver, delivery)
+                self.queue_changed = anyio.Event()
+                with anyio.move_on_after((self.queue.next_due_at(now) - now) / MICROSECONDS_PER_SECOND):
+                    await self.queue_changed.wait()
+
+    # -- the purge log -------------------------------------------------------------------------------------
 
-    def _feed(self, event: ConnectionOpened | MessageReceived) -> None:
+    def _on_event(self, event: ConnectionOpened | MessageReceived) -> None:
         now = wall_clock()
         if isinstance(event, ConnectionOpened):
-            self.link.tell(self.follower.begin(now))
+            self.client.send(self.replica.start_connection())
             return
-        for given in self.follower.take(event.said, now):
-            match given:
-                case ApplyPurges(purges, offset, floor, whole):
-                    if whole and floor:
-                        self.box.floor(purges[0].number - 1 if purges else self.follower.held, floor)
-                    self.box.heard([purge for purge in purges if purge.number > self.box.reached], offset)
-                    self.wake.set()
-                case EndConnection(reason, come_back):
-                    self.link.hang(f"{self.name}: {reason}", come_back)
-                case SendMessage(said):
-                    self.link.tell(said)
-        if isinstance(event.said, Heartbeat):
-            self.box.level(event.said.head)
-        if self.follower.welcomed:
-            self._tell(now)
-
-    def _tell(self, now: int) -> None:
-        """A cache that doesn't answer or catches up is away: nobody waits for it, and nobody trusts it."""
-        self.link.tell(self.follower.ack(self.box.reached, now, away=not self.box.caught).said)
-
-    async def _look(self) -> None:
+        for effect in self.replica.receive(event.message, now):
+            match effect:
+                case ApplyPurges():
+                    self._add(effect)
+                case EndConnection(reason, reconnect_after):
+                    self.client.reconnect(f"{self.name}: {reason}", reconnect_after)
+                case SendMessage(message):
+                    self.client.send(message)
+        if isinstance(event.message, Heartbeat):
+            self.queue.received_up_to(event.message.head)
+        self._acknowledge(now)
+
+    def _add(self, update: ApplyPurges) -> None:
+        if update.is_snapshot and update.low_watermark:
+            first_number = (
+                update.purges[0].sequence_number if update.purges else self.replica.applied_up_to + 1
+            )
+            self.queue.purge_everything_before(first_number - 1, update.low_watermark)
+        unconfirmed = [purge for purge in update.purges if purge.sequence_number > self.queue.purged_up_to]
+        self.queue.add(unconfirmed, update.clock_offset)
+        self.queue_changed.set()
+
+    def _acknowledge(self, now: int) -> None:
+        """Tells the purge log what the cache has purged.
+
+        A cache that doesn't answer or is catching up counts as unreachable: no purge waits for it, and no
+        router trusts its old copies.
+        """
+        if self.replica.is_welcomed:
+            acknowledgement = self.replica.acknowledge(
+                self.queue.purged_up_to, now, is_unreachable=not self.queue.is_caught_up
+            )
+            self.client.send(acknowledgement.message)
+
+    # -- the cache -----------------------------------------------------------------------------------------
+
+    async def _poll_cache_at_intervals(self) -> None:
         while True:
-            await anyio.sleep(ASK_EVERY / 1e6)
-            if not self.box.out and wall_clock() >= self.box.next_at:
-                await self._ask()
+            await anyio.sleep(POLL_INTERVAL / MICROSECONDS_PER_SECOND)
+            if not self.queue.in_flight and wall_clock() >= self.queue.not_before:
+                await self._poll_cache()
 
-    async def _ask(self) -> None:
-        was = self.box.up
+    async def _poll_cache(self) -> None:
+        """Asks the cache up to what it has purged; where it has lost something, receives that anew."""
+        was_up = self.queue.is_up
         try:
-            held = await self.lines[0].ask("GET", "/purged", ())
+            purged_up_to = await self.connections[0].request("GET", "/purged", ())
         except DeliveryFailed as error:
-            if was:
+            if was_up:
                 self.report.say("cache", f"{self.name}: {error}; away until it answers")
-            self.box.lost(wall_clock())
+            self.queue.unreachable(wall_clock())
         else:
-            if not was:
-                self.report.say("cache", f"{self.name} answers, and has purged up to {held}")
-            if not self.box.stands(held, self.follower.held, wall_clock()):
-                self.follower.held = held
-                self.link.hang(f"{self.name}: heard anew from {held}", 0)
-        if self.follower.welcomed:
-            self._tell(wall_clock())
-        self.wake.set()
+            if not was_up:
+                self.report.say("cache", f"{self.name} answers, and has purged up to {purged_up_to}")
+            lacks_nothing = self.queue.reported(purged_up_to, self.replica.applied_up_to, wall_clock())
+            if not lacks_nothing:
+                self.replica.applied_up_to = purged_up_to
+                self.client.reconnect(f"{self.name}: heard anew from {purged_up_to}", 0)
+        self._acknowledge(wall_clock())
+        self.queue_changed.set()
 
     async def _deliver(self, delivery: Delivery) -> None:
-        if self.hold and not self.hold.held():
-            return  # the lease ends, or has ended: whoever has it next asks the cache where it stands
+        """Delivers one purge.
+
+        Guards against a courier whose lease is over and that goes on, as after a stall: it doesn't know
+        what its successor has delivered. Whoever has the lease next asks the cache where it stands.
+        """
+        if self.lease_handle and not self.lease_handle.held():
+            return
+        sequence_number = delivery.purge.sequence_number
+        self.deliveries_started += 1
+        connection = self.connections[self.deliveries_started % CONNECTIONS_PER_CACHE]
+        try:
+            await connection.request("PURGE", "/", self._headers(delivery))
+        except DeliveryFailed as error:
+            self.report.say("cache", f"{self.name}: purge {sequence_number}: {error}")
+            if isinstance(error, DeliveryRefused):
+                self.queue.refused(sequence_number, wall_clock())
+            else:
+                self.queue.unreachable(wall_clock())
+            if isinstance(error, FencedOff) and self.lease_handle:
+                self.lease_handle.passed(error.highest_token)
+        else:
+            self.queue.confirmed(sequence_number)
+        self._acknowledge(wall_clock())
+        self.queue_changed.set()
+
+    def _headers(self, delivery: Delivery) -> list[tuple[str, str]]:
         purge = delivery.purge
         values = purge.values
         if purge.kind == "object":  # caches know objects by the keys in their targets
-            values = tuple(name for value in values for name in of_object(value))
-        self.turn += 1
-        fields = [
-            ("X-Purge-Number", str(purge.number)),
+            values = tuple(key for name in values for key in object_keys(name))
+        headers = [
+            ("X-Purge-Number", str(purge.sequence_number)),
             ("X-Purge-Kind", purge.kind),
             ("X-Purge-Values", " ".join(values)),
-            ("X-Purge-Older-Ms", str(delivery.age // 1000)),
-            ("X-Purge-Done", str(self.box.reached)),
+            ("X-Purge-Older-Ms", str(delivery.age // MICROSECONDS_PER_MILLISECOND)),
+            ("X-Purge-Done", str(self.queue.purged_up_to)),
         ]
-        fields += [("X-Purge-Lease", str(self.hold.number))] if self.hold else []
-        fields += [("X-Purge-Vhost", purge.vhost)] if purge.vhost else []
-        fields += [("X-Purge-Store", purge.store)] if purge.store else []
-        try:
-            await self.lines[self.turn % CONNECTIONS].ask("PURGE", "/", fields)
-        except FencedOff as error:
-            self.report.say("cache", f"{self.name}: purge {purge.number}: {error}")
-            self.box.refused(purge.number, wall_clock())
-            if self.hold:
-                self.hold.passed(error.seen)
-        except DeliveryRefused as error:
-            self.report.say("cache", f"{self.name}: purge {purge.number}: {error}")
-            self.box.refused(purge.number, wall_clock())
-        except DeliveryFailed as error:
-            self.report.say("cache", f"{self.name}: purge {purge.number}: {error}")
-            self.box.lost(wall_clock())
-        else:
-            self.box.taken(purge.number)
-        if self.follower.welcomed:
-            self._tell(wall_clock())
-        self.wake.set()
+        if self.lease_handle:
+            headers.append(("X-Purge-Lease", str(self.lease_handle.number)))
+        if purge.vhost:
+            headers.append(("X-Purge-Vhost", purge.vhost))
+        if purge.store:
+            headers.append(("X-Purge-Store", purge.store))
+        return headers
 
 
 async def deliver(
     caches: Mapping[str, tuple[str, int]],
-    ledgers: Sequence[tuple[str, int]],
+    purge_logs: Sequence[tuple[str, int]],
     grace: int,
     report: RateLimitedLog,
     rate: float,
-    claims: LeaseClient | None = None,
+    lease_client: LeaseClient | None = None,
     task: str = "",
 ) -> None:
-    """Brings purges to all caches until SIGTERM.
+    """Delivers purges to all caches until SIGTERM.
 
-    :param claims: of this process, where several may deliver and one does: whoever holds the task.
+    :param caches: addresses by name.
+    :param purge_logs: their addresses.
+    :param grace: microseconds within which a purge must hold at every router.
+    :param rate: purges a second to each cache.
+    :param lease_client: where several processes may deliver: the one that holds the task does.
     """
 
-    async def run(hold: LeaseHandle | None = None) -> None:
-        async with anyio.create_task_group() as couriers:
+    async def deliver_to_all(lease_handle: LeaseHandle | None = None) -> None:
+        async with anyio.create_task_group() as workers:
             for name, address in caches.items():
-                couriers.start_soon(DeliveryWorker(name, address, ledgers, grace, report, rate, hold).run)
+                worker = DeliveryWorker(name, address, purge_logs, grace, report, rate, lease_handle)
+                workers.start_soon(worker.run)
 
     async with anyio.create_task_group() as tasks:
-        if claims:
-            tasks.start_soon(claims.run)
-            tasks.start_soon(claims.perform, task, run)
+        if lease_client:
+            tasks.start_soon(lease_client.run)
+            tasks.start_soon(lease_client.perform, task, deliver_to_all)
         else:
-            tasks.start_soon(run)
+            tasks.start_soon(deliver_to_all)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as received:
             async for number in received:
                 report.say("process", f"{number.name}: stopping")
-                if claims:
-                    await claims.release()
+                if lease_client:
+                    await lease_client.release()
                 tasks.cancel_scope.cancel()
                 return
--- a/quartzrouter/purge_log/disk.py
+++ b/quartzrouter/purge_log/disk.py
@@ -1,4 +1,4 @@
-"""The few things that the log asks of a disk, so that a test can play one that fails at any of them."""
+"""The few operations that the log needs of a disk, so that a test can play one that fails at any of them."""
 
 import os
 from pathlib import Path
@@ -6,49 +6,84 @@
 
 
 class File(Protocol):
-    def write(self, data: bytes) -> None: ...
-    def sync(self) -> None: ...
-    def truncate(self, size: int) -> None: ...
-    def close(self) -> None: ...
+    """A file that is being written. All methods raise OSError."""
+
+    def write(self, data: bytes) -> None:
+        """Appends all the data."""
+
+    def sync(self) -> None:
+        """Makes what was written durable."""
+
+    def truncate(self, size: int) -> None:
+        """Drops what stands behind a number of bytes."""
+
+    def close(self) -> None:
+        """Closes the file; what was not synced may be lost."""
 
 
 class Disk(Protocol):
-    """One folder.  All raise OSError."""
+    """One folder. All methods raise OSError."""
+
+    def names(self) -> list[str]:
+        """Returns the names of all files in alphabetical order."""
+        ...
+
+    def read(self, name: str) -> bytes:
+        """Returns the contents of a file."""
+        ...
 
-    def names(self) -> list[str]: ...
-    def read(self, name: str) -> bytes: ...
     def create(self, name: str) -> File:
-        """A new file; FileExistsError where there is one."""
+        """Creates a file.
+
+        :raises FileExistsError: where there is one of the name.
+        """
         ...
 
-    def rename(self, name: str, to: str) -> None: ...
-    def remove(self, name: str) -> None: ...
+    def rename(self, name: str, new_name: str) -> None:
+        """Renames a file, in place of any of the new name."""
+
+    def remove(self, name: str) -> None:
+        """Removes a file."""
+
     def sync(self) -> None:
-        """Makes names durable."""
-        ...
+        """Makes the names of files durable."""
 
 
 class RealFile:
+    """A file of the operating system.
+
+    :raises FileExistsError: where there is one at the path.
+    """
+
     def __init__(self, path: Path):
-        self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC, 0o640)
+        flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
+        self.descriptor = os.open(path, flags, 0o640)
 
     def write(self, data: bytes) -> None:
-        view = memoryview(data)
-        while view:
-            view = view[os.write(self.fd, view) :]
+        """Appends all the data."""
+        remaining = memoryview(data)
+        while remaining:
+            written = os.write(self.descriptor, remaining)
+            remaining = remaining[written:]
 
     def sync(self) -> None:
-        os.fdatasync(self.fd)
+        """Makes what was written durable."""
+        os.fdatasync(self.descriptor)
 
     def truncate(self, size: int) -> None:
-        os.ftruncate(self.fd, size)
+        """Drops what stands behind a number of bytes."""
+        os.ftruncate(self.descriptor, size)
 
     def close(self) -> None:
-        os.close(self.fd)
+        """Closes the file."""
+        os.close(self.descriptor)
 
 
 def write_whole(path: str | Path, data: bytes) -> None:
-    """Writes a file anew; either the old one or the new one is found after a crash.  Raises OSError."""
+    """Replaces a file; after a crash either the old contents or the new are found, whole.
+
+    :raises OSError: where it can't be written; the old contents stay.
+    """
     with open(f"{path}.new", "wb") as file:
         file.write(data)
         file.flush()
@@ -58,32 +93,44 @@
 
 
 def sync_folder(folder: Path) -> None:
-    fd = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
+    """Makes the names in a folder durable.
+
+    :raises OSError: where that fails.
+    """
+    descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
-        os.fsync(fd)
+        os.fsync(descriptor)
     finally:
-        os.close(fd)
+        os.close(descriptor)
 
 
 class RealDisk:
+    """A folder of the operating system, made where there is none."""
+
     def __init__(self, folder: str):
         self.folder = Path(folder)
         self.folder.mkdir(parents=True, exist_ok=True)
 
     def names(self) -> list[str]:
+        """Returns the names of all files in alphabetical order."""
         return sorted(entry.name for entry in os.scandir(self.folder) if entry.is_file())
 
     def read(self, name: str) -> bytes:
+        """Returns the contents of a file."""
         return (self.folder / name).read_bytes()
 
     def create(self, name: str) -> RealFile:
+        """Creates a file."""
         return RealFile(self.folder / name)
 
-    def rename(self, name: str, to: str) -> None:
-        os.rename(self.folder / name, self.folder / to)
+    def rename(self, name: str, new_name: str) -> None:
+        """Renames a file, in place of any of the new name."""
+        os.rename(self.folder / name, self.folder / new_name)
 
     def remove(self, name: str) -> None:
+        """Removes a file."""
         os.remove(self.folder / name)
 
     def sync(self) -> None:
+        """Makes the names of files durable."""
         sync_folder(self.folder)
--- /dev/null
+++ b/quartzrouter/purge_log/health_service.py
@@ -0,0 +1,94 @@
+"""Aggregates routers' health reports, and tells routers which caches to eject."""
+
+from collections.abc import Callable, Collection
+from typing import TYPE_CHECKING
+
+import anyio
+
+from quartzrouter.fleet_health.aggregator import NEWS_EVERY, TELL_EVERY, HealthAggregator
+from quartzrouter.purges.members import Member
+from quartzrouter.purges.messages import EjectionVerdicts, HealthReply, HealthReport, StoreHealth
+
+if TYPE_CHECKING:
+    from quartzrouter.purge_log.sessions import Session
+
+MICROSECONDS_PER_SECOND = 1e6
+
+
+class HealthService:
+    """The aggregator, and what routers were told of it.
+
+    :param steady_clock: returns microseconds of the monotonic clock.
+    """
+
+    def __init__(self, steady_clock: Callable[[], int]):
+        self.steady_clock = steady_clock
+        self.aggregator = HealthAggregator()
+        self.failure_reported = anyio.Event()  # a router has reported failures since the last verdicts
+        self.ejected: dict[str, set[str]] = {}  # caches by store, as routers were told last
+        self.next_full_at = 0  # us; verdicts of every store are sent then, changed or not
+
+    def report(self, member: Member, report: HealthReport) -> None:
+        """Takes a router's report."""
+        self.aggregator.hear(
+            member.name, member.token, report.store, report.sights, self.steady_clock(), report.caches
+        )
+        if any(observation.bad for observation in report.sights):
+            self.failure_reported.set()
+
+    def left(self, member_name: str) -> None:
+        """Forgets the reports of a router that has stopped on purpose."""
+        self.aggregator.left(member_name)
+
+    async def run(self, sessions: Callable[[], Collection["Session"]]) -> None:
+        """Sends verdicts until it is cancelled.
+
+        Routers are told at intervals while there are caches to eject, once when there are none any more,
+        and at once where reported failures have changed the verdicts.
+
+        :param sessions: returns the sessions of all members.
+        """
+        while True:
+            self.failure_reported = anyio.Event()
+            await anyio.sleep(NEWS_EVERY / MICROSECONDS_PER_SECOND)
+            until_full = max(0, self.next_full_at - self.steady_clock()) / MICROSECONDS_PER_SECOND
+            with anyio.move_on_after(until_full):
+                await self.failure_reported.wait()
+            self._send_verdicts([session for session in sessions() if session.reported_store])
+
+    def _send_verdicts(self, sessions: list["Session"]) -> None:
+        now = self.steady_clock()
+        is_full = now >= self.next_full_at
+        self.aggregator.trim(now)
+        stores = {session.reported_store for session in sessions}
+        verdicts = {store: self.aggregator.judged(store, now) for store in stores}
+        ejected = {store: {verdict.cache for verdict in verdicts[store]} for store in stores}
+        stores_to_tell = {store for store in stores if is_full or ejected[store] != self.ejected.get(store)}
+        self.ejected = ejected
+        if is_full:
+            self.next_full_at = now + TELL_EVERY - NEWS_EVERY
+        sessions = [session for session in sessions if session.reported_store in stores_to_tell]
+        stores_with_loads = {session.reported_store for session in sessions if session.wants_loads}
+        loads = {store: self._loads(store, now) for store in stores_with_loads}
+        for session in sessions:
+            store = session.reported_store
+            if verdicts[store] or session.was_sent_verdicts or session.wants_loads:
+                session.was_sent_verdicts = bool(verdicts[store])
+                session_loads = loads[store] if session.wants_loads else None
+                session.queue(EjectionVerdicts(verdicts[store], session_loads))
+
+    def _loads(self, store: str, now: int) -> dict[str, int]:
+        """Requests in flight at each cache of a store."""
+        return {load.cache: load.in_hand for load in self.aggregator.counts(store, now)}
+
+    def status(self, epoch: int) -> HealthReply:
+        """Returns the health of all caches, by store."""
+        now = self.steady_clock()
+        stores = sorted({voice.store for voice in self.aggregator.voices.values()})
+        return HealthReply(
+            epoch,
+            tuple(
+                StoreHealth(store, self.aggregator.judged(store, now), self.aggregator.counts(store, now))
+                for store in stores
+            ),
+        )
--- a/quartzrouter/purge_log/line_connection.py
+++ b/quartzrouter/purge_log/line_connection.py
@@ -1,110 +1,150 @@
-"""Lines over a connection, each of a bounded length, and the dialogue of a client with a ledger."""
+"""The line protocol's connections: opening one, reading lines, queued writing, and a server's accept guard.
 
-from collections.abc import AsyncIterator, Callable, Sequence
+Purge log and lease service both speak one JSON object a line; what is common to their servers and clients
+is here. Nothing in this module knows what a line says.
+"""
+
+from collections.abc import AsyncIterator, Awaitable, Callable
 
 import anyio
 
-from quartzrouter.purges import messages
-from quartzrouter.purges.messages import LINE_MOST, MalformedMessage
+from quartzrouter.purges.messages import MAX_LINE_BYTES, MalformedMessage
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.rate_limited_log import RateLimitedLog
+
+CONNECT_TIMEOUT = 1.0  # s
+READ_BYTES = 1 << 16  # at once
+CONNECTION_ENDED = (*CONNECTION_LOST, TimeoutError)  # what ends a connection without a fault of this process
 
-CONNECT_WITHIN = 1.0  # s
-ANSWER_WITHIN = 5.0  # s: a disk that is slow, and a ledger that takes over
-READ = 1 << 16  # bytes at once
 
+async def read_lines(stream: anyio.abc.ByteStream) -> AsyncIterator[bytes]:
+    """Yields each line without its end, until the stream ends.
 
-async def lines(stream: anyio.abc.ByteStream) -> AsyncIterator[bytes]:
-    """Each line without its end; ends with the stream.  Raises Unreadable for one that is too long."""
-    held = bytearray()
+    :raises MalformedMessage: where a line is too long, so that a sender can't make this process hold more.
+    """
+    unfinished = bytearray()
     while True:
         try:
-            held += await stream.receive(READ)
+            unfinished += await stream.receive(READ_BYTES)
         except anyio.EndOfStream:
             return
-        *whole, rest = held.split(b"\n")
-        for line in whole:
+        *finished, rest = unfinished.split(b"\n")
+        for line in finished:
             yield bytes(line)
-        held = bytearray(rest)
-        if len(held) > LINE_MOST:
-            raise MalformedMessage(f"a line of more than {LINE_MOST} bytes")
+        unfinished = bytearray(rest)
+        if len(unfinished) > MAX_LINE_BYTES:
+            raise MalformedMessage(f"a line of more than {MAX_LINE_BYTES} bytes")
 
 
 async def connect(address: tuple[str, int]) -> anyio.abc.SocketStream:
-    """Raises OSError or TimeoutError."""
+    """Opens a connection.
+
+    :raises OSError: where it is refused.
+    :raises TimeoutError: where nothing answers.
+    """
     try:
-        with anyio.fail_after(CONNECT_WITHIN):
+        with anyio.fail_after(CONNECT_TIMEOUT):
             return await anyio.connect_tcp(*address)
     except AttributeError:  # what the loop's stream raises where the other side has reset it already
         raise ConnectionResetError("gone at once") from None
 
 
-class Unreachable(Exception):
-    """No ledger answers at any address."""
+def first_error(group: BaseExceptionGroup) -> BaseException:
+    """Returns the first error inside nested groups, as a task group raises them."""
+    error: BaseException = group
+    while isinstance(error, BaseExceptionGroup):
+        error = error.exceptions[0]
+    return error
+
 
+def describe(error: BaseException) -> str:
+    """Returns the text of an error, or its type where it has none."""
+    return str(error) or type(error).__name__
 
-class QueryClient:
-    """Asks one ledger of several, one question at a time.
 
-    :param addresses: tried in turn.
+class LineQueue:
+    """Lines that wait to be written to the current connection.
+
+    What is queued without a connection is dropped: a message counts only on the connection that it was
+    written for.
+
+    :param max_lines: kept where the other side takes nothing; the oldest are dropped first.
+    """
+
+    def __init__(self, max_lines: int | None = None):
+        self.max_lines = max_lines
+        self.lines: list[bytes] | None = None  # None: there is no connection
+        self.changed = anyio.Event()
+
+    @property
+    def is_connected(self) -> bool:
+        """Whether there is a connection to write to."""
+        return self.lines is not None
+
+    def open(self) -> None:
+        """Begins a connection."""
+        self.lines = []
+
+    def close(self) -> None:
+        """Ends a connection and drops what was not written."""
+        self.lines = None
+
+    def put(self, line: bytes) -> bool:
+        """Queues a line; returns False where there is no connection."""
+        if self.lines is None:
+            return False
+        self.lines.append(line)
+        if self.max_lines is not None:
+            del self.lines[: -self.max_lines]
+        self.changed.set()
+        return True
+
+    async def write_to(self, stream: anyio.abc.ByteStream) -> None:
+        """Writes what is queued, until it is cancelled."""
+        while True:
+            while self.lines:
+                data = b"".join(self.lines)
+                self.lines = []
+                await stream.send(data)
+            self.changed = anyio.Event()
+            await self.changed.wait()
+
+
+class ConnectionGuard:
+    """Around every connection of a server: bounds their number, and keeps an error at its own connection.
+
+    :param max_connections: at once; one more is closed right away.
+    :param ended_by: errors that end a connection silently.
     """
 
-    def __init__(self, addresses: Sequence[tuple[str, int]], within: float = ANSWER_WITHIN):
-        self.addresses, self.within = list(addresses), within
-        self.stream: anyio.abc.ByteStream | None = None
-        self.lines: AsyncIterator[bytes] | None = None
-
-    async def ask(self, said: messages.ToPurgeLog) -> messages.FromPurgeLog:
-        """The answer; raises Unreachable.  A purge without a key may be taken twice if it is asked again."""
-        why = "no address is named"
-        for _ in range(len(self.addresses) * 2):
-            try:
-                with anyio.fail_after(self.within):
-                    return await self._ask(said)
-            except (*CONNECTION_LOST, TimeoutError, MalformedMessage) as error:
-                host, port = self.addresses[0]
-                why = f"{host}:{port}: {str(error) or type(error).__name__}"
-                await self.close()
-                self.addresses.append(self.addresses.pop(0))
-        raise Unreachable(why)
-
-    async def _ask(self, said: messages.ToPurgeLog) -> messages.FromPurgeLog:
-        await self.connect()
-        await self.stream.send(messages.encode_line(said))
-        return await self.next()
-
-    async def connect(self) -> None:
-        if self.stream is None:
-            self.stream = await connect(self.addresses[0])
-            self.lines = lines(self.stream)
-
-    async def next(self) -> messages.FromPurgeLog:
-        async for line in self.lines:
-            return messages.decode_from_purge_log(line)
-        raise anyio.EndOfStream
-
-    async def ask_all(
-        self, many: Sequence[messages.PurgeRequest], seen: Callable[[int], None] = lambda n: None
-    ) -> list:
-        """Sends purges, a page at a time without waiting for each; gives the answers in order.
-
-        All have keys, so that a page may be sent again elsewhere.  Raises Unreachable.
-        """
-        answers: list[messages.FromPurgeLog] = []
-        for at in range(0, len(many), messages.PAGE):
-            page = many[at : at + messages.PAGE]
-            answers.append(await self.ask(page[0]))  # which finds a ledger that answers
-            try:
-                with anyio.fail_after(self.within):
-                    await self.stream.send(b"".join(map(messages.encode_line, page[1:])))
-                    found = [await self.next() for _ in page[1:]]
-            except (*CONNECTION_LOST, TimeoutError, MalformedMessage):
-                await self.close()
-                found = [await self.ask(each) for each in page[1:]]
-            answers += found
-            seen(len(page))
-        return answers
-
-    async def close(self) -> None:
-        if self.stream is not None:
-            stream, self.stream = self.stream, None
+    def __init__(
+        self,
+        max_connections: int,
+        report: RateLimitedLog,
+        ended_by: tuple[type[Exception], ...] = CONNECTION_ENDED,
+    ):
+        self.max_connections = max_connections
+        self.report = report
+        self.ended_by = ended_by
+        self.count = 0
+
+    async def serve(
+        self,
+        stream: anyio.abc.ByteStream,
+        handle: Callable[[anyio.abc.ByteStream], Awaitable[None]],
+    ) -> None:
+        """Serves one connection and closes it."""
+        if self.count >= self.max_connections:
             await anyio.aclose_forcefully(stream)
+            return
+        self.count += 1
+        try:
+            async with stream:
+                await handle(stream)
+        except* self.ended_by:
+            pass
+        except* Exception as group:  # a fault of this process ends at its connection
+            errors = (f"{type(error).__name__}: {error}" for error in group.exceptions)
+            self.report.say("fault", "; ".join(errors))
+        finally:
+            self.count -= 1
--- a/quartzrouter/purge_log/member_client.py
+++ b/quartzrouter/purge_log/member_client.py
@@ -1,106 +1,111 @@
-"""A member's connection to the ledger: lines in as events, words out as asked for; it decides nothing."""
+"""A member's connection to the purge log: lines become events, messages are queued; it decides nothing."""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
 
 import anyio
 
-from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.purge_log.line_connection import LineQueue, connect, describe, first_error, read_lines
 from quartzrouter.purges import messages
 from quartzrouter.purges.reconnect_backoff import ReconnectBackoff
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
+MICROSECONDS_PER_SECOND = 1e6
+
 
 class ConnectionOpened(NamedTuple):
-    """A connection to a ledger is there."""
+    """Event: a connection to a purge log is open."""
 
 
 class MessageReceived(NamedTuple):
-    """What the ledger says."""
+    """Event: the purge log has sent a message."""
 
-    said: messages.FromPurgeLog
+    message: messages.FromPurgeLog
 
 
 class QueueMessage(NamedTuple):
-    """Effect: say this to the ledger."""
+    """Effect: send this to the purge log."""
 
-    said: messages.ToPurgeLog
+    message: messages.ToPurgeLog
 
 
 class CloseConnection(NamedTuple):
-    """Effect: close the connection, and come back after a while."""
+    """Effect: close the connection and reconnect.
+
+    :param reconnect_after: microseconds until the next connection, at least.
+    """
 
     reason: str
-    come_back: int  # us
+    reconnect_after: int
 
 
 class MemberClient:
-    """:param addresses: of ledgers, tried in turn.
-    :param silent: us without a word after which the connection is taken for broken.
+    """Keeps a connection to one purge log of several.
+
+    :param addresses: tried in turn.
+    :param silence_timeout: microseconds without a message after which a connection counts as broken.
+    :param on_event: takes what comes.
     """
 
     def __init__(
         self,
         addresses: Sequence[tuple[str, int]],
-        silent: int,
-        feed: Callable[[ConnectionOpened | MessageReceived], None],
+        silence_timeout: int,
+        on_event: Callable[[ConnectionOpened | MessageReceived], None],
         report: RateLimitedLog,
     ):
-        self.attempts, self.silent = ReconnectBackoff(addresses, report.name), silent / 1e6
-        self.feed, self.report = feed, report
-        self.out: list[bytes] | None = None  # None: there is no connection
-        self.wake = anyio.Event()
-        self.scope: anyio.CancelScope | None = None
-
-    def tell(self, said: messages.ToPurgeLog) -> None:
-        """Says it where there is a connection; what is said without one counts for nothing."""
-        if self.out is not None:
-            self.out.append(messages.encode_line(said))
-            self.wake.set()
-
-    def hang(self, reason: str, come_back: int) -> None:
+        self.backoff = ReconnectBackoff(addresses, report.name)
+        self.silence_timeout = silence_timeout
+        self.on_event = on_event
+        self.report = report
+        self.outgoing = LineQueue()
+        self.scope: anyio.CancelScope | None = None  # of the current connection
+
+    @property
+    def is_connected(self) -> bool:
+        """Whether there is a connection."""
+        return self.outgoing.is_connected
+
+    def send(self, message: messages.ToPurgeLog) -> None:
+        """Queues a message for the current connection; it is dropped where there is none."""
+        self.outgoing.put(messages.encode_line(message))
+
+    def reconnect(self, reason: str, reconnect_after: int) -> None:
+        """Closes the current connection.
+
+        :param reconnect_after: microseconds until the next, at least.
+        """
         self.report.say("ledger", reason)
-        self.attempts.wait(come_back)
+        self.backoff.wait_at_least(reconnect_after)
         if self.scope:
             self.scope.cancel()
 
     async def run(self) -> None:
-        """Follows ledgers for as long as it is left to run."""
+        """Connects, and reconnects whenever a connection ends, until it is cancelled."""
         while True:
-            host, port = self.attempts.address
+            host, port = self.backoff.address
             try:
                 with anyio.CancelScope() as self.scope:
                     await self._follow(host, port)
             except* Exception as group:  # what ends a connection ends nothing else
-                error = group.exceptions[0]
-                while isinstance(error, BaseExceptionGroup):
-                    error = error.exceptions[0]
-                why = str(error) or type(error).__name__
-                self.report.say("ledger", f"{host}:{port}: {why}; connecting anew")
-            self.out = None
-            await anyio.sleep(self.attempts.ended() / 1e6)
+                failure = describe(first_error(group))
+                self.report.say("ledger", f"{host}:{port}: {failure}; connecting anew")
+            self.outgoing.close()
+            await anyio.sleep(self.backoff.next_delay() / MICROSECONDS_PER_SECOND)
 
     async def _follow(self, host: str, port: int) -> None:
         stream = await connect((host, port))
-        self.out = []
+        self.outgoing.open()
         async with stream, anyio.create_task_group() as tasks:
-            tasks.start_soon(self._write, stream)
-            self.feed(ConnectionOpened())
-            heard = lines(stream)
+            tasks.start_soon(self.outgoing.write_to, stream)
+            self.on_event(ConnectionOpened())
+            lines = read_lines(stream)
             while True:
-                with anyio.fail_after(self.silent):
-                    line = await anext(heard, None)
+                with anyio.fail_after(self.silence_timeout / MICROSECONDS_PER_SECOND):
+                    line = await anext(lines, None)
                 if line is None:
                     raise anyio.EndOfStream("the ledger has closed the connection")
-                said = messages.decode_from_purge_log(line)
-                if isinstance(said, messages.Heartbeat):
-                    self.attempts.heard()
-                self.feed(MessageReceived(said))
-
-    async def _write(self, stream: anyio.abc.ByteStream) -> None:
-        while True:
-            while self.out:
-                data, self.out = b"".join(self.out), []
-                await stream.send(data)
-            self.wake = anyio.Event()
-            await self.wake.wait()
+                message = messages.decode_from_purge_log(line)
+                if isinstance(message, messages.Heartbeat):
+                    self.backoff.succeeded()
+                self.on_event(MessageReceived(message))
--- /dev/null
+++ b/quartzrouter/purge_log/query_client.py
@@ -0,0 +1,104 @@
+"""A client of the purge log: one request at a time, at whichever address answers."""
+
+from collections.abc import AsyncIterator, Callable, Sequence
+
+import anyio
+
+from quartzrouter.purge_log.errors import Unreachable
+from quartzrouter.purge_log.line_connection import CONNECTION_ENDED, connect, describe, read_lines
+from quartzrouter.purges import messages
+from quartzrouter.purges.messages import MalformedMessage
+
+ANSWER_TIMEOUT = 5.0  # s: for a disk that is slow, and for a takeover
+ROUNDS = 2  # over all addresses, until none counts as reachable
+RETRIED_ERRORS = (*CONNECTION_ENDED, MalformedMessage)
+
+
+class QueryClient:
+    """Sends requests to one purge log of several.
+
+    :param addresses: tried in turn.
+    :param timeout: seconds for an answer.
+    """
+
+    def __init__(self, addresses: Sequence[tuple[str, int]], timeout: float = ANSWER_TIMEOUT):
+        self.addresses = list(addresses)
+        self.timeout = timeout
+        self.stream: anyio.abc.ByteStream | None = None
+        self.lines: AsyncIterator[bytes] | None = None
+
+    async def ask(self, message: messages.ToPurgeLog) -> messages.FromPurgeLog:
+        """Sends a request, again at the next address where one fails.
+
+        A purge without an idempotency key may be accepted twice that way.
+
+        :returns: the answer.
+        :raises Unreachable: where no address answers.
+        """
+        failure = "no address is named"
+        for _ in range(len(self.addresses) * ROUNDS):
+            try:
+                with anyio.fail_after(self.timeout):
+                    return await self._ask_once(message)
+            except RETRIED_ERRORS as error:
+                host, port = self.addresses[0]
+                failure = f"{host}:{port}: {describe(error)}"
+                await self.close()
+                self.addresses.append(self.addresses.pop(0))
+        raise Unreachable(failure)
+
+    async def _ask_once(self, message: messages.ToPurgeLog) -> messages.FromPurgeLog:
+        await self.connect()
+        await self.stream.send(messages.encode_line(message))
+        return await self.receive()
+
+    async def connect(self) -> None:
+        """Connects to the first address, where there is no connection."""
+        if self.stream is None:
+            self.stream = await connect(self.addresses[0])
+            self.lines = read_lines(self.stream)
+
+    async def receive(self) -> messages.FromPurgeLog:
+        """Returns the next message.
+
+        :raises anyio.EndOfStream: where the purge log has closed the connection.
+        """
+        async for line in self.lines:
+            return messages.decode_from_purge_log(line)
+        raise anyio.EndOfStream
+
+    async def ask_all(
+        self,
+        requests: Sequence[messages.PurgeRequest],
+        on_answered: Callable[[int], None] = lambda count: None,
+    ) -> list[messages.FromPurgeLog]:
+        """Sends purges, a page at a time without waiting for each answer.
+
+        :param requests: all with idempotency keys, so that a page may be sent again elsewhere.
+        :param on_answered: called with the number of each page's answers.
+        :returns: the answers in order.
+        :raises Unreachable: where no address answers.
+        """
+        answers: list[messages.FromPurgeLog] = []
+        for start in range(0, len(requests), messages.MAX_PURGES_PER_LINE):
+            first, *rest = requests[start : start + messages.MAX_PURGES_PER_LINE]
+            answers.append(await self.ask(first))  # which finds a purge log that answers
+            try:
+                answers += await self._ask_pipelined(rest)
+            except RETRIED_ERRORS:
+                await self.close()
+                answers += [await self.ask(request) for request in rest]
+            on_answered(1 + len(rest))
+        return answers
+
+    async def _ask_pipelined(self, requests: Sequence[messages.PurgeRequest]) -> list[messages.FromPurgeLog]:
+        with anyio.fail_after(self.timeout):
+            await self.stream.send(b"".join(map(messages.encode_line, requests)))
+            return [await self.receive() for _ in requests]
+
+    async def close(self) -> None:
+        """Closes the connection; the next request opens another."""
+        stream = self.stream
+        self.stream = None
+        if stream is not None:
+            await anyio.aclose_forcefully(stream)
--- /dev/null
+++ b/quartzrouter/purge_log/quota_service.py
@@ -0,0 +1,115 @@
+"""Grants members shares of the fleet's budgets, on behalf of the purge log that leads."""
+
+from collections.abc import Callable
+
+from quartzrouter.purges.members import Member
+from quartzrouter.purges.messages import (
+    MAX_PURGES_PER_LINE,
+    MAX_QUOTA_REQUESTS,
+    QuotaGrants,
+    QuotaRequests,
+    QuotaStatus,
+)
+from quartzrouter.quota.allocator import QuotaAllocator
+from quartzrouter.quota.budget import Budget, QuotaGrant, QuotaRefusal, QuotaRequest
+from quartzrouter.quota.slow_start import COLDS_MOST, SlowStartAllocator, SlowStartTerms
+from quartzrouter.server.rate_limited_log import RateLimitedLog
+
+WITHOUT_LEASE = 1  # in place of a fencing token, where a single process grants
+NOT_HELD = 0  # in place of a fencing token, where another process may grant
+LATE_REQUEST = "number"  # the place in a refusal of a late request: counted, and nothing is wrong
+
+
+class QuotaService:
+    """The allocators of a process that may grant quota.
+
+    :param budgets: of which shares are granted; None where this process has no plan, and grants none.
+    :param slow_start_terms: by tier.
+    :param steady_clock: returns microseconds of the monotonic clock.
+    :param lease_token: returns the fencing token of the lease under which quota is granted, right before it
+        is; NOT_HELD where another process holds it.
+    """
+
+    def __init__(
+        self,
+        budgets: list[Budget] | None,
+        slow_start_terms: dict[str, SlowStartTerms],
+        steady_clock: Callable[[], int],
+        lease_token: Callable[[], int],
+        report: RateLimitedLog,
+    ):
+        self.steady_clock = steady_clock
+        self.lease_token = lease_token
+        self.report = report
+        self.allocator = QuotaAllocator(budgets, steady_clock()) if budgets is not None else None
+        self.slow_start = SlowStartAllocator(slow_start_terms, steady_clock())
+        self.last_lease_token = WITHOUT_LEASE
+        self.impersonations = 0  # requests in a name that is not the member's
+
+    @property
+    def is_enabled(self) -> bool:
+        """Whether this process grants quota at all."""
+        return self.allocator is not None
+
+    def grant(self, requests: QuotaRequests, member: Member) -> QuotaGrants | None:
+        """Grants what a member requests; None where another process holds the lease."""
+        if not self._holds_lease():
+            return None
+        refused: dict[str, QuotaRefusal] = {}
+        grants = []
+        for request in requests.asks[:MAX_QUOTA_REQUESTS]:
+            reply = self._grant_one(request, member)
+            if not isinstance(reply, QuotaRefusal):
+                grants.append(reply)
+            elif reply.place != LATE_REQUEST:
+                refused[request.budget] = reply
+                self._report_refusal(member, request.budget, reply)
+        slow_start_grants = []
+        for slow_start_request in requests.colds[:COLDS_MOST]:
+            reply = self.slow_start.ask(slow_start_request, member.name, member.token, self.steady_clock())
+            if not isinstance(reply, QuotaRefusal):
+                slow_start_grants.append(reply)
+            elif reply.place != LATE_REQUEST:
+                refused[slow_start_request.server[:60]] = reply
+                self._report_refusal(member, slow_start_request.server, reply)
+        return QuotaGrants(tuple(grants), refused, tuple(slow_start_grants))
+
+    def _holds_lease(self) -> bool:
+        """Whether this process grants now.
+
+        Guards against granting twice: under another lease than before it knows nothing of what others have
+        granted meanwhile, so it starts as after a takeover.
+        """
+        token = self.lease_token()
+        if token and token != self.last_lease_token:
+            now = self.steady_clock()
+            self.allocator = QuotaAllocator(list(self.allocator.budgets.values()), now)
+            self.slow_start = SlowStartAllocator(self.slow_start.terms, now)
+            self.last_lease_token = token
+        return token != NOT_HELD
+
+    def _grant_one(self, request: QuotaRequest, member: Member) -> QuotaGrant | QuotaRefusal:
+        """Guards against a member that spends under another's name: its grants would not be counted."""
+        if (request.name, request.token) != (member.name, member.token):
+            self.impersonations += 1
+            return QuotaRefusal("name", f"{request.name!r:.40} asks on another's line", "mend the sender")
+        return self.allocator.ask(request, self.steady_clock())
+
+    def _report_refusal(self, member: Member, requested: str, refusal: QuotaRefusal) -> None:
+        self.report.say("shares", f"{member.name}: {requested:.60}: {refusal.place}: {refusal.reason}")
+
+    def status(self, epoch: int) -> QuotaStatus:
+        """Returns the state of the budgets."""
+        if self.allocator is None:
+            return QuotaStatus(epoch, (), 0)
+        now = self.steady_clock()
+        budgets = self.allocator.told(now)[-MAX_PURGES_PER_LINE:]
+        slow_starts = self.slow_start.told(now)[-MAX_PURGES_PER_LINE:]
+        refused = self.allocator.refused + self.slow_start.refused + self.impersonations
+        return QuotaStatus(epoch, tuple(budgets), refused, tuple(slow_starts))
+
+    def replace(self, budgets: list[Budget], slow_start_terms: dict[str, SlowStartTerms]) -> None:
+        """Takes the budgets and terms of a plan that was read again."""
+        if self.allocator:
+            self.allocator.replace(budgets, self.steady_clock())
+            self.slow_start.replace(slow_start_terms, self.steady_clock())
--- a/quartzrouter/purge_log/records.py
+++ b/quartzrouter/purge_log/records.py
@@ -1,7 +1,8 @@
-"""Records of a file: length, its checksum, the payload's checksum, payload.
+"""Records of a file: length, checksum of the length, checksum of the payload, payload.
 
-Each checksum goes on from the one before, so that order counts.  The length has one of its own: a length that
-a flipped bit made longer must not look like a write that was cut short.  No payload ends with a zero.
+Each checksum goes on from the one before, so that a record in the wrong place is found. The length has a
+checksum of its own: a length that a flipped bit made longer would otherwise look like a write that was cut
+short, and what follows would be dropped silently. No payload ends with a zero byte.
 """
 
 import struct
@@ -9,54 +10,78 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-HEAD = struct.Struct(">III")
+HEADER = struct.Struct(">III")  # length, its checksum, the payload's checksum
+LENGTH_BYTES = 4
 
 
 class Record(NamedTuple):
-    at: int  # where it begins
+    """One record.
+
+    :param start: its first byte.
+    :param end: the byte behind it.
+    :param checksum: from which the next record goes on.
+    """
+
+    start: int
     payload: bytes
     end: int
-    sum: int
+    checksum: int
 
 
 class BrokenRecord(NamedTuple):
-    """What stands at a place and is no record.
+    """Bytes that are no record.
 
-    :param torn: as a write that was cut short leaves it: not all there, or zeros from within to the end.
+    :param is_torn: as a write that was cut short leaves them: not all there, or zeros from some byte on.
     """
 
-    at: int
-    torn: bool
+    start: int
+    is_torn: bool
     reason: str
 
 
-def record(payload: bytes, before: int) -> tuple[bytes, int]:
-    """The bytes of one record, and its checksum."""
-    length = len(payload).to_bytes(4, "big")
-    of_length = zlib.crc32(length, before)
-    found = zlib.crc32(payload, of_length)
-    return HEAD.pack(len(payload), of_length, found) + payload, found
+def encode_record(payload: bytes, previous_checksum: int) -> tuple[bytes, int]:
+    """Returns the bytes of a record, and its checksum.
+
+    :param previous_checksum: of the record before it; 0 for the first of a file.
+    """
+    length = len(payload).to_bytes(LENGTH_BYTES, "big")
+    length_checksum = zlib.crc32(length, previous_checksum)
+    checksum = zlib.crc32(payload, length_checksum)
+    return HEADER.pack(len(payload), length_checksum, checksum) + payload, checksum
+
 
+def read_records(data: bytes, end: int) -> Iterator[Record | BrokenRecord]:
+    """Yields the records of a file; where one is broken, it is the last.
 
-def records(data: bytes, end: int) -> Iterator[Record | BrokenRecord]:
-    """All records of a file up to a place; the first that is broken is the last that is given."""
-    at, before, written = 0, 0, len(data[:end].rstrip(b"\0"))  # behind which there are but zeros
-    while at < end:
-        body = at + HEAD.size
-        if end < body:
-            yield BrokenRecord(at, True, "a record is cut short")
+    Tells a torn write from damage. A crash while a record is written leaves its first bytes, and then the
+    end of the file or zeros. Such a record was not promised and may be dropped. Anything else was written
+    whole and has changed since, and must be reported.
+
+    :param data: the whole file.
+    :param end: bytes of it that count.
+    """
+    written_end = len(data[:end].rstrip(b"\0"))  # behind it there are only zeros
+    start = 0
+    previous_checksum = 0
+    while start < end:
+        payload_start = start + HEADER.size
+        if end < payload_start:
+            yield BrokenRecord(start, True, "a record is cut short")
             return
-        length, of_length, told = HEAD.unpack_from(data, at)
-        if zlib.crc32(data[at : at + 4], before) != of_length:
-            yield BrokenRecord(at, written < end and written <= body, "the checksum of a length is wrong")
+        length, length_checksum, checksum = HEADER.unpack_from(data, start)
+        if zlib.crc32(data[start : start + LENGTH_BYTES], previous_checksum) != length_checksum:
+            is_torn = written_end < end and written_end <= payload_start
+            yield BrokenRecord(start, is_torn, "the checksum of a length is wrong")
             return
-        if body + length > end:
-            yield BrokenRecord(at, True, "a record is cut short")
+        payload_end = payload_start + length
+        if payload_end > end:
+            yield BrokenRecord(start, True, "a record is cut short")
             return
-        payload = data[body : body + length]
-        found = zlib.crc32(payload, of_length)
-        if found != told:
-            yield BrokenRecord(at, written < min(end, body + length), "its checksum is wrong")
+        payload = data[payload_start:payload_end]
+        if zlib.crc32(payload, length_checksum) != checksum:
+            is_torn = written_end < min(end, payload_end)
+            yield BrokenRecord(start, is_torn, "its checksum is wrong")
             return
-        yield Record(at, payload, body + length, found)
-        at, before = body + length, found
+        yield Record(start, payload, payload_end, checksum)
+        start = payload_end
+        previous_checksum = checksum
--- a/quartzrouter/purge_log/segments.py
+++ b/quartzrouter/purge_log/segments.py
@@ -1,252 +1,334 @@
-"""What stands in the folder of a ledger, and how it is read whole.
+"""The files in the folder of a purge log, and how they are read whole.
 
-    epoch-00000003                writer 3 has begun: whoever writes under a lower number may promise no more
-    00000003-00000001.log         its first file of purges
-    0000000000000041.snapshot     what still matters of the purges up to 41
+    epoch-00000003                writer 3 has begun: whoever writes under a lower epoch may promise no more
+    00000003-00000001.log         its first segment of purges
+    0000000000000041.snapshot     the purges up to 41 that still matter
 
-A file of purges begins with a header that says behind which bytes of which file it goes on.  So what a writer
-that was taken over from still appends is read by nobody, and a file that is missing is missed.
+A segment begins with a header that names the segment before it and how many of its bytes count. So nobody
+reads what a writer that was taken over from still appends, and a segment that is missing is missed.
 """
 
 import re
-from typing import Any, NamedTuple
+from typing import NamedTuple, TypeVar
 
 import msgspec
 
 from quartzrouter.purge_log.disk import Disk
-from quartzrouter.purge_log.records import BrokenRecord, Record, record, records
+from quartzrouter.purge_log.errors import LogDamaged
+from quartzrouter.purge_log.records import BrokenRecord, Record, encode_record, read_records
 from quartzrouter.purges.messages import Purge
 
-FORMAT = 1
-EPOCH = re.compile(r"epoch-(\d{8})")
-LOG = re.compile(r"\d{8}-\d{8}\.log")
-SNAPSHOT = re.compile(r"\d{16}\.snapshot")
+FORMAT = 1  # of segments and snapshots
+EPOCH_FILE = re.compile(r"epoch-(\d{8})")
+SEGMENT_FILE = re.compile(r"\d{8}-\d{8}\.log")
+SNAPSHOT_FILE = re.compile(r"\d{16}\.snapshot")
+TEMPORARY_SUFFIX = ".new"  # of a snapshot that is being written
 RESTORE = "restore it from a copy, or start with an empty folder and purge all"
 REPAIR = "restore the file from a copy, or give up what follows with `quartzrouter ledger repair`"
+Content = TypeVar("Content")
 
 
 class SegmentHeader(msgspec.Struct, frozen=True):
-    """:param after: the file before; empty where there is none.
-    :param length: bytes of it that count.
-    :param last: the number of the last purge before this file.
+    """The first record of a segment.
+
+    :param previous_segment: name of the segment before it; empty where there is none.
+    :param previous_length: bytes of that segment that count.
+    :param last_sequence_number: of the last purge before this segment.
     """
 
     format: int
     epoch: int
-    after: str
-    length: int
-    last: int
+    previous_segment: str = msgspec.field(name="after")
+    previous_length: int = msgspec.field(name="length")
+    last_sequence_number: int = msgspec.field(name="last")
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True):
     """The first record of a snapshot; the purges follow.
 
-    :param before: the number of the last purge that is no longer kept, and `floor` its time in us.
+    :param head: the sequence number of the last purge that it covers.
+    :param trimmed_up_to: the sequence number of the last purge that is no longer retained.
+    :param low_watermark: microseconds, the time of that purge.
     """
 
     format: int
     head: int
-    before: int
-    floor: int
-
-
-class LogDamaged(Exception):
-    """A folder that can't be read whole: where, why, and what to do."""
-
-    def __init__(self, place: str, reason: str, remedy: str):
-        super().__init__(f"{place}: {reason}; {remedy}")
-        self.place, self.reason, self.remedy = place, reason, remedy
-
-
-class DiskUnavailable(Exception):
-    """The disk takes nothing at the moment; nothing was promised of what was to be written."""
+    trimmed_up_to: int = msgspec.field(name="before")
+    low_watermark: int = msgspec.field(name="floor")
 
 
 class LogContents(NamedTuple):
     """What a folder holds.
 
-    :param before: the number of the last purge that is no longer kept, and `floor` its time in us.
-    :param length: bytes of the last file that count; `cut`, those of a write that was cut short.
-    :param useless: files that hold nothing that counts.
+    :param trimmed_up_to: the sequence number of the last purge that is no longer retained.
+    :param low_watermark: microseconds, the time of that purge.
+    :param last_segment: name of the segment that was written last; empty where there is none.
+    :param last_segment_length: bytes of it that count.
+    :param torn_bytes: behind those, of a write that was cut short.
+    :param obsolete_files: names of files that hold nothing that counts.
     """
 
     purges: list[Purge]
-    before: int
-    floor: int
-    last_file: str
-    length: int
-    cut: int
-    useless: list[str]
+    trimmed_up_to: int
+    low_watermark: int
+    last_segment: str
+    last_segment_length: int
+    torn_bytes: int
+    obsolete_files: list[str]
 
     @property
     def head(self) -> int:
-        return self.before + len(self.purges)
+        """The sequence number of the last purge."""
+        return self.trimmed_up_to + len(self.purges)
 
 
-encode = msgspec.msgpack.Encoder().encode
-_HEADER, _SUMMARY, _PURGE = (msgspec.msgpack.Decoder(kind) for kind in (SegmentHeader, SnapshotHeader, Purge))
+class SnapshotContents(NamedTuple):
+    """What a snapshot holds; see LogContents."""
 
+    purges: list[Purge]
+    trimmed_up_to: int
+    low_watermark: int
 
-def _decoded(decoder: msgspec.msgpack.Decoder, found: Record, name: str) -> Any:
-    try:
-        return decoder.decode(found.payload)
-    except msgspec.DecodeError as error:
-        raise LogDamaged(f"{name}, byte {found.at}", f"a record of another kind: {error}", RESTORE) from None
+
+class FilePosition(NamedTuple):
+    """A byte of a segment."""
+
+    segment: str
+    byte: int
+
+
+class _Segments(NamedTuple):
+    """The segments of a folder, by name.
+
+    :param without_header: names of those whose header was never durable.
+    """
+
+    headers: dict[str, SegmentHeader]
+    data: dict[str, bytes]
+    without_header: list[str]
+
+
+_encode = msgspec.msgpack.Encoder().encode
+_segment_header_decoder = msgspec.msgpack.Decoder(SegmentHeader)
+_snapshot_header_decoder = msgspec.msgpack.Decoder(SnapshotHeader)
+_purge_decoder = msgspec.msgpack.Decoder(Purge)
 
 
 def highest_epoch(disk: Disk) -> int:
-    return max((int(found[1]) for name in disk.names() if (found := EPOCH.fullmatch(name))), default=0)
+    """Returns the highest epoch that a writer has begun; 0 where there is none."""
+    epochs = (EPOCH_FILE.fullmatch(name) for name in disk.names())
+    return max((int(found[1]) for found in epochs if found), default=0)
 
 
-def packed(things: list[Any], before: int) -> tuple[bytes, int]:
-    """Records of all of them, and the last one's checksum."""
+def encode_records(contents: list[msgspec.Struct], previous_checksum: int) -> tuple[bytes, int]:
+    """Returns the bytes of records, and the checksum of the last.
+
+    :param previous_checksum: of the record before them; 0 at the start of a file.
+    """
     data = bytearray()
-    for thing in things:
-        piece, before = record(encode(thing), before)
-        data += piece
-    return bytes(data), before
+    checksum = previous_checksum
+    for content in contents:
+        record, checksum = encode_record(_encode(content), checksum)
+        data += record
+    return bytes(data), checksum
 
 
-def write_snapshot(disk: Disk, purges: list[Purge], before: int, floor: int) -> str:
-    """Writes a snapshot under a name that nobody reads yet; gives the name without `.new`."""
-    head = before + len(purges)
+def write_temporary_snapshot(disk: Disk, purges: list[Purge], trimmed_up_to: int, low_watermark: int) -> str:
+    """Writes a snapshot under a temporary name that nobody reads.
+
+    :returns: the name that it is to have, without the temporary suffix.
+    :raises OSError: where the disk takes nothing.
+    """
+    head = trimmed_up_to + len(purges)
     name = f"{head:016d}.snapshot"
-    if f"{name}.new" in disk.names():
-        disk.remove(f"{name}.new")
-    file = disk.create(f"{name}.new")
+    temporary_name = name + TEMPORARY_SUFFIX
+    if temporary_name in disk.names():
+        disk.remove(temporary_name)
+    header = SnapshotHeader(FORMAT, head, trimmed_up_to, low_watermark)
+    file = disk.create(temporary_name)
     try:
-        file.write(packed([SnapshotHeader(FORMAT, head, before, floor), *purges], 0)[0])
+        file.write(encode_records([header, *purges], 0)[0])
         file.sync()
     finally:
         file.close()
     return name
 
 
-def read(disk: Disk, cut_at: tuple[str, int] | None = None) -> LogContents:
-    """Reads a folder whole; raises Damaged where something promised can't be told.
+def read_log(disk: Disk, cut_at: FilePosition | None = None) -> LogContents:
+    """Reads a folder whole.
 
-    :param cut_at: a file and a byte: what stands there and behind is given up.
+    :param cut_at: what stands there and behind is given up.
+    :raises LogDamaged: where something that was promised can't be read.
+    :raises OSError: where the disk fails.
     """
     names = disk.names()
-    snapshots = [name for name in names if SNAPSHOT.fullmatch(name)]
-    purges, before, floor = _snapshot(disk, snapshots[-1]) if snapshots else ([], 0, 0)
-    head = before + len(purges)
-    headers, bodies, useless = _headers(disk, names)
-    chain = _chain(headers, head)
-    useless += [name for name in headers if name not in chain]
-    useless += [name for name in names if name.endswith(".new")] + snapshots[:-1]
-    length = cut = 0
-    for at, name in enumerate(chain):
-        last = name == chain[-1]
-        end = len(bodies[name]) if last else headers[chain[at + 1]].length
-        if end > len(bodies[name]):
-            raise LogDamaged(name, f"it ends at byte {len(bodies[name])}, and {end} were promised", RESTORE)
-        if headers[name].last > before + len(purges):
-            missing = f"purges {before + len(purges) + 1} to {headers[name].last} stand in no file"
-            raise LogDamaged(name, missing, RESTORE)
-        stop = cut_at[1] if cut_at and cut_at[0] == name else None
-        length = _purges(name, bodies[name], end, last, stop, purges, before)
-        cut = len(bodies[name]) - length
+    snapshot_names = [name for name in names if SNAPSHOT_FILE.fullmatch(name)]
+    snapshot = _read_snapshot(disk, snapshot_names[-1]) if snapshot_names else SnapshotContents([], 0, 0)
+    purges, trimmed_up_to, low_watermark = snapshot
+    segments = _read_segments(disk, names)
+    chain = _segment_chain(segments.headers, trimmed_up_to + len(purges))
+    obsolete_files = [
+        *segments.without_header,
+        *(name for name in segments.headers if name not in chain),
+        *(name for name in names if name.endswith(TEMPORARY_SUFFIX)),
+        *snapshot_names[:-1],
+    ]
+    last_length = torn_bytes = 0
+    for index, name in enumerate(chain):
+        next_name = chain[index + 1] if index + 1 < len(chain) else None
+        data = segments.data[name]
+        end = segments.headers[next_name].previous_length if next_name else len(data)
+        _check_segment(name, segments.headers[name], data, end, trimmed_up_to + len(purges))
+        stop = cut_at.byte if cut_at and cut_at.segment == name else None
+        last_length = _append_purges(name, data, end, next_name is None, stop, purges, trimmed_up_to)
+        torn_bytes = len(data) - last_length
         if stop is not None:
             break
-    return LogContents(purges, before, floor, chain[-1] if chain else "", length, cut, useless)
+    last_segment = chain[-1] if chain else ""
+    return LogContents(
+        purges, trimmed_up_to, low_watermark, last_segment, last_length, torn_bytes, obsolete_files
+    )
 
 
-def _headers(disk: Disk, names: list[str]) -> tuple[dict[str, SegmentHeader], dict[str, bytes], list[str]]:
-    """The headers and the bytes of all files of purges, and those that have no whole header."""
-    headers, bodies, empty = {}, {}, []
+def _read_segments(disk: Disk, names: list[str]) -> _Segments:
+    segments = _Segments({}, {}, [])
     for name in names:
-        if not LOG.fullmatch(name):
+        if not SEGMENT_FILE.fullmatch(name):
             continue
         data = disk.read(name)
-        first = next(records(data, len(data)), None)
+        first = next(read_records(data, len(data)), None)
         if isinstance(first, Record):
-            headers[name], bodies[name] = _decoded(_HEADER, first, name), data
-            if headers[name].format != FORMAT:
-                raise LogDamaged(
-                    name, f"format {headers[name].format}, and {FORMAT} is read here", "use the newer program"
-                )
-        elif first is None or first.torn:  # a crash before the header was durable: nothing in it was promised
-            empty.append(name)
+            header = _decode(_segment_header_decoder, first, name)
+            if header.format != FORMAT:
+                reason = f"format {header.format}, and {FORMAT} is read here"
+                raise LogDamaged(name, reason, "use the newer program")
+            segments.headers[name] = header
+            segments.data[name] = data
+        elif first is None or first.is_torn:  # a crash before the header was durable: nothing was promised
+            segments.without_header.append(name)
         else:
-            raise LogDamaged(f"{name}, byte {first.at}", first.reason, RESTORE)
-    return headers, bodies, empty
-
-
-def _chain(headers: dict[str, SegmentHeader], head: int) -> list[str]:
-    """The files that count, in their order: from the newest writer's last, the way leads back."""
-    chain, at = [], max(headers, default="")
-    while at:
-        chain.append(at)
-        header = headers[at]
-        at = header.after
-        if at and at not in headers:
-            if header.last > head:
-                raise LogDamaged(at, f"it is missing, and with it purges up to {header.last}", RESTORE)
-            at = ""
+            raise LogDamaged(f"{name}, byte {first.start}", first.reason, RESTORE)
+    return segments
+
+
+def _segment_chain(headers: dict[str, SegmentHeader], snapshot_head: int) -> list[str]:
+    """The names of the segments that count, in their order.
+
+    Guards against a writer that was taken over from and still appends: its segments count only as far as
+    the newest writer has read them. So the chain is followed backwards from the newest writer's last
+    segment, and not in the order of the names.
+    """
+    chain = []
+    name = max(headers, default="")
+    while name:
+        chain.append(name)
+        header = headers[name]
+        name = header.previous_segment
+        if name and name not in headers:
+            if header.last_sequence_number > snapshot_head:
+                reason = f"it is missing, and with it purges up to {header.last_sequence_number}"
+                raise LogDamaged(name, reason, RESTORE)
+            break
     return chain[::-1]
 
 
-def _purges(
-    name: str, data: bytes, end: int, last: bool, stop: int | None, purges: list[Purge], before: int
+def _check_segment(name: str, header: SegmentHeader, data: bytes, end: int, head: int) -> None:
+    """Checks that a segment is long enough, and goes on where the purges before it end."""
+    if end > len(data):
+        raise LogDamaged(name, f"it ends at byte {len(data)}, and {end} were promised", RESTORE)
+    if header.last_sequence_number > head:
+        reason = f"purges {head + 1} to {header.last_sequence_number} stand in no file"
+        raise LogDamaged(name, reason, RESTORE)
+
+
+def _append_purges(
+    name: str,
+    data: bytes,
+    end: int,
+    is_last_segment: bool,
+    stop: int | None,
+    purges: list[Purge],
+    trimmed_up_to: int,
 ) -> int:
-    """Adds a file's purges to those that were read; gives the bytes that count."""
+    """Adds a segment's purges to those before it.
+
+    :param end: bytes of the segment that count.
+    :param stop: the byte from which on it is given up.
+    :returns: the bytes that were read.
+    """
     length = 0
-    for found in records(data, end):
-        if stop is not None and found.at >= stop:
+    for record in read_records(data, end):
+        if stop is not None and record.start >= stop:
             break
-        if isinstance(found, BrokenRecord):
-            if last and found.torn:
+        if isinstance(record, BrokenRecord):
+            if is_last_segment and record.is_torn:
                 break
-            raise LogDamaged(f"{name}, byte {found.at}", found.reason, REPAIR)
-        length = found.end
-        if found.at == 0:
+            raise LogDamaged(f"{name}, byte {record.start}", record.reason, REPAIR)
+        length = record.end
+        if record.start == 0:  # the header
             continue
-        purge, expected = _decoded(_PURGE, found, name), before + len(purges) + 1
-        if purge.number > expected:
-            reason = f"purge {purge.number} where {expected} belongs"
-            raise LogDamaged(f"{name}, byte {found.at}", reason, RESTORE)
-        if purge.number == expected:
+        purge = _decode(_purge_decoder, record, name)
+        expected = trimmed_up_to + len(purges) + 1
+        if purge.sequence_number > expected:
+            reason = f"purge {purge.sequence_number} where {expected} belongs"
+            raise LogDamaged(f"{name}, byte {record.start}", reason, RESTORE)
+        if purge.sequence_number == expected:
             purges.append(purge)
     return length
 
 
-def _snapshot(disk: Disk, name: str) -> tuple[list[Purge], int, int]:
+def _read_snapshot(disk: Disk, name: str) -> SnapshotContents:
     data = disk.read(name)
-    found = list(records(data, len(data)))
-    if not found or isinstance(found[-1], BrokenRecord):
-        at, reason = (found[-1].at, found[-1].reason) if found else (0, "it is empty")
-        raise LogDamaged(f"{name}, byte {at}", reason, RESTORE)
-    summary = _decoded(_SUMMARY, found[0], name)
-    purges = [_decoded(_PURGE, each, name) for each in found[1:]]
-    if [purge.number for purge in purges] != list(range(summary.before + 1, summary.head + 1)):
-        reason = f"{len(purges)} purges, and {summary.before + 1} to {summary.head} belong there"
+    header: SnapshotHeader | None = None
+    purges: list[Purge] = []
+    for record in read_records(data, len(data)):
+        if isinstance(record, BrokenRecord):
+            raise LogDamaged(f"{name}, byte {record.start}", record.reason, RESTORE)
+        if header is None:
+            header = _decode(_snapshot_header_decoder, record, name)
+        else:
+            purges.append(_decode(_purge_decoder, record, name))
+    if header is None:
+        raise LogDamaged(f"{name}, byte 0", "it is empty", RESTORE)
+    expected_numbers = list(range(header.trimmed_up_to + 1, header.head + 1))
+    if [purge.sequence_number for purge in purges] != expected_numbers:
+        reason = f"{len(purges)} purges, and {header.trimmed_up_to + 1} to {header.head} belong there"
         raise LogDamaged(name, reason, RESTORE)
-    return purges, summary.before, summary.floor
+    return SnapshotContents(purges, header.trimmed_up_to, header.low_watermark)
+
+
+def _decode(decoder: "msgspec.msgpack.Decoder[Content]", record: Record, name: str) -> Content:
+    try:
+        return decoder.decode(record.payload)
+    except msgspec.DecodeError as error:
+        reason = f"a record of another kind: {error}"
+        raise LogDamaged(f"{name}, byte {record.start}", reason, RESTORE) from None
 
 
 def repair(disk: Disk) -> str:
-    """Gives up the first place that can't be read and all behind it; says what was given up.
+    """Gives up the first place that can't be read and all behind it; the files are kept under other names.
 
-    The files are kept under other names.  Raises Damaged where there is no such place.
+    :returns: what is kept and what is given up.
+    :raises LogDamaged: where the damage has no such place, as when a segment is missing.
     """
     try:
-        found = read(disk)
-        return (
-            f"nothing to mend: purges up to {found.head}, and {found.cut} bytes of a write that was cut short"
-        )
+        contents = read_log(disk)
+        torn = f"{contents.torn_bytes} bytes of a write that was cut short"
+        return f"nothing to mend: purges up to {contents.head}, and {torn}"
     except LogDamaged as damage:
         place = re.fullmatch(r"(\S+\.log), byte (\d+)", damage.place)
         if not place or int(place[2]) == 0:
             raise
-    found = read(disk, (place[1], int(place[2])))
-    logs = [name for name in disk.names() if LOG.fullmatch(name)]
-    name = write_snapshot(disk, found.purges, found.before, found.floor)
-    disk.rename(f"{name}.new", name)
+    damaged_at = FilePosition(place[1], int(place[2]))
+    contents = read_log(disk, damaged_at)
+    segment_names = [name for name in disk.names() if SEGMENT_FILE.fullmatch(name)]
+    snapshot_name = write_temporary_snapshot(
+        disk, contents.purges, contents.trimmed_up_to, contents.low_watermark
+    )
+    disk.rename(snapshot_name + TEMPORARY_SUFFIX, snapshot_name)
     disk.sync()
-    for log in logs:
-        disk.rename(log, f"{log}.given-up")
+    for name in segment_names:
+        disk.rename(name, f"{name}.given-up")
     disk.sync()
-    return (
-        f"purges up to {found.head} are kept; {place[1]} from byte {place[2]} on, and all behind, is given up"
-    )
+    given_up = f"{damaged_at.segment} from byte {damaged_at.byte} on, and all behind, is given up"
+    return f"purges up to {contents.head} are kept; {given_up}"
--- a/quartzrouter/purges/__init__.py
+++ b/quartzrouter/purges/__init__.py
@@ -1,1 +1,1 @@
-"""Purges for a whole fleet: what routers, the ledger and couriers decide and hold; nothing here does I/O."""
+"""Decisions about cache purges, without I/O: their order, who has applied them, which copies are stale."""
--- /dev/null
+++ b/quartzrouter/purges/client_messages.py
@@ -0,0 +1,118 @@
+"""Messages to the purge log, from its members and from clients.
+
+Each has the name of its type in the field ``say``. Fields have other names on the wire than here where
+``msgspec.field(name=...)`` says so; those names are the protocol and don't change.
+"""
+
+from typing import Literal
+
+import msgspec
+
+from quartzrouter.fleet_health.aggregator import CacheObservation
+from quartzrouter.purges.purge import PurgeKind
+from quartzrouter.quota.budget import QuotaRequest
+from quartzrouter.quota.slow_start import SlowStartRequest
+
+MemberKind = Literal["router", "cache", "watcher"]
+
+
+class PurgeRequest(msgspec.Struct, tag_field="say", tag="send", omit_defaults=True):
+    """Asks for a purge; the fields are those of a Purge."""
+
+    kind: PurgeKind
+    values: tuple[str, ...] = ()
+    vhost: str = ""
+    store: str = ""
+    key: str = ""
+
+
+class MemberHello(msgspec.Struct, tag_field="say", tag="hello", omit_defaults=True):
+    """Joins as a member and asks for every purge after ``applied_up_to``.
+
+    :param token: of the process: another token under the same name is another process.
+    :param applied_up_to: the sequence number up to which every purge is in force at the member.
+    :param epoch: the highest epoch of the purge log that the member knows of.
+    :param purge_lifetime: microseconds for which a purge matters to the member; 0 for ever.
+    """
+
+    name: str
+    kind: MemberKind
+    token: str
+    applied_up_to: int = msgspec.field(default=0, name="held")
+    epoch: int = 0
+    purge_lifetime: int = msgspec.field(default=0, name="life")
+
+
+class MemberAck(msgspec.Struct, tag_field="say", tag="ack", omit_defaults=True):
+    """Acknowledges that every purge up to a sequence number is in force at the member.
+
+    :param ack_id: counts the acknowledgements of a connection; heartbeats echo it.
+    :param is_unreachable: the member stands for a cache that can't be reached, so purges don't wait for it.
+    """
+
+    applied_up_to: int = msgspec.field(name="held")
+    ack_id: int = msgspec.field(name="mark")
+    is_unreachable: bool = msgspec.field(default=False, name="away")
+
+
+class MemberLeave(msgspec.Struct, tag_field="say", tag="leave"):
+    """The member stops on purpose: no purge waits for it any more."""
+
+
+class StatusQuery(msgspec.Struct, tag_field="say", tag="status", omit_defaults=True):
+    """Asks how far a purge has come.
+
+    :param sequence_number: 0 for the last purge.
+    """
+
+    sequence_number: int = msgspec.field(default=0, name="number")
+
+
+class MembersQuery(msgspec.Struct, tag_field="say", tag="members"):
+    """Asks which members there are, and what each has applied."""
+
+
+class QuotaRequests(msgspec.Struct, tag_field="say", tag="asks", omit_defaults=True):
+    """A member asks for shares of budgets; sent only where the Welcome offers quota.
+
+    :param colds: requests for shares of slow-start budgets; an older purge log ignores them.
+    """
+
+    asks: tuple[QuotaRequest, ...]
+    colds: tuple[SlowStartRequest, ...] = ()
+
+
+class HealthReport(msgspec.Struct, tag_field="say", tag="sights", omit_defaults=True):
+    """A router reports its observations of its store's caches; sent only where the Welcome offers verdicts.
+
+    :param sights: observations; a cache without one is not ejected, and nothing new is known of it.
+    :param caches: how many caches the router knows.
+    :param loads: whether it wants to be told how many requests all routers have in flight at each cache.
+    """
+
+    store: str
+    sights: tuple[CacheObservation, ...]
+    caches: int
+    loads: bool = False
+
+
+class HealthQuery(msgspec.Struct, tag_field="say", tag="views"):
+    """Asks for the health of all caches, as aggregated from routers' reports."""
+
+
+class QuotaQuery(msgspec.Struct, tag_field="say", tag="budgets"):
+    """Asks for the state of all budgets."""
+
+
+ToPurgeLog = (
+    PurgeRequest
+    | MemberHello
+    | MemberAck
+    | MemberLeave
+    | StatusQuery
+    | MembersQuery
+    | QuotaRequests
+    | QuotaQuery
+    | HealthReport
+    | HealthQuery
+)
--- a/quartzrouter/purges/delivery_plan.py
+++ b/quartzrouter/purges/delivery_plan.py
@@ -1,4 +1,4 @@
-"""Bringing purges to one cache: in order for each object, paced, again after failures and absences."""
+"""What to send to one cache, and when: in order for each object, paced, again after failures and absences."""
 
 import heapq
 import zlib
@@ -8,175 +8,248 @@
 
 from quartzrouter.purges.messages import Purge
 
-S = 1_000_000
-WINDOW = 8  # purges on their way to one cache: its worker threads
-RATE = 500.0  # purges a second to one cache: a twentieth of what it serves
-COLD_SHARE, COLD_FOR = 0.25, 10 * S  # of the rate, after it came back, growing over this time
-PAUSE, PAUSE_MOST = 100_000, 5 * S  # us after a failure, doubled each time
-SOON = 1_000  # us: nothing is looked at more often
-TIMEOUT = S  # us for one purge
-ASK_EVERY = S  # us between questions what it holds
-CAUGHT = 64  # purges that it may lack and be trusted again: an eighth of a second's
-COARSE = 20_000  # purges that it lacks; beyond, one of all in their place: 40 s at the rate
+SECOND = 1_000_000  # us
+MAX_IN_FLIGHT = 8  # purges to one cache: its worker threads
+RATE = 500.0  # purges a second to one cache: a twentieth of the requests that it serves
+SLOW_START_SHARE = 0.25  # of the rate, right after a cache came back
+SLOW_START_TIME = 10 * SECOND  # us, over which the share grows to the whole
+FIRST_BACKOFF = 100_000  # us after a failure, doubled with each further one
+MAX_BACKOFF = 5 * SECOND  # us
+MAX_DOUBLINGS = 8  # of the backoff; beyond them MAX_BACKOFF holds anyway
+MIN_WAIT = 1_000  # us between two looks at the queue
+DELIVERY_TIMEOUT = SECOND  # us for one purge
+POLL_INTERVAL = SECOND  # us between queries to a cache up to what it has purged
+MAX_LAG_CAUGHT_UP = 64  # purges that a cache may lack and count as caught up: an eighth of a second's
+MAX_PENDING = 20_000  # purges that a cache lacks; beyond, one of everything: 40 s at the rate
 
 
 class Delivery(NamedTuple):
-    """Send this to the cache.
+    """Send this purge to the cache.
 
-    :param age: us; copies that are older are to go.
+    :param age: microseconds; copies that are older are to go.
     """
 
     purge: Purge
     age: int
 
 
+class ValueKey(NamedTuple):
+    """What two purges have in common whose order matters."""
+
+    kind: str
+    value: str
+    vhost: str
+    store: str
+
+
+class Retry(NamedTuple):
+    """A purge that the cache refused; the one that is due first sorts first.
+
+    :param due_at: microseconds.
+    """
+
+    due_at: int
+    sequence_number: int
+    purge: Purge
+
+
 class DeliveryQueue:
-    """What one cache has been told.
+    """The purges for one cache. All times are microseconds of the courier's wall clock.
 
-    :param name: for chance.
+    :param name: of the cache; seeds the jitter of its backoff.
     :param rate: purges a second.
+    :param max_in_flight: purges at once.
     """
 
-    def __init__(self, name: str, rate: float = RATE, window: int = WINDOW):
-        self.name, self.rate, self.window = name, rate, window
+    def __init__(self, name: str, rate: float = RATE, max_in_flight: int = MAX_IN_FLIGHT):
+        self.name = name
+        self.rate = rate
+        self.max_in_flight = max_in_flight
         self.pending: deque[Purge] = deque()
-        self.out: dict[int, Purge] = {}
-        self.later: list[tuple[int, int, Purge]] = []  # refused: us when to try again, its number
-        self.tries: dict[int, int] = {}  # of those
-        self.done: set[int] = set()  # beyond `reached`, out of order
-        self.reached = 0  # all up to it are in force there
-        self.offset = 0  # us to add to the ledger's clock
-        self.up = False  # it has said what it holds, and nothing failed since
-        self.caught = False  # it lacks but what is on its way
-        self.since = self.next_at = 0  # us, when it came back; before which nothing is tried
-        self.tokens, self.filled = 1.0, 0
-        self.strikes = 0
-        self.coarse = 0  # purges of all that stood in for many
-
-    # -- what is to be told ------------------------------------------------------------------------------
-
-    def heard(self, purges: Iterable[Purge], offset: int) -> None:
-        self.offset = offset
+        self.in_flight: dict[int, Purge] = {}  # by sequence number
+        self.retries: list[Retry] = []  # a heap
+        self.failed_attempts: dict[int, int] = {}  # by sequence number, of refused purges
+        self.purged_out_of_order: set[int] = set()  # sequence numbers beyond `purged_up_to`
+        self.purged_up_to = 0  # every purge up to it is in force at the cache
+        self.clock_offset = 0  # us to add to the purge log's clock for this process's
+        self.is_up = False  # it has told what it has purged, and nothing failed since
+        self.is_caught_up = False  # it lacks only what is on its way
+        self.up_since = 0
+        self.not_before = 0  # nothing is tried sooner
+        self.tokens = 1.0  # of the token bucket that paces deliveries
+        self.tokens_at = 0  # us, when the bucket was filled last
+        self.consecutive_failures = 0
+        self.widened = 0  # purges of everything that stood in for many
+
+    # -- purges to deliver ---------------------------------------------------------------------------------
+
+    def add(self, purges: Iterable[Purge], clock_offset: int) -> None:
+        """Adds purges in their order.
+
+        :param clock_offset: microseconds to add to the purge log's clock for this process's.
+        """
+        self.clock_offset = clock_offset
         self.pending += purges
-        if len(self.pending) > COARSE:
-            self._coarse(len(self.pending) - COARSE // 2)
+        if len(self.pending) > MAX_PENDING:
+            self._widen_oldest(len(self.pending) - MAX_PENDING // 2)
+
+    def purge_everything_before(self, sequence_number: int, purged_at: int) -> None:
+        """Purges all copies made before a time: some purges up to a number are no longer sent.
 
-    def floor(self, number: int, when: int) -> None:
-        """Up to a number some purges are not told any more: all copies made before are to go."""
-        if number > self.reached:
-            self.pending.appendleft(Purge(number, when, "all"))
-            self.coarse += 1
+        :param purged_at: microseconds of the purge log's clock.
+        """
+        if sequence_number > self.purged_up_to:
+            self.pending.appendleft(Purge(sequence_number, purged_at, "all"))
+            self.widened += 1
 
-    def _coarse(self, many: int) -> None:
-        for _ in range(many):
-            last = self.pending.popleft()
-        self.pending.appendleft(Purge(last.number, last.when, "all"))
-        self.coarse += 1
+    def _widen_oldest(self, count: int) -> None:
+        """Replaces the oldest purges by one of everything: a cache that lacks more takes too long."""
+        for _ in range(count):
+            newest_replaced = self.pending.popleft()
+        self.pending.appendleft(Purge(newest_replaced.sequence_number, newest_replaced.purged_at, "all"))
+        self.widened += 1
 
-    def level(self, head: int) -> None:
-        """All up to the head has been heard: whether the cache has caught up, after an absence."""
-        self.caught |= self.up and self.reached + CAUGHT >= head
+    def received_up_to(self, head: int) -> None:
+        """Records that every purge up to the head has been added: the cache may have caught up."""
+        if self.is_up and self.purged_up_to + MAX_LAG_CAUGHT_UP >= head:
+            self.is_caught_up = True
 
-    # -- what the cache says -----------------------------------------------------------------------------
+    # -- what the cache answers ----------------------------------------------------------------------------
 
-    def stands(self, held: int, heard: int, now: int) -> bool:
-        """It answers, and holds all up to a number; False where what lies behind that must be heard anew.
+    def reported(self, purged_up_to: int, received_up_to: int, now: int) -> bool:
+        """Records up to which sequence number the cache has purged without a gap.
 
-        It may have come back with an older disk, and then it may lack what it had taken out of order as well.
+        Guards against a cache that came back with an older disk: it lacks purges that it had confirmed,
+        also some that it had confirmed out of order. They are received and delivered anew.
 
-        :param heard: the number up to which purges were heard for it.
+        :param received_up_to: the sequence number up to which purges were added.
+        :returns: False where every purge after ``purged_up_to`` must be received anew.
         """
-        if self.up and held == self.reached:
+        if self.is_up and purged_up_to == self.purged_up_to:
             return True
-        whole = self.reached <= held <= heard and not self.done
-        if not self.up:
-            self.since, self.caught = now, False
-        self.reached = held
-        self.up, self.strikes, self.next_at = True, 0, now
-        self._take_back()
-        self.done.clear()
-        while self.pending and (not whole or self.pending[0].number <= self.reached):
-            self.pending.popleft()
-        return whole
-
-    def refused(self, number: int, now: int) -> None:
-        """It answered, and did not take a purge: that one is tried again after a while, the others go on."""
-        purge = self.out.pop(number, None)
-        if purge is not None:
-            tries = self.tries[number] = self.tries.get(number, 0) + 1
-            heapq.heappush(self.later, (now + self._pause(tries, number), number, purge))
-
-    def taken(self, number: int) -> None:
-        """It has purged."""
-        purge = self.out.pop(number, None)
+        is_known = self.purged_up_to <= purged_up_to <= received_up_to
+        lacks_nothing = is_known and not self.purged_out_of_order
+        if not self.is_up:
+            self.up_since = now
+            self.is_caught_up = False
+        self.purged_up_to = purged_up_to
+        self.is_up = True
+        self.consecutive_failures = 0
+        self.not_before = now
+        self._take_back_unconfirmed()
+        self.purged_out_of_order.clear()
+        if lacks_nothing:
+            while self.pending and self.pending[0].sequence_number <= purged_up_to:
+                self.pending.popleft()
+        else:
+            self.pending.clear()
+        return lacks_nothing
+
+    def refused(self, sequence_number: int, now: int) -> None:
+        """Records that the cache answered and did not purge: this purge is retried, the others go on."""
+        purge = self.in_flight.pop(sequence_number, None)
+        if purge is None:
+            return
+        attempts = self.failed_attempts.get(sequence_number, 0) + 1
+        self.failed_attempts[sequence_number] = attempts
+        due_at = now + self._backoff(attempts, sequence_number)
+        heapq.heappush(self.retries, Retry(due_at, sequence_number, purge))
+
+    def confirmed(self, sequence_number: int) -> None:
+        """Records that the cache has purged."""
+        purge = self.in_flight.pop(sequence_number, None)
         if purge is None:
             return
-        self.tries.pop(number, None)
-        self.done.add(number)
-        if purge.kind == "all" and not (purge.vhost or purge.store):  # which stands for all before it
-            self.reached = max(self.reached, number)
-            self.done = {each for each in self.done if each > number}
-        while self.reached + 1 in self.done:
-            self.reached += 1
-            self.done.remove(self.reached)
-
-    def lost(self, now: int) -> None:
-        """It doesn't answer: from now on nobody may trust it, until it has said what it holds."""
-        self.up = self.caught = False
-        self.strikes += 1
-        self.next_at = now + self._pause(self.strikes, 0)
-        self._take_back()
-
-    def _pause(self, tries: int, number: int) -> int:
-        """us; doubled each time, and spread so that caches that failed together don't come back together."""
-        luck = zlib.crc32(f"{self.name} {number} {tries}".encode()) / 2**32
-        return int(min(PAUSE_MOST, PAUSE << min(tries - 1, 8)) * (0.5 + luck / 2))
-
-    def _take_back(self) -> None:
-        """What was on its way or waited for another try is to be told again, in its place."""
-        back = [*self.out.values(), *(purge for _, _, purge in self.later)]
-        self.pending.extendleft(sorted(back, key=lambda purge: purge.number, reverse=True))
-        self.out.clear()
-        self.later.clear()
-        self.tries.clear()
-
-    # -- what to do --------------------------------------------------------------------------------------
-
-    def next(self, now: int) -> list[Delivery]:
-        """What to send now, as pace and window allow; none before the cache has said what it holds."""
-        if not self.up or now < self.next_at:
+        self.failed_attempts.pop(sequence_number, None)
+        self.purged_out_of_order.add(sequence_number)
+        is_of_everything = purge.kind == "all" and not (purge.vhost or purge.store)
+        if is_of_everything:  # it stands for every purge before it
+            self.purged_up_to = max(self.purged_up_to, sequence_number)
+            self.purged_out_of_order = {
+                number for number in self.purged_out_of_order if number > sequence_number
+            }
+        while self.purged_up_to + 1 in self.purged_out_of_order:
+            self.purged_up_to += 1
+            self.purged_out_of_order.remove(self.purged_up_to)
+
+    def unreachable(self, now: int) -> None:
+        """Records that the cache doesn't answer: it isn't trusted before it tells what it has purged."""
+        self.is_up = False
+        self.is_caught_up = False
+        self.consecutive_failures += 1
+        self.not_before = now + self._backoff(self.consecutive_failures, 0)
+        self._take_back_unconfirmed()
+
+    def _backoff(self, attempts: int, sequence_number: int) -> int:
+        """Microseconds, with jitter so that caches that failed together don't come back together."""
+        jitter = zlib.crc32(f"{self.name} {sequence_number} {attempts}".encode()) / 2**32
+        backoff = min(MAX_BACKOFF, FIRST_BACKOFF << min(attempts - 1, MAX_DOUBLINGS))
+        return int(backoff * (0.5 + jitter / 2))
+
+    def _take_back_unconfirmed(self) -> None:
+        """Puts purges in flight and those to be retried back into their places."""
+        unconfirmed = self._unconfirmed()
+        unconfirmed.sort(key=lambda purge: purge.sequence_number, reverse=True)
+        self.pending.extendleft(unconfirmed)
+        self.in_flight.clear()
+        self.retries.clear()
+        self.failed_attempts.clear()
+
+    def _unconfirmed(self) -> list[Purge]:
+        return [*self.in_flight.values(), *(retry.purge for retry in self.retries)]
+
+    # -- what to send --------------------------------------------------------------------------------------
+
+    def next_deliveries(self, now: int) -> list[Delivery]:
+        """Returns the purges to send now.
+
+        Purges of one value go one after the other; one that waits for an earlier one is passed by. Nothing
+        goes out before the cache has told what it has purged.
+        """
+        if not self.is_up or now < self.not_before:
             return []
-        share = min(1.0, COLD_SHARE + (1 - COLD_SHARE) * (now - self.since) / COLD_FOR)
-        rate = self.rate * share
-        self.tokens = min(float(self.window), self.tokens + max(0, now - self.filled) * rate / S)
-        self.filled = now
-        found, kept = [], []
-        while self.later and self.later[0][0] <= now:
-            self.pending.appendleft(heapq.heappop(self.later)[2])
-        waiting = [*self.out.values(), *(purge for _, _, purge in self.later)]
-        held = {key for purge in waiting for key in _keys(purge)}
-        while self.pending and len(self.out) < self.window and self.tokens >= 1 and len(kept) < self.window:
+        self._fill_tokens(now)
+        while self.retries and self.retries[0].due_at <= now:
+            self.pending.appendleft(heapq.heappop(self.retries).purge)
+        deliveries: list[Delivery] = []
+        passed_by: list[Purge] = []
+        blocked = {key for purge in self._unconfirmed() for key in _value_keys(purge)}
+        while self.pending and self._may_send() and len(passed_by) < self.max_in_flight:
             purge = self.pending.popleft()
-            if not held.isdisjoint(keys := _keys(purge)):
-                kept.append(purge)  # the one before it for the same is on its way
-                held |= keys
+            keys = _value_keys(purge)
+            is_blocked = not blocked.isdisjoint(keys)
+            blocked |= keys
+            if is_blocked:
+                passed_by.append(purge)
                 continue
-            held |= keys
             self.tokens -= 1
-            self.out[purge.number] = purge
-            found.append(Delivery(purge, max(0, now - (purge.when + self.offset))))
-        self.pending.extendleft(reversed(kept))
-        return found
-
-    def due(self, now: int) -> int:
-        """us, when next() may have more, as far as time alone decides it."""
-        if not self.up or len(self.out) >= self.window:
-            return now + ASK_EVERY
-        again = self.later[0][0] if self.later else now + ASK_EVERY
+            self.in_flight[purge.sequence_number] = purge
+            deliveries.append(Delivery(purge, max(0, now - (purge.purged_at + self.clock_offset))))
+        self.pending.extendleft(reversed(passed_by))
+        return deliveries
+
+    def _fill_tokens(self, now: int) -> None:
+        """Fills the token bucket at the rate, more slowly right after the cache came back."""
+        slow_start_progress = (now - self.up_since) / SLOW_START_TIME
+        share = min(1.0, SLOW_START_SHARE + (1 - SLOW_START_SHARE) * slow_start_progress)
+        rate = self.rate * share
+        earned = max(0, now - self.tokens_at) * rate / SECOND
+        self.tokens = min(float(self.max_in_flight), self.tokens + earned)
+        self.tokens_at = now
+
+    def _may_send(self) -> bool:
+        return len(self.in_flight) < self.max_in_flight and self.tokens >= 1
+
+    def next_due_at(self, now: int) -> int:
+        """Returns when next_deliveries() may have more, as far as time alone decides it, in microseconds."""
+        if not self.is_up or len(self.in_flight) >= self.max_in_flight:
+            return now + POLL_INTERVAL
+        retry_due_at = self.retries[0].due_at if self.retries else now + POLL_INTERVAL
         if not self.pending:
-            return max(again, now + SOON)
-        return min(again, max(self.next_at, now + max(SOON, int((1 - self.tokens) / self.rate * S))))
+            return max(retry_due_at, now + MIN_WAIT)
+        until_next_token = int((1 - self.tokens) / self.rate * SECOND)
+        return min(retry_due_at, max(self.not_before, now + max(MIN_WAIT, until_next_token)))
 
 
-def _keys(purge: Purge) -> set[tuple[str, str, str, str]]:
-    return {(purge.kind, value, purge.vhost, purge.store) for value in purge.values or ("",)}
+def _value_keys(purge: Purge) -> set[ValueKey]:
+    return {ValueKey(purge.kind, value, purge.vhost, purge.store) for value in purge.values or ("",)}
--- a/quartzrouter/purges/glob.py
+++ b/quartzrouter/purges/glob.py
@@ -1,24 +1,39 @@
-"""One part of a pattern: literal pieces with `*` between them, each looked for once."""
+"""Wildcard matching for one path or host part of a purge pattern, in time linear in the text."""
 
 
 class Glob:
-    """`*`, which stands there at least once, is any number of characters, also none."""
+    """One part of a pattern in which ``*`` occurs at least once and stands for any number of characters.
 
-    __slots__ = ("first", "last", "least", "middle", "text")
+    The part is split at its wildcards into literal pieces, each of which is searched for once. So a pattern
+    that is made to be slow (``*a*a*a*b``) costs no more than its pieces, unlike a regular expression.
+
+    :param text: the part, with at least one ``*``.
+    """
+
+    __slots__ = ("middle_pieces", "min_length", "prefix", "suffix", "text")
 
     def __init__(self, text: str):
         self.text = text
-        self.first, *self.middle, self.last = text.split("*")
-        self.least = len(self.first) + len(self.last)
+        self.prefix, *self.middle_pieces, self.suffix = text.split("*")
+        self.min_length = len(self.prefix) + len(self.suffix)
 
     def matches(self, text: str) -> bool:
-        """Each middle piece is taken where it first stands: no later place could leave more room."""
-        if len(text) < self.least or not text.startswith(self.first) or not text.endswith(self.last):
+        """Tells whether the whole text matches.
+
+        Each middle piece is matched at its first occurrence: a later one could only leave less room.
+
+        :param text: one part of a path or a host name.
+        :returns: True where the text matches.
+        """
+        if len(text) < self.min_length:
+            return False
+        if not text.startswith(self.prefix) or not text.endswith(self.suffix):
             return False
-        at, end = len(self.first), len(text) - len(self.last)
-        for piece in self.middle:
-            found = text.find(piece, at, end)
+        position = len(self.prefix)
+        end = len(text) - len(self.suffix)
+        for piece in self.middle_pieces:
+            found = text.find(piece, position, end)
             if found < 0:
                 return False
-            at = found + len(piece)
+            position = found + len(piece)
         return True
--- /dev/null
+++ b/quartzrouter/purges/members.py
@@ -0,0 +1,143 @@
+"""The members of a purge log: who has joined, what each has applied, and whose lease may still run."""
+
+from collections import deque
+from typing import NamedTuple
+
+from quartzrouter.purges.messages import MemberHello, MemberKind, MemberStatus, RequestRejected
+from quartzrouter.purges.validation import NAME
+
+MAX_MEMBERS = 4_096  # names; those that left or fell silent are dropped first
+MAX_ECHOABLE_ACKS = 64  # of one member; the echo of an older one would start a lease that is over
+
+
+class Acknowledgement(NamedTuple):
+    """An acknowledgement that may still be echoed.
+
+    :param received_at: microseconds of the purge log's clock.
+    """
+
+    ack_id: int
+    received_at: int
+
+
+class Member:
+    """One member.
+
+    :param token: of its process.
+    :param now: microseconds of the purge log's clock.
+    """
+
+    def __init__(self, name: str, kind: MemberKind, token: str, now: int):
+        self.name = name
+        self.kind = kind
+        self.token = token
+        self.applied_up_to = 0
+        self.acks: deque[Acknowledgement] = deque(maxlen=MAX_ECHOABLE_ACKS)
+        self.last_heard_at = now
+        self.has_acknowledged = False
+        self.is_unreachable = False
+        self.has_left = False
+
+    def record_ack(self, ack_id: int, now: int) -> None:
+        """Keeps an acknowledgement for its echo."""
+        self.acks.append(Acknowledgement(ack_id, now))
+
+    def is_live(self, now: int, lease_length: int) -> bool:
+        """Tells whether its lease may still run, so that purges wait for it.
+
+        Its lease started when it sent an acknowledgement that came here later, so it ends before a lease
+        after the last message has passed here.
+        """
+        if not self.has_acknowledged or self.is_unreachable or self.has_left:
+            return False
+        return now - self.last_heard_at <= lease_length
+
+
+class MemberDirectory:
+    """All members by name.
+
+    :param epoch: of this writer of the purge log.
+    :param lease_length: microseconds.
+    """
+
+    def __init__(self, epoch: int, lease_length: int):
+        self.epoch = epoch
+        self.lease_length = lease_length
+        self.by_name: dict[str, Member] = {}
+
+    def join(self, hello: MemberHello, now: int) -> Member | RequestRejected:
+        """Takes a member in, or back on a new connection."""
+        rejection = self._rejection_of(hello, now)
+        if rejection:
+            return rejection
+        member = self.by_name.get(hello.name)
+        if member is None or member.token != hello.token:
+            member = Member(hello.name, hello.kind, hello.token, now)
+            self.by_name[hello.name] = member
+        member.kind = hello.kind
+        member.has_left = False
+        member.last_heard_at = now
+        member.acks.clear()  # ids count from one again on a new connection
+        return member
+
+    def _rejection_of(self, hello: MemberHello, now: int) -> RequestRejected | None:
+        if not NAME.fullmatch(hello.name) or not NAME.fullmatch(hello.token):
+            return RequestRejected(
+                "name", f"{hello.name!r:.60} is no name", "use letters, digits, '_', '-', ':' and '.'"
+            )
+        if hello.epoch > self.epoch:
+            # Guards against a writer that was taken over from and doesn't know it yet: it lacks purges.
+            return RequestRejected(
+                "epoch",
+                f"{hello.name} has heard of epoch {hello.epoch}, this ledger writes {self.epoch}",
+                "ask the ledger that took over",
+            )
+        member = self.by_name.get(hello.name)
+        if member is None:
+            if len(self.by_name) >= MAX_MEMBERS and not self._drop_silent_member(now):
+                return RequestRejected(
+                    "members", f"{MAX_MEMBERS} are there", "let some leave", self.lease_length
+                )
+            return None
+        is_other_process = member.token != hello.token and not member.has_left
+        if is_other_process and now - member.last_heard_at <= self.lease_length:
+            # Guards against two processes with one name: each would acknowledge what the other lacks.
+            return RequestRejected(
+                "name",
+                f"another process is the member {hello.name!r}",
+                "give each its own name, or wait until the other's lease is over",
+                self.lease_length,
+            )
+        return None
+
+    def _drop_silent_member(self, now: int) -> bool:
+        """Drops the member that has been silent for longest; False where all are live."""
+        silent = [member for member in self.by_name.values() if not member.is_live(now, self.lease_length)]
+        if not silent:
+            return False
+        del self.by_name[min(silent, key=lambda member: member.last_heard_at).name]
+        return True
+
+    def live(self, now: int) -> list[Member]:
+        """Returns the members that purges wait for: live routers and caches, and no watchers."""
+        return [
+            member
+            for member in self.by_name.values()
+            if member.kind != "watcher" and member.is_live(now, self.lease_length)
+        ]
+
+    def statuses(self, now: int) -> tuple[MemberStatus, ...]:
+        """Returns what is known of each member that has not left, by name."""
+        statuses = [
+            MemberStatus(
+                member.name,
+                member.kind,
+                member.applied_up_to,
+                member.is_live(now, self.lease_length),
+                member.is_unreachable,
+                now - member.last_heard_at,
+            )
+            for member in self.by_name.values()
+            if not member.has_left
+        ]
+        return tuple(sorted(statuses, key=lambda status: status.name))
--- a/quartzrouter/purges/object_names.py
+++ b/quartzrouter/purges/object_names.py
@@ -1,13 +1,17 @@
-"""By which names objects are known: routers and caches key them by an id, people by what routes fill in."""
+"""Names of objects: routers and caches use a fixed-length id, operators the name that a route gives."""
 
 import hashlib
 
 
-def digits(text: str) -> str:
-    """A name of any length as an id of 16 hex digits."""
-    return hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
+def object_id(name: str) -> str:
+    """Returns the id of an object: 16 hexadecimal digits, whatever the length of its name."""
+    return hashlib.blake2b(name.encode(), digest_size=8).hexdigest()
 
 
-def of_object(value: str) -> tuple[str, str]:
-    """The keys that a purged object may have: the name itself, as a client may have told it, and its id."""
-    return value.lower(), digits(value)
+def object_keys(name: str) -> tuple[str, str]:
+    """Returns the cache keys that a purged object may have.
+
+    :param name: the object as named in the purge.
+    :returns: the name itself in lower case, as a client may have sent an id, and the id of the name.
+    """
+    return name.lower(), object_id(name)
--- a/quartzrouter/purges/propagation_delays.py
+++ b/quartzrouter/purges/propagation_delays.py
@@ -1,23 +1,35 @@
-"""How long things took, as a histogram with two digits."""
+"""Distribution of the time from the acceptance of a purge until every live member has applied it."""
 
 from hdrh.histogram import HdrHistogram
 
-MOST = 60_000_000  # us, the longest that is told apart
-TOLD = {"p50": 50, "p99": 99, "highest": 100}
+MAX_DELAY = 60_000_000  # us; longer delays are counted as this long
+SIGNIFICANT_DIGITS = 2  # of a delay: two are enough for a promise that is rounded to milliseconds
+REPORTED_PERCENTILES = {"p50": 50, "p99": 99, "highest": 100}  # by their keys in a status reply
 
 
 class PropagationDelays:
+    """A histogram of delays since the start of the process."""
+
     def __init__(self) -> None:
-        self.histogram, self.count = HdrHistogram(1, MOST, 2), 0
+        self.histogram = HdrHistogram(1, MAX_DELAY, SIGNIFICANT_DIGITS)
+        self.count = 0
+
+    def add(self, delay: int) -> None:
+        """Records one delay.
 
-    def add(self, took: int) -> None:
-        """:param took: us."""
-        self.histogram.record_value(max(1, min(took, MOST)))
+        :param delay: microseconds.
+        """
+        self.histogram.record_value(max(1, min(delay, MAX_DELAY)))
         self.count += 1
 
-    def at(self, percent: float) -> int:
-        """us; 0 where there is none yet."""
-        return self.histogram.get_value_at_percentile(percent) if self.count else 0
+    def percentile(self, percent: float) -> int:
+        """Returns a percentile in microseconds; 0 where nothing was recorded yet."""
+        if not self.count:
+            return 0
+        return self.histogram.get_value_at_percentile(percent)
 
-    def told(self) -> dict[str, int]:
-        return {name: self.at(percent) for name, percent in TOLD.items()} if self.count else {}
+    def summary(self) -> dict[str, int]:
+        """Returns the reported percentiles in microseconds by key; empty where nothing was recorded yet."""
+        if not self.count:
+            return {}
+        return {name: self.percentile(percent) for name, percent in REPORTED_PERCENTILES.items()}
--- a/quartzrouter/purges/purge_index.py
+++ b/quartzrouter/purges/purge_index.py
@@ -1,162 +1,210 @@
 """The purges that a router must still know: by object, tag and pattern, within a scope, bounded and expiring.
 
-A mark is a time: copies made before it are old.  Where there are more marks than may be held, the oldest
-become one mark of their whole scope, which takes more copies for old and never fewer.
+An entry is the time of a purge: copies made before it are stale. Where there are more entries than may be
+held, the oldest become one purge of their whole scope, which makes more copies stale and never fewer.
 """
 
 from collections.abc import Iterable
 from typing import NamedTuple
 
 from quartzrouter.purges.messages import Purge
-from quartzrouter.purges.object_names import of_object
+from quartzrouter.purges.object_names import object_keys
+from quartzrouter.purges.pattern_trie import PatternTrie
 from quartzrouter.purges.timer_wheel import TimerWheel
-from quartzrouter.purges.trie import Trie
 
-SLOTS = 64  # of the wheel over a mark's life: marks live at most one part in so many too long
-SCOPES_MOST = 256  # vhosts by stores; beyond, a purge holds for all
-KEPT = 0.9  # of the marks held at most, where there are more: merging walks over a tenth of them at a time
-EVERYWHERE = ("", "")
+SLOTS_PER_LIFETIME = 64  # of the timer wheel: entries live at most this part of their lifetime too long
+MAX_SCOPES = 256  # pairs of a vhost and a store; beyond, a purge counts for every scope
+MERGE_DOWN_TO = 0.9  # of the entries held at most: merging handles a tenth of them at a time
+ANY_STORE = "*"  # a cache whose store is not known
+
+
+class ScopeKey(NamedTuple):
+    """What a purge is limited to; an empty field is no limit."""
+
+    vhost: str
+    store: str
+
+
+EVERYWHERE = ScopeKey("", "")
 
 
 class PurgeLookup(NamedTuple):
-    """What marks look at of a req."""
+    """What purges are matched against: one request, as the router sees it."""
 
     vhost: str
-    obj: str  # as the router keys it
+    object_key: str
     host: str
     path: str
 
 
-class Scope:
-    """The marks of one vhost, store, both or neither."""
+class IndexEntry(NamedTuple):
+    """One purged value, as the timer wheel holds it until its lifetime is over.
+
+    :param purged_at: microseconds of this router's clock.
+    """
+
+    scope: ScopeKey
+    kind: str
+    value: str
+    purged_at: int
+    sequence_number: int
+
+
+class PurgeScope:
+    """The purges of one vhost, one store, both or neither. Times are microseconds of the router's clock."""
 
-    __slots__ = ("all", "objects", "tags", "tags_newest", "trie")
+    __slots__ = ("all", "newest_tag", "objects", "patterns", "tags")
 
     def __init__(self) -> None:
-        self.all = self.tags_newest = 0
+        self.all = 0  # newest purge of everything in the scope
+        self.newest_tag = 0  # newest purge by any tag
         self.objects: dict[str, int] = {}
         self.tags: dict[str, int] = {}
-        self.trie = Trie()
+        self.patterns = PatternTrie()
 
-    def newest(self, asked: PurgeLookup, tags: Iterable[str] | None, above: int) -> int:
-        best = max(above, self.all, self.objects.get(asked.obj, 0))
+    def newest(self, lookup: PurgeLookup, tags: Iterable[str] | None, newer_than: int) -> int:
+        """Returns the time of the newest purge that matches; ``newer_than`` where there is none newer."""
+        newest = max(newer_than, self.all, self.objects.get(lookup.object_key, 0))
         if tags is None:
-            best = max(best, self.tags_newest)
-        elif self.tags_newest > best:
+            newest = max(newest, self.newest_tag)
+        elif self.newest_tag > newest:
             for tag in tags:
-                best = max(best, self.tags.get(tag, 0))
-        if self.trie.root.newest > best:
-            best = self.trie.newest(asked.host, asked.path, best)
-        return best
+                newest = max(newest, self.tags.get(tag, 0))
+        if self.patterns.root.newest > newest:
+            newest = self.patterns.newest(lookup.host, lookup.path, newest)
+        return newest
+
+    def add(self, kind: str, value: str, purged_at: int) -> None:
+        """Adds one purged value."""
+        if kind == "all":
+            self.all = max(self.all, purged_at)
+        elif kind == "pattern":
+            self.patterns.add(value, purged_at)
+        elif kind == "tag":
+            self.tags[value] = max(purged_at, self.tags.get(value, 0))
+            self.newest_tag = max(self.newest_tag, purged_at)
+        else:
+            self.objects[value] = max(purged_at, self.objects.get(value, 0))
+
+    def remove(self, kind: str, value: str, purged_at: int) -> None:
+        """Removes one purged value, unless a later purge has named it again."""
+        if kind == "all":
+            if self.all <= purged_at:
+                self.all = 0
+        elif kind == "pattern":
+            self.patterns.remove(value, purged_at)
+        else:
+            purged_values = self.objects if kind == "object" else self.tags
+            if purged_values.get(value, 0) <= purged_at:
+                purged_values.pop(value, None)
+            if self.newest_tag <= purged_at:
+                self.newest_tag = 0
 
     @property
-    def empty(self) -> bool:
-        return not (self.all or self.objects or self.tags or self.trie.root.newest)
+    def is_empty(self) -> bool:
+        """Whether nothing is purged in this scope."""
+        return not (self.all or self.objects or self.tags or self.patterns.root.newest)
 
 
 class PurgeIndex:
-    """Marks of all scopes.
+    """The purges of all scopes.
 
-    :param life: us for which a mark is held.
-    :param most: marks held at once.
+    :param lifetime: microseconds for which a purge is held.
+    :param max_entries: purged values held at once.
     """
 
-    def __init__(self, life: int, most: int):
-        self.life, self.most = life, most
-        self.scopes: dict[tuple[str, str], Scope] = {}
-        self.wheel = TimerWheel(max(1, life // SLOTS))
-        self.merged = 0  # marks that became one of their scope
-        self.forgotten = 0  # the highest number among those whose life is over
+    def __init__(self, lifetime: int, max_entries: int):
+        self.lifetime = lifetime
+        self.max_entries = max_entries
+        self.scopes: dict[ScopeKey, PurgeScope] = {}
+        self.expiry: TimerWheel[IndexEntry] = TimerWheel(max(1, lifetime // SLOTS_PER_LIFETIME))
+        self.merged = 0  # entries that became part of a purge of their whole scope
+        self.expired_up_to = 0  # the highest sequence number among expired purges
 
     def __len__(self) -> int:
-        return self.wheel.count
+        return self.expiry.count
 
-    def add(self, purge: Purge, when: int) -> None:
-        """Takes a purge in.
+    def add(self, purge: Purge, purged_at: int) -> None:
+        """Adds a purge.
 
-        :param when: us, its time on this router's clock.
+        :param purged_at: its time in microseconds of this router's clock.
         """
-        at = (purge.vhost, purge.store)
-        if at not in self.scopes and len(self.scopes) >= SCOPES_MOST:
-            at = EVERYWHERE
-        scope = self.scopes.setdefault(at, Scope())
-        if purge.kind == "all":
-            scope.all = max(scope.all, when)
-            self._hold(at, "all", "", when, purge.number)
-        for value in purge.values:
-            if purge.kind == "pattern":
-                scope.trie.add(value, when)
-                self._hold(at, "pattern", value, when, purge.number)
-                continue
-            if purge.kind == "tag":
-                scope.tags[value] = max(when, scope.tags.get(value, 0))
-                scope.tags_newest = max(scope.tags_newest, when)
-                self._hold(at, "tag", value, when, purge.number)
-                continue
-            for name in of_object(value):
-                scope.objects[name] = max(when, scope.objects.get(name, 0))
-                self._hold(at, "object", name, when, purge.number)
-        if self.wheel.count > self.most:
-            self._merge()
-
-    def newest(self, asked: PurgeLookup, tags: Iterable[str] | None, store: str, above: int = 0) -> int:
-        """us of the newest purge that takes a copy; `above` where none is newer.
-
-        :param tags: of the copy; None: not known, so that it may carry any.
-        :param store: where the cache stands that holds it; "*": it may be anywhere.
+        scope = ScopeKey(purge.vhost, purge.store)
+        if scope not in self.scopes and len(self.scopes) >= MAX_SCOPES:
+            scope = EVERYWHERE
+        for value in _indexed_values(purge):
+            self._add(IndexEntry(scope, purge.kind, value, purged_at, purge.sequence_number))
+        if self.expiry.count > self.max_entries:
+            self._merge_oldest()
+
+    def newest(self, lookup: PurgeLookup, tags: Iterable[str] | None, store: str, newer_than: int = 0) -> int:
+        """Finds the newest purge that makes a copy stale.
+
+        :param tags: of the copy; None where they are not known, so that it may carry any.
+        :param store: of the cache that holds the copy; ANY_STORE where it is not known.
+        :returns: its time in microseconds, or ``newer_than`` where there is none newer.
         """
-        best = above
-        if store == "*":
-            for (vhost, _), scope in self.scopes.items():
-                if vhost in ("", asked.vhost):
-                    best = scope.newest(asked, tags, best)
-            return best
-        for key in {(asked.vhost, store), (asked.vhost, ""), ("", store), EVERYWHERE}:
-            if scope := self.scopes.get(key):
-                best = scope.newest(asked, tags, best)
-        return best
+        newest = newer_than
+        if store == ANY_STORE:
+            for key, scope in self.scopes.items():
+                if key.vhost in ("", lookup.vhost):
+                    newest = scope.newest(lookup, tags, newest)
+            return newest
+        for key in {
+            ScopeKey(lookup.vhost, store),
+            ScopeKey(lookup.vhost, ""),
+            ScopeKey("", store),
+            EVERYWHERE,
+        }:
+            scope_or_none = self.scopes.get(key)
+            if scope_or_none:
+                newest = scope_or_none.newest(lookup, tags, newest)
+        return newest
 
     def expire(self, now: int) -> None:
-        """Forgets marks whose life is over."""
-        if self.wheel.ends > (over := now - self.life):
-            return
-        touched = set()
-        for at, kind, value, when, number in self.wheel.due(over):
-            self.forgotten = max(self.forgotten, number)
-            touched.add(at)
-            self._drop(at, kind, value, when)
-        for at in touched:
-            if at in self.scopes and self.scopes[at].empty:
-                del self.scopes[at]
-
-    def _hold(self, at: tuple[str, str], kind: str, value: str, when: int, number: int) -> None:
-        self.wheel.put(when, (at, kind, value, when, number))
-
-    def _drop(self, at: tuple[str, str], kind: str, value: str, when: int) -> None:
-        """Takes one mark out unless a later purge has renewed it."""
-        scope = self.scopes.get(at)
-        if scope is None:
+        """Removes purges whose lifetime is over.
+
+        :param now: microseconds of this router's clock.
+        """
+        ended_before = now - self.lifetime
+        if self.expiry.oldest_slot_end > ended_before:
             return
-        if kind == "all":
-            scope.all = scope.all if scope.all > when else 0
-        elif kind == "pattern":
-            scope.trie.remove(value, when)
-        else:
-            held = scope.objects if kind == "object" else scope.tags
-            if held.get(value, 0) <= when:
-                held.pop(value, None)
-            if scope.tags_newest <= when:
-                scope.tags_newest = 0
-
-    def _merge(self) -> None:
-        """The oldest marks, a tenth of all, become one for each of their scopes."""
-        newest: dict[tuple[str, str], tuple[int, int]] = {}
-        while self.wheel.slots and self.wheel.count > self.most * KEPT:
-            for at, kind, value, when, number in self.wheel.oldest():
-                newest[at] = max(newest.get(at, (0, 0)), (when, number))
-                self._drop(at, kind, value, when)
+        changed_scopes = set()
+        for entry in self.expiry.pop_ended(ended_before):
+            self.expired_up_to = max(self.expired_up_to, entry.sequence_number)
+            changed_scopes.add(entry.scope)
+            self._remove(entry)
+        for key in changed_scopes:
+            if key in self.scopes and self.scopes[key].is_empty:
+                del self.scopes[key]
+
+    def _add(self, entry: IndexEntry) -> None:
+        scope = self.scopes.setdefault(entry.scope, PurgeScope())
+        scope.add(entry.kind, entry.value, entry.purged_at)
+        self.expiry.put(entry.purged_at, entry)
+
+    def _remove(self, entry: IndexEntry) -> None:
+        scope = self.scopes.get(entry.scope)
+        if scope is not None:
+            scope.remove(entry.kind, entry.value, entry.purged_at)
+
+    def _merge_oldest(self) -> None:
+        """Replaces the oldest tenth of the entries by one purge of everything for each of their scopes."""
+        newest_by_scope: dict[ScopeKey, tuple[int, int]] = {}  # purged_at and sequence number
+        while self.expiry.slots and self.expiry.count > self.max_entries * MERGE_DOWN_TO:
+            for entry in self.expiry.pop_oldest_slot():
+                newest = newest_by_scope.get(entry.scope, (0, 0))
+                newest_by_scope[entry.scope] = max(newest, (entry.purged_at, entry.sequence_number))
+                self._remove(entry)
                 self.merged += 1
-        for at, (when, number) in newest.items():
-            scope = self.scopes.setdefault(at, Scope())
-            scope.all = max(scope.all, when)
-            self._hold(at, "all", "", when, number)
+        for scope, (purged_at, sequence_number) in newest_by_scope.items():
+            self._add(IndexEntry(scope, "all", "", purged_at, sequence_number))
+
+
+def _indexed_values(purge: Purge) -> list[str]:
+    """What a purge is found by."""
+    if purge.kind == "all":
+        return [""]
+    if purge.kind == "object":
+        return [key for name in purge.values for key in object_keys(name)]
+    return list(purge.values)
--- a/quartzrouter/purges/reconnect_backoff.py
+++ b/quartzrouter/purges/reconnect_backoff.py
@@ -1,51 +1,70 @@
-"""When and where to try again: a member that looks for its ledger, a standby that watches its primary."""
+"""When and where to reconnect, and when a standby takes over from its primary."""
 
 import zlib
 from collections.abc import Sequence
 
-PAUSE, PAUSE_MOST = 20_000, 1_000_000  # us until the next connection at first, and at most
-MISSES = 3  # questions without an answer, each a lease long, until a standby takes over
+FIRST_DELAY = 20_000  # us until the second attempt: a server that restarts is back within some of these
+MAX_DELAY = 1_000_000  # us between attempts at most, so that a member is back a second after its server
+MAX_DOUBLINGS = 8  # of the first delay; beyond them MAX_DELAY holds anyway
+MISSES_BEFORE_TAKEOVER = 3  # queries in a row without an answer, each a lease long
 
 
 class ReconnectBackoff:
-    """Addresses in turn, with pauses that grow until something was heard.
+    """Addresses in turn, with exponential backoff and jitter between attempts.
 
-    :param name: for chance, so that members which lost the ledger together don't come back together.
+    :param addresses: host and port of each server.
+    :param name: seeds the jitter, so that members which lost a server at the same time don't return at the
+        same time.
     """
 
     def __init__(self, addresses: Sequence[tuple[str, int]], name: str):
-        self.addresses, self.name = list(addresses), name
-        self.failed = 0  # connections in a row
-        self.asked = 0  # us that the ledger asked to wait
+        self.addresses = list(addresses)
+        self.name = name
+        self.failed_attempts = 0  # in a row
+        self.requested_delay = 0  # us, as the server asked for
 
     @property
     def address(self) -> tuple[str, int]:
+        """The address to try next."""
         return self.addresses[0]
 
-    def heard(self) -> None:
-        self.failed = 0
+    def succeeded(self) -> None:
+        """Records that a server answered: the next delay is the shortest again."""
+        self.failed_attempts = 0
 
-    def wait(self, time: int) -> None:
-        """The next connection is to come no sooner, in us."""
-        self.asked = time
+    def wait_at_least(self, delay: int) -> None:
+        """Sets the least delay before the next attempt, in microseconds; it holds for that attempt only."""
+        self.requested_delay = delay
 
-    def ended(self) -> int:
-        """A connection has ended: us until the next, which goes to the next address."""
+    def next_delay(self) -> int:
+        """Records the end of a connection and moves on to the next address.
+
+        :returns: microseconds until the next attempt.
+        """
         self.addresses.append(self.addresses.pop(0))
-        pause = min(PAUSE_MOST, PAUSE << min(self.failed, 8))
-        luck = zlib.crc32(f"{self.name} {self.failed}".encode()) / 2**32
-        self.failed += 1
-        asked, self.asked = self.asked, 0
-        return max(asked, int(pause * (0.5 + luck / 2)))
+        backoff = min(MAX_DELAY, FIRST_DELAY << min(self.failed_attempts, MAX_DOUBLINGS))
+        jitter = zlib.crc32(f"{self.name} {self.failed_attempts}".encode()) / 2**32
+        self.failed_attempts += 1
+        requested_delay = self.requested_delay
+        self.requested_delay = 0
+        return max(requested_delay, int(backoff * (0.5 + jitter / 2)))
+
 
+class PrimaryWatch:
+    """Decides when a standby takes over.
 
-class Watch:
-    """A standby's: whether the primary is gone, so that all its leases are over as well."""
+    It waits until the primary has been silent for some leases, so that every lease that the primary has
+    renewed is over. An earlier takeover would be safe as well, as epochs fence the primary; it would only
+    end members' leases without need.
+    """
 
     def __init__(self) -> None:
         self.misses = 0
 
-    def asked(self, answered: bool) -> bool:
-        """Whether to take over, after one more question."""
+    def record(self, answered: bool) -> bool:
+        """Records the outcome of one query to the primary.
+
+        :returns: True where the standby is to take over.
+        """
         self.misses = 0 if answered else self.misses + 1
-        return self.misses >= MISSES
+        return self.misses >= MISSES_BEFORE_TAKEOVER
--- a/quartzrouter/purges/replica.py
+++ b/quartzrouter/purges/replica.py
@@ -1,4 +1,4 @@
-"""A member's side of the ledger's words: what has been heard, in order and once, and what that is worth."""
+"""A member's copy of the order of purges: what the purge log has sent, in order and once, and its lease."""
 
 from collections import deque
 from typing import NamedTuple
@@ -13,55 +13,61 @@
     MemberHello,
     MemberKind,
     Purge,
+    PurgeBatch,
     QuotaGrants,
     RequestRejected,
     Snapshot,
     Welcome,
 )
 
-OFFSETS = 64  # beats over which the nearest clock reading is taken; 2 s at a grace of 300 ms
-MARKS_MOST = 256  # acks that wait for their echo: more than a lease's worth tell nothing
-COME_BACK = 100_000  # us until a connection is made anew, where nobody names another time
+CLOCK_READINGS = 64  # heartbeats over which the nearest clock reading is taken; 2 s at a grace of 300 ms
+MAX_UNECHOED_ACKS = 256  # sent and not echoed yet: an older one than a lease proves nothing
+RECONNECT_AFTER = 100_000  # us until the next connection, where the purge log names no other time
 
 
 class ApplyPurges(NamedTuple):
-    """Put these in force.
+    """Effect: put these purges in force.
 
-    :param offset: us to add to the ledger's clock for this member's; late rather than early.
-    :param floor: us on the ledger's clock; of what was purged before it, some is not told.
-    :param whole: they stand for all up to the number held.
+    :param clock_offset: microseconds to add to the purge log's clock for this member's; rather too late
+        than too early.
+    :param low_watermark: microseconds of the purge log's clock; some purges accepted before it are missing.
+    :param is_snapshot: they stand for every purge up to the replica's ``applied_up_to``.
     """
 
     purges: tuple[Purge, ...]
-    offset: int
-    floor: int = 0
-    whole: bool = False
+    clock_offset: int
+    low_watermark: int = 0
+    is_snapshot: bool = False
 
 
 class SendMessage(NamedTuple):
-    said: messages.ToPurgeLog
+    """Effect: send this to the purge log."""
+
+    message: messages.ToPurgeLog
 
 
 class EndConnection(NamedTuple):
-    """Close this connection.
+    """Effect: close this connection.
 
-    :param come_back: us until the next.
+    :param reconnect_after: microseconds until the next.
     """
 
     reason: str
-    come_back: int = COME_BACK
+    reconnect_after: int = RECONNECT_AFTER
 
 
 Effect = ApplyPurges | SendMessage | EndConnection | CaughtUp | QuotaGrants | EjectionVerdicts
 
 
 class PurgeReplica:
-    """Reads what a ledger says, one connection after the other.
+    """Turns messages of a purge log into effects, one connection after the other.
 
     :param token: of this process.
-    :param held: the number of the last purge that is in force here.
-    :param life: us for which a purge matters to it; 0: for ever.
-    :param acks: whether what was heard is acknowledged at once; else by ack().
+    :param lease: renewed by echoes.
+    :param applied_up_to: the sequence number up to which every purge is in force here.
+    :param purge_lifetime: microseconds for which a purge matters here; 0 for ever.
+    :param acks_on_receipt: whether purges count as applied once they are received; otherwise the owner calls
+        acknowledge().
     """
 
     def __init__(
@@ -70,102 +76,158 @@
         kind: MemberKind,
         token: str,
         lease: FreshnessLease,
-        held: int = 0,
-        life: int = 0,
-        acks: bool = True,
+        applied_up_to: int = 0,
+        purge_lifetime: int = 0,
+        acks_on_receipt: bool = True,
     ):
-        self.name, self.kind, self.token, self.life, self.acks = name, kind, token, life, acks
-        self.lease, self.held, self.epoch = lease, held, 0
-        self.offsets: deque[int] = deque(maxlen=OFFSETS)
-        self.begin(0)
-
-    def begin(self, now: int) -> MemberHello:
-        """A new connection: nothing said on the last one counts any more."""
-        self.welcomed = self.grants = self.judges = False  # whether this ledger grants shares, judges caches
-        self.mark = 0
-        self.sent: dict[int, int] = {}  # us when each ack was sent, by mark
-        self.pages: list[Purge] = []
-        return MemberHello(self.name, self.kind, self.token, self.held, self.epoch, self.life)
+        self.name = name
+        self.kind = kind
+        self.token = token
+        self.lease = lease
+        self.applied_up_to = applied_up_to
+        self.purge_lifetime = purge_lifetime
+        self.acks_on_receipt = acks_on_receipt
+        self.epoch = 0  # the highest that was heard of
+        self.clock_offsets: deque[int] = deque(maxlen=CLOCK_READINGS)
+        self._reset_connection()
+
+    def _reset_connection(self) -> None:
+        self.is_welcomed = False
+        self.grants_quota = False  # whether this purge log does
+        self.judges_health = False  # whether this purge log does
+        self.last_ack_id = 0
+        self.unechoed_acks: dict[int, int] = {}  # us when each was sent, by its id
+        self.partial_snapshot: list[Purge] = []
+
+    def start_connection(self) -> MemberHello:
+        """Starts a connection: nothing that came on the last one counts any more.
+
+        :returns: the first message to send.
+        """
+        self._reset_connection()
+        return MemberHello(
+            self.name, self.kind, self.token, self.applied_up_to, self.epoch, self.purge_lifetime
+        )
 
     @property
-    def offset(self) -> int:
-        """us to add to the ledger's clock.  Words take time to come: the least reading is the nearest."""
-        return min(self.offsets, default=0)
-
-    def take(self, said: messages.FromPurgeLog, now: int) -> list[Effect]:
-        if isinstance(said, RequestRejected):
-            return [EndConnection(f"{said.place}: {said.reason}; {said.remedy}", said.come_back or COME_BACK)]
-        if not self.welcomed and not isinstance(said, Welcome):
-            return [EndConnection(f"a {type(said).__name__} before any welcome")]
-        match said:
+    def clock_offset(self) -> int:
+        """Microseconds to add to the purge log's clock for this member's.
+
+        A reading is too great by the time that its message took, so the least is the nearest; it is still
+        not too small, so a purge counts as a little later than it was, which makes more copies stale.
+        """
+        return min(self.clock_offsets, default=0)
+
+    def receive(self, message: messages.FromPurgeLog, now: int) -> list[Effect]:
+        """Takes a message.
+
+        :param now: microseconds of this member's clock.
+        :returns: what to do, in this order.
+        """
+        if isinstance(message, RequestRejected):
+            reason = f"{message.place}: {message.reason}; {message.remedy}"
+            return [EndConnection(reason, message.retry_after or RECONNECT_AFTER)]
+        if not self.is_welcomed and not isinstance(message, Welcome):
+            return [EndConnection(f"a {type(message).__name__} before any welcome")]
+        match message:
             case Welcome():
-                return self._welcome(said, now)
-            case messages.PurgeBatch(purges):
-                return self._purges(purges, now)
+                return self._welcomed(message, now)
+            case PurgeBatch():
+                return self._received_batch(message, now)
             case Snapshot():
-                return self._snapshot(said, now)
+                return self._received_snapshot_page(message, now)
             case Heartbeat():
-                return self._beat(said, now)
+                return self._received_heartbeat(message, now)
             case CaughtUp() | QuotaGrants() | EjectionVerdicts():
-                return [said]
-        return [EndConnection(f"a {type(said).__name__} that nobody asked for")]
-
-    def ack(self, held: int, now: int, away: bool = False) -> SendMessage:
-        """Acknowledges all up to a number."""
-        self.mark += 1
-        self.sent[self.mark] = now
-        if len(self.sent) > MARKS_MOST:
-            del self.sent[next(iter(self.sent))]
-        return SendMessage(MemberAck(held, self.mark, away))
-
-    def _welcome(self, said: Welcome, now: int) -> list[Effect]:
-        if said.epoch < self.epoch:
-            return [EndConnection(f"epoch {said.epoch} is over, {self.epoch} has begun")]
-        if said.epoch > self.epoch:
-            self.offsets.clear()  # another process, perhaps another clock
-        self.epoch, self.welcomed = said.epoch, True
-        self.grants, self.judges = said.grants, said.judges
-        self.lease.length = min(self.lease.length, said.lease) if said.lease else self.lease.length
-        self.offsets.append(now - said.now)
-        if said.head < self.held:
-            held, self.held = self.held, 0
-            self.lease.drop()
-            return [
-                EndConnection(f"the ledger ends at {said.head} and lacks what was in force here up to {held}")
-            ]
-        return self._acked(now)
-
-    def _purges(self, purges: tuple[Purge, ...], now: int) -> list[Effect]:
-        fresh = [purge for purge in purges if purge.number > self.held]
-        for at, purge in enumerate(fresh, self.held + 1):
-            if purge.number != at:
-                return [EndConnection(f"purge {purge.number} came after {at - 1}")]
-        if not fresh:
+                return [message]
+        return [EndConnection(f"a {type(message).__name__} that nobody asked for")]
+
+    def acknowledge(self, applied_up_to: int, now: int, is_unreachable: bool = False) -> SendMessage:
+        """Acknowledges every purge up to a sequence number.
+
+        :param now: microseconds of this member's clock, from which a lease counts once it is echoed.
+        """
+        self.last_ack_id += 1
+        self.unechoed_acks[self.last_ack_id] = now
+        if len(self.unechoed_acks) > MAX_UNECHOED_ACKS:
+            del self.unechoed_acks[next(iter(self.unechoed_acks))]
+        return SendMessage(MemberAck(applied_up_to, self.last_ack_id, is_unreachable))
+
+    def _welcomed(self, welcome: Welcome, now: int) -> list[Effect]:
+        if welcome.epoch < self.epoch:
+            # Guards against a writer that was taken over from: it lacks the purges of the newer epoch.
+            return [EndConnection(f"epoch {welcome.epoch} is over, {self.epoch} has begun")]
+        if welcome.epoch > self.epoch:
+            self.clock_offsets.clear()  # another process, perhaps with another clock
+        self.epoch = welcome.epoch
+        self.is_welcomed = True
+        self.grants_quota = welcome.grants_quota
+        self.judges_health = welcome.judges_health
+        if welcome.lease_length:
+            self.lease.length = min(self.lease.length, welcome.lease_length)
+        self.clock_offsets.append(now - welcome.server_time)
+        if welcome.head < self.applied_up_to:
+            return [self._lost_by_purge_log(welcome.head)]
+        return self._acks(now)
+
+    def _lost_by_purge_log(self, head: int) -> EndConnection:
+        """Guards against a purge log that was started with an older folder.
+
+        It gives numbers anew that are in force here for other purges, which would then be taken for
+        received. So the lease ends, and the next connection asks for everything.
+        """
+        applied_up_to = self.applied_up_to
+        self.applied_up_to = 0
+        self.lease.revoke()
+        return EndConnection(
+            f"the ledger ends at {head} and lacks what was in force here up to {applied_up_to}"
+        )
+
+    def _received_batch(self, batch: PurgeBatch, now: int) -> list[Effect]:
+        new_purges = tuple(purge for purge in batch.purges if purge.sequence_number > self.applied_up_to)
+        for expected, purge in enumerate(new_purges, self.applied_up_to + 1):
+            if purge.sequence_number != expected:
+                return [EndConnection(f"purge {purge.sequence_number} came after {expected - 1}")]
+        if not new_purges:
             return []
-        self.held = fresh[-1].number
-        return [ApplyPurges(tuple(fresh), self.offset), *self._acked(now)]
-
-    def _snapshot(self, said: Snapshot, now: int) -> list[Effect]:
-        if said.head < self.held:
-            return [EndConnection(f"a snapshot of {said.head} after {self.held}")]
-        self.pages += said.purges
-        if not said.last:
+        self.applied_up_to = new_purges[-1].sequence_number
+        return [ApplyPurges(new_purges, self.clock_offset), *self._acks(now)]
+
+    def _received_snapshot_page(self, page: Snapshot, now: int) -> list[Effect]:
+        if page.head < self.applied_up_to:
+            return [EndConnection(f"a snapshot of {page.head} after {self.applied_up_to}")]
+        self.partial_snapshot += page.purges
+        if not page.is_last_page:
             return []
-        purges, self.pages, self.held = tuple(self.pages), [], said.head
-        return [ApplyPurges(purges, self.offset, said.floor, True), *self._acked(now)]
-
-    def _beat(self, said: Heartbeat, now: int) -> list[Effect]:
-        if said.epoch != self.epoch:
-            return [EndConnection(f"a beat of epoch {said.epoch} in {self.epoch}")]
-        if said.head > self.held:
-            return [EndConnection(f"the head is {said.head} and {self.held} was the last to come")]
-        self.offsets.append(now - said.now)
-        sent = self.sent.get(said.echo)
-        if sent is not None:
-            if said.head == self.held:
-                self.lease.renew(sent)
-            self.sent = {mark: at for mark, at in self.sent.items() if mark >= said.echo}
-        return self._acked(now)
-
-    def _acked(self, now: int) -> list[Effect]:
-        return [self.ack(self.held, now)] if self.acks else []
+        purges = tuple(self.partial_snapshot)
+        self.partial_snapshot = []
+        self.applied_up_to = page.head
+        apply = ApplyPurges(purges, self.clock_offset, page.low_watermark, is_snapshot=True)
+        return [apply, *self._acks(now)]
+
+    def _received_heartbeat(self, heartbeat: Heartbeat, now: int) -> list[Effect]:
+        """Renews the lease from the sending of the echoed acknowledgement.
+
+        Guards against lost and reordered lines: where the heartbeat's head is not what was received here,
+        purges are missing, and a renewed lease would vouch for them.
+        """
+        if heartbeat.epoch != self.epoch:
+            return [EndConnection(f"a beat of epoch {heartbeat.epoch} in {self.epoch}")]
+        if heartbeat.head > self.applied_up_to:
+            return [
+                EndConnection(f"the head is {heartbeat.head} and {self.applied_up_to} was the last to come")
+            ]
+        self.clock_offsets.append(now - heartbeat.server_time)
+        ack_sent_at = self.unechoed_acks.get(heartbeat.echoed_ack)
+        if ack_sent_at is not None:
+            if heartbeat.head == self.applied_up_to:
+                self.lease.renew(ack_sent_at)
+            self.unechoed_acks = {
+                ack_id: sent_at
+                for ack_id, sent_at in self.unechoed_acks.items()
+                if ack_id >= heartbeat.echoed_ack
+            }
+        return self._acks(now)
+
+    def _acks(self, now: int) -> list[Effect]:
+        return [self.acknowledge(self.applied_up_to, now)] if self.acks_on_receipt else []
