--- /dev/null
+++ b/quartzrouter/purges/server_messages.py
@@ -0,0 +1,216 @@
+"""Messages from the purge log, to its members and to clients.
+
+Each has the name of its type in the field ``say``. Fields have other names on the wire than here where
+``msgspec.field(name=...)`` says so; those names are the protocol and don't change.
+"""
+
+import msgspec
+
+from quartzrouter.fleet_health.aggregator import CacheLoad, EjectionVerdict
+from quartzrouter.purges.client_messages import MemberKind
+from quartzrouter.purges.purge import Purge
+from quartzrouter.quota.budget import BudgetState, QuotaGrant, QuotaRefusal
+from quartzrouter.quota.slow_start import SlowStartGrant, SlowStartState
+
+
+class PurgeAccepted(msgspec.Struct, tag_field="say", tag="taken", omit_defaults=True):
+    """The purge is durable.
+
+    :param purged_at: microseconds of the purge log's wall clock.
+    :param promised_within: microseconds until every live member has applied it.
+    :param is_duplicate: it had been accepted before, under its idempotency key.
+    """
+
+    sequence_number: int = msgspec.field(name="number")
+    purged_at: int = msgspec.field(name="when")
+    promised_within: int = msgspec.field(name="promise")
+    is_duplicate: bool = msgspec.field(default=False, name="again")
+
+
+class RequestRejected(msgspec.Struct, tag_field="say", tag="refused", omit_defaults=True):
+    """Nothing was done.
+
+    :param place: the field or part that is wrong.
+    :param retry_after: microseconds after which to send it again; 0 where it will never do as it is.
+    """
+
+    place: str
+    reason: str
+    remedy: str
+    retry_after: int = msgspec.field(default=0, name="come_back")
+
+
+class Welcome(msgspec.Struct, tag_field="say", tag="welcome"):
+    """Accepts a member.
+
+    :param head: the sequence number of the last durable purge.
+    :param server_time: microseconds of the purge log's wall clock.
+    :param lease_length: microseconds from the sending of an acknowledgement that has been echoed.
+    :param grants_quota: whether it grants shares of budgets; an older purge log doesn't say.
+    :param judges_health: whether it aggregates health reports into verdicts; an older one doesn't say.
+    """
+
+    epoch: int
+    head: int
+    server_time: int = msgspec.field(name="now")
+    lease_length: int = msgspec.field(name="lease")
+    grants_quota: bool = msgspec.field(default=False, name="grants")
+    judges_health: bool = msgspec.field(default=False, name="judges")
+
+
+class PurgeBatch(msgspec.Struct, tag_field="say", tag="purges"):
+    """Purges in their order, without a gap."""
+
+    purges: tuple[Purge, ...]
+
+
+class Snapshot(msgspec.Struct, tag_field="say", tag="snapshot"):
+    """One page of the purges that still matter, in place of all purges up to ``head``.
+
+    :param low_watermark: microseconds of the purge log's wall clock; some purges accepted before it are
+        no longer sent.
+    :param is_last_page: no page of this snapshot follows.
+    """
+
+    head: int
+    low_watermark: int = msgspec.field(name="floor")
+    purges: tuple[Purge, ...]
+    is_last_page: bool = msgspec.field(name="last")
+
+
+class Heartbeat(msgspec.Struct, tag_field="say", tag="beat"):
+    """The purge log lives, and has sent every purge up to ``head`` on this connection.
+
+    :param echoed_ack: id of the last acknowledgement that was read before the head was read.
+    :param server_time: microseconds of the purge log's wall clock.
+    """
+
+    epoch: int
+    head: int
+    echoed_ack: int = msgspec.field(name="echo")
+    server_time: int = msgspec.field(name="now")
+
+
+class CaughtUp(msgspec.Struct, tag_field="say", tag="caught"):
+    """How far each cache has caught up.
+
+    :param caches: the sequence number up to which each has purged; one that is unreachable is not named.
+    """
+
+    caches: dict[str, int]
+
+
+class PurgeStatus(msgspec.Struct, tag_field="say", tag="status"):
+    """How far a purge has come.
+
+    :param purged_at: microseconds of the purge log's wall clock.
+    :param is_complete: every live member has applied it.
+    :param completed_after: microseconds until the last acknowledgement; 0 where it is not complete.
+    :param promised_within: microseconds, as promised when it was accepted.
+    :param waiting_for: names of the members that haven't acknowledged it.
+    :param head: the sequence number of the last durable purge.
+    :param delays: microseconds by percentile since the start, and the counts ``purges`` and ``missed``.
+    """
+
+    sequence_number: int = msgspec.field(name="number")
+    description: str = msgspec.field(name="what")
+    purged_at: int = msgspec.field(name="when")
+    is_complete: bool = msgspec.field(name="complete")
+    completed_after: int = msgspec.field(name="took")
+    promised_within: int = msgspec.field(name="promise")
+    waiting_for: tuple[str, ...] = msgspec.field(name="missing")
+    head: int
+    delays: dict[str, int]
+
+
+class MemberStatus(msgspec.Struct):
+    """One member.
+
+    :param applied_up_to: the sequence number that it acknowledged last.
+    :param is_live: its lease may still run, so purges wait for it.
+    :param is_unreachable: it stands for a cache that can't be reached.
+    :param silent_for: microseconds since its last message.
+    """
+
+    name: str
+    kind: MemberKind
+    applied_up_to: int = msgspec.field(name="held")
+    is_live: bool = msgspec.field(name="live")
+    is_unreachable: bool = msgspec.field(name="away")
+    silent_for: int = msgspec.field(name="heard")
+
+
+class MembersReply(msgspec.Struct, tag_field="say", tag="members"):
+    """All members, and the head of the purge log."""
+
+    epoch: int
+    head: int
+    members: tuple[MemberStatus, ...]
+
+
+class QuotaGrants(msgspec.Struct, tag_field="say", tag="grants", omit_defaults=True):
+    """Answers QuotaRequests.
+
+    :param refused: requests that were not granted, by their budgets or endpoints.
+    :param colds: shares of slow-start budgets.
+    """
+
+    grants: tuple[QuotaGrant, ...]
+    refused: dict[str, QuotaRefusal] = {}
+    colds: tuple[SlowStartGrant, ...] = ()
+
+
+class QuotaStatus(msgspec.Struct, tag_field="say", tag="budgets"):
+    """The state of the budgets: at most a page of them, the most recently requested.
+
+    :param refused: requests that were not granted since the start.
+    :param colds: endpoints that have started lately, and what was granted of them; likewise a page.
+    """
+
+    epoch: int
+    budgets: tuple[BudgetState, ...]
+    refused: int
+    colds: tuple[SlowStartState, ...] = ()
+
+
+class EjectionVerdicts(msgspec.Struct, tag_field="say", tag="judged", omit_defaults=True):
+    """The caches that are to be ejected for now; those not named are not.
+
+    :param loads: requests that all routers have in flight at each cache, -1 where it isn't known; a cache
+        that is not named has none. None where it was not asked for.
+    """
+
+    judgements: tuple[EjectionVerdict, ...]
+    loads: dict[str, int] | None = None
+
+
+class StoreHealth(msgspec.Struct):
+    """The health of the caches of one store."""
+
+    store: str
+    judgements: tuple[EjectionVerdict, ...]
+    counts: tuple[CacheLoad, ...]
+
+
+class HealthReply(msgspec.Struct, tag_field="say", tag="views"):
+    """The health of all caches, by store."""
+
+    epoch: int
+    views: tuple[StoreHealth, ...]
+
+
+FromPurgeLog = (
+    PurgeAccepted
+    | RequestRejected
+    | Welcome
+    | PurgeBatch
+    | Snapshot
+    | Heartbeat
+    | CaughtUp
+    | PurgeStatus
+    | MembersReply
+    | QuotaGrants
+    | QuotaStatus
+    | EjectionVerdicts
+    | HealthReply
+)
--- a/quartzrouter/purges/timer_wheel.py
+++ b/quartzrouter/purges/timer_wheel.py
@@ -1,51 +1,70 @@
-"""A wheel of slots by time: what was put in comes out once its slot has passed, in constant time for each."""
+"""A wheel of time slots: items come out once their slot has passed, in constant time each."""
 
 from collections import deque
 from collections.abc import Iterator
-from typing import Any
+from typing import Generic, NamedTuple, TypeVar
 
-NEVER = 1 << 62  # us
+NEVER = 1 << 62  # us, later than any clock
+Item = TypeVar("Item")
 
 
-class TimerWheel:
-    """Things with a time that only grows a little out of order.
+class TimerSlot(NamedTuple):
+    """The items of one slot.
 
-    :param width: us of one slot; a thing comes out at most this much late.
+    :param number: of the slot; it begins at this many slot widths.
     """
 
-    def __init__(self, width: int):
-        self.width = width
-        self.slots: deque[tuple[int, list[Any]]] = deque()  # number of the slot, what is in it
-        self.count = 0
+    number: int
+    items: list
+
+
+class TimerWheel(Generic[Item]):
+    """Items with a time, which are put in almost in the order of their times.
+
+    :param slot_width: microseconds; an item comes out at most this late.
+    """
+
+    def __init__(self, slot_width: int):
+        self.slot_width = slot_width
+        self.slots: deque[TimerSlot] = deque()
+        self.count = 0  # items in all slots
 
     @property
-    def ends(self) -> int:
-        """us, when the oldest slot ends; far off where there is none."""
-        return (self.slots[0][0] + 1) * self.width if self.slots else NEVER
-
-    def put(self, when: int, thing: Any) -> None:
-        number = when // self.width
-        if not self.slots or number > self.slots[-1][0]:
-            self.slots.append((number, [thing]))
-        else:  # out of order: into the newest slot not later, so that nothing comes out too soon
-            for at in range(len(self.slots) - 1, -1, -1):
-                if self.slots[at][0] == number:
-                    self.slots[at][1].append(thing)
-                    break
-                if self.slots[at][0] < number:
-                    self.slots.insert(at + 1, (number, [thing]))
-                    break
-            else:
-                self.slots.appendleft((number, [thing]))
+    def oldest_slot_end(self) -> int:
+        """Microseconds; NEVER where the wheel is empty."""
+        if not self.slots:
+            return NEVER
+        return (self.slots[0].number + 1) * self.slot_width
+
+    def put(self, time: int, item: Item) -> None:
+        """Puts an item in.
+
+        :param time: microseconds.
+        """
+        self._slot(time // self.slot_width).items.append(item)
         self.count += 1
 
-    def due(self, before: int) -> Iterator[Any]:
-        """Takes out what stands in slots that end before that time."""
-        while self.ends <= before:
-            yield from self.oldest()
+    def _slot(self, number: int) -> TimerSlot:
+        """The slot with a number, added where there is none; most times it is the newest."""
+        index = len(self.slots)
+        while index > 0 and self.slots[index - 1].number > number:
+            index -= 1
+        if index > 0 and self.slots[index - 1].number == number:
+            return self.slots[index - 1]
+        slot = TimerSlot(number, [])
+        self.slots.insert(index, slot)
+        return slot
+
+    def pop_ended(self, time: int) -> Iterator[Item]:
+        """Takes out the items of every slot that has ended at a time.
+
+        :param time: microseconds.
+        """
+        while self.oldest_slot_end <= time:
+            yield from self.pop_oldest_slot()
 
-    def oldest(self) -> list[Any]:
-        """Takes out the oldest slot."""
-        _, things = self.slots.popleft()
-        self.count -= len(things)
-        return things
+    def pop_oldest_slot(self) -> list[Item]:
+        """Takes out the items of the oldest slot."""
+        items = self.slots.popleft().items
+        self.count -= len(items)
+        return items
--- /dev/null
+++ b/quartzrouter/purges/validation.py
@@ -0,0 +1,92 @@
+"""Which purges a client may send."""
+
+import re
+
+from quartzrouter.purges.client_messages import PurgeRequest
+from quartzrouter.purges.server_messages import RequestRejected
+
+MAX_VALUES = 64  # of one purge; more are several purges
+MAX_VALUE_CHARACTERS = 512  # longer paths are purged by a pattern
+MAX_TOTAL_CHARACTERS = 4_096  # of one purge's values: caches accept request heads of 8 KB
+MAX_WILDCARDS = 16  # of one pattern
+MAX_SLASHES = 32  # of one pattern
+KEY = re.compile(r"[\x21-\x7e]{1,64}")
+NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9_.:-]{0,62}")  # of members, vhosts and stores
+VALUE = re.compile(rf"[\x21-\x7e]{{1,{MAX_VALUE_CHARACTERS}}}")
+
+
+def rejection_of(request: PurgeRequest) -> RequestRejected | None:
+    """Checks a purge that a client sends.
+
+    :returns: what is wrong with it; None where it can be accepted.
+    """
+    return (
+        _rejection_of_count(request)
+        or _rejection_of_values(request)
+        or _rejection_of_scope(request)
+        or _rejection_of_key(request)
+    )
+
+
+def _rejection_of_count(request: PurgeRequest) -> RequestRejected | None:
+    if request.kind == "all":
+        if request.values:
+            return RequestRejected(
+                "values", "a purge of all names no values", "leave them out, or name the kind"
+            )
+    elif not request.values:
+        return RequestRejected("values", f"no {request.kind} is named", f"name one {request.kind} or more")
+    if len(request.values) > MAX_VALUES:
+        return RequestRejected(
+            "values", f"{len(request.values)} values in one purge", f"send at most {MAX_VALUES} at once"
+        )
+    if sum(map(len, request.values)) > MAX_TOTAL_CHARACTERS:
+        return RequestRejected(
+            "values", f"more than {MAX_TOTAL_CHARACTERS} characters in one purge", "send several purges"
+        )
+    return None
+
+
+def _rejection_of_values(request: PurgeRequest) -> RequestRejected | None:
+    for value in request.values:
+        if not VALUE.fullmatch(value):
+            return RequestRejected(
+                "values",
+                f"{value!r:.60} is no {request.kind}",
+                f"use 1 to {MAX_VALUE_CHARACTERS} characters without blanks",
+            )
+        reason = pattern_fault(value) if request.kind == "pattern" else ""
+        if reason:
+            return RequestRejected("values", f"{value!r:.60}: {reason}", "see 'Patterns' in docs/purges.md")
+    return None
+
+
+def _rejection_of_scope(request: PurgeRequest) -> RequestRejected | None:
+    for place, name in (("vhost", request.vhost), ("store", request.store)):
+        if name and not NAME.fullmatch(name):
+            return RequestRejected(
+                place, f"{name!r:.60} is no name", "use letters, digits, '_', '-', ':' and '.'"
+            )
+    return None
+
+
+def _rejection_of_key(request: PurgeRequest) -> RequestRejected | None:
+    if request.key and not KEY.fullmatch(request.key):
+        return RequestRejected(
+            "key", f"{request.key!r:.60} is no key", "use 1 to 64 characters without blanks"
+        )
+    return None
+
+
+def pattern_fault(text: str) -> str:
+    """Returns why a text is no pattern of a host and a path; empty where it is one."""
+    if "/" not in text:
+        return "a pattern has a path, which begins with '/'"
+    without_subtree = text.removesuffix("/**")
+    if "**" in without_subtree:
+        return "'**' stands only at the end, behind a '/'"
+    if text.count("*") > MAX_WILDCARDS:
+        return f"more than {MAX_WILDCARDS} wildcards"
+    if text.count("/") > MAX_SLASHES:
+        return f"more than {MAX_SLASHES} parts"
+    return ""
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -47,25 +47,25 @@
         return StructuredLog(self.configuration.name, process.wall_clock, self.log)
 
     def _reducer(self) -> StandaloneStateMachine:
-        self.fleet, follower = purge_membership.joined(self.plan) or (None, None)
+        self.fleet, follower = purge_membership.join_fleet(self.plan) or (None, None)
         arguments, home = self.configuration.briefing.arguments, self.plan.deployment["home"]
         name, token = (follower.name, follower.token) if follower else (self.configuration.name, "")
         shares = QuotaClient(budgets(self.plan, (home,)), name, token, process.steady_clock)
         parts = SlowStartClient(terms(self.plan), process.steady_clock) if follower else None
         self.force = MultiPoolRouter(self.plan, arguments, self.fleet, shares, parts)
         file = self.plan.purges["file"] if self.fleet else None
-        if file and (wrong := purge_membership.resume(file, self.fleet, follower, process.wall_clock())):
+        if file and (wrong := purge_membership.restore(file, self.fleet, follower, process.wall_clock())):
             self.report.say("ledger", wrong)
         return StandaloneStateMachine(self.force, follower)
 
     def _copy_of(self):
-        return purge_membership.copy_of if self.fleet else None
+        return purge_membership.copy_from_headers if self.fleet else None
 
     def _start_more(self) -> None:
         if self.fleet is None:
             return
         told = self.plan.purges
-        silent = purge_membership.SILENT_LEASES * self.fleet.lease.length
+        silent = purge_membership.SILENCE_TIMEOUT_LEASES * self.fleet.lease.length
         ledgers = [address(at, "purges.ledgers") for at in told["ledgers"]]
         self.link = MemberClient(ledgers, silent, self.feed, self.report)
         self.tasks.start_soon(self.link.run)
@@ -81,16 +81,17 @@
         """Says what purges cost here, where they did."""
         old = merged = 0
         while True:
-            await anyio.sleep(purge_membership.TELL_EVERY)
-            if self.fleet.old > old:
+            await anyio.sleep(purge_membership.REPORT_INTERVAL)
+            if self.fleet.stale_copies > old:
                 self.report.say(
-                    "purges", f"{self.fleet.old - old} answers brought old copies, and were asked for again"
+                    "purges",
+                    f"{self.fleet.stale_copies - old} answers brought old copies, and were asked for again",
                 )
-            if self.fleet.marks.merged > merged:
+            if self.fleet.index.merged > merged:
                 self.report.say(
-                    "purges", f"{self.fleet.marks.merged - merged} marks became marks of all: too many"
+                    "purges", f"{self.fleet.index.merged - merged} marks became marks of all: too many"
                 )
-            old, merged = self.fleet.old, self.fleet.marks.merged
+            old, merged = self.fleet.stale_copies, self.fleet.index.merged
 
     async def _ask_shares(self) -> None:
         while True:
@@ -111,7 +112,7 @@
         """Says when this router begins and ends to act on its floor, and which asks were not obeyed."""
         before: dict[str, QuotaCounters] = {}
         while True:
-            await anyio.sleep(purge_membership.TELL_EVERY)
+            await anyio.sleep(purge_membership.REPORT_INTERVAL)
             told = self.force.shares.told()
             for name, counts in told.items():
                 if said := shown(counts, before.get(name, NOTHING)):
@@ -123,12 +124,12 @@
 
     async def _save(self, path: str) -> None:
         """Beside the loop: encoding and writing 100,000 purges takes a tenth of a second."""
-        saved = self.reducer.follower.held
+        saved = self.reducer.follower.applied_up_to
         while True:
-            await anyio.sleep(purge_membership.SAVE_EVERY)
-            if (held := self.reducer.follower.held) == saved:
+            await anyio.sleep(purge_membership.SAVE_INTERVAL)
+            if (held := self.reducer.follower.applied_up_to) == saved:
                 continue
-            memo = purge_membership.memo(self.fleet, held)
+            memo = purge_membership.stored_purges(self.fleet, held)
             try:
                 await anyio.to_thread.run_sync(purge_membership.save, path, memo)
                 saved = held
@@ -138,9 +139,9 @@
     def _perform_more(self, effect: QueueMessage | CloseConnection) -> None:
         match effect:
             case QueueMessage(said):
-                self.link.tell(said)
+                self.link.send(said)
             case CloseConnection(reason, come_back):
-                self.link.hang(reason, come_back)
+                self.link.reconnect(reason, come_back)
 
     def _reader(self):
         return RequestParser(self.force, self.plan.deployment["home"]).call
--- a/quartzrouter/standalone/purge_membership.py
+++ b/quartzrouter/standalone/purge_membership.py
@@ -1,79 +1,106 @@
-"""A router under a plan as a member of the fleet: what answers tell of copies, and the file of marks."""
+"""A standalone router as a member of the purge log: what responses tell of copies, and its stored purges."""
 
 import re
 import secrets
 from pathlib import Path
+from typing import NamedTuple
 
 import msgspec
 
 from quartzrouter.config.model import Plan
 from quartzrouter.purge_log.disk import write_whole
-from quartzrouter.purges import tags
-from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
-from quartzrouter.purges.messages import Purge
+from quartzrouter.purges.fleet_purges import AppliedPurge, CachedCopy, FleetPurges
 from quartzrouter.purges.replica import PurgeReplica
+from quartzrouter.purges.surrogate_tags import parse_tags
 
-AGE = re.compile(r"-?\d{1,12}")
-TELL_EVERY = 10.0  # s between lines about what was asked for again and merged
-SAVE_EVERY = 2.0  # s between writings of the file: so much is heard again after a restart
-SILENT_LEASES = 4  # without a word, until a connection is taken for broken
+AGE = re.compile(r"-?\d{1,12}")  # value of X-Age-Ms
+MICROSECONDS_PER_MILLISECOND = 1_000
+AGE_ROUNDING = MICROSECONDS_PER_MILLISECOND - 1  # us that an age in milliseconds may be too short
+REPORT_INTERVAL = 10.0  # s between log lines about stale copies and merged index entries
+SAVE_INTERVAL = 2.0  # s between writings of the file: so much is received again after a restart
+SILENCE_TIMEOUT_LEASES = 4  # without a message, until the connection to the purge log counts as broken
 
 
 class StoredPurges(msgspec.Struct):
-    """What is marked, by this machine's clock."""
+    """The file of purges in force, by this machine's clock.
 
-    held: int
-    floor: int
-    recent: tuple[tuple[int, Purge], ...]
+    :param applied_up_to: the sequence number up to which every purge was in force.
+    :param low_watermark: microseconds; some purges accepted before it are missing.
+    :param recent: purges in force, each behind its time in microseconds of this machine's clock.
+    """
 
+    applied_up_to: int = msgspec.field(name="held")
+    low_watermark: int = msgspec.field(name="floor")
+    recent: tuple[AppliedPurge, ...]
 
-_encode, _decode = msgspec.msgpack.Encoder().encode, msgspec.msgpack.Decoder(StoredPurges).decode
 
+class Membership(NamedTuple):
+    """The fleet's purges at this router, and the replica that receives them."""
 
-def joined(plan: Plan) -> tuple[FleetPurges, PurgeReplica] | None:
-    """The fleet's purges at this router, and its way to hear of them; None where the plan names no ledger."""
-    told = plan.purges
-    if not told:
+    fleet_purges: FleetPurges
+    replica: PurgeReplica
+
+
+_encode = msgspec.msgpack.Encoder().encode
+_decode = msgspec.msgpack.Decoder(StoredPurges).decode
+
+
+def join_fleet(plan: Plan) -> Membership | None:
+    """Returns this router's membership; None where the plan names no purge log."""
+    settings = plan.purges
+    if not settings:
         return None
-    fleet = FleetPurges(
-        told["grace"],
-        told["life"],
-        told["marks"],
-        told["objects"],
-        told["clock_skew"],
-        remembers=bool(told["file"]),
+    fleet_purges = FleetPurges(
+        settings["grace"],
+        settings["life"],
+        settings["marks"],
+        settings["objects"],
+        settings["clock_skew"],
+        keeps_recent=bool(settings["file"]),
+    )
+    name = settings["name"] or f"{plan.deployment['name']}-{plan.deployment['number']}"
+    replica = PurgeReplica(
+        name, "router", secrets.token_hex(8), fleet_purges.lease, purge_lifetime=settings["life"]
     )
-    name = told["name"] or f"{plan.deployment['name']}-{plan.deployment['number']}"
-    return fleet, PurgeReplica(name, "router", secrets.token_hex(8), fleet.lease, life=told["life"])
+    return Membership(fleet_purges, replica)
 
 
-def copy_of(fields: dict[str, str]) -> CachedCopy:
-    """What an answer's fields tell of its copy, which has X-Minted."""
-    age = fields.get("x-age-ms", "")
-    return CachedCopy(
-        int(fields["x-minted"]) * 1000,
-        int(age) * 1000 + 999 if AGE.fullmatch(age) else None,
-        tags.read(fields.get("cache-tag"), fields.get("surrogate-key"), fields.get("cache-groups")),
-    )
+def copy_from_headers(headers: dict[str, str]) -> CachedCopy:
+    """Returns what a response tells of its copy.
+
+    :param headers: by names in lower case; ``x-minted`` is among them.
+    """
+    age_ms = headers.get("x-age-ms", "")
+    age = int(age_ms) * MICROSECONDS_PER_MILLISECOND + AGE_ROUNDING if AGE.fullmatch(age_ms) else None
+    tags = parse_tags(headers.get("cache-tag"), headers.get("surrogate-key"), headers.get("cache-groups"))
+    return CachedCopy(int(headers["x-minted"]) * MICROSECONDS_PER_MILLISECOND, age, tags)
+
+
+def stored_purges(fleet_purges: FleetPurges, applied_up_to: int) -> StoredPurges:
+    """Returns what is to be stored of the purges in force."""
+    return StoredPurges(applied_up_to, fleet_purges.recent_low_watermark, tuple(fleet_purges.recent))
 
 
-def memo(fleet: FleetPurges, held: int) -> StoredPurges:
-    return StoredPurges(held, fleet.known_from, tuple(fleet.recent))
+def save(path: str, stored: StoredPurges) -> None:
+    """Replaces the file, whole or not at all.
 
+    :raises OSError: where it can't be written.
+    """
+    write_whole(path, _encode(stored))
 
-def save(path: str, memo: StoredPurges) -> None:
-    """Writes the file anew, whole or not at all.  Raises OSError."""
-    write_whole(path, _encode(memo))
 
+def restore(path: str, fleet_purges: FleetPurges, replica: PurgeReplica, now: int) -> str:
+    """Puts the purges of the file in force, where there is one.
 
-def resume(path: str, fleet: FleetPurges, follower: PurgeReplica, now: int) -> str:
-    """Reads the file; gives what was wrong with it, if anything: then all is heard from the ledger."""
+    :param now: microseconds of this machine's wall clock.
+    :returns: what is wrong with the file, in which case all is received from the purge log; otherwise empty.
+    """
     try:
-        memo = _decode(Path(path).read_bytes())
+        stored = _decode(Path(path).read_bytes())
     except FileNotFoundError:
         return ""
     except (msgspec.DecodeError, OSError) as error:
         return f"{path}: {error}; the ledger is asked for all that matters"
-    fleet.resume(memo.recent, memo.held, memo.floor, now)
-    follower.held = memo.held
+    fleet_purges.restore(stored.recent, stored.applied_up_to, stored.low_watermark, now)
+    replica.applied_up_to = stored.applied_up_to
     return ""
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -91,7 +91,7 @@
             case ReportHealth(failures):
                 return self._sights(now, failures)
             case ConnectionOpened():
-                return [QueueMessage(self.follower.begin(now))]
+                return [QueueMessage(self.follower.start_connection())]
             case MessageReceived(said):
                 return self._said(said, now)
             case ConfigurationReplaced(plan, lines):
@@ -102,13 +102,13 @@
 
     def _said(self, said, now: int) -> list[QueueMessage | CloseConnection]:
         effects, fleet = [], self.force.fleet
-        for given in self.follower.take(said, now):
+        for given in self.follower.receive(said, now):
             match given:
                 case ApplyPurges():
-                    fleet.apply(given, self.follower.held, now)
+                    fleet.apply(given, self.follower.applied_up_to, now)
                     self._outdated(given, now)
                 case CaughtUp(caches):
-                    fleet.caught = caches
+                    fleet.caches_caught_up = caches
                 case QuotaGrants():
                     self._granted(given)
                 case EjectionVerdicts(judgements, loads):
@@ -123,7 +123,7 @@
         return effects
 
     def _asks(self, now: int) -> list[QueueMessage]:
-        if not (self.follower and self.follower.grants):
+        if not (self.follower and self.follower.grants_quota):
             return []
         asks, parts = self.force.shares.asks(), self.force.parts
         colds = parts.asks(self.force.slow_start_demand(now)) if parts and parts.terms else ()
@@ -131,7 +131,7 @@
 
     def _sights(self, now: int, failures: bool) -> list[QueueMessage]:
         """What this router has seen itself since it last told."""
-        if not (self.follower and self.follower.judges):
+        if not (self.follower and self.follower.judges_health):
             return []
         seen = self.force.health_observations(now)
         if failures and not any(new.failed > self.seen.get(name, new).failed for name, new in seen.items()):
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -61,12 +61,12 @@
 
 
 def test_without_the_lease_a_router_that_was_cut_off_answers_with_old_copies(monkeypatch):
-    monkeypatch.setattr(FreshnessLease, "bound", lambda self, now: 0)
+    monkeypatch.setattr(FreshnessLease, "max_age", lambda self, now: 0)
     assert "answers at" in missed(Bounds(steps=2, cuts=1)).broken
 
 
 def test_without_marks_purges_that_were_heard_do_not_hold(monkeypatch):
-    monkeypatch.setattr(FleetPurges, "_mark", lambda self, purge, when: None)
+    monkeypatch.setattr(FleetPurges, "_add", lambda self, purge, purged_at: None)
     found = missed(Bounds(steps=2))
     assert "answers at" in found.broken and ("hear", 0) in found.trace
 
@@ -76,14 +76,16 @@
 
     def at_once(self, *arguments, **other):
         begin(self, *arguments, **other)
-        self.wait_until = 0
+        self.older_leases_end = 0
 
     monkeypatch.setattr(PurgeRegistry, "__init__", at_once)
     assert "is told complete" in missed(Bounds(steps=1, crashes=1)).broken
 
 
 def test_an_echo_that_vouches_for_what_is_not_durable_is_missed(monkeypatch):
-    monkeypatch.setattr(PurgeRegistry, "echo", lambda self, member: member.acks[-1][0] if member.acks else 0)
+    monkeypatch.setattr(
+        PurgeRegistry, "ack_to_echo", lambda self, member: member.acks[-1].ack_id if member.acks else 0
+    )
     assert "answers at" in missed(Bounds(steps=3, crashes=1)).broken
 
 
@@ -93,7 +95,7 @@
             line = world.routers[n].line
             line.calm = False
             ledger = world.ledgers[line.ledger]
-            ledger.prepared[n] = ledger.book.echo(ledger.book.members[f"r{n}"])
+            ledger.prepared[n] = ledger.book.ack_to_echo(ledger.book.members.by_name[f"r{n}"])
             self._beat(world, n)
 
     assert "serves without it" in missed(Bounds(steps=2, takeovers=1), Blind).broken
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -36,9 +36,10 @@
 from quartzrouter.leases import terms as lease_terms
 from quartzrouter.purge_log.disk import RealDisk
 from quartzrouter.purge_log.log import PurgeLog
-from quartzrouter.purge_log.records import records
-from quartzrouter.purge_log.segments import LogContents, SegmentHeader, SnapshotHeader, read
+from quartzrouter.purge_log.records import read_records
+from quartzrouter.purge_log.segments import LogContents, SegmentHeader, SnapshotHeader, read_log
 from quartzrouter.purges import messages as messages_module
+from quartzrouter.purges import validation
 from quartzrouter.purges.fleet_purges import FleetPurges
 from quartzrouter.purges.replica import PurgeReplica
 from quartzrouter.quota import allocator, budget, slow_start
@@ -254,7 +255,9 @@
     "sweep": lease_terms.FencingToken(2, "b", "89ef"),
 }
 MARKS = {
-    "router_marks": site_purges.StoredPurges(10, WHEN, tuple((each.when - 500, each) for each in PURGES)),
+    "router_marks": site_purges.StoredPurges(
+        10, WHEN, tuple((each.purged_at - 500, each) for each in PURGES)
+    ),
     "router_marks_none": site_purges.StoredPurges(0, 0, ()),
 }
 FAULTS = [
@@ -277,7 +280,7 @@
     """The log of a second writer, which has put a snapshot in place of the first purge."""
     logged(folder)
     log = PurgeLog(RealDisk(str(folder)))
-    log.compact(LOGGED[1:], 1, LOGGED[0].when)
+    log.compact(LOGGED[1:], 1, LOGGED[0].purged_at)
     log.append([messages_module.Purge(5, WHEN + 5, "tag", ("iris",))])
     log.close()
 
@@ -353,7 +356,7 @@
 
 def refused_purges() -> list[Any]:
     return [
-        messages_module.faulty(each)
+        validation.rejection_of(each)
         for each in (
             messages_module.PurgeRequest("all", ("rose",)),
             messages_module.PurgeRequest("tag", ("rose",), "/"),
@@ -542,13 +545,13 @@
     disk = RealDisk(str(GOLDEN / "stored" / "ledger"))
     assert disk.names() == ["00000001-00000001.log", "00000001-00000002.log", "epoch-00000001"]
     length = len(disk.read("00000001-00000002.log"))
-    same(read(disk), LogContents(LOGGED, 0, 0, "00000001-00000002.log", length, 0, []))
+    same(read_log(disk), LogContents(LOGGED, 0, 0, "00000001-00000002.log", length, 0, []))
     first = len(disk.read("00000001-00000001.log"))
     headers = {"00000001-00000001.log": SegmentHeader(1, 1, "", 0, 0)}
     headers["00000001-00000002.log"] = SegmentHeader(1, 1, "00000001-00000001.log", first, 2)
     for name, header in headers.items():
         data = disk.read(name)
-        same(msgspec.msgpack.decode(next(records(data, len(data))).payload, type=SegmentHeader), header)
+        same(msgspec.msgpack.decode(next(read_records(data, len(data))).payload, type=SegmentHeader), header)
 
 
 def test_purge_log_snapshot_is_read():
@@ -561,9 +564,9 @@
     ]
     length = len(disk.read("00000002-00000001.log"))
     purges = [*LOGGED[1:], messages_module.Purge(5, WHEN + 5, "tag", ("iris",))]
-    same(read(disk), LogContents(purges, 1, WHEN + 1, "00000002-00000001.log", length, 0, []))
+    same(read_log(disk), LogContents(purges, 1, WHEN + 1, "00000002-00000001.log", length, 0, []))
     data = disk.read("0000000000000004.snapshot")
-    summary = next(records(data, len(data))).payload
+    summary = next(read_records(data, len(data))).payload
     same(msgspec.msgpack.decode(summary, type=SnapshotHeader), SnapshotHeader(1, 4, 1, WHEN + 1))
 
 
@@ -580,8 +583,8 @@
     same(msgspec.msgpack.decode(path.read_bytes(), type=site_purges.StoredPurges), memo)
     fleet = FleetPurges(2 * S, 3_600 * S, 1_000, 1_000, 0, True)
     follower = PurgeReplica("t-0", "router", "0123abcd", fleet.lease)
-    assert site_purges.resume(str(path), fleet, follower, WHEN + S) == ""
-    same(site_purges.memo(fleet, follower.held), memo)
+    assert site_purges.restore(str(path), fleet, follower, WHEN + S) == ""
+    same(site_purges.stored_purges(fleet, follower.applied_up_to), memo)
     site_purges.save(str(tmp_path / name), memo)
     assert (tmp_path / name).read_bytes() == path.read_bytes()
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -672,17 +672,17 @@
     budget = Budget("calls", rate=50.0, burst=20.0, floors=0.2, routers=4)
 
     async def made():
-        told = {"budgets": [budget], "steady": lambda: now[0], "may_grant": lambda: number[0]}
+        told = {"budgets": [budget], "steady": lambda: now[0], "lease_token": lambda: number[0]}
         return PurgeLogServer(FaultyDisk(), 300_000, RateLimitedLog("l", net.wall_clock), **told)
 
     ledger = anyio.run(made)
 
     def granted(token):
-        if not ledger._grants():
+        if not ledger.quota._holds_lease():
             return None
         now[0] += S
         said = AskShare("calls", "r", token, 1, want=50.0, figures=budget.figures)
-        return ledger.granter.ask(said, now[0]).tokens
+        return ledger.quota.allocator.ask(said, now[0]).tokens
 
     assert granted("a") is None
     number[0] = 5
@@ -691,9 +691,9 @@
     assert granted("c") is None
     now[0] += 60 * S
     number[0] = 8
-    before = ledger.granter
-    assert 0 < granted("d") <= 0.8 * 50 and ledger.granter is not before  # not for a minute
-    assert granted("e") >= 0 and ledger.granter is not before
+    before = ledger.quota.allocator
+    assert 0 < granted("d") <= 0.8 * 50 and ledger.quota.allocator is not before  # not for a minute
+    assert granted("e") >= 0 and ledger.quota.allocator is not before
 
 
 def test_a_keeper_is_added_in_service_and_the_task_goes_on():
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -15,8 +15,8 @@
 from quartzrouter.fakes.faulty_disk import FaultyDisk
 from quartzrouter.fakes.loopback import free_port
 from quartzrouter.purge_log.disk import RealDisk
-from quartzrouter.purge_log.line_connection import QueryClient
-from quartzrouter.purge_log.segments import read
+from quartzrouter.purge_log.query_client import QueryClient
+from quartzrouter.purge_log.segments import read_log
 from quartzrouter.purge_log.server import PurgeLogServer
 from quartzrouter.purges.freshness_lease import FreshnessLease
 from quartzrouter.purges.messages import (
@@ -76,7 +76,7 @@
 
 
 async def until(member, kind):
-    while not isinstance(said := await member.next(), kind):
+    while not isinstance(said := await member.receive(), kind):
         pass
     return said
 
@@ -89,20 +89,22 @@
         client = fleet.client()
         sends = [PurgeRequest("object", (f"o{n}",), key=f"k{n}") for n in range(1_200)]
         early = await fleet.join("r1")
-        assert (await early.next()).head == 0
+        assert (await early.receive()).head == 0
         taken = await client.ask_all(sends)
-        assert [answer.number for answer in taken] == list(range(1, 1_201))
+        assert [answer.sequence_number for answer in taken] == list(range(1, 1_201))
         heard = []
         while len(heard) < 1_200:
             said = await until(early, PurgeBatch)
-            heard += [purge.number for purge in said.purges]
+            heard += [purge.sequence_number for purge in said.purges]
         assert heard == list(range(1, 1_201))
-        late = await fleet.join("r2", held=1_190)
-        assert [purge.number for purge in (await until(late, PurgeBatch)).purges] == list(range(1_191, 1_201))
+        late = await fleet.join("r2", applied_up_to=1_190)
+        assert [purge.sequence_number for purge in (await until(late, PurgeBatch)).purges] == list(
+            range(1_191, 1_201)
+        )
         assert disk.syncs < 1_000  # many at once
         again = await client.ask_all(sends[:5])
-        assert [(a.number, a.again) for a in again] == [(n, True) for n in range(1, 6)]
-        assert [purge.number for purge in read(disk).purges] == list(range(1, 1_201))
+        assert [(a.sequence_number, a.is_duplicate) for a in again] == [(n, True) for n in range(1, 6)]
+        assert [purge.sequence_number for purge in read_log(disk).purges] == list(range(1, 1_201))
 
     play(scene)
 
@@ -119,14 +121,14 @@
         client = fleet.client()
         taken = await client.ask(PurgeRequest("tag", ("rose",)))
         await one.stream.send(encode_line(MemberAck(1, 2)))
-        told = await client.ask(StatusQuery(taken.number))
-        assert (told.complete, told.missing) == (False, ("c1",))
+        told = await client.ask(StatusQuery(taken.sequence_number))
+        assert (told.is_complete, told.waiting_for) == (False, ("c1",))
         await box.stream.send(encode_line(MemberAck(1, 2)))
-        while not (told := await client.ask(StatusQuery(1))).complete:
+        while not (told := await client.ask(StatusQuery(1))).is_complete:
             await anyio.sleep(0.01)
-        assert 0 < told.took < 1_000_000 and told.delays["purges"] == 1
+        assert 0 < told.completed_after < 1_000_000 and told.delays["purges"] == 1
         members = (await client.ask(MembersQuery())).members
-        assert [(m.name, m.held, m.live) for m in members] == [("c1", 1, True), ("r1", 1, True)]
+        assert [(m.name, m.applied_up_to, m.is_live) for m in members] == [("c1", 1, True), ("r1", 1, True)]
         await box.stream.send(encode_line(MemberLeave()))
         while len((await client.ask(MembersQuery())).members) > 1:
             await anyio.sleep(0.01)
@@ -142,13 +144,13 @@
         await first.stream.send(encode_line(MemberAck(0, 1)))
         await until(first, Heartbeat)
         second = await fleet.join("r1", token="other")
-        said = await second.next()
-        assert isinstance(said, RequestRejected) and said.place == "name" and said.come_back
+        said = await second.receive()
+        assert isinstance(said, RequestRejected) and said.place == "name" and said.retry_after
         again = await fleet.join("r1")  # the same process: its older connection is closed
         await until(again, Welcome)
         with pytest.raises(anyio.EndOfStream):
             while True:
-                await first.next()
+                await first.receive()
 
     play(scene)
 
@@ -162,12 +164,12 @@
         assert isinstance(await client.ask(PurgeRequest("tag", ("a",), key="a")), PurgeAccepted)
         disk.room = disk.used
         refused = await client.ask(PurgeRequest("tag", ("b",), key="b"))
-        assert (refused.place, refused.reason) == ("disk", "No space left on device") and refused.come_back
+        assert (refused.place, refused.reason) == ("disk", "No space left on device") and refused.retry_after
         disk.room = 1 << 30
         assert (await client.ask(PurgeRequest("tag", ("b",), key="b"))) == PurgeAccepted(
-            2, fleet.ledger.book.purge(2).when, fleet.ledger.book.promise
+            2, fleet.ledger.registry.purge(2).purged_at, fleet.ledger.registry.current_promise
         )
-        assert [p.values for p in read(disk).purges] == [("a",), ("b",)]
+        assert [p.values for p in read_log(disk).purges] == [("a",), ("b",)]
         heard = []
         while len(heard) < 2:
             heard += (await until(watcher, PurgeBatch)).purges
@@ -185,14 +187,14 @@
         new = await Fleet(tasks).start(RealDisk(str(tmp_path)))
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
             while True:  # at its next beat it finds that another writer has begun
-                await member.next()
-        assert old.ledger.fenced
+                await member.receive()
+        assert old.ledger.is_fenced
         again = await new.client().ask(PurgeRequest("tag", ("a",), key="a"))
-        assert (again.number, again.again) == (first.number, True)
+        assert (again.sequence_number, again.is_duplicate) == (first.sequence_number, True)
         follower = PurgeReplica("r1", "router", "t", FreshnessLease(1), 1)
-        follower.epoch = new.ledger.book.epoch + 1
+        follower.epoch = new.ledger.registry.epoch + 1
         stale = await new.join("r1", epoch=follower.epoch)
-        assert (await stale.next()).place == "epoch"
+        assert (await stale.receive()).place == "epoch"
 
     play(scene)
 
@@ -200,19 +202,19 @@
 def test_who_is_too_far_behind_gets_a_snapshot(tmp_path):
     async def scene(tasks):
         fleet = await Fleet(tasks).start(RealDisk(str(tmp_path)), compact_after=50)
-        fleet.ledger.book.retain_most = 100
+        fleet.ledger.registry.max_retained = 100
         await anyio.sleep(0.2)
         for _ in range(10):
             await fleet.client().ask_all([PurgeRequest("tag", ("a",), key=f"{n}-{_}") for n in range(60)])
-        book = fleet.ledger.book
-        assert book.before > 300
+        book = fleet.ledger.registry
+        assert book.trimmed_up_to > 300
         member = await fleet.join("r1")
         told = await until(member, Snapshot)
-        assert told.head >= book.before and told.floor == book.floor
+        assert told.head >= book.trimmed_up_to and told.low_watermark == book.low_watermark
         while len(names := [n for n in RealDisk(str(tmp_path)).names() if not n.startswith("epoch")]) != 2:
             await anyio.sleep(0.01)  # a snapshot, and the file that is written
         assert names[0].endswith(".snapshot") and names[1].endswith(".log")
-        assert read(RealDisk(str(tmp_path))).head == 600
+        assert read_log(RealDisk(str(tmp_path))).head == 600
 
     play(scene)
 
@@ -231,7 +233,7 @@
             await client.connect()
             await client.stream.send(data)
             try:
-                assert (await client.next()).place == "line"
+                assert (await client.receive()).place == "line"
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 assert len(data) > 1_000
         stranger = fleet.client()
@@ -279,7 +281,7 @@
                 except Exception:
                     await anyio.sleep(0.02)
                     continue
-                promised[n] = taken.number
+                promised[n] = taken.sequence_number
                 n += 1
 
         tasks.start_soon(send)
@@ -294,7 +296,7 @@
         process[0].send_signal(signal.SIGTERM)
         status = await anyio.to_thread.run_sync(process[0].wait)
         process[0].stderr.close()
-        found = {purge.key: purge.number for purge in read(RealDisk(str(tmp_path))).purges}
+        found = {purge.key: purge.sequence_number for purge in read_log(RealDisk(str(tmp_path))).purges}
         assert status == 0 and len(promised) > 50
         assert {f"k{n}": number for n, number in promised.items()}.items() <= found.items()
         assert sorted(found.values()) == list(range(1, len(found) + 1))
@@ -318,7 +320,7 @@
                 break
             except Exception:
                 await anyio.sleep(0.05)
-        assert (again.number, again.again) == (taken.number, True)
+        assert (again.sequence_number, again.is_duplicate) == (taken.sequence_number, True)
         os.kill(one.pid, signal.SIGCONT)
         try:  # what it takes now it can't promise
             late = await QueryClient([("127.0.0.1", first)], 2.0).ask(PurgeRequest("tag", ("b",), key="b"))
--- a/tests/test_purge_marks.py
+++ b/tests/test_purge_marks.py
@@ -6,12 +6,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from quartzrouter.purges.freshness_lease import FreshnessLease, lease
+from quartzrouter.purges.freshness_lease import FreshnessLease, lease_length
 from quartzrouter.purges.glob import Glob
 from quartzrouter.purges.messages import Purge
 from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
-from quartzrouter.purges.tags import Tags, read
-from quartzrouter.purges.trie import GLOBS_MOST, Trie
+from quartzrouter.purges.surrogate_tags import ObjectTags, parse_tags
+from quartzrouter.purges.pattern_trie import MAX_GLOBS_PER_NODE, PatternTrie
 
 S = 1_000_000
 PARTS = ["a", "b", "ab", "*", "a*", "*b", "a*b", "*a*"]
@@ -42,7 +42,7 @@
 @settings(max_examples=300, deadline=None)
 @given(st.lists(patterns, max_size=12), st.lists(asked, min_size=1, max_size=5), st.integers(0, 12))
 def test_a_trie_finds_what_a_list_finds_before_and_after_the_oldest_go(told, questions, gone):
-    trie = Trie()
+    trie = PatternTrie()
     for when, text in enumerate(told, 1):
         trie.add(text, when)
     for when, text in list(enumerate(told, 1))[:gone]:
@@ -62,21 +62,21 @@
 
 
 def test_patterns_made_to_be_slow_are_not():
-    trie, text = Trie(), "/" + "a" * 2_000 + "/" + "a" * 2_000
+    trie, text = PatternTrie(), "/" + "a" * 2_000 + "/" + "a" * 2_000
     for n in range(60):
         trie.add("/" + "*a" * 15 + "b" + f"{n}/" + "*a" * 15, 1)
     for n in range(500):  # more than one node may hold: the node takes all below it
         trie.add(f"/x*{n}/**", 2)
     began = time.perf_counter()
-    assert trie.newest("x", text, 0) == 2 and trie.coarse == 500 - (GLOBS_MOST - 60)
+    assert trie.newest("x", text, 0) == 2 and trie.widened == 500 - (MAX_GLOBS_PER_NODE - 60)
     assert time.perf_counter() - began < 0.1
 
 
 def test_more_hosts_than_a_node_tries_purge_more_and_never_fewer():
-    trie = Trie()
+    trie = PatternTrie()
     for n in range(100):
         trie.add(f"*.h{n}/a", n + 1)
-    assert trie.coarse == 100 - GLOBS_MOST
+    assert trie.widened == 100 - MAX_GLOBS_PER_NODE
     for n in range(100):
         assert trie.newest(f"www.h{n}", "/a") >= n + 1
     for n in range(100):
@@ -85,7 +85,7 @@
 
 
 def test_a_walk_is_bounded_and_then_takes_too_much():
-    trie = Trie()
+    trie = PatternTrie()
     for a in range(16):
         for b in range(16):
             for c in range(16):
@@ -135,7 +135,7 @@
     marks.expire(now)
     found = marks.newest(PurgeLookup("page", "/a", "x", "/a"), tags, store)
     assert found == newest(told, age, tags, store)  # one slot of the wheel is a second
-    assert marks.forgotten == min(max(0, age - 1), len(told))
+    assert marks.expired_up_to == min(max(0, age - 1), len(told))
     marks.expire(now + 1_000 * S)
     assert not marks.scopes and not len(marks)
 
@@ -160,30 +160,30 @@
 
 
 def test_tags_are_read_as_caches_write_them():
-    assert read(None, None, None) is None
-    assert read("rose, care , rose", None, None) == ("care", "rose")
-    assert read(None, "rose  care", None) == ("care", "rose")
-    assert read(None, None, '"rose", "care";x') == ("care", "rose")
-    assert read("", None, None) == ()
-    assert read(",".join(f"t{n}" for n in range(40)), None, None) is None  # may carry any
+    assert parse_tags(None, None, None) is None
+    assert parse_tags("rose, care , rose", None, None) == ("care", "rose")
+    assert parse_tags(None, "rose  care", None) == ("care", "rose")
+    assert parse_tags(None, None, '"rose", "care";x') == ("care", "rose")
+    assert parse_tags("", None, None) == ()
+    assert parse_tags(",".join(f"t{n}" for n in range(40)), None, None) is None  # may carry any
 
 
 def test_tags_of_objects_are_bounded_and_the_least_lately_answered_go():
-    tags = Tags(100)
+    tags = ObjectTags(100)
     for n in range(1_000):
         tags.learn(f"o{n}", (f"t{n}",))
         tags.learn("kept", ("k",))
-    assert len(tags.of) == 100 and len(tags.sets) <= 101
+    assert len(tags.by_object) == 100 and len(tags.interned) <= 101
     assert tags.known("kept") == ("k",) and tags.known("o1") == ()
     tags.learn("bare", None)
     assert tags.known("bare") is None
 
 
 def test_a_lease_holds_from_what_was_echoed():
-    held = FreshnessLease(lease(300_000))
-    assert held.bound(0) == 150_000  # nothing heard yet
+    held = FreshnessLease(lease_length(300_000))
+    assert held.max_age(0) == 150_000  # nothing heard yet
     held.renew(1_000_000)
     held.renew(900_000)  # a late echo takes nothing back
-    assert held.bound(1_150_000) == 0 and held.bound(1_150_001) == 150_000
-    held.drop()
-    assert not held.holds(1_000_001)
+    assert held.max_age(1_150_000) == 0 and held.max_age(1_150_001) == 150_000
+    held.revoke()
+    assert not held.is_held(1_000_001)
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -18,7 +18,7 @@
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.rate_limits import LimitKey, RateLimiter
 from quartzrouter.pool_routing.shared_limits import budgets
-from quartzrouter.purge_log.line_connection import connect, lines
+from quartzrouter.purge_log.line_connection import connect, read_lines
 from quartzrouter.purge_log.server import PurgeLogServer
 from quartzrouter.purges import messages
 from quartzrouter.purges.messages import (
@@ -200,7 +200,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(ledger.run, [listener])
                 async with await connect(("127.0.0.1", port)) as stream:
-                    heard = lines(stream)
+                    heard = read_lines(stream)
 
                     async def until(kind):
                         async for data in heard:
@@ -234,13 +234,13 @@
 def test_an_ask_that_is_not_obeyed_gets_its_reason_and_the_line_goes_on(bad, place):
     async def scene(ledger, tell, until, port):
         await tell(MemberHello("r", "router", "t"))
-        assert (await until(Welcome)).grants
+        assert (await until(Welcome)).grants_quota
         await tell(QuotaRequests((bad,)))
         said = await until(QuotaGrants)
         assert not said.grants and said.refused[bad.budget].place == place
         await tell(QuotaRequests((GOOD,)))
         assert (await until(QuotaGrants)).grants[0].number == 1
-        assert ledger.granter.refused + ledger.strangers == 1
+        assert ledger.quota.allocator.refused + ledger.quota.impersonations == 1
 
     talk(scene)
 
@@ -250,7 +250,7 @@
         await tell(MemberHello("r", "router", "t"))
         await tell(QuotaRequests((GOOD, GOOD)))
         said = await until(QuotaGrants)
-        assert len(said.grants) == 1 and not said.refused and ledger.granter.refused == 1
+        assert len(said.grants) == 1 and not said.refused and ledger.quota.allocator.refused == 1
 
     talk(scene)
 
@@ -258,7 +258,7 @@
 def test_a_ledger_without_budgets_says_so_and_passes_asks_over():
     async def scene(ledger, tell, until, port):
         await tell(MemberHello("r", "router", "t"))
-        assert not (await until(Welcome)).grants
+        assert not (await until(Welcome)).grants_quota
         await tell(QuotaRequests((GOOD,)))
         assert (await until(messages.Heartbeat)).epoch == 1
 
@@ -270,8 +270,8 @@
 
     async def scene(ledger, tell, until, port):
         await tell(MemberHello("r", "router", "t"))
-        assert (await until(Welcome)).grants
-        ledger.replace([CALLS], {})
+        assert (await until(Welcome)).grants_quota
+        ledger.quota.replace([CALLS], {})
         await tell(QuotaRequests((GOOD,)))
         assert (await until(QuotaGrants)).grants[0].number == 1
 
@@ -287,7 +287,7 @@
 
 def test_a_welcome_of_an_older_ledger_grants_nothing():
     said = messages.decode_from_purge_log(b'{"say":"welcome","epoch":1,"head":0,"now":5,"lease":9}')
-    assert not said.grants
+    assert not said.grants_quota
 
 
 def test_the_fleets_budgets_are_told():
--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -16,7 +16,7 @@
 from quartzrouter.fault_scenarios import ScenarioReport
 from quartzrouter.fault_scenarios.purges import rehearse
 from quartzrouter.purge_log.delivery import DeliveryWorker
-from quartzrouter.purge_log.line_connection import QueryClient as LedgerClient
+from quartzrouter.purge_log.query_client import QueryClient as LedgerClient
 from quartzrouter.purge_log.server import PurgeLogServer
 from quartzrouter.purges.messages import MemberLeave, MembersQuery, PurgeRequest, StatusQuery
 from quartzrouter.routing.model import Forward
@@ -109,7 +109,7 @@
 
     async def joined(self):
         """Until the router holds a lease."""
-        while not self.router.fleet.lease.holds(process.wall_clock()):
+        while not self.router.fleet.lease.is_held(process.wall_clock()):
             await anyio.sleep(0.005)
 
     async def purge(self, kind, *values):
@@ -149,7 +149,7 @@
         assert await site.get() == first  # kept
         taken = await site.purge(kind, *([value] if value else []))
         await anyio.sleep(0.3)
-        assert await site.get() >= taken.when > first
+        assert await site.get() >= taken.purged_at > first
         other = await site.get("/b")
         await site.purge("tag", "other")
         await anyio.sleep(0.3)
@@ -163,10 +163,10 @@
         await site.start()
         await site.joined()
         await site.get()
-        site.router.fleet.tags.of.clear()
+        site.router.fleet.object_tags.by_object.clear()
         taken = await site.purge("tag", "rose")
         await anyio.sleep(0.3)
-        assert await site.get() >= taken.when and site.router.fleet.old == 1
+        assert await site.get() >= taken.purged_at and site.router.fleet.stale_copies == 1
 
     play(scene)
 
@@ -187,7 +187,7 @@
             asking.start_soon(ask)
             await anyio.sleep(0.1)
             taken = await site.purge("object", "/a")
-        assert made[0] >= taken.when and site.boxes["o"].asked == 2
+        assert made[0] >= taken.purged_at and site.boxes["o"].asked == 2
         assert await site.get() == made[0]
 
     play(scene)
@@ -225,11 +225,11 @@
                 await anyio.sleep(0.02)
         await site.stop_router()
         await site.start_router()
-        assert site.router.reducer.follower.held == (1 if kept else 0)
+        assert site.router.reducer.follower.applied_up_to == (1 if kept else 0)
         await site.joined()
-        assert await site.get() >= taken.when > first
+        assert await site.get() >= taken.purged_at > first
         members = (await LedgerClient([("127.0.0.1", site.told["ledger"])]).ask(MembersQuery())).members
-        assert [(m.name, m.held) for m in members] == [("t-0", 1)]
+        assert [(m.name, m.applied_up_to) for m in members] == [("t-0", 1)]
 
     play(scene)
 
@@ -240,11 +240,11 @@
         await site.joined()
         first = await site.get()
         taken = await site.purge("object", "/a")
-        while not site.router.fleet.marks.forgotten:
+        while not site.router.fleet.index.expired_up_to:
             await anyio.sleep(0.05)
             site.router.fleet.expire(process.wall_clock())
-        assert len(site.router.fleet.marks) == 0
-        assert await site.get() >= taken.when > first
+        assert len(site.router.fleet.index) == 0
+        assert await site.get() >= taken.purged_at > first
 
     play(scene)
 
@@ -260,18 +260,18 @@
         for name in ("n1", "p"):
             box = ("127.0.0.1", site.boxes[name].port)
             site.tasks.start_soon(DeliveryWorker(name, box, at, 300_000, report, 500.0).run)
-        while site.router.fleet.caught != {"n1": 0, "p": 0}:
+        while site.router.fleet.caches_caught_up != {"n1": 0, "p": 0}:
             await anyio.sleep(0.01)
         await site.get()
         assert site.boxes["n1"].copies and site.boxes["p"].copies
         await site.purge(kind, *([value] if value else []))
-        while site.router.fleet.caught != {"n1": 1, "p": 1}:
+        while site.router.fleet.caches_caught_up != {"n1": 1, "p": 1}:
             await anyio.sleep(0.01)
         assert not site.boxes["n1"].copies and not site.boxes["p"].copies
         client = LedgerClient(at)
         while not (
             status := await client.ask(StatusQuery())
-        ).complete:  # the ledger's first lease may still run
+        ).is_complete:  # the ledger's first lease may still run
             await anyio.sleep(0.01)
         assert status.delays["purges"] == 1
 
@@ -285,18 +285,18 @@
         await site.start("life: 1s")
         await site.joined()
         fleet, force = site.router.fleet, site.router.force
-        fleet.marks.forgotten, fleet.caught = 1, {"n1": 1}
+        fleet.index.expired_up_to, fleet.caches_caught_up = 1, {"n1": 1}
         ruling = force.rule(Asked("north", "", "/a", "GET", {}, {}), "")
         given = Forward(0, "n1", "o", 1, 0, True, False, 1_000_000, 1 << 62)
-        fleet.caught = {"n1": 1}
-        assert force._oldest(ruling, given, fleet.lease.heard) == 0
-        assert force._oldest(ruling, replace(given, fill_source="p"), fleet.lease.heard) == 1_000_000
+        fleet.caches_caught_up = {"n1": 1}
+        assert force._oldest(ruling, given, fleet.lease.started_at) == 0
+        assert force._oldest(ruling, replace(given, fill_source="p"), fleet.lease.started_at) == 1_000_000
         site.proxy.hold()
         await site.stop_ledger()
-        while site.router.link.out is not None:
+        while site.router.link.outgoing.lines is not None:
             await anyio.sleep(0.02)
-        site.router.link.tell(MemberLeave())
-        assert site.router.link.out is None
+        site.router.link.send(MemberLeave())
+        assert site.router.link.outgoing.lines is None
 
     play(scene)
 
@@ -312,13 +312,13 @@
 async def unseen(site):
     taken = await site.purge("tag", "rose")
     await anyio.sleep(0.35)
-    site.router.fleet.tags.of.clear()
+    site.router.fleet.object_tags.by_object.clear()
     return taken
 
 
 async def forgotten(site):
     taken = await site.purge("object", "/a")
-    while not site.router.fleet.marks.forgotten:
+    while not site.router.fleet.index.expired_up_to:
         await anyio.sleep(0.05)
         site.router.fleet.expire(process.wall_clock())
     return taken
@@ -341,7 +341,7 @@
         if out and guard == "bound":
             assert " 503 " in said  # every answer is an old one, and none is passed on
         else:
-            assert said == first < taken.when if out else said >= taken.when
+            assert said == first < taken.purged_at if out else said >= taken.purged_at
 
     play(scene)
 
