--- a/quartzrouter/fakes/caches.py
+++ b/quartzrouter/fakes/caches.py
@@ -1,217 +1,305 @@
-"""Caches, parents and an origin that keep copies, fill, join fills and take purges, by the protocol.
+"""Fake caches, parents and an origin: they keep copies, fill, collapse requests into fills and take purges.
 
 A copy's body names its object and the true time at which the origin made it, so that a checker can judge any
-answer.  They are as careless as the protocol allows: whoever joins a fill gets what it brings, however old.
+response. The fakes are as careless as the protocol allows: a request that joins a fill gets what the fill
+brings, however old that is.
 """
 
 import random
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from functools import lru_cache
+from typing import NamedTuple
 
 import anyio
 
 from quartzrouter.fakes.loopback import Server, heads, tag
 from quartzrouter.purges.messages import Purge
-from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
+from quartzrouter.purges.purge_index import ANY_STORE, PurgeIndex, PurgeLookup
 from quartzrouter.server.clock import wall_clock
 
-LOST = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
+CONNECTION_LOST = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
+SECOND = 1_000_000  # us
+MILLISECOND = 1_000  # us
+JOINED_FILL_TIMEOUT = 5.0  # s
+FORWARDED_HEADERS = ("x-fresh-ms", "x-path", "x-opts", "x-rank")  # from a cache to its fill source
+
+
+class CopyKey(NamedTuple):
+    """What a cache keeps a copy under, as in the target /x/VHOST/OBJECT/CHUNK."""
+
+    vhost: str
+    object_key: str
+    chunk: str
 
 
 @dataclass
-class Copy:
+class StoredCopy:
+    """A copy.
+
+    :param minted_at: microseconds of its origin's clock.
+    :param made_at: microseconds of this machine's clock; the copy was made then or later.
+    """
+
     body: bytes
-    minted: int  # us, by the origin's clock
-    made: int  # us, by this box's clock, or before
+    minted_at: int
+    made_at: int
     tags: str
     vhost: str
     path: str
 
-    def aged(self, now: int) -> int:
-        return now - self.made
+    def age(self, now: int) -> int:
+        """Returns microseconds since it was made, at most."""
+        return now - self.made_at
 
 
 @dataclass
-class Fill:
-    """A fill under way.
+class FillInProgress:
+    """A fill.
 
-    :param began: us.
-    :param outdated: a purge of it came meanwhile that is younger, so that it is not kept.
+    :param began_at: microseconds.
+    :param is_purged: a purge of what it brings came meanwhile, so that it is not kept.
     """
 
     vhost: str
     path: str
-    began: int = field(default_factory=wall_clock)
+    began_at: int = field(default_factory=wall_clock)
     done: anyio.Event = field(default_factory=anyio.Event)
-    copy: Copy | None = None
-    outdated: bool = False
+    copy: StoredCopy | None = None
+    is_purged: bool = False
 
 
 @dataclass
 class PurgeableCache(Server):
-    """One server.
+    """One server: a cache, a parent or the origin.
 
-    :param above: addresses by name, for fills.
-    :param origin: it makes copies; `skew` us its clock is ahead, `tags_of` the tags of a path.
-    :param delay: s that a fill or the making of a copy takes.
+    :param addresses: of all servers by name, for fills.
+    :param is_origin: it makes copies.
+    :param skew: microseconds by which the origin's clock is ahead.
+    :param tags_of: returns the value of Cache-Tag for a path.
+    :param delay: returns the seconds that a fill or the making of a copy takes.
+    :param fill_source: the server that it fills from, where a request names no other.
+    :param refusal_rate: share of purges that it answers with 503.
     """
 
     name: str
-    above: dict[str, str]
+    addresses: dict[str, str]
     chance: random.Random
-    origin: bool = False
+    is_origin: bool = False
     skew: int = 0
     tags_of: Callable[[str], str] = lambda path: ""
     delay: Callable[[], float] = lambda: 0.0
-    source: str = ""  # where it fills from when nobody names another
-    copies: dict[tuple[str, str, str], Copy] = field(default_factory=dict)
-    fills: dict[tuple[str, str, str], Fill] = field(default_factory=dict)
-    reached: int = 0
-    applied: set[int] = field(default_factory=set)
-    refuse: float = 0.0  # share of purges that it answers 503
-    asked: int = 0
-    lease: int = 0  # the highest number under which purges came; those without one after it are refused
-    purged: int = 0
-    most: int = 0  # purges in its busiest second
-    recent: list[int] = field(default_factory=list)
+    fill_source: str = ""
+    copies: dict[CopyKey, StoredCopy] = field(default_factory=dict)
+    fills: dict[CopyKey, FillInProgress] = field(default_factory=dict)
+    purged_up_to: int = 0
+    purged_out_of_order: set[int] = field(default_factory=set)
+    refusal_rate: float = 0.0
+    requests: int = 0
+    highest_lease_token: int = 0  # of the couriers that purged here; a lower one is refused
+    purged_copies: int = 0
+    max_purges_per_second: int = 0
+    recent_purge_times: list[int] = field(default_factory=list)  # us, of the last second
 
     def stop(self) -> None:
+        """Stops serving; copies stay, as on a disk, and fills are lost."""
         super().stop()
         self.fills.clear()
 
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
+        """Serves one connection."""
         async with stream:
             async for head in heads(stream):
-                line, *rest = head.decode("latin-1").split("\r\n")
-                method, target, _ = line.split(" ", 2)
-                fields = {name.lower(): value for name, _, value in (each.partition(": ") for each in rest)}
+                request_line, *header_lines = head.decode("latin-1").split("\r\n")
+                method, target, _ = request_line.split(" ", 2)
                 try:
-                    await stream.send(await self.answer(method, target, fields))
-                except LOST:
+                    await stream.send(await self.respond(method, target, _headers(header_lines)))
+                except CONNECTION_LOST:
                     return
 
-    async def answer(self, method: str, target: str, fields: dict[str, str]) -> bytes:
+    async def respond(self, method: str, target: str, headers: dict[str, str]) -> bytes:
+        """Returns the response to a request.
+
+        :param headers: by names in lower case.
+        """
         if method == "PURGE":
-            return self._purge(fields)
+            return self._purge(headers)
         if not target.startswith("/x/"):
-            return _head(200, {"X-Purged-To": str(self.reached)}, b"")
-        self.asked += 1
-        came = wall_clock()
-        _, _, vhost, obj, part = target.split("/")
-        key, bound = (vhost, obj, part), fields.get("x-fresh-ms")
-        copy, told = self.copies.get(key), "cached"
-        if copy is None or (bound and copy.aged(wall_clock()) > int(bound) * 1000):
-            joins = "ride" in fields.get("x-opts", "")
-            fill = self.fills.get(key) if joins else None
-            if fill is not None:
-                told = "merged"
-                with anyio.move_on_after(5):
-                    await fill.done.wait()
-                copy = fill.copy
-            else:
-                copy, told = await self._fill(key, target, fields), "fetched"
+            return _response(200, {"X-Purged-To": str(self.purged_up_to)}, b"")
+        self.requests += 1
+        received_at = wall_clock()
+        _, _, vhost, object_key, chunk = target.split("/")
+        copy, outcome = await self._find_copy(CopyKey(vhost, object_key, chunk), target, headers)
         if copy is None:
-            return _head(504, {"X-No-Effect": "0", "X-Tell": "up_lost"}, b"")
-        more = {"X-Tag": tag(target.encode()).decode(), "X-Minted": str(copy.minted // 1000), "X-Tell": told}
-        more |= {"Cache-Tag": copy.tags, "X-Purged-To": str(self.reached)}
-        more["X-Age-Ms"] = str(-((copy.made - came) // 1000))  # when the req came; negative: made since
-        return _head(200, more, copy.body)
-
-    async def _fill(self, key: tuple[str, str, str], target: str, fields: dict[str, str]) -> Copy | None:
-        path = fields.get("x-path", "")
-        if self.origin:
-            made = wall_clock()
+            return _response(504, {"X-No-Effect": "0", "X-Tell": "up_lost"}, b"")
+        age_on_receipt = received_at - copy.made_at  # negative: made since
+        response_headers = {
+            "X-Tag": tag(target.encode()).decode(),
+            "X-Minted": str(copy.minted_at // MILLISECOND),
+            "X-Tell": outcome,
+            "Cache-Tag": copy.tags,
+            "X-Purged-To": str(self.purged_up_to),
+            "X-Age-Ms": str(-(-age_on_receipt // MILLISECOND)),
+        }
+        return _response(200, response_headers, copy.body)
+
+    async def _find_copy(
+        self, key: CopyKey, target: str, headers: dict[str, str]
+    ) -> tuple[StoredCopy | None, str]:
+        """A copy, and how it was found in the protocol's word."""
+        copy = self.copies.get(key)
+        max_age_ms = headers.get("x-fresh-ms")
+        is_too_old = copy and max_age_ms and copy.age(wall_clock()) > int(max_age_ms) * MILLISECOND
+        if copy and not is_too_old:
+            return copy, "cached"
+        may_join = "ride" in headers.get("x-opts", "")
+        fill = self.fills.get(key) if may_join else None
+        if fill is None:
+            return await self._fill(key, target, headers), "fetched"
+        with anyio.move_on_after(JOINED_FILL_TIMEOUT):
+            await fill.done.wait()
+        return fill.copy, "merged"
+
+    async def _fill(self, key: CopyKey, target: str, headers: dict[str, str]) -> StoredCopy | None:
+        path = headers.get("x-path", "")
+        if self.is_origin:
+            made_at = wall_clock()
             await anyio.sleep(self.delay())
-            body = f"{path} {made}".encode()
-            return Copy(body, made + self.skew, made, self.tags_of(path), key[0], path)
-        fill = self.fills.setdefault(key, Fill(key[0], path))
+            body = f"{path} {made_at}".encode()
+            return StoredCopy(body, made_at + self.skew, made_at, self.tags_of(path), key.vhost, path)
+        fill = self.fills.setdefault(key, FillInProgress(key.vhost, path))
         try:
             await anyio.sleep(self.delay())
-            fill.copy = await self._fetch(key, target, fields)
+            fill.copy = await self._fetch(key, target, headers)
         finally:
             fill.done.set()
             if self.fills.get(key) is fill:
                 del self.fills[key]
-        if fill.copy and not fill.outdated and fields.get("x-rank", "0") != "0":
+        may_store = headers.get("x-rank", "0") != "0"
+        if fill.copy and not fill.is_purged and may_store:
             self.copies[key] = fill.copy
         return fill.copy
 
-    async def _fetch(self, key: tuple[str, str, str], target: str, fields: dict[str, str]) -> Copy | None:
-        name = fields.get("x-parent", self.source)
-        host, _, port = self.above[name if name in self.above else self.source].rpartition(":")
-        asked = wall_clock()
-        passed = [f"{n}: {fields[n]}" for n in ("x-fresh-ms", "x-path", "x-opts", "x-rank") if n in fields]
+    async def _fetch(self, key: CopyKey, target: str, headers: dict[str, str]) -> StoredCopy | None:
+        """A copy from the fill source; None where that has none or doesn't answer."""
+        named_source = headers.get("x-parent", self.fill_source)
+        source = named_source if named_source in self.addresses else self.fill_source
+        host, _, port = self.addresses[source].rpartition(":")
+        forwarded = [f"{name}: {headers[name]}" for name in FORWARDED_HEADERS if name in headers]
+        request = [f"GET {target} HTTP/1.1", "Host: box", "Connection: close", *forwarded, "\r\n"]
+        sent_at = wall_clock()
         try:
             async with await anyio.connect_tcp(host, int(port)) as stream:
-                lines = [f"GET {target} HTTP/1.1", "Host: box", "Connection: close", *passed, "\r\n"]
-                await stream.send("\r\n".join(lines).encode())
+                await stream.send("\r\n".join(request).encode())
                 data = b""
-                while b"\r\n\r\n" not in data or not _whole(data):
+                while not _is_whole(data):
                     data += await stream.receive()
-        except LOST:
+        except CONNECTION_LOST:
             return None
         head, _, body = data.partition(b"\r\n\r\n")
-        told = dict(line.lower().split(": ", 1) for line in head.decode().split("\r\n")[1:])
-        if " 200 " not in head.decode().split("\r\n")[0]:
+        status_line, *header_lines = head.decode().split("\r\n")
+        if " 200 " not in status_line:
             return None
-        made = asked - int(told.get("x-age-ms", "0")) * 1000  # it came there later than it went out here
-        return Copy(
-            body, int(told["x-minted"]) * 1000, made, told["cache-tag"], key[0], fields.get("x-path", "")
+        response_headers = _headers(header_lines)
+        # The age counts from when the request came there, which was later than it went out here.
+        made_at = sent_at - int(response_headers.get("x-age-ms", "0")) * MILLISECOND
+        return StoredCopy(
+            body,
+            int(response_headers["x-minted"]) * MILLISECOND,
+            made_at,
+            response_headers["cache-tag"].lower(),
+            key.vhost,
+            headers.get("x-path", ""),
         )
 
-    def _purge(self, fields: dict[str, str]) -> bytes:
+    # -- purges --------------------------------------------------------------------------------------------
+
+    def _purge(self, headers: dict[str, str]) -> bytes:
         now = wall_clock()
-        self.recent = [at for at in self.recent if now - at < 1_000_000] + [now]
-        self.most = max(self.most, len(self.recent))
-        if self.chance.random() < self.refuse:
-            return _head(503, {}, b"")
-        lease = int(fields.get("x-purge-lease", "0"))
-        if lease < self.lease:  # of whoever delivered before: it was stopped, and knows nothing of the next
-            return _head(409, {"X-Purge-Lease-Seen": str(self.lease)}, b"")
-        self.lease = lease
-        number, older = int(fields["x-purge-number"]), int(fields["x-purge-older-ms"]) * 1000
-        kind, vhost = fields["x-purge-kind"], fields.get("x-purge-vhost", "")
-        marks = _marks(kind, tuple(fields["x-purge-values"].split()), vhost)
+        self._count_purge(now)
+        if self.chance.random() < self.refusal_rate:
+            return _response(503, {}, b"")
+        lease_token = int(headers.get("x-purge-lease", "0"))
+        if lease_token < self.highest_lease_token:
+            # Guards against a courier that was stopped and doesn't know of its successor.
+            return _response(409, {"X-Purge-Lease-Seen": str(self.highest_lease_token)}, b"")
+        self.highest_lease_token = lease_token
+        kind = headers["x-purge-kind"]
+        vhost = headers.get("x-purge-vhost", "")
+        min_age = int(headers["x-purge-older-ms"]) * MILLISECOND
+        purge = _single_purge(kind, tuple(headers["x-purge-values"].split()), vhost)
+        self._remove_copies(purge, min_age, now)
+        self._mark_fills(purge, min_age, now)
+        is_of_everything = kind == "all" and not vhost
+        confirmed_up_to = int(headers.get("x-purge-done", "0"))
+        self._record_purge(int(headers["x-purge-number"]), is_of_everything, confirmed_up_to)
+        return _response(200, {"X-Purged-To": str(self.purged_up_to)}, b"")
+
+    def _count_purge(self, now: int) -> None:
+        last_second = [time for time in self.recent_purge_times if now - time < SECOND]
+        self.recent_purge_times = [*last_second, now]
+        self.max_purges_per_second = max(self.max_purges_per_second, len(self.recent_purge_times))
+
+    def _remove_copies(self, purge: PurgeIndex, min_age: int, now: int) -> None:
         for key, copy in list(self.copies.items()):
-            tags = [tag.strip() for tag in copy.tags.split(",")]
-            if copy.aged(now) >= older and marks.newest(_asked(key, copy.path), tags, "*"):
+            tags = [name.strip() for name in copy.tags.split(",")]
+            is_named = purge.newest(_lookup(key, copy.path), tags, ANY_STORE)
+            if is_named and copy.age(now) >= min_age:
                 del self.copies[key]
-                self.purged += 1
+                self.purged_copies += 1
+
+    def _mark_fills(self, purge: PurgeIndex, min_age: int, now: int) -> None:
+        """Fills that began before the purge may bring what it names: tags are known once they are done."""
         for key, fill in self.fills.items():
-            named = marks.newest(_asked(key, fill.path), None, "*")
-            fill.outdated |= bool(named) and now - fill.began >= older
-        self.applied.add(number)
-        if kind == "all" and not vhost:
-            self.reached = max(self.reached, number)
-        self.reached = max(self.reached, int(fields.get("x-purge-done", "0")))
-        while self.reached + 1 in self.applied:
-            self.reached += 1
-        self.applied = {each for each in self.applied if each > self.reached}
-        return _head(200, {"X-Purged-To": str(self.reached)}, b"")
+            is_named = purge.newest(_lookup(key, fill.path), None, ANY_STORE)
+            if is_named and now - fill.began_at >= min_age:
+                fill.is_purged = True
+
+    def _record_purge(self, sequence_number: int, is_of_everything: bool, confirmed_up_to: int) -> None:
+        self.purged_out_of_order.add(sequence_number)
+        if is_of_everything:
+            self.purged_up_to = max(self.purged_up_to, sequence_number)
+        self.purged_up_to = max(self.purged_up_to, confirmed_up_to)
+        while self.purged_up_to + 1 in self.purged_out_of_order:
+            self.purged_up_to += 1
+        self.purged_out_of_order = {
+            number for number in self.purged_out_of_order if number > self.purged_up_to
+        }
 
 
 @lru_cache(1_024)
-def _marks(kind: str, values: tuple[str, ...], vhost: str) -> PurgeIndex:
-    """One purge, to ask what it names."""
-    marks = PurgeIndex(1 << 50, 1_000)
-    marks.add(Purge(1, 1, kind, values, vhost), 1)
-    return marks
+def _single_purge(kind: str, values: tuple[str, ...], vhost: str) -> PurgeIndex:
+    """An index of one purge, to ask what it names."""
+    index = PurgeIndex(1 << 50, 1_000)
+    index.add(Purge(1, 1, kind, values, vhost), 1)
+    return index
 
 
-def _asked(key: tuple[str, str, str], path: str) -> PurgeLookup:
+def _lookup(key: CopyKey, path: str) -> PurgeLookup:
     host, slash, rest = path.partition("/")
-    return PurgeLookup(key[0], key[1].lower(), host, slash + rest)
+    return PurgeLookup(key.vhost, key.object_key.lower(), host, slash + rest)
+
+
+def _headers(lines: list[str]) -> dict[str, str]:
+    """Header values by names in lower case."""
+    headers = {}
+    for line in lines:
+        name, _, value = line.partition(": ")
+        headers[name.lower()] = value
+    return headers
 
 
-def _whole(data: bytes) -> bool:
-    head, _, body = data.partition(b"\r\n\r\n")
+def _is_whole(data: bytes) -> bool:
+    """Whether a response is there with all of its body."""
+    head, end_of_head, body = data.partition(b"\r\n\r\n")
+    if not end_of_head:
+        return False
     length = head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0]
     return len(body) >= int(length or 0)
 
 
-def _head(status: int, fields: dict[str, str], body: bytes) -> bytes:
+def _response(status: int, headers: dict[str, str], body: bytes) -> bytes:
     lines = [f"HTTP/1.1 {status} {'OK' if status == 200 else 'No'}"]
-    lines += [f"{name}: {value}" for name, value in fields.items()]
+    lines += [f"{name}: {value}" for name, value in headers.items()]
     lines.append(f"Content-Length: {len(body)}")
     return "\r\n".join([*lines, "\r\n"]).encode("latin-1") + body
--- a/quartzrouter/fault_harness/counting_cache.py
+++ b/quartzrouter/fault_harness/counting_cache.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from quartzrouter.fakes.caches import LOST
+from quartzrouter.fakes.caches import CONNECTION_LOST
 from quartzrouter.fakes.loopback import WHOLE, Server, tagged
 from quartzrouter.fault_harness.history import History
 
@@ -38,7 +38,7 @@
                         await stream.send(ALIVE)
                         continue
                     data = await self._answer(stream, head, data)
-            except LOST:
+            except CONNECTION_LOST:
                 return
 
     async def _answer(self, stream: anyio.abc.ByteStream, head: bytes, data: bytes) -> bytes:
--- a/quartzrouter/fault_harness/load_generator.py
+++ b/quartzrouter/fault_harness/load_generator.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from quartzrouter.fakes.caches import LOST
+from quartzrouter.fakes.caches import CONNECTION_LOST
 from quartzrouter.fakes.loopback import Client
 from quartzrouter.fault_harness.history import History
 
@@ -61,7 +61,7 @@
             await client.begin(1, path=path, **fields)
             with anyio.fail_after(GIVEN_UP):
                 said = await client.end()
-        except LOST:
+        except CONNECTION_LOST:
             said = "closed"
         except TimeoutError:
             return False
--- a/quartzrouter/fault_harness/proxied_links.py
+++ b/quartzrouter/fault_harness/proxied_links.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from quartzrouter.fakes.caches import LOST
+from quartzrouter.fakes.caches import CONNECTION_LOST
 from quartzrouter.purge_log.line_connection import read_lines
 
 LOOK_EVERY = 0.005  # s between looks whether a held way is open again
@@ -82,7 +82,7 @@
         try:
             with scope:
                 await self._pass(client)
-        except* LOST:
+        except* CONNECTION_LOST:
             pass
         finally:
             self.open.discard(scope)
@@ -119,7 +119,7 @@
                         self.tap(True, piece)
                     await sink.send(piece)
                 tasks.cancel_scope.cancel()
-        except* LOST:
+        except* CONNECTION_LOST:
             pass
         scope.cancel()
 
--- a/quartzrouter/fault_harness/witness.py
+++ b/quartzrouter/fault_harness/witness.py
@@ -14,7 +14,7 @@
 import anyio
 
 from quartzrouter.config.loader import load
-from quartzrouter.fakes.caches import LOST
+from quartzrouter.fakes.caches import CONNECTION_LOST
 from quartzrouter.fakes.loopback import Server
 from quartzrouter.fault_harness.history import History
 from quartzrouter.lease_service.client import ClusterLeaseClient, HeldLease
@@ -45,7 +45,7 @@
                 async for line in read_lines(stream):
                     who, what, number = json.loads(line)
                     await stream.send(json.dumps(self._take(who, what, number)).encode() + b"\n")
-            except LOST:
+            except CONNECTION_LOST:
                 return
 
     def _take(self, who: str, what: str, number: int) -> list:
--- a/quartzrouter/fault_scenarios/purges.py
+++ b/quartzrouter/fault_scenarios/purges.py
@@ -163,7 +163,7 @@
                 3 * S,
                 tags_of,
                 delay,
-                source="o",
+                fill_source="o",
             )
             await box.start(tasks)
             above[name] = box.address
@@ -323,11 +323,11 @@
     fleet.links[1][0].down.spoil, fleet.links[2][0].down.late = 0.1, 0.02
     await _restart(fleet, fleet.count - 1, 0.3 * unit)
     for box in list(fleet.boxes.values())[::3]:
-        box.refuse = 0.2
+        box.refusal_rate = 0.2
     await fleet.purge([fleet.some() for _ in range(STORM)])
     await anyio.sleep(unit)
     for box in fleet.boxes.values():
-        box.refuse = 0.0
+        box.refusal_rate = 0.0
     fleet.links[1][0].heal()
     fleet.links[2][0].heal()
     await fleet.joined()
@@ -432,12 +432,12 @@
     tally.figures["reqs, done, denied, aborted"] = f"{answered}, {done}, {ends['503']}, {ends['502']}"
     tally.figures["reqs cut with the router that was killed"] = ends["cut with its router"]
     tally.figures["answers looked at, against purges"] = f"{len(checker.answers)}, {len(checker.marks)}"
-    boxes = [box for box in fleet.boxes.values() if not box.origin]
+    boxes = [box for box in fleet.boxes.values() if not box.is_origin]
     tally.figures["copies purged, most purges a second at one cache"] = (
-        f"{sum(box.purged for box in boxes)}, {max(box.most for box in boxes)}"
+        f"{sum(box.purged_copies for box in boxes)}, {max(box.max_purges_per_second for box in boxes)}"
     )
     tally.figures["latest wake of this process in ms"] = fleet.lag // 1000
-    tally.figures["copies made by the origin"] = fleet.boxes["o"].asked
+    tally.figures["copies made by the origin"] = fleet.boxes["o"].requests
     tally.figures["lines lost, doubled or swapped"] = sum(
         link.spoilt for links in fleet.links for link in links
     )
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -658,7 +658,11 @@
                 at, report = ("127.0.0.1", box.port), RateLimitedLog("c", net.wall_clock)
                 courier = DeliveryWorker("n", at, [("127.0.0.1", 1)], 300_000, report, 500.0, holds[name])
                 await courier._deliver(Delivery(Purge(len(told) + 1, 1, "object", ("a",)), 0))
-                told[len(told)] = (name, box.lease, len(box.applied) + box.reached)
+                told[len(told)] = (
+                    name,
+                    box.highest_lease_token,
+                    len(box.purged_out_of_order) + box.purged_up_to,
+                )
             told["passed"] = {name: hold.told for name, hold in holds.items()}
             tasks.cancel_scope.cancel()
 
--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -51,7 +51,7 @@
         self.boxes = {}
         for name in ("n1", "p", "o"):
             box = PurgeableCache(
-                name, above, chance, name == "o", 5_000_000, lambda path: "rose, " + path[1:], source="o"
+                name, above, chance, name == "o", 5_000_000, lambda path: "rose, " + path[1:], fill_source="o"
             )
             box.delay = delay if name == "o" else box.delay
             await box.start(self.tasks)
@@ -187,7 +187,7 @@
             asking.start_soon(ask)
             await anyio.sleep(0.1)
             taken = await site.purge("object", "/a")
-        assert made[0] >= taken.purged_at and site.boxes["o"].asked == 2
+        assert made[0] >= taken.purged_at and site.boxes["o"].requests == 2
         assert await site.get() == made[0]
 
     play(scene)
--- a/tests/test_stand.py
+++ b/tests/test_stand.py
@@ -9,7 +9,7 @@
 import anyio
 import pytest
 
-from quartzrouter.fakes.caches import LOST
+from quartzrouter.fakes.caches import CONNECTION_LOST
 from quartzrouter.fault_harness import fault_schedule, history_checks
 from quartzrouter.fault_harness.fault_schedule import Fault
 from quartzrouter.fault_harness.history import History, HistoryEvent
@@ -114,7 +114,7 @@
             async with anyio.create_task_group() as tasks:
 
                 async def serve(stream):
-                    with contextlib.suppress(*LOST):
+                    with contextlib.suppress(*CONNECTION_LOST):
                         await echo(stream)
 
                 tasks.start_soon(listener.serve, serve)
