--- /dev/null
+++ b/quartzrouter/server/client_connection.py
@@ -0,0 +1,343 @@
+"""One client's connection: FastCGI records in, complete requests out as events, responses back."""
+
+import socket
+import sys
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import TYPE_CHECKING
+
+import anyio
+
+from quartzrouter.server import fastcgi, responses
+from quartzrouter.server.errors import ServerError
+from quartzrouter.server.events import ClientGone, RequestReceived, StatusQueried
+from quartzrouter.server.fastcgi import ProtocolStatus, RecordType
+from quartzrouter.server.request_reader import IncomingRequest, InvalidRequest, RequestMemoryExhausted
+from quartzrouter.server.response_writer import NO_TICKET, ResponseWriter
+from quartzrouter.server.ring_buffer import RingBuffer
+from quartzrouter.server.stream import Pending, Stream
+
+if TYPE_CHECKING:
+    from quartzrouter.server.client_connections import ClientConnections
+
+READ_BUFFER_SIZE = 1 << 14  # bytes: longer records are taken in pieces
+MAX_OPEN_REQUESTS = 32  # on one connection, each until its response has gone out
+MAX_REJECTED_REQUESTS = 32  # on one connection; then it is closed
+MAX_IGNORED_BYTES = 1 << 18  # bytes that come behind a response; then no further request is begun
+
+# s between reads of a client that doesn't take its responses: what a receive buffer holds is then read
+# within 0.1 s, an abort or an end with it.
+BACKLOG_READ_INTERVAL = 0.02
+# Reads in a row before complete requests go on: more than a receive buffer holds; an abort may be behind.
+MAX_CONSECUTIVE_READS = 8
+# Iterations of the loop in which that much is read, two a read.
+PENDING_READ_ITERATIONS = 2 * MAX_CONSECUTIVE_READS
+
+LAST_DATA_RECEIVED = slice(52, 56)  # of struct tcp_info: tcpi_last_data_recv, ms since bytes last came
+
+
+@dataclass(slots=True)
+class AwaitedResponse:
+    """A request whose response its client awaits."""
+
+    request_id: int  # of its FastCGI records
+    keep_connection: bool
+    size: int  # bytes of request memory that it holds
+
+
+class ClientConnection:
+    """One client's connection: its requests, and what is to be written to it.
+
+    A request is incoming until all of its records have come. Then it gets a ticket, a number of the
+    router's own, and is handed on as an event; its response is awaited until ``respond``.
+
+    :param connections: all of the process's, with the limits that they share.
+    :param stream: the connection, which its creator closes.
+    """
+
+    def __init__(self, connections: "ClientConnections", stream: Stream):
+        self._connections = connections
+        self.stream = stream
+        self._incoming_bytes = RingBuffer(READ_BUFFER_SIZE)
+        self._records = fastcgi.RecordReader(self._incoming_bytes)
+        self.incoming: dict[int, IncomingRequest] = {}  # by FastCGI request id
+        self.tickets: dict[int, int] = {}  # by FastCGI request id, of requests whose response is awaited
+        self.awaited: dict[int, AwaitedResponse] = {}  # by ticket
+        self.writer = ResponseWriter(stream, self._may_finish)
+        self.scope = anyio.CancelScope()  # of the task that serves it
+        self.rejected_requests = 0
+        self.has_begun_request = False  # whether any request on it could be used
+        self.ignored_bytes = 0  # that came after the response to their request, or after all responses
+        self.closing = False  # no further request is begun, and it ends once all have their responses
+        self.responses_ended = False  # the end of the responses was written: what comes now is dropped
+        now = anyio.current_time()
+        self.opened_at = now  # s of the loop's clock
+        self.last_active_at = now  # when bytes last came, or a response went
+
+    # -- reading -----------------------------------------------------------------------------------
+
+    async def read(self) -> None:
+        """Reads until the client has gone, whatever else holds; slowly where responses pile up.
+
+        Guards against requests begun for nobody: one that is read late may have its client's end, a
+        reset or an ABORT_REQUEST right behind it. So all that has arrived is read, to a bound, before any
+        complete request is begun. And the reading never stops: where it stopped for responses that the
+        client didn't take, neither an abort nor an end was noticed.
+
+        Raises what ``attempt_failure.CONNECTION_LOST`` lists.
+
+        :raises fastcgi.ProtocolError: the client doesn't speak FastCGI.
+        """
+        consecutive_reads = 0
+        while True:
+            if self.writer.is_backlogged or self.ignored_bytes > MAX_IGNORED_BYTES:
+                await self.writer.wait_for_progress(BACKLOG_READ_INTERVAL)
+            data = await self.stream.receive(self._incoming_bytes.free)
+            if self.responses_ended:
+                self.ignored_bytes += len(data)
+                continue
+            self._handle_bytes(data)
+            complete = [id for id, incoming in self.incoming.items() if incoming.is_complete]
+            pending = self.stream.pending() if complete else Pending.QUIET
+            if pending is Pending.ENDED:
+                return
+            if pending is Pending.UNREAD and consecutive_reads < MAX_CONSECUTIVE_READS:
+                consecutive_reads += 1
+                continue
+            consecutive_reads = 0
+            queueing_time = self.time_since_last_byte if complete else 0
+            for request_id in complete:
+                self._begin_request(request_id, queueing_time)
+
+    async def read_pending(self, ticket: int) -> None:
+        """Returns once what the client has sent by now is read, or after a few iterations of the loop.
+
+        Guards against an attempt for a client that has gone, though a busy process hasn't read that yet.
+
+        :param ticket: the request that the attempt is for.
+        """
+        for _ in range(PENDING_READ_ITERATIONS):
+            pending = self.stream.pending()
+            if pending is Pending.ENDED:
+                self.abandon_requests()
+                self.scope.cancel()
+            if pending is not Pending.UNREAD or ticket not in self.awaited:
+                return
+            await anyio.sleep(0)
+
+    @property
+    def open_requests(self) -> int:
+        """Requests that are open to their client: until the end of a response has gone out."""
+        return len(self.incoming) + len(self.tickets) + self.writer.unsent_responses
+
+    @property
+    def time_since_last_byte(self) -> int:
+        """Microseconds since bytes last arrived, as the kernel tells; 0 where it doesn't.
+
+        A router short of CPU reads requests late, whose time runs already.
+        """
+        try:
+            tcp_info = self.stream.raw.getsockopt(
+                socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED.stop
+            )
+        except OSError:
+            return 0
+        return int.from_bytes(tcp_info[LAST_DATA_RECEIVED], sys.byteorder) * 1000
+
+    def _handle_bytes(self, data: bytes) -> None:
+        self._incoming_bytes.put(data)
+        self.last_active_at = anyio.current_time()
+        while (record := self._records.next()) is not None:
+            self._handle_record(record)
+
+    def _handle_record(self, record: fastcgi.Record) -> None:
+        record_type, request_id, content = record
+        if request_id == fastcgi.MANAGEMENT_ID:
+            self._handle_management_record(record_type, content)
+        elif record_type == RecordType.BEGIN_REQUEST:
+            self._handle_begin(request_id, content)
+        elif record_type == RecordType.ABORT_REQUEST:
+            self._handle_abort(request_id)
+        elif record_type in (RecordType.PARAMS, RecordType.STDIN):
+            incoming = self.incoming.get(request_id)
+            if incoming and not incoming.is_complete:
+                self._handle_content(request_id, incoming, record_type, content)
+            else:
+                self._ignore_content(content)
+        elif record_type != RecordType.DATA:
+            raise fastcgi.ProtocolError(f"a record of type {record_type} for req {request_id}")
+
+    def _handle_management_record(self, record_type: int, content: bytes) -> None:
+        """Answers a record about the connection; not while responses pile up, else these would, too."""
+        if self.writer.is_backlogged:
+            self._count_rejection([])
+        elif record_type == RecordType.GET_VALUES:
+            max_connections = self._connections.max_connections
+            values = {
+                "FCGI_MAX_CONNS": max_connections,
+                "FCGI_MAX_REQS": max_connections * MAX_OPEN_REQUESTS,
+                "FCGI_MPXS_CONNS": 1,
+            }
+            result = fastcgi.encode_values_result(fastcgi.decode_pairs(content), values)
+            self.writer.queue(NO_TICKET, [result])
+        else:
+            self.writer.queue(NO_TICKET, [fastcgi.encode_unknown_type(record_type)])
+
+    def _ignore_content(self, content: bytes) -> None:
+        """Drops what comes of a request behind its response; much of it closes the connection."""
+        self.ignored_bytes += len(content)
+        if self.ignored_bytes > MAX_IGNORED_BYTES and not self.closing:
+            self.close_when_answered()
+
+    def _handle_begin(self, request_id: int, content: bytes) -> None:
+        role, flags = fastcgi.decode_begin_request(content)
+        if request_id in self.incoming or request_id in self.tickets:
+            raise fastcgi.ProtocolError(f"record id {request_id} is taken")
+        if role != fastcgi.ROLE_RESPONDER:
+            refusal = fastcgi.encode_end_request(request_id, protocol_status=ProtocolStatus.UNKNOWN_ROLE)
+            self._count_rejection([refusal])
+        elif self.closing or self.open_requests >= MAX_OPEN_REQUESTS:
+            # Its client may send it again. Where responses pile up, it gets no answer that would add to them.
+            refusal = fastcgi.encode_end_request(request_id, protocol_status=ProtocolStatus.OVERLOADED)
+            self._count_rejection([] if self.writer.is_backlogged else [refusal])
+        else:
+            keep_connection = bool(flags & fastcgi.FLAG_KEEP_CONNECTION)
+            self.incoming[request_id] = IncomingRequest(keep_connection, self.last_active_at)
+
+    def _handle_abort(self, request_id: int) -> None:
+        incoming = self.incoming.pop(request_id, None)
+        if incoming is not None:
+            self._connections.free_request_memory += incoming.size
+            self.writer.queue(NO_TICKET, [fastcgi.encode_end_request(request_id, completed=False)])
+            return
+        ticket = self.tickets.get(request_id)
+        if ticket is not None:
+            self._connections.feed(ClientGone(ticket))
+            self.respond(ticket, b"", completed=False)
+
+    def _handle_content(
+        self, request_id: int, incoming: IncomingRequest, record_type: int, content: bytes
+    ) -> None:
+        """Takes in a record of a request; one that can't be used is rejected now, whatever still comes."""
+        size_before = incoming.size
+        try:
+            if content:
+                incoming.add(record_type, content, self._connections.free_request_memory)
+            elif record_type == RecordType.PARAMS:
+                incoming.end_params(self._connections.parse_params)
+            else:
+                incoming.end_body()
+        except (InvalidRequest, fastcgi.ProtocolError) as error:
+            self.reject_invalid(request_id, error)
+        except RequestMemoryExhausted:
+            self._connections.log.say("client", "request memory exhausted: a request is rejected with 503")
+            self._reject(request_id, responses.overloaded(self._connections.retry_after))
+        else:
+            self._connections.free_request_memory -= incoming.size - size_before
+
+    def _begin_request(self, request_id: int, queueing_time: int) -> None:
+        """Hands on a complete request, which its client has not aborted.
+
+        :param queueing_time: us that it has lain unread.
+        """
+        incoming = self.incoming.pop(request_id)
+        ticket = self._connections.issue_ticket(self)
+        self.tickets[request_id] = ticket
+        self.awaited[ticket] = AwaitedResponse(request_id, incoming.keep_connection, incoming.size)
+        self.has_begun_request = True
+        if incoming.request is None:
+            self._connections.feed(StatusQueried(ticket))
+        else:
+            request = incoming.request._replace(body=incoming.body, waited=queueing_time)
+            self._connections.feed(RequestReceived(ticket, request))
+
+    # -- rejecting ---------------------------------------------------------------------------------
+
+    def reject_invalid(self, request_id: int, error: ServerError) -> None:
+        """Responds to an incoming request that can't be used."""
+        self._connections.log.say("client", f"invalid request: {error}")
+        status = error.status if isinstance(error, InvalidRequest) else 400
+        self._reject(request_id, responses.invalid(status, str(error)))
+
+    def _reject(self, request_id: int, response: bytes) -> None:
+        incoming = self.incoming.pop(request_id)
+        self._connections.free_request_memory += incoming.size
+        self.closing |= not incoming.keep_connection
+        self._count_rejection(fastcgi.encode_response(request_id, response))
+
+    def _count_rejection(self, records: list[bytes]) -> None:
+        """Answers what can't be used with these records; after many the connection is closed."""
+        self.rejected_requests += 1
+        self.closing |= self.rejected_requests >= MAX_REJECTED_REQUESTS
+        if records:
+            self.writer.queue(NO_TICKET, records)
+
+    # -- responding --------------------------------------------------------------------------------
+
+    def respond(self, ticket: int, response: bytes, completed: bool = True) -> None:
+        """Sends the one response to a request; nothing where it has had it.
+
+        :param response: status, headers and body.
+        :param completed: False where the request was aborted, and only its end is written.
+        """
+        if ticket not in self.awaited:
+            return
+        awaited = self.awaited.pop(ticket)
+        self.last_active_at = anyio.current_time()  # a client may ask again for as long after its response
+        del self.tickets[awaited.request_id]
+        self._connections.by_ticket.pop(ticket, None)
+        self._connections.free_request_memory += awaited.size
+        self.closing |= not awaited.keep_connection
+        if completed:
+            records = fastcgi.encode_response(awaited.request_id, response)
+        else:
+            records = [fastcgi.encode_end_request(awaited.request_id, completed=False)]
+        self.writer.queue(ticket, records)
+
+    def call_when_sent(self, ticket: int, callback: Callable[[], None]) -> None:
+        """Calls the callback once the response to a request is on its way."""
+        self.writer.call_when_sent(ticket, callback)
+
+    # -- closing -----------------------------------------------------------------------------------
+
+    @property
+    def is_idle(self) -> bool:
+        """Whether it is owed nothing and brings nothing."""
+        return not (self.awaited or self.incoming or self.writer.has_unsent)
+
+    def _may_finish(self) -> bool:
+        return self.closing and not (self.awaited or self.incoming)
+
+    def close_when_answered(self) -> None:
+        """Begins no further request, and closes it once all have their responses."""
+        self.closing = True
+        self.writer.recheck()
+
+    def close_if_idle(self) -> bool:
+        """Closes an idle connection at once, unless there is something on it that wasn't read yet.
+
+        Guards against a reset that takes the last response with it: one side is ended first, then what
+        has arrived is read and dropped. A request that comes between the look and the end is dropped, so
+        never begun, and its bytes reset nothing.
+
+        :returns: whether it is closed.
+        """
+        if not self.is_idle or self.stream.pending() is Pending.UNREAD:
+            return False
+        self.responses_ended = True
+        self.stream.finish_sending()
+        self.stream.drain()
+        self.scope.cancel()
+        self._connections.open.discard(self)
+        return True
+
+    def abandon_requests(self) -> None:
+        """Gives up all requests, for a client that has gone, and gives back what they held."""
+        self._connections.free_request_memory += sum(incoming.size for incoming in self.incoming.values())
+        for ticket, awaited in list(self.awaited.items()):
+            self._connections.free_request_memory += awaited.size
+            self._connections.by_ticket.pop(ticket, None)
+            self._connections.feed(ClientGone(ticket))
+        self.incoming.clear()
+        self.awaited.clear()
+        self.writer.discard()
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -20,7 +20,7 @@
 from quartzrouter.routing.router import Router, retry_after
 from quartzrouter.server import endpoint_watch, responses
 from quartzrouter.server.cache_connections import CacheConnections
-from quartzrouter.server.client_connections import ClientConnections, parse_request
+from quartzrouter.server.client_connections import ClientConnections
 from quartzrouter.server.clock import RouterClock, steady_clock, wall_clock
 from quartzrouter.server.effects import (
     CancelAttempt,
@@ -43,6 +43,7 @@
     TimerFired,
 )
 from quartzrouter.server.rate_limited_log import ForwardingHandler, RateLimitedLog
+from quartzrouter.server.request_reader import parse_request
 from quartzrouter.server.spin_guard import MIN_PAUSE, SpinGuard, TickGuard
 from quartzrouter.server.state_machine import RouterStateMachine
 from quartzrouter.server.stream import Stream
@@ -88,7 +89,9 @@
         clients = configuration.sockets // 3
         come_back = retry_after(configuration.briefing.arguments["permits"])
         room = configuration.memory // REQS_SHARE
-        self.front = ClientConnections(self.feed, clients, room, self._reader(), self.report, come_back)
+        self.client_connections = ClientConnections(
+            self.feed, clients, room, self._reader(), self.report, come_back
+        )
         self.backend = CacheConnections(
             self.feed,
             configuration.sockets - clients - RESERVE,
@@ -123,7 +126,7 @@
             vhost.name: vhost.idempotency is RepeatEffect.IDEMPOTENT_WITH_KEY
             for vhost in self.configuration.briefing.vhosts
         }
-        return partial(parse_request, uniqued=uniqued.get)
+        return partial(parse_request, requires_key=uniqued.get)
 
     def _copy_of(self) -> Callable[[dict[str, str]], Any] | None:
         """What makes more of an answer's fields than the platform's protocol does."""
@@ -164,16 +167,16 @@
                 self._perform(effect)
             except Exception:
                 self.report.say("fault", f"{type(effect).__name__}: {traceback.format_exc()}")
-        if client := self.front.clients.get(failed):
-            client.reply(failed, responses.failed())
+        if client := self.client_connections.by_ticket.get(failed):
+            client.respond(failed, responses.failed())
         if self.reducer.due < due:
             self.changed.set()
 
     def _perform(self, effect) -> None:
         match effect:
             case SendResponse(ticket, data):
-                if client := self.front.clients.get(ticket):
-                    client.reply(ticket, data)
+                if client := self.client_connections.by_ticket.get(ticket):
+                    client.respond(ticket, data)
             case OpenConnection(ticket, hop, name, address):
                 self.attempts[ticket, hop] = AttemptTask()
                 self.tasks.start_soon(self._dispatch, ticket, hop, name, address)
@@ -201,17 +204,17 @@
         raise NotImplementedError(type(effect).__name__)
 
     async def _dispatch(self, ticket: int, hop: int, name: str, address: tuple[str, int]) -> None:
-        attempt, client = self.attempts[ticket, hop], self.front.clients.get(ticket)
+        attempt, client = self.attempts[ticket, hop], self.client_connections.by_ticket.get(ticket)
 
         def given(then: Callable[[], None]) -> None:
             if client:
-                client.once_taken(ticket, then)
+                client.call_when_sent(ticket, then)
             else:
                 then()
 
         async def heard() -> None:
             if client:
-                await client.hear(ticket)
+                await client.read_pending(ticket)
 
         try:
             with attempt.scope:
@@ -267,8 +270,8 @@
                 self.report.say("client", f"connection ended: {error}")
                 accepted.close()
                 continue
-            if self.front.admit():
-                self.tasks.start_soon(self.front.serve, stream)
+            if self.client_connections.admit():
+                self.tasks.start_soon(self.client_connections.serve, stream)
             else:
                 stream.drain()
                 stream.close()
@@ -288,7 +291,7 @@
         Connections end one way first: a close over unread bytes would reset them, and answers with them.
         """
         until = self._time() + READ_WITHIN
-        while self._accept_all_waiting() or not self.front.all_read or self.reducer.hands:
+        while self._accept_all_waiting() or not self.client_connections.all_read or self.reducer.hands:
             if self._time() >= until:
                 break
             await anyio.sleep(FLUSH_EVERY)
@@ -297,8 +300,8 @@
             await anyio.sleep(FLUSH_EVERY)
         longest = max(vhost.client_timeout for vhost in self.configuration.briefing.vhosts)
         with anyio.move_on_after(longest / 1e6):  # later nobody waits for an answer
-            while self.front.open or self.front.coming:
-                self.front.end()  # what was taken last has a turn to be read in
+            while self.client_connections.open or self.client_connections.admitted:
+                self.client_connections.close_when_answered()  # what was taken last has a turn to be read in
                 await anyio.sleep(FLUSH_EVERY)
         self.tasks.cancel_scope.cancel()
 
@@ -363,7 +366,7 @@
             self.tasks.start_soon(self._timers)
             self.turns.start()
             self.tasks.start_soon(self.backend.sweep)
-            self.tasks.start_soon(self.front.sweep)
+            self.tasks.start_soon(self.client_connections.sweep)
             if configuration.journal:
                 self.tasks.start_soon(self.journal.follow)
             self.tasks.start_soon(self._accept_all)
--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -7,7 +7,13 @@
 from quartzrouter.config.request_sets import Asked
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.routing.model import Idempotency
-from quartzrouter.server.client_connections import KEY, NUMBER, TIMEOUT_MOST, TOKEN, InvalidRequest
+from quartzrouter.server.request_reader import (
+    KEY_PATTERN,
+    MAX_DEADLINE_MS,
+    NUMBER_PATTERN,
+    TOKEN_PATTERN,
+    InvalidRequest,
+)
 from quartzrouter.server.events import ClientRequest
 
 PATH_MOST = 2_048  # characters: longer paths name nothing
@@ -34,10 +40,10 @@
         key = params.get("HTTP_X_OPERATION_KEY")
         if key is None and vhost.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
             raise InvalidRequest("X-Operation-Key is missing")
-        if key is not None and not KEY.fullmatch(key):
+        if key is not None and not KEY_PATTERN.fullmatch(key):
             raise InvalidRequest(f"X-Operation-Key is {key!r:.40}")
         told = params.get("HTTP_X_DEADLINE_MS")
-        if told is not None and not (NUMBER.fullmatch(told) and 0 < int(told) <= TIMEOUT_MOST):
+        if told is not None and not (NUMBER_PATTERN.fullmatch(told) and 0 < int(told) <= MAX_DEADLINE_MS):
             raise InvalidRequest(f"X-Deadline-Ms is {told!r:.40}")
         return ClientRequest(
             id=_token(params, "HTTP_X_CORRELATION_ID") or secrets.token_hex(8),
@@ -76,6 +82,6 @@
 
 def _token(params: dict[str, str], name: str) -> str | None:
     value = params.get(name)
-    if value is not None and not TOKEN.fullmatch(value):
+    if value is not None and not TOKEN_PATTERN.fullmatch(value):
         raise InvalidRequest(f"{name.removeprefix('HTTP_').replace('_', '-').title()} is {value!r:.40}")
     return value
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -109,7 +109,7 @@
 
 def test_what_a_busy_router_has_not_read_keeps_its_connection(world, trace, monkeypatch):
     """A req reaches the kernel after the router last read, long before it looks for room."""
-    make_room, behind = client_connections.ClientConnections._make_room, []
+    make_room, behind = client_connections.ClientConnections._close_one_idle, []
 
     def late(self):
         for client, id in behind:
@@ -124,7 +124,7 @@
             await client.begin(id)
             await client.end()
         behind.extend((client, 100 + n) for n, client in enumerate(idle[:12]))
-        monkeypatch.setattr(client_connections.ClientConnections, "_make_room", late)
+        monkeypatch.setattr(client_connections.ClientConnections, "_close_one_idle", late)
         new = await connect()
         await new.begin(50)
         trace.append(f"new: {await new.end()}")
@@ -142,14 +142,22 @@
         kept, reset = await connect(), await connect()
         await kept.begin(1)
         await kept.end()
-        ended, *_ = [client for client in world.service.front.open if not client.used]
+        ended, *_ = [
+            client for client in world.service.client_connections.open if not client.has_begun_request
+        ]
         assert not looked_at or ended.stream.pending() is stream.Pending.QUIET
         raw = reset.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         await anyio.aclose_forcefully(reset.stream)  # a reset; the router's task has not run yet
-        assert ended.stream.pending() is stream.Pending.ENDED and ended.waited >= 0 and ended.retire()
-        await anyio.sleep(2 * client_connections.SWEEP_EVERY)
-        assert ended.stream.pending() is stream.Pending.ENDED and not ended.waited  # closed here
+        assert (
+            ended.stream.pending() is stream.Pending.ENDED
+            and ended.time_since_last_byte >= 0
+            and ended.close_if_idle()
+        )
+        await anyio.sleep(2 * client_connections.SWEEP_INTERVAL)
+        assert (
+            ended.stream.pending() is stream.Pending.ENDED and not ended.time_since_last_byte
+        )  # closed here
         await kept.begin(2)
         assert "200 OK" in await kept.end()
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -7,7 +7,7 @@
 from conftest import SETUP, frame
 
 from quartzrouter.configuration import Configuration, ConfigurationError, DeploymentSettings, Section, read
-from quartzrouter.server import cache_connections, client_connections, endpoint_watch, fastcgi, responses
+from quartzrouter.server import cache_connections, endpoint_watch, fastcgi, request_reader, responses
 from quartzrouter.server.ring_buffer import RingBuffer
 
 
@@ -102,8 +102,8 @@
     ):
         params = {name: value for name, value in (whole | change).items() if value is not None}
         try:
-            said = client_connections.parse_request(params, {"page": False, "hold": True}.get)
-        except client_connections.InvalidRequest as error:
+            said = request_reader.parse_request(params, {"page": False, "hold": True}.get)
+        except request_reader.InvalidRequest as error:
             said = f"{error.status} {error}"
         trace.append(f"{change}: {said}")
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -21,11 +21,12 @@
 from quartzrouter.server import (
     attempt_failure,
     cache_connections,
-    client_connections,
+    client_connection,
     endpoint_watch,
     events,
     fastcgi,
     process,
+    response_writer,
     stream,
 )
 from quartzrouter.signals import MAX_PENDING, Signals
@@ -80,6 +81,11 @@
     return held
 
 
+def queued(writer):
+    """What waits to be written to a client: bytes in the buffer and records behind them."""
+    return len(writer.buffer) + sum(map(len, writer.queues.values()))
+
+
 async def settled(world):
     await until(lambda: not world.service.attempts and not world.service.reducer.hands)
 
@@ -93,7 +99,11 @@
 
     async def scene(connect):
         client, other = await connect(), await connect()
-        more = client.req(2, body=bytes(client_connections.INCOMING), whole=False) if "behind" in way else b""
+        more = (
+            client.req(2, body=bytes(client_connection.READ_BUFFER_SIZE), whole=False)
+            if "behind" in way
+            else b""
+        )
         abort = fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b"") if "abort" in way else b""
         write(client, client.req(1) + more + abort)
         if "end" in way:
@@ -136,7 +146,7 @@
     world.answers = {1: [full, FULL]}
 
     async def slow(self, most):
-        if any(self is client.stream for client in world.service.front.open):
+        if any(self is client.stream for client in world.service.client_connections.open):
             await anyio.wait_readable(self.raw)
             for _ in range(4):  # others go first, for as long as an attempt takes from here
                 await anyio.sleep(0)
@@ -170,24 +180,25 @@
 
 def test_a_pile_of_answers_does_not_hide_that_the_client_has_gone(world, monkeypatch):
     """Above so many records nothing was read, so neither an abort nor an end was heard."""
-    monkeypatch.setattr(client_connections, "RECORDS_MOST", 32)  # the kernel holds some megabytes as well
+    monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)  # the kernel holds some megabytes as well
     full = anyio.Event()
     world.answers = {n: [BIG] for n in range(2, 32)} | {1: [full, FULL]}
 
     async def scene(connect):
         client = await connect()
-        mine, *_ = world.service.front.open
+        mine, *_ = world.service.client_connections.open
         await client.begin(1, path="/rpc/sale", HTTP_X_DEADLINE_MS="9000")  # which has all that time
         await until(lambda: asked(world, 1))
         for id in range(2, 32):
             await client.begin(id)
-        before, pile = None, 0
-        while before != pile:  # the kernel takes some megabytes first
-            before, pile = pile, len(mine.outgoing) + sum(map(len, mine.waiting.values()))
-            await anyio.sleep(0.05)
-        assert mine.piled
+        before = None
+        with anyio.fail_after(5):  # the kernel takes some megabytes first, and a busy machine its time
+            while not mine.writer.is_backlogged or before != queued(mine.writer):
+                before = queued(mine.writer)
+                await anyio.sleep(0.05)
+        assert mine.writer.is_backlogged
         await client.send((fastcgi.RecordType.GET_VALUES, b"\x0f\x00FCGI_MPXS_CONNS"), id=0)
-        await until(lambda: mine.faults)  # read, and not answered
+        await until(lambda: mine.rejected_requests)  # read, and not answered
         write(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
         await until(lambda: 1 not in mine.tickets)
         full.set()
@@ -204,10 +215,10 @@
 
     async def scene(connect):
         client = await connect()
-        mine, *_ = world.service.front.open
+        mine, *_ = world.service.client_connections.open
         await client.begin(1)
         await until(lambda: asked(world, 1))
-        for id in range(2, 2 + client_connections.FAULTS_MOST):
+        for id in range(2, 2 + client_connection.MAX_REJECTED_REQUESTS):
             await client.begin(id, path="/rpc/other")
             assert "404" in await client.end()
         assert mine.closing
@@ -233,7 +244,7 @@
         client = await connect()
         await client.begin(1)
         assert "200 OK" in await client.end()
-        mine, *_ = world.service.front.open
+        mine, *_ = world.service.client_connections.open
 
         def look(self):
             found = pending(self)
@@ -242,7 +253,7 @@
             return found
 
         monkeypatch.setattr(stream.Stream, "pending", look)
-        assert mine.retire()
+        assert mine.close_if_idle()
         monkeypatch.setattr(stream.Stream, "pending", pending)
         await until(lambda: mine.stream.raw.fileno() < 0 and state(client) != ESTABLISHED)
         assert state(client) == CLOSE_WAIT and not asked(world, 2)  # an end, and no reset
@@ -252,7 +263,7 @@
 
 def test_a_pooled_connection_that_ends_as_it_is_taken_costs_no_req(world, monkeypatch):
     """One that may not run twice was written to it, and could not be tried again."""
-    hear, ends = client_connections.ClientConnection.hear, []
+    hear, ends = client_connection.ClientConnection.read_pending, []
 
     async def scene(connect):
         client = await connect()
@@ -267,7 +278,7 @@
                 taken.stream.shutdown()  # as its cache would
             await hear(self, ticket)
 
-        monkeypatch.setattr(client_connections.ClientConnection, "hear", late)
+        monkeypatch.setattr(client_connection.ClientConnection, "read_pending", late)
         await client.begin(2, path="/rpc/sale")
         assert "200 OK" in await client.end()
         assert ends and asked(world, 2) == 1
@@ -535,9 +546,9 @@
         new = await connect()
         await new.begin(4)
         assert "503" in await new.end()
-        ended = [each for each in world.service.front.open if each.shut]
+        ended = [each for each in world.service.client_connections.open if each.responses_ended]
         assert len(ended) < 4
-        await until(lambda: any(each.shut for each in world.service.front.open))
+        await until(lambda: any(each.responses_ended for each in world.service.client_connections.open))
         write(resting, resting.req(5))  # crosses the end, and is never begun
         assert "200 OK" in (said := await slow.end()) and "end 0 0" in said
         for client in (resting, half, slow, new):
@@ -550,7 +561,7 @@
 
 
 def test_clients_that_do_not_read_do_not_keep_a_router_from_its_end(world, monkeypatch):
-    monkeypatch.setattr(client_connections, "RECORDS_MOST", 32)
+    monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)
     timeout = [kind | {"deadline_us": 1_000_000} for kind in SETUP["categories"]]
     world.answers = {n: [BIG] for n in range(1, 31)}
 
@@ -558,9 +569,9 @@
         client = await connect()
         for id in range(1, 31):
             await client.begin(id)
-        await until(lambda: any(each.piled for each in world.service.front.open))
+        await until(lambda: any(each.writer.is_backlogged for each in world.service.client_connections.open))
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: not world.service.front.open, most=6)
+        await until(lambda: not world.service.client_connections.open, most=6)
 
     world.play(scene, settings=SETUP | {"categories": timeout})
 
@@ -597,14 +608,14 @@
 
     async def scene(connect):
         client = await connect()
-        mine, *_ = world.service.front.open
+        mine, *_ = world.service.client_connections.open
         for id in range(1, 121):
             await client.begin(id)
-            await until(lambda id=id: mine.faults or asked(world, id))
-            await until(lambda: not mine.owed)
+            await until(lambda id=id: mine.rejected_requests or asked(world, id))
+            await until(lambda: not mine.awaited)
             assert (
-                mine.unanswered <= client_connections.OPEN_MOST
-                and len(mine.waiting) <= client_connections.OPEN_MOST + 1
+                mine.open_requests <= client_connection.MAX_OPEN_REQUESTS
+                and len(mine.writer.queues) <= client_connection.MAX_OPEN_REQUESTS + 1
             )
             if mine.closing:
                 break
@@ -634,7 +645,7 @@
 
     async def scene(connect):
         service = world.service
-        room = service.front.room
+        room = service.client_connections.free_request_memory
         for id in range(1, 21):
             flood = await connect()
             data = flood.req(id) + flood.req(2, body=bytes(4_000), whole=False)
@@ -642,9 +653,13 @@
             with contextlib.suppress(BlockingIOError):
                 os.write(raw(flood).fileno(), data)
             close(flood)
-        await until(lambda: not service.front.open)
+        await until(lambda: not service.client_connections.open)
         await settled(world)
-        assert service.front.room == room and not service.front.clients and not service.reducer.ids
+        assert (
+            service.client_connections.free_request_memory == room
+            and not service.client_connections.by_ticket
+            and not service.reducer.ids
+        )
         other = await connect()
         await other.begin(50)
         assert "200 OK" in await other.end()
@@ -872,7 +887,7 @@
             if at % 20 == 0:
                 await other.begin(1000 + at)
                 assert "200 OK" in await other.end()
-        await until(lambda: len(world.service.front.open) == 1)
+        await until(lambda: len(world.service.client_connections.open) == 1)
 
     world.play(scene)
     lines = [line for line in capsys.readouterr().err.splitlines() if "client: " in line]
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -13,7 +13,7 @@
 from conftest import SETUP, frame
 from standins import MARKS, WHOLE, begin, free_port
 
-from quartzrouter.server import client_connections, fastcgi, stream
+from quartzrouter.server import client_connection, client_connections, fastcgi, response_writer, stream
 from quartzrouter.server import process as process_module
 
 
@@ -184,9 +184,8 @@
         trace.extend(f"{way.__name__}: {said[way]}" for way in ways)
         await anyio.sleep(0.05)  # until the ends of the last clients have been read
         asked = [line for line in world.asked if "GET" in line and f"{9:016x}" not in line]
-        trace.append(
-            f"{len(world.service.front.open)} clients, {len(asked)} dispatches for what was taken back"
-        )
+        clients = len(world.service.client_connections.open)
+        trace.append(f"{clients} clients, {len(asked)} dispatches for what was taken back")
 
     world.play(scene)
 
@@ -321,7 +320,7 @@
 
 def test_bytes_of_reqs_are_bounded_and_given_back(world, trace):
     async def scene(connect):
-        client, room = await connect(), world.service.front.room
+        client, room = await connect(), world.service.client_connections.free_request_memory
         for id in range(1, 5):
             await client.begin(id, body=bytes(40_000), whole=False)
         for id in (4, 1):
@@ -331,7 +330,7 @@
         trace.append(await client.end())
         await client.stream.aclose()
         await anyio.sleep(0.05)
-        trace.append(f"{room} bytes, at the end {world.service.front.room}")
+        trace.append(f"{room} bytes, at the end {world.service.client_connections.free_request_memory}")
 
     world.play(scene, limits={"sockets": 128, "memory_mb": 1})
 
@@ -345,7 +344,9 @@
         async def receive(self, most):
             await anyio.sleep(0)
             self.taken += 1
-            self.held = max([self.held, *(sum(map(len, client.waiting.values())) for client in room.open)])
+            self.held = max(
+                [self.held, *(sum(map(len, client.writer.queues.values())) for client in room.open)]
+            )
             return fastcgi.encode_record(fastcgi.RecordType.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS") * (
                 most // 32
             )
@@ -368,8 +369,8 @@
         with anyio.move_on_after(0.2):
             await room.serve(flood)
         # it is read, as its end must be heard, but slowly; and what it is owed for asking doesn't grow
-        assert 1 < flood.taken <= 2 + 0.2 / client_connections.PACE
-        assert flood.held <= client_connections.RECORDS_MOST + client_connections.INCOMING // 32
+        assert 1 < flood.taken <= 2 + 0.2 / client_connection.BACKLOG_READ_INTERVAL
+        assert flood.held <= response_writer.MAX_QUEUED_RECORDS + client_connection.READ_BUFFER_SIZE // 32
         trace.append(f"{len(room.open)} open")
 
     room = None
