--- a/quartzrouter/server/client_connection.py
+++ b/quartzrouter/server/client_connection.py
@@ -248,7 +248,7 @@
         if incoming.request is None:
             self._connections.feed(StatusQueried(ticket))
         else:
-            request = incoming.request._replace(body=incoming.body, waited=queueing_time)
+            request = incoming.request._replace(body=incoming.body, queueing_time=queueing_time)
             self._connections.feed(RequestReceived(ticket, request))
 
     # -- rejecting ---------------------------------------------------------------------------------
--- a/quartzrouter/server/request_reader.py
+++ b/quartzrouter/server/request_reader.py
@@ -147,14 +147,14 @@
         raise InvalidRequest(f"X-Tag is {tag}")
     read_key = _header if key_required else _optional_header
     return ClientRequest(
-        id=_header(params, "X-Correlation-Id", TOKEN_PATTERN),
-        vhost=traffic_class,
-        obj=_header(params, "X-Subject", TOKEN_PATTERN),
-        part=int(_header(params, "X-Chunk", NUMBER_PATTERN)),
-        group=tag,
+        correlation_id=_header(params, "X-Correlation-Id", TOKEN_PATTERN),
+        traffic_class=traffic_class,
+        object_key=_header(params, "X-Subject", TOKEN_PATTERN),
+        chunk=int(_header(params, "X-Chunk", NUMBER_PATTERN)),
+        tag=tag,
         timeout=deadline_ms * 1000,
-        key=read_key(params, "X-Operation-Key", KEY_PATTERN),
-        held=_optional_header(params, "X-Known", TOKEN_PATTERN),
+        idempotency_key=read_key(params, "X-Operation-Key", KEY_PATTERN),
+        if_none_match=_optional_header(params, "X-Known", TOKEN_PATTERN),
     )
 
 
