--- a/quartzrouter/drill/__main__.py
+++ b/quartzrouter/drill/__main__.py
@@ -1,3 +1,5 @@
+"""Entry point of ``python -m quartzrouter.drill``."""
+
 import sys
 
 from quartzrouter.drill.host import main
--- a/quartzrouter/routing/driver.py
+++ b/quartzrouter/routing/driver.py
@@ -1,90 +1,122 @@
-"""What every host of the decisions keeps: the reqs in hand, what is on hold, and when to ask wait() again.
+"""Carries out what a Router decides, and keeps what the decisions need between two of its calls.
 
-The drill and the real router fill in how a dispatch, a final answer, a probe or a timer is brought about.
+A Router decides and does nothing: it says that a request goes to an endpoint, waits or is given up.
+A RouterDriver owns the requests without a final answer, the deferred ones, and the time at which
+the router's maintenance is due.  How a request is forwarded or a timer set is up to its subclasses: the
+state machine of the router process and the bench adapter.
+
+All times are whole microseconds on the clock of the caller, who hands them in.
 """
 
+from abc import ABC, abstractmethod
+
 from quartzrouter.routing.model import AttemptResult, Decision, Defer, Fail, Forward, Reject, Request
 from quartzrouter.routing.router import Router
 
-MAINTENANCE_TIMER = 0  # the tag of the timer for wait(); reqs on hold have tags from 1
+MAINTENANCE_TIMER = 0  # number of the timer for maintenance; deferred requests have numbers from 1
+
 
+class RouterDriver(ABC):
+    """Carries out the decisions of one router.
+
+    :param router: a Router, or a MultiPoolRouter, which has the same methods.
+    """
 
-class RouterDriver:
     def __init__(self, router: Router):
         self.router = router
-        self.reqs: dict[int, Request] = {}
-        self.held: dict[int, int] = {}  # timer tag: req id
-        self.tags = MAINTENANCE_TIMER
-        self.wait_due: int | None = None
+        self.requests: dict[int, Request] = {}  # those without a final answer, by request id
+        self.deferred: dict[int, int] = {}  # request id by the number of its timer
+        self.last_timer_number = MAINTENANCE_TIMER
+        self.maintenance_due: int | None = None  # None: no timer is set for it yet
+
+    # -- to be implemented -------------------------------------------------------------------------
+
+    @abstractmethod
+    def forward(self, request_id: int, decision: Forward, now: int) -> None:
+        """Begins an attempt: sends the request to the endpoint that the decision names."""
 
-    # -- to be filled in ---------------------------------------------------------------------------
+    @abstractmethod
+    def cancel_attempt(self, request_id: int, attempt_number: int, now: int) -> None:
+        """Cancels an attempt whose client has gone."""
 
-    def dispatch(self, req_id: int, answer: Forward, now: int) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def reject(self, request_id: int, retry_after: int) -> None:
+        """Answers that there is no capacity for the request.
 
-    def call_off(self, req_id: int, hop: int, now: int) -> None:
-        raise NotImplementedError
+        :param retry_after: microseconds after which the client may try again; 0 names no time.
+        """
 
-    def deny(self, req_id: int, come_back: int) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def fail(self, request_id: int) -> None:
+        """Answers that the request has failed."""
 
-    def abort(self, req_id: int) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def start_health_check(self, endpoint: str, timeout: int) -> None:
+        """Checks an endpoint, which counts as hanging if it has not answered within the timeout."""
 
-    def probe(self, name: str, timeout: int) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def subscribe_to_endpoints(self) -> None:
+        """Asks the discovery service for the endpoint list, where it has to be asked."""
 
-    def subscribe(self) -> None:
-        raise NotImplementedError
+    @abstractmethod
+    def set_timer(self, due: int, now: int, number: int) -> None:
+        """Sets a timer.
 
-    def timer(self, due: int, now: int, tag: int) -> None:
-        raise NotImplementedError
+        :param due: the time at which it fires.
+        :param number: ``MAINTENANCE_TIMER``, or that of a deferred request; goes to ``resume_deferred``.
+        """
 
     # -- shared ------------------------------------------------------------------------------------
 
-    def take(self, req: Request, now: int) -> None:
-        self.reqs[req.id] = req
-        self.carry_out(req.id, self.router.route(req, now), now)
-
-    def ended(self, req_id: int, outcome: AttemptResult, now: int) -> None:
-        answer = self.router.attempt_finished(req_id, outcome, now)
-        if outcome.final:
-            self.reqs.pop(req_id, None)
-        self.carry_out(req_id, answer, now)
-
-    def left(self, req_id: int, now: int) -> None:
-        self.reqs.pop(req_id, None)
-        hop = self.router.cancel_request(req_id)
-        if hop is not None:
-            self.call_off(req_id, hop, now)
-
-    def fired(self, tag: int, now: int) -> None:
-        req = self.reqs.get(self.held.pop(tag, -1))
-        if req is not None:
-            self.carry_out(req.id, self.router.route(req, now), now)
-
-    def ask_wait(self, now: int) -> None:
-        """Asks how long to wait, and keeps one timer for it."""
-        wait = self.router.maintenance(now)
-        for name in wait.probes:
-            self.probe(name, wait.probe_timeout)
-        if wait.subscribe:
-            self.subscribe()
-        if self.wait_due is None or self.wait_due <= now or now + wait.time < self.wait_due:
-            self.wait_due = now + wait.time
-            self.timer(self.wait_due, now, MAINTENANCE_TIMER)
-
-    def carry_out(self, req_id: int, answer: Decision | None, now: int) -> None:
-        match answer:
+    def accept_request(self, request: Request, now: int) -> None:
+        """Takes in a new request and carries out the router's decision on it."""
+        self.requests[request.id] = request
+        self._carry_out(request.id, self.router.route(request, now), now)
+
+    def record_result(self, request_id: int, result: AttemptResult, now: int) -> None:
+        """Tells the router how an attempt has ended, and carries out what it decides next."""
+        decision = self.router.attempt_finished(request_id, result, now)
+        if result.final:
+            self.requests.pop(request_id, None)
+        self._carry_out(request_id, decision, now)
+
+    def cancel_request(self, request_id: int, now: int) -> None:
+        """Ends a request whose client has gone, and its attempt if that is to be cancelled."""
+        self.requests.pop(request_id, None)
+        attempt_number = self.router.cancel_request(request_id)
+        if attempt_number is not None:
+            self.cancel_attempt(request_id, attempt_number, now)
+
+    def resume_deferred(self, number: int, now: int) -> None:
+        """Asks the router anew about the deferred request whose timer has fired, if it is still open."""
+        request = self.requests.get(self.deferred.pop(number, -1))
+        if request is not None:
+            self._carry_out(request.id, self.router.route(request, now), now)
+
+    def run_maintenance(self, now: int) -> None:
+        """Carries out what the router asks for beside requests, and keeps one timer for the next time."""
+        actions = self.router.maintenance(now)
+        for endpoint in actions.probes:
+            self.start_health_check(endpoint, actions.probe_timeout)
+        if actions.subscribe:
+            self.subscribe_to_endpoints()
+        next_due = now + actions.time
+        has_timer = self.maintenance_due is not None and now < self.maintenance_due <= next_due
+        if not has_timer:
+            self.maintenance_due = next_due
+            self.set_timer(next_due, now, MAINTENANCE_TIMER)
+
+    def _carry_out(self, request_id: int, decision: Decision | None, now: int) -> None:
+        match decision:
             case Forward():
-                self.dispatch(req_id, answer, now)
-            case Defer(delay=time):
-                self.tags += 1
-                self.held[self.tags] = req_id
-                self.timer(now + time, now, self.tags)
-            case Reject(retry_after=time):
-                self.reqs.pop(req_id, None)
-                self.deny(req_id, time)
+                self.forward(request_id, decision, now)
+            case Defer(delay=delay):
+                self.last_timer_number += 1
+                self.deferred[self.last_timer_number] = request_id
+                self.set_timer(now + delay, now, self.last_timer_number)
+            case Reject(retry_after=retry_after):
+                self.requests.pop(request_id, None)
+                self.reject(request_id, retry_after)
             case Fail():
-                self.reqs.pop(req_id, None)
-                self.abort(req_id)
+                self.requests.pop(request_id, None)
+                self.fail(request_id)
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -291,7 +291,7 @@
         Connections end one way first: a close over unread bytes would reset them, and answers with them.
         """
         until = self._time() + READ_WITHIN
-        while self._accept_all_waiting() or not self.front.all_read or self.reducer.hands:
+        while self._accept_all_waiting() or not self.front.all_read or self.reducer.in_flight:
             if self._time() >= until:
                 break
             await anyio.sleep(FLUSH_EVERY)
--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -1,10 +1,12 @@
-"""All state changes of the real router: step(event, now) gives the effects, and touches nothing outside.
+"""The state machine of the router process: ``step(event, now)`` returns effects, and does no I/O.
 
-It owns the Router, the reqs in hand, their hops, the timers and the probes in flight.  Reading and writing
-are effects that it asks for; what became of them comes back as events.
+It owns the Router, the requests in flight with their attempts, the timers and the health checks under
+way.  Reading and writing are effects that it asks for; what becomes of them comes back as events.  An
+event is taken in whole before the next one, so no two of them can interleave.
+
+Times are whole microseconds.
 """
 
-import heapq
 from dataclasses import dataclass
 
 from quartzrouter.configuration import KB
@@ -19,7 +21,8 @@
     Request,
 )
 from quartzrouter.routing.router import Router
-from quartzrouter.server import responses
+from quartzrouter.server import cache_protocol, responses
+from quartzrouter.server.cache_protocol import HTTP_NOT_MODIFIED, HTTP_OK
 from quartzrouter.server.effects import (
     CancelAttempt,
     CloseIdleConnections,
@@ -47,332 +50,411 @@
     StatusQueried,
     TimerFired,
 )
+from quartzrouter.server.timers import (
+    AttemptTimeout,
+    ClientDeadline,
+    DeferredRequest,
+    MaintenanceTimer,
+    ShutdownGracePeriod,
+    Timer,
+    TimerQueue,
+)
 
-MS = 1_000
+MS = 1_000  # us
 
-STOP_AFTER = 1_000 * MS  # us from SIGTERM: reqs keep arriving for 0.7 s, and a little for a busy machine
-NEVER = 1 << 62  # us
-DONE, SAME, LACKING, FULL, OVER = 200, 304, 404, 503, 504  # what a cache answers; others are errors
+SHUTDOWN_GRACE = 1_000 * MS  # from SIGTERM: requests keep arriving for 0.7 s, and a busy machine reads late
+EXIT_RETRY = 10 * MS  # between two looks whether the last request has its response
 
 
 @dataclass(slots=True)
 class PendingAttempt:
-    """The one dispatch of a req that is out."""
+    """The attempt of a request that is under way; a request has one at most.
+
+    :param decision: what the router decided.
+    :param started_at: when the connection for it was asked for.
+    :param times_out_at: grows once the response's head has told how long the body is.
+    :param is_sent: the connection was ready, and the request has been handed over to be written.
+    :param is_outdated: an endpoint of the decision has become unusable, or a purge has come, since it was
+        made.  Until it is sent it can be decided anew at no cost.
+    """
 
-    answer: Forward
-    since: int
-    until: int
-    ready: bool = False
-    stale: bool = False  # a drain or a purge came after it was decided
-    head: ResponseHead | None = None
+    decision: Forward
+    started_at: int
+    times_out_at: int
+    is_sent: bool = False
+    is_outdated: bool = False
+    response_head: ResponseHead | None = None
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    call: ClientRequest
-    gone: bool = False  # the client has; what is out may have to run on
-    going: PendingAttempt | None = None
+    """A request in flight: its client is owed a response, or its attempt is still under way.
+
+    :param is_response_owed: False once the client has its response or has gone; the attempt may have to
+        run to its end all the same.
+    """
+
+    client_request: ClientRequest
+    is_response_owed: bool = True
+    attempt: PendingAttempt | None = None
 
 
 class RouterStateMachine(RouterDriver):
+    """The router process without its I/O; see the module.
+
+    :param router: decides on the requests.
+    """
+
     def __init__(self, router: Router):
         super().__init__(router)
-        self.hands: dict[int, PendingRequest] = {}
-        self.ids: set[str] = set()  # of the reqs that are owed an answer
-        self.timers: list[tuple[int, int, tuple]] = []  # when due, a number that keeps the order, for what
-        self.numbers = 0
-        self.addresses: dict[str, tuple[str, int]] = {}  # of what is listed
-        self.listed = False  # once there has been a line of the list
-        self.probing: set[str] = set()
-        self.stopping = self.closed = False  # after SIGTERM; once nothing more is taken
-        self.effects: list[Effect] = []
+        self.in_flight: dict[int, PendingRequest] = {}  # by request id
+        self.open_correlation_ids: set[str] = set()  # of the requests that are owed a response, in lower case
+        self.timers = TimerQueue()
+        self.addresses: dict[str, tuple[str, int]] = {}  # of the endpoints that are listed
+        self.has_endpoint_list = False  # once any endpoint was listed
+        self.health_checks: set[str] = set()  # endpoints with a health check under way
+        self.is_shutting_down = False  # after SIGTERM
+        self.is_closed = False  # once the grace period is over, and new requests are rejected
+        self.effects: list[Effect] = []  # of the step under way
         self.now = 0  # of the step under way
 
     def step(self, event: Event, now: int) -> list[Effect]:
-        self.effects, self.now = [], now
+        """Takes in one event.
+
+        :param now: the time; never before that of the previous step.
+        :returns: the effects that it brings about, in order.
+        """
+        self.effects = []
+        self.now = now
+        self._handle(event, now)
+        if self.effects or not isinstance(event, ResponseHead):  # most heads change nothing for the router
+            self.run_maintenance(now)
+        return self.effects
+
+    def _handle(self, event: Event, now: int) -> None:
         match event:
-            case RequestReceived(ticket, call):
-                self._came(ticket, call, now)
-            case ClientGone(ticket):
-                self._left(ticket, now)
-            case ConnectionReady(ticket, hop):
-                if going := self._going(ticket, hop):
-                    self._ready(ticket, going, now)
-            case ResponseHead(ticket, hop):
-                if going := self._going(ticket, hop):
-                    self._head(ticket, going, event, now)
-            case AttemptEnded(ticket, hop):
-                if going := self._going(ticket, hop):
-                    self._over(ticket, going, event, now)
+            case RequestReceived(request_id, client_request):
+                self._request_received(request_id, client_request, now)
+            case ClientGone(request_id):
+                self._client_gone(request_id, now)
+            case ConnectionReady(request_id, attempt_number):
+                if attempt := self._attempt_under_way(request_id, attempt_number):
+                    self._connection_ready(request_id, attempt, now)
+            case ResponseHead(request_id, attempt_number):
+                if attempt := self._attempt_under_way(request_id, attempt_number):
+                    self._response_head(request_id, attempt, event, now)
+            case AttemptEnded(request_id, attempt_number):
+                if attempt := self._attempt_under_way(request_id, attempt_number):
+                    self._attempt_ended(request_id, attempt, event, now)
             case EndpointUpdate():
-                self._heard(event, now)
-            case PurgeNotice(group, obj, when):
-                self.router.record_purge(group, obj, max(0, now - when), now)
-                for hand in self.hands.values():
-                    if hand.going and (
-                        hand.call.object_key.lower() == obj if obj else hand.call.tag == group
-                    ):
-                        hand.going.stale = True
-            case HealthCheckDone(name, ending):
-                self.probing.discard(name)
-                if (
-                    ending is not AttemptStatus.NOT_SENT
-                ):  # for want of room here, which says nothing of the cache
-                    self.router.record_health_check(name, ending, {}, now)
-            case StatusQueried(ticket):
-                self.effects.append(SendResponse(ticket, responses.health(self.listed and not self.stopping)))
-            case ConfigurationReloaded(address):
-                self.effects.append(FollowDiscovery(address))
+                self._endpoints_updated(event, now)
+            case PurgeNotice():
+                self._purged(event, now)
+            case HealthCheckDone(endpoint, status):
+                self._health_check_done(endpoint, status, now)
+            case StatusQueried(request_id):
+                is_ready = self.has_endpoint_list and not self.is_shutting_down
+                self.effects.append(SendResponse(request_id, responses.health(is_ready)))
+            case ConfigurationReloaded(discovery_address):
+                self.effects.append(FollowDiscovery(discovery_address))
             case ShutdownRequested():
-                self.stopping = True
-                self._timer(now + STOP_AFTER, "stop")
+                self.is_shutting_down = True
+                self._add_timer(now + SHUTDOWN_GRACE, ShutdownGracePeriod())
             case TimerFired():
-                # and nothing else: after a stop, answers that have come go ahead of their time-outs
-                last = self.numbers  # what one sets for now waits for the next: a decision may always say now
-                while self.timers and self.timers[0][0] <= now and self.timers[0][1] <= last:
-                    self._fire(heapq.heappop(self.timers)[2], now)
-        if self.effects or not isinstance(event, ResponseHead):  # which mostly tells the decisions nothing
-            self.ask_wait(now)
-        return self.effects
+                self._timers_due(now)
+
+    # -- timers ------------------------------------------------------------------------------------
 
     @property
     def due(self) -> int:
-        """When the next timer fires; those of what is over are passed over, so that nobody wakes for them."""
-        while self.timers and self._idle(self.timers[0][2]):
-            heapq.heappop(self.timers)
-        return self.timers[0][0] if self.timers else NEVER
+        """When the next timer fires: the process hands in ``TimerFired`` then."""
+        return self.timers.next_due(self._is_obsolete)
 
     @property
     def due_for(self) -> str:
-        """What the next timer is for."""
-        return " ".join(map(str, self.timers[0][2])) if self.timers else "nothing"
-
-    def _idle(self, what: tuple) -> bool:
-        match what:
-            case ("hop", ticket, hop):
-                return self._going(ticket, hop) is None
-            case ("req", ticket):
-                return ticket not in self.hands
+        """What the next timer is for, in words for the log."""
+        return self.timers.describe_next()
+
+    def _is_obsolete(self, timer: Timer) -> bool:
+        match timer:
+            case AttemptTimeout(request_id, attempt_number):
+                return self._attempt_under_way(request_id, attempt_number) is None
+            case ClientDeadline(request_id):
+                return request_id not in self.in_flight
         return False
 
-    # -- what the decisions ask for ----------------------------------------------------------------
-
-    def dispatch(self, req_id: int, given: Forward, now: int) -> None:
-        self.hands[req_id].going = PendingAttempt(given, now, now + given.timeout)
-        self._timer(now + given.timeout, "hop", req_id, given.attempt_number)
-        self.effects.append(
-            OpenConnection(req_id, given.attempt_number, given.endpoint, self.addresses[given.endpoint])
-        )
-
-    def call_off(self, req_id: int, hop: int, now: int) -> None:
-        self._end(req_id, self.hands[req_id].going, AttemptStatus.CANCELLED, now)
-
-    def deny(self, req_id: int, come_back: int) -> None:
-        self._reply(req_id, responses.overloaded(come_back))
-
-    def abort(self, req_id: int) -> None:
-        self._reply(req_id, responses.failed())
-
-    def probe(self, name: str, timeout: int) -> None:
-        if name not in self.probing:
-            self.probing.add(name)
-            self.effects.append(StartHealthCheck(name, self.addresses[name], timeout))
-
-    def subscribe(self) -> None:
-        """The journal service tells without being asked."""
-
-    def timer(self, due: int, now: int, tag: int) -> None:
-        self._timer(due, "tag", tag)
-
-    # -- events --------------------------------------------------------------------------------------
-
-    def _came(self, ticket: int, call: ClientRequest, now: int) -> None:
-        if call.correlation_id.lower() in self.ids:
-            self.effects.append(SendResponse(ticket, responses.invalid(409, "X-Correlation-Id is in use")))
+    def _add_timer(self, due: int, timer: Timer) -> None:
+        """Sets a timer, for now at the earliest: one in the past would go ahead of those already due."""
+        self.timers.set(max(due, self.now), timer)
+
+    def _timers_due(self, now: int) -> None:
+        """Fires all timers that are due, and nothing else does.
+
+        Guards against a process that stood still: responses have come meanwhile, and if any event fired the
+        timers, they would time out the attempts ahead of the responses that are still to be read.
+
+        A timer that is set for now while others fire waits for the next step: a router that always defers
+        by 0 would keep this step for ever.
+        """
+        last_number = self.timers.last_number
+        while (timer := self.timers.pop_due(now, last_number)) is not None:
+            self._timer_fired(timer, now)
+
+    def _timer_fired(self, timer: Timer, now: int) -> None:
+        match timer:
+            case MaintenanceTimer():
+                pass  # each step ends with it
+            case DeferredRequest(number):
+                self.resume_deferred(number, now)
+            case AttemptTimeout(request_id, attempt_number):
+                self._attempt_timed_out(request_id, attempt_number, now)
+            case ClientDeadline(request_id):
+                self._client_deadline_passed(request_id, now)
+            case ShutdownGracePeriod():
+                self._close(now)
+
+    def _attempt_timed_out(self, request_id: int, attempt_number: int, now: int) -> None:
+        attempt = self._attempt_under_way(request_id, attempt_number)
+        if attempt is None or now < attempt.times_out_at:  # over, or it has got more time
+            return
+        status = AttemptStatus.TIMED_OUT if attempt.is_sent else AttemptStatus.NOT_CONNECTED
+        self._abandon_attempt(request_id, attempt, status, now)
+
+    def _client_deadline_passed(self, request_id: int, now: int) -> None:
+        """Fails a request that the router has not ended by itself in time, which it should have done."""
+        pending = self.in_flight.get(request_id)
+        if pending and pending.is_response_owed:
+            self.effects.append(SendResponse(request_id, responses.failed()))
+            self._client_gone(request_id, now)
+
+    def _close(self, now: int) -> None:
+        """Rejects new requests from now on, and exits once no request is in flight."""
+        self.is_closed = True
+        if self.in_flight:
+            self._add_timer(now + EXIT_RETRY, ShutdownGracePeriod())
+        else:
+            self.effects.append(ExitProcess())
+
+    # -- what the router decides -------------------------------------------------------------------
+
+    def forward(self, request_id: int, decision: Forward, now: int) -> None:
+        """Asks for a connection, and sets the attempt's timeout."""
+        times_out_at = now + decision.timeout
+        self.in_flight[request_id].attempt = PendingAttempt(decision, now, times_out_at)
+        self._add_timer(times_out_at, AttemptTimeout(request_id, decision.attempt_number))
+        address = self.addresses[decision.endpoint]
+        self.effects.append(OpenConnection(request_id, decision.attempt_number, decision.endpoint, address))
+
+    def cancel_attempt(self, request_id: int, attempt_number: int, now: int) -> None:
+        """Gives the attempt up."""
+        attempt = self.in_flight[request_id].attempt
+        self._abandon_attempt(request_id, attempt, AttemptStatus.CANCELLED, now)
+
+    def reject(self, request_id: int, retry_after: int) -> None:
+        """Responds with 503."""
+        self._respond(request_id, responses.overloaded(retry_after))
+
+    def fail(self, request_id: int) -> None:
+        """Responds with 502."""
+        self._respond(request_id, responses.failed())
+
+    def start_health_check(self, endpoint: str, timeout: int) -> None:
+        """Starts a health check, unless one of this endpoint is under way."""
+        if endpoint not in self.health_checks:
+            self.health_checks.add(endpoint)
+            self.effects.append(StartHealthCheck(endpoint, self.addresses[endpoint], timeout))
+
+    def subscribe_to_endpoints(self) -> None:
+        """Does nothing: the discovery service sends the list without being asked."""
+
+    def set_timer(self, due: int, now: int, number: int) -> None:
+        """Sets the driver's timer."""
+        timer = MaintenanceTimer() if number == MAINTENANCE_TIMER else DeferredRequest(number)
+        self._add_timer(due, timer)
+
+    # -- events of requests ------------------------------------------------------------------------
+
+    def _request_received(self, request_id: int, client_request: ClientRequest, now: int) -> None:
+        correlation_id = client_request.correlation_id.lower()
+        if correlation_id in self.open_correlation_ids:
+            response = responses.invalid(409, "X-Correlation-Id is in use")
+            self.effects.append(SendResponse(request_id, response))
             return
-        self.hands[ticket] = PendingRequest(call)
-        self.ids.add(call.correlation_id.lower())
-        if self.closed:
-            self._reply(ticket, responses.overloaded(0))
+        self.in_flight[request_id] = PendingRequest(client_request)
+        self.open_correlation_ids.add(correlation_id)
+        if self.is_closed:
+            self._respond(request_id, responses.overloaded(0))
             return
-        self._timer(now + call.timeout - call.queueing_time, "req", ticket)
-        self.take(self._req(ticket, call), now)
+        time_left = client_request.timeout - client_request.queueing_time
+        self._add_timer(now + time_left, ClientDeadline(request_id))
+        self.accept_request(self._to_request(request_id, client_request), now)
 
-    def _req(self, ticket: int, call: ClientRequest) -> Request:
+    def _to_request(self, request_id: int, client_request: ClientRequest) -> Request:
+        """The request as the router takes it."""
         return Request(
-            ticket,
-            call.traffic_class,
-            call.object_key.lower(),
-            call.tag,
-            call.chunk,
+            id=request_id,
+            traffic_class=client_request.traffic_class,
+            object_key=client_request.object_key.lower(),
+            tag=client_request.tag,
+            chunk=client_request.chunk,
             size_kb=0.0,
-            timeout=call.timeout,
-            queueing_time=call.queueing_time,
+            timeout=client_request.timeout,
+            queueing_time=client_request.queueing_time,
         )
 
-    def _kept(self, call: ClientRequest) -> bool:
-        """Whether caches keep copies of it, so that an answer has a tag and a time."""
-        return not self.router.vhosts[call.traffic_class].uncacheable
+    def _is_cacheable(self, client_request: ClientRequest) -> bool:
+        """Whether caches keep copies of it, so that a response says which copy it is and how old."""
+        return not self.router.vhosts[client_request.traffic_class].uncacheable
 
-    def _fields(self, call: ClientRequest) -> list[tuple[str, str]]:
-        """What is passed on beside what the platform's page names."""
+    def _extra_headers(self, client_request: ClientRequest) -> list[tuple[str, str]]:
+        """Headers that are passed on beside those of the platform's protocol."""
         return []
 
-    def _left(self, ticket: int, now: int) -> None:
-        if (hand := self.hands.get(ticket)) and not hand.gone:
-            hand.gone = True
-            self.ids.discard(hand.call.correlation_id.lower())
-            self.left(ticket, now)
-            if hand.going and not hand.going.ready:  # nothing of it has gone out, and nothing will
-                self._end(ticket, hand.going, AttemptStatus.NOT_SENT, now)
-            if not hand.going:
-                self.hands.pop(ticket, None)
-
-    def _ready(self, ticket: int, going: PendingAttempt, now: int) -> None:
-        given, call = going.answer, self.hands[ticket].call
-        if going.stale or now >= min(going.until, given.send_by):
-            self._end(ticket, going, AttemptStatus.NOT_SENT, now)
+    def _client_gone(self, request_id: int, now: int) -> None:
+        pending = self.in_flight.get(request_id)
+        if pending is None or not pending.is_response_owed:
             return
-        going.ready = True
-        fields = [("X-Hop-Id", call.correlation_id), ("X-Budget", str(max(1, (going.until - now) // MS)))]
-        if call.idempotency_key:
-            fields.append(("X-Replay-Key", call.idempotency_key))
-        if given.fill_source != given.endpoint:
-            fields.append(("X-Parent", given.fill_source))
-        if given.cache_priority:
-            fields.append(("X-Rank", str(given.cache_priority)))
-        if given.max_age:
-            fields.append(("X-Fresh-Ms", str(max(1, given.max_age // MS))))
-        if opts := [
-            word
-            for word, on in (("ride", given.allow_collapsing), ("update", given.revalidate_in_background))
-            if on
-        ]:
-            fields.append(("X-Opts", "+".join(opts)))
-        if call.if_none_match:
-            fields.append(("X-Have", call.if_none_match))
-        fields += self._fields(call)
-        target = f"/x/{call.traffic_class}/{call.object_key}/{call.chunk}"
-        self.effects.append(SendRequest(ticket, given.attempt_number, target, fields, call.body))
-
-    def _head(self, ticket: int, going: PendingAttempt, head: ResponseHead, now: int) -> None:
-        call = self.hands[ticket].call
-        going.head = head
-        unmarked = head.status in (DONE, SAME) and self._kept(call) and not head.has_copy_headers
-        if unmarked or (head.status == SAME and not call.if_none_match):
-            self._end(
-                ticket, going, AttemptStatus.CONNECTION_LOST, now
-            )  # nothing that may be passed on; it may have run
-        elif (
-            head.content_length
-            and (until := self.router.response_deadline(ticket, head.content_length / KB)) > going.until
-        ):
-            going.until = until
-            self._timer(until, "hop", ticket, going.answer.attempt_number)
-
-    def _over(self, ticket: int, going: PendingAttempt, event: AttemptEnded, now: int) -> None:
-        head = going.head
-        if event.failure is not None:
-            ending = event.failure.ending()
-        elif head.status in (DONE, SAME):
-            ending = AttemptStatus.SUCCEEDED
-        elif head.status == LACKING:
-            ending = AttemptStatus.NOT_FOUND
-        elif head.status in (FULL, OVER) and head.never_ran:
-            ending = AttemptStatus.OVERLOADED if head.status == FULL else AttemptStatus.NOT_SENT
-        else:
-            ending = AttemptStatus.ERROR
-        if ending is AttemptStatus.SUCCEEDED:
-            self._reply(ticket, responses.not_modified() if head.status == SAME else responses.ok(event.body))
-        self._end(ticket, going, ending, now, drop=False)
-
-    def _heard(self, event: EndpointUpdate, now: int) -> None:
-        for name, where in event.addresses.items():
-            if self.addresses.get(name, where) != where:
-                self.effects.append(CloseIdleConnections(name))
-            self.addresses[name] = where
-        told = {line.name: line.state for line in event.endpoints}
-        if event.is_snapshot:
-            told |= {name: EndpointState.GONE for name in self.addresses if name not in told}
-        self.listed |= bool(told)
-        self.router.update_endpoints(event.endpoints, event.is_snapshot, now)
-        down = {name for name, state in told.items() if state is not EndpointState.UP}
-        self.effects += [CloseIdleConnections(name) for name in sorted(down)]
-        for name, state in told.items():
-            if state is EndpointState.GONE:
-                self.addresses.pop(name, None)
-        for hand in self.hands.values():
-            if hand.going and not down.isdisjoint(
-                (hand.going.answer.endpoint, hand.going.answer.fill_source)
-            ):
-                hand.going.stale = True
-
-    def _fire(self, what: tuple, now: int) -> None:
-        match what:
-            case ("tag", tag):
-                if tag != MAINTENANCE_TIMER:
-                    self.fired(tag, now)
-            case ("hop", ticket, hop):
-                going = self._going(ticket, hop)
-                if going and now >= going.until:
-                    self._end(
-                        ticket,
-                        going,
-                        AttemptStatus.TIMED_OUT if going.ready else AttemptStatus.NOT_CONNECTED,
-                        now,
-                    )
-            case ("req", ticket):
-                hand = self.hands.get(ticket)
-                if hand and not hand.gone:  # the decisions end it sooner; should they not, here it ends
-                    self.effects.append(SendResponse(ticket, responses.failed()))
-                    self._left(ticket, now)
-            case ("stop",):
-                self.closed = True
-                if self.hands:
-                    self._timer(now + 10 * MS, "stop")
-                else:
-                    self.effects.append(ExitProcess())
-
-    # -- parts of them -------------------------------------------------------------------------------
-
-    def _going(self, ticket: int, hop: int) -> PendingAttempt | None:
-        """The dispatch that an event speaks of, unless it has been given up meanwhile."""
-        hand = self.hands.get(ticket)
-        going = hand.going if hand else None
-        return going if going and going.answer.attempt_number == hop else None
-
-    def _end(
-        self, ticket: int, going: PendingAttempt, ending: AttemptStatus, now: int, drop: bool = True
-    ) -> None:
-        if drop:
-            self.effects.append(CancelAttempt(ticket, going.answer.attempt_number))
-        hand = self.hands[ticket]
-        hand.going = None
-        told, report = (
-            (going.head.fill_status, going.head.load_report)
-            if going.head
-            else (FillStatus.UNKNOWN, LoadReport())
+        pending.is_response_owed = False
+        self.open_correlation_ids.discard(pending.client_request.correlation_id.lower())
+        self.cancel_request(request_id, now)
+        if pending.attempt and not pending.attempt.is_sent:  # nothing of it has gone out, and nothing will
+            self._abandon_attempt(request_id, pending.attempt, AttemptStatus.NOT_SENT, now)
+        if not pending.attempt:
+            self.in_flight.pop(request_id, None)
+
+    def _respond(self, request_id: int, data: bytes) -> None:
+        """Sends the final response to a request, unless its client has gone."""
+        pending = self.in_flight[request_id]
+        if pending.is_response_owed:
+            self.effects.append(SendResponse(request_id, data))
+            self.open_correlation_ids.discard(pending.client_request.correlation_id.lower())
+        pending.is_response_owed = False
+        if not pending.attempt:
+            del self.in_flight[request_id]
+
+    # -- events of attempts ------------------------------------------------------------------------
+
+    def _attempt_under_way(self, request_id: int, attempt_number: int) -> PendingAttempt | None:
+        """The attempt that an event or a timer is about; None if it has ended or was cancelled meanwhile."""
+        pending = self.in_flight.get(request_id)
+        attempt = pending.attempt if pending else None
+        return attempt if attempt and attempt.decision.attempt_number == attempt_number else None
+
+    def _connection_ready(self, request_id: int, attempt: PendingAttempt, now: int) -> None:
+        """Sends the request, or ends the attempt unsent where its decision no longer holds."""
+        client_request, decision = self.in_flight[request_id].client_request, attempt.decision
+        is_too_late = now >= min(attempt.times_out_at, decision.send_by)
+        if attempt.is_outdated or is_too_late:
+            self._abandon_attempt(request_id, attempt, AttemptStatus.NOT_SENT, now)
+            return
+        attempt.is_sent = True
+        target = cache_protocol.request_target(client_request)
+        headers = cache_protocol.request_headers(client_request, decision, attempt.times_out_at - now)
+        headers += self._extra_headers(client_request)
+        self.effects.append(
+            SendRequest(request_id, decision.attempt_number, target, headers, client_request.body)
         )
-        over = hand.gone or ending is AttemptStatus.SUCCEEDED
-        if over:
-            self.hands.pop(ticket, None)
-        self.ended(
-            ticket,
-            AttemptResult(going.answer.attempt_number, ending, now - going.since, told, over, report),
-            now,
+
+    def _response_head(self, request_id: int, attempt: PendingAttempt, head: ResponseHead, now: int) -> None:
+        """Gives up a response that can't be passed on; one that has begun gets time by its length."""
+        attempt.response_head = head
+        if not self._is_usable(self.in_flight[request_id].client_request, head):
+            # the request may have run
+            self._abandon_attempt(request_id, attempt, AttemptStatus.CONNECTION_LOST, now)
+        elif head.content_length:
+            deadline = self.router.response_deadline(request_id, head.content_length / KB)
+            if deadline > attempt.times_out_at:
+                attempt.times_out_at = deadline
+                self._add_timer(deadline, AttemptTimeout(request_id, attempt.decision.attempt_number))
+
+    def _is_usable(self, client_request: ClientRequest, head: ResponseHead) -> bool:
+        """Whether a response may be passed on: its copy is named, and a 304 was asked for."""
+        if head.status not in (HTTP_OK, HTTP_NOT_MODIFIED):
+            return True
+        if self._is_cacheable(client_request) and not head.has_copy_headers:
+            return False
+        return head.status == HTTP_OK or bool(client_request.if_none_match)
+
+    def _attempt_ended(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded, now: int) -> None:
+        """Passes a complete response on, and tells the router how the attempt has ended."""
+        head = attempt.response_head
+        status = event.failure.ending() if event.failure else cache_protocol.attempt_status(head)
+        if status is AttemptStatus.SUCCEEDED:
+            not_modified = head.status == HTTP_NOT_MODIFIED
+            self._respond(request_id, responses.not_modified() if not_modified else responses.ok(event.body))
+        self._finish_attempt(request_id, attempt, status, now)
+
+    def _abandon_attempt(
+        self, request_id: int, attempt: PendingAttempt, status: AttemptStatus, now: int
+    ) -> None:
+        """Closes the attempt's connection, and ends the attempt."""
+        self.effects.append(CancelAttempt(request_id, attempt.decision.attempt_number))
+        self._finish_attempt(request_id, attempt, status, now)
+
+    def _finish_attempt(
+        self, request_id: int, attempt: PendingAttempt, status: AttemptStatus, now: int
+    ) -> None:
+        """Ends an attempt of which nothing more is heard, and tells the router."""
+        head = attempt.response_head
+        pending = self.in_flight[request_id]
+        pending.attempt = None
+        is_final = not pending.is_response_owed or status is AttemptStatus.SUCCEEDED
+        if is_final:
+            self.in_flight.pop(request_id, None)
+        result = AttemptResult(
+            attempt_number=attempt.decision.attempt_number,
+            status=status,
+            elapsed=now - attempt.started_at,
+            fill_status=head.fill_status if head else FillStatus.UNKNOWN,
+            final=is_final,
+            load_report=head.load_report if head else LoadReport(),
         )
+        self.record_result(request_id, result, now)
+
+    # -- events of endpoints -----------------------------------------------------------------------
+
+    def _endpoints_updated(self, update: EndpointUpdate, now: int) -> None:
+        self._update_addresses(update.addresses)
+        states = {endpoint.name: endpoint.state for endpoint in update.endpoints}
+        if update.is_snapshot:
+            states |= {name: EndpointState.GONE for name in self.addresses if name not in states}
+        if states:
+            self.has_endpoint_list = True
+        self.router.update_endpoints(update.endpoints, update.is_snapshot, now)
+        unusable = {name for name, state in states.items() if state is not EndpointState.UP}
+        self.effects += [CloseIdleConnections(name) for name in sorted(unusable)]
+        for name, state in states.items():
+            if state is EndpointState.GONE:
+                self.addresses.pop(name, None)
+        self._mark_outdated_by_endpoints(unusable)
 
-    def _reply(self, ticket: int, data: bytes) -> None:
-        """The end of a req, unless its client has gone."""
-        hand = self.hands[ticket]
-        if not hand.gone:
-            self.effects.append(SendResponse(ticket, data))
-            self.ids.discard(hand.call.correlation_id.lower())
-        hand.gone = True
-        if not hand.going:
-            del self.hands[ticket]
-
-    def _timer(self, due: int, *what: object) -> None:
-        due = max(due, self.now)  # those set for before now would go ahead of what is due already
-        self.numbers += 1
-        heapq.heappush(self.timers, (due, self.numbers, what))
+    def _update_addresses(self, addresses: dict[str, tuple[str, int]]) -> None:
+        """Takes in where endpoints are; connections to an endpoint's former address are closed."""
+        for name, address in addresses.items():
+            if self.addresses.get(name, address) != address:
+                self.effects.append(CloseIdleConnections(name))
+            self.addresses[name] = address
+
+    def _mark_outdated_by_endpoints(self, unusable: set[str]) -> None:
+        for pending in self.in_flight.values():
+            attempt = pending.attempt
+            if attempt and not unusable.isdisjoint((attempt.decision.endpoint, attempt.decision.fill_source)):
+                attempt.is_outdated = True
+
+    def _purged(self, purge: PurgeNotice, now: int) -> None:
+        age = max(0, now - purge.purged_at)
+        self.router.record_purge(purge.tag, purge.object_key, age, now)
+        for pending in self.in_flight.values():
+            if pending.attempt and _is_purged(pending.client_request, purge):
+                pending.attempt.is_outdated = True
+
+    def _health_check_done(self, endpoint: str, status: AttemptStatus, now: int) -> None:
+        self.health_checks.discard(endpoint)
+        if status is not AttemptStatus.NOT_SENT:  # this process had no descriptor left: nothing was learnt
+            self.router.record_health_check(endpoint, status, {}, now)
+
+
+def _is_purged(client_request: ClientRequest, purge: PurgeNotice) -> bool:
+    if purge.object_key:
+        return client_request.object_key.lower() == purge.object_key
+    return client_request.tag == purge.tag
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -106,7 +106,7 @@
         while True:
             for look in range(looks):
                 await anyio.sleep(NEWS_EVERY / 1e6)
-                self.feed(ReportHealth(failures=look < looks - 1))
+                self.feed(ReportHealth(only_failures=look < looks - 1))
 
     async def _tell_shares(self) -> None:
         """Says when this router begins and ends to act on its floor, and which asks were not obeyed."""
@@ -118,16 +118,16 @@
                 if said := shown(counts, before.get(name, NOTHING)):
                     self.report.say("shares", f"limit {name}: {said}")
             before = told
-            for budget, (place, reason, remedy) in self.reducer.refused.items():
+            for budget, (place, reason, remedy) in self.reducer.quota_refusals.items():
                 self.report.say("shares", f"limit {budget}: the ledger refuses {place}: {reason}; {remedy}")
-            self.reducer.refused.clear()
+            self.reducer.quota_refusals.clear()
 
     async def _save(self, path: str) -> None:
         """Beside the loop: encoding and writing 100,000 purges takes a tenth of a second."""
-        saved = self.reducer.follower.held
+        saved = self.reducer.replica.held
         while True:
             await anyio.sleep(purge_membership.SAVE_EVERY)
-            if (held := self.reducer.follower.held) == saved:
+            if (held := self.reducer.replica.held) == saved:
                 continue
             memo = purge_membership.memo(self.fleet, held)
             try:
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -1,6 +1,11 @@
-"""The reducer under a plan: limits before the decisions, their pool behind them, a new plan as one event.
+"""The state machine of a router under its own configuration.
 
-Where the plan names a ledger of purges, what it says are events as well, and every copy that comes is judged.
+It adds to ``RouterStateMachine``: rate limits before the routing decisions, pools behind them, and a new
+configuration as one event.  Where the configuration names a purge log, the log's messages are events too:
+purges, grants of shared quota, and what other routers have seen of endpoints.  Every copy that comes back
+is then checked against the purges before it is passed on.
+
+Times are whole microseconds.
 """
 
 import logging
@@ -18,202 +23,272 @@
     QueueMessage,
 )
 from quartzrouter.purges import messages
-from quartzrouter.purges.messages import CaughtUp, EjectionVerdicts, HealthReport, QuotaGrants, QuotaRequests
+from quartzrouter.purges.messages import (
+    CacheObservation,
+    CaughtUp,
+    EjectionVerdict,
+    EjectionVerdicts,
+    HealthReport,
+    QuotaGrants,
+    QuotaRequests,
+)
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
 from quartzrouter.quota.budget import QuotaRefusal
-from quartzrouter.routing.model import AttemptStatus, HealthObservation, Request
-from quartzrouter.routing.model import Idempotency as Repeats
+from quartzrouter.routing.model import AttemptStatus, HealthObservation, Idempotency, Request
 from quartzrouter.server import responses
+from quartzrouter.server.cache_protocol import HTTP_NOT_MODIFIED, HTTP_OK
 from quartzrouter.server.effects import Effect, SendResponse
 from quartzrouter.server.events import AttemptEnded, ClientRequest, EndpointUpdate, Event
-from quartzrouter.server.state_machine import DONE, SAME, PendingAttempt, PendingRequest, RouterStateMachine
+from quartzrouter.server.state_machine import PendingAttempt, RouterStateMachine
 
-log = logging.getLogger("quartzrouter.routing.router")  # what changes the decisions is told where they are
+log = logging.getLogger("quartzrouter.routing.router")  # what changes the decisions is logged with them
 
-NAMED = 5  # witnesses in a line
-REFUSED_MOST = 64  # kept until they are told of
+MAX_PEERS_LOGGED = 5  # in the log line of an ejection
+MAX_REFUSALS_KEPT = 64  # until they are logged; beyond that the oldest are dropped
 
 
 class ConfigurationReplaced(NamedTuple):
-    """SIGHUP, and a plan that can be used; with the caches that it lists, where no journal tells of them."""
+    """SIGHUP, and a configuration that can be used.
+
+    :param endpoints: those that it lists; None where the discovery service names them.
+    """
 
     plan: Plan
-    lines: EndpointUpdate | None
+    endpoints: EndpointUpdate | None
 
 
 class ReportHealth(NamedTuple):
-    """Time to tell others what has been seen of caches.
+    """It is time to tell other routers what this one has seen of endpoints.
 
-    :param failures: only where one has failed since the last word.
+    :param only_failures: only if an endpoint has failed since the last report.
     """
 
-    failures: bool = False
+    only_failures: bool = False
 
 
 class RequestQuota(NamedTuple):
-    """Time to see which shares are to be asked for."""
+    """It is time to look which shares of quota are to be asked for."""
+
+
+StandaloneEvent = (
+    Event | ConfigurationReplaced | ConnectionOpened | MessageReceived | RequestQuota | ReportHealth
+)
+StandaloneEffect = Effect | QueueMessage | CloseConnection
 
 
 class StandaloneStateMachine(RouterStateMachine):
-    """:param follower: reads what a ledger of purges says, where there is one."""
-
-    def __init__(self, force: MultiPoolRouter, follower: PurgeReplica | None = None):
-        super().__init__(force)
-        self.force, self.follower = force, follower
-        self.denied: dict[str, int] = {}  # reqs turned away before a dispatch, by limit
-        self.seen: dict[str, HealthObservation] = {}  # as last told to others
-        self.hearsay: dict[str, int] = {}  # caches that are left out by others' word, and until when
-        self.refused: dict[str, QuotaRefusal] = {}  # asks for shares that were not obeyed, until told
-
-    def step(
-        self,
-        event: Event
-        | ConfigurationReplaced
-        | ConnectionOpened
-        | MessageReceived
-        | RequestQuota
-        | ReportHealth,
-        now: int,
-    ) -> list[Effect | QueueMessage | CloseConnection]:
+    """A router process under its own configuration, without its I/O; see the module.
+
+    :param replica: follows the purge log, where there is one.
+    """
+
+    def __init__(self, multi_pool_router: MultiPoolRouter, replica: PurgeReplica | None = None):
+        super().__init__(multi_pool_router)
+        self.multi_pool_router = multi_pool_router
+        self.replica = replica
+        self.rejected_by_limit: dict[str, int] = {}  # requests rejected before an attempt, by limit
+        self.reported: dict[str, HealthObservation] = {}  # by endpoint, as last told to others
+        self.ejected_by_peers: dict[str, int] = {}  # endpoints, and until when
+        self.quota_refusals: dict[str, QuotaRefusal] = {}  # by budget, until they are logged
+
+    def step(self, event: StandaloneEvent, now: int) -> list[StandaloneEffect]:
+        """Takes in one event; events of the purge log don't concern requests, and end without maintenance."""
         match event:
             case RequestQuota():
-                return self._asks(now)
-            case ReportHealth(failures):
-                return self._sights(now, failures)
+                return self._request_quota(now)
+            case ReportHealth(only_failures):
+                return self._report_health(only_failures, now)
             case ConnectionOpened():
-                return [QueueMessage(self.follower.begin(now))]
-            case MessageReceived(said):
-                return self._said(said, now)
-            case ConfigurationReplaced(plan, lines):
-                self.force.replace(plan, now)
-                self.denied = {name: n for name, n in self.denied.items() if name in plan.limits}
-                return super().step(lines or event, now)
+                return [QueueMessage(self.replica.begin(now))]
+            case MessageReceived(message):
+                return self._message_received(message, now)
+            case ConfigurationReplaced(plan, endpoints):
+                self._replace_configuration(plan, now)
+                return super().step(endpoints or event, now)
         return super().step(event, now)
 
-    def _said(self, said, now: int) -> list[QueueMessage | CloseConnection]:
-        effects, fleet = [], self.force.fleet
-        for given in self.follower.take(said, now):
-            match given:
+    def _replace_configuration(self, plan: Plan, now: int) -> None:
+        self.multi_pool_router.replace(plan, now)
+        self.rejected_by_limit = {
+            limit: count for limit, count in self.rejected_by_limit.items() if limit in plan.limits
+        }
+
+    # -- purge log: messages in --------------------------------------------------------------------
+
+    def _message_received(
+        self, message: messages.FromPurgeLog, now: int
+    ) -> list[QueueMessage | CloseConnection]:
+        effects: list[QueueMessage | CloseConnection] = []
+        for effect in self.replica.take(message, now):
+            match effect:
                 case ApplyPurges():
-                    fleet.apply(given, self.follower.held, now)
-                    self._outdated(given, now)
+                    self._apply_purges(effect, now)
                 case CaughtUp(caches):
-                    fleet.caught = caches
+                    self.multi_pool_router.fleet.caught = caches
                 case QuotaGrants():
-                    self._granted(given)
-                case EjectionVerdicts(judgements, loads):
-                    self._judged(judgements, now)
-                    if loads is not None:
-                        own = {name: sight.in_flight for name, sight in self.seen.items()}
-                        self.force.set_fleet_load(loads, own, now)
-                case SendMessage(told):
-                    effects.append(QueueMessage(told))
+                    self._take_grants(effect)
+                case EjectionVerdicts(verdicts, loads):
+                    self._eject_by_peers(verdicts, now)
+                    self._take_fleet_load(loads, now)
+                case SendMessage(said):
+                    effects.append(QueueMessage(said))
                 case EndConnection(reason, come_back):
                     effects.append(CloseConnection(reason, come_back))
         return effects
 
-    def _asks(self, now: int) -> list[QueueMessage]:
-        if not (self.follower and self.follower.grants):
+    def _apply_purges(self, purges: ApplyPurges, now: int) -> None:
+        """Puts purges in force.
+
+        Attempts that are not sent yet, and whose decision allows a copy that is now too old, are decided
+        anew.  Those that are sent are checked when their copy comes.
+        """
+        self.multi_pool_router.fleet.apply(purges, self.replica.held, now)
+        if not purges.purges:
+            return
+        for pending in self.in_flight.values():
+            attempt = pending.attempt
+            selection = pending.client_request.route_selection
+            if attempt and not attempt.is_sent and not selection.vhost.uncacheable:
+                attempt.is_outdated |= self.multi_pool_router.bound_now(selection, attempt.decision, now)
+
+    def _take_grants(self, grants: QuotaGrants) -> None:
+        self.multi_pool_router.shares.granted(grants.grants)
+        if self.multi_pool_router.parts:
+            self.multi_pool_router.parts.granted(grants.colds)
+        for budget, refusal in grants.refused.items():
+            self.quota_refusals[budget] = refusal
+            while len(self.quota_refusals) > MAX_REFUSALS_KEPT:
+                del self.quota_refusals[next(iter(self.quota_refusals))]
+
+    def _take_fleet_load(self, loads: dict[str, int] | None, now: int) -> None:
+        """Takes in how many requests all routers have in flight at each endpoint, if that was asked for."""
+        if loads is None:
+            return
+        own_load = {name: observation.in_flight for name, observation in self.reported.items()}
+        self.multi_pool_router.set_fleet_load(loads, own_load, now)
+
+    def _eject_by_peers(self, verdicts: tuple[EjectionVerdict, ...], now: int) -> None:
+        """Ejects endpoints for as long as other routers say, few at a time; each ejection ends by itself."""
+        known_endpoints = len(self.multi_pool_router.health_observations(now))
+        until = accepted_ejections(verdicts, known_endpoints, now)
+        for endpoint in until.keys() - self.ejected_by_peers.keys():
+            peers = next(verdict.by for verdict in verdicts if verdict.cache == endpoint)
+            log.info("%s is ejected on the reports of %s", endpoint, ", ".join(peers[:MAX_PEERS_LOGGED]))
+        self.ejected_by_peers = until
+        self.multi_pool_router.set_ejected_by_peers(until, now)
+
+    # -- purge log: messages out -------------------------------------------------------------------
+
+    def _request_quota(self, now: int) -> list[QueueMessage]:
+        """Asks for shares of quota, where the purge log grants them and there is something to ask for."""
+        if not (self.replica and self.replica.grants):
             return []
-        asks, parts = self.force.shares.asks(), self.force.parts
-        colds = parts.asks(self.force.slow_start_demand(now)) if parts and parts.terms else ()
-        return [QueueMessage(QuotaRequests(asks, colds))] if asks or colds else []
+        asks = self.multi_pool_router.shares.asks()
+        slow_start_asks = ()
+        slow_start = self.multi_pool_router.parts
+        if slow_start and slow_start.terms:
+            slow_start_asks = slow_start.asks(self.multi_pool_router.slow_start_demand(now))
+        if not (asks or slow_start_asks):
+            return []
+        return [QueueMessage(QuotaRequests(asks, slow_start_asks))]
 
-    def _sights(self, now: int, failures: bool) -> list[QueueMessage]:
-        """What this router has seen itself since it last told."""
-        if not (self.follower and self.follower.judges):
+    def _report_health(self, only_failures: bool, now: int) -> list[QueueMessage]:
+        """Tells other routers what this one has seen of endpoints since its last report."""
+        if not (self.replica and self.replica.judges):
             return []
-        seen = self.force.health_observations(now)
-        if failures and not any(new.failed > self.seen.get(name, new).failed for name, new in seen.items()):
+        observations = self.multi_pool_router.health_observations(now)
+        if only_failures and not self._has_new_failure(observations):
             return []
-        before, self.seen = self.seen, seen
-        said = []
-        for name, new in self.seen.items():
-            old = before.get(name) or replace(new, completed=0, failed=0, in_flight=0)
-            good, bad = max(0, new.completed - old.completed), max(0, new.failed - old.failed)
-            begun = max(0, good + bad + new.in_flight - old.in_flight)
-            if new.ejected or good or bad or new.in_flight:
-                said.append(messages.CacheObservation(name, new.ejected, good, bad, new.in_flight, begun))
-        told = (self.force.arguments["home"], tuple(said[:SIGHTS_MOST]), len(self.seen))
-        return [QueueMessage(HealthReport(*told, self.force.plan.deployment["counts"]))]
-
-    def _judged(self, judgements: tuple[messages.EjectionVerdict, ...], now: int) -> None:
-        """Leaves caches out for as long as others say, as few as may be; each ends by itself."""
-        until = accepted_ejections(judgements, len(self.force.health_observations(now)), now)
-        for cache in until.keys() - self.hearsay.keys():
-            by = next(each.by for each in judgements if each.cache == cache)
-            log.info("%s is left out by the word of %s", cache, ", ".join(by[:NAMED]))
-        self.hearsay = until
-        self.force.set_ejected_by_peers(until, now)
-
-    def _granted(self, said: QuotaGrants) -> None:
-        self.force.shares.granted(said.grants)
-        if self.force.parts:
-            self.force.parts.granted(said.colds)
-        for budget, refusal in said.refused.items():
-            self.refused[budget] = refusal
-            while len(self.refused) > REFUSED_MOST:
-                del self.refused[next(iter(self.refused))]
-
-    def _outdated(self, news: ApplyPurges, now: int) -> None:
-        """Dispatches decided before a purge that are not written yet are decided anew; the rest is judged."""
-        for hand in self.hands.values() if news.purges else ():
-            if hand.going and not hand.going.ready and not hand.call.route_selection.vhost.uncacheable:
-                hand.going.stale |= self.force.bound_now(hand.call.route_selection, hand.going.answer, now)
-
-    def _over(self, ticket: int, going: PendingAttempt, event: AttemptEnded, now: int) -> None:
-        call, head = self.hands[ticket].call, going.head
-        brings = event.failure is None and head.status in (DONE, SAME)
-        if brings and not self.force.good(call.route_selection, going.answer, head.cached_copy, going.since):
-            again = call.route_selection.vhost.idempotency is Repeats.IDEMPOTENT
-            self._end(
-                ticket,
-                going,
-                AttemptStatus.NOT_SENT if again else AttemptStatus.CONNECTION_LOST,
-                now,
-                drop=False,
-            )
-        else:
-            super()._over(ticket, going, event, now)
-
-    def _came(self, ticket: int, call: ClientRequest, now: int) -> None:
-        denied = self.force.admit(ticket, call.route_selection, now)
-        if self.force.shares and self.force.shares.fresh:
-            self.effects += self._asks(now)  # a budget that nothing is held of waits for no timer
-        if denied is not None:
-            self.denied[denied.limit] = self.denied.get(denied.limit, 0) + 1
-            self.effects.append(SendResponse(ticket, responses.overloaded(denied.come_back)))
+        before = self.reported
+        self.reported = observations
+        entries = []
+        for name, observation in observations.items():
+            entry = _since(before.get(name), observation)
+            if entry.out or entry.good or entry.bad or entry.in_hand:
+                entries.append(entry)
+        home = self.multi_pool_router.arguments["home"]
+        wants_load = self.multi_pool_router.plan.deployment["counts"]
+        report = HealthReport(home, tuple(entries[:SIGHTS_MOST]), len(observations), wants_load)
+        return [QueueMessage(report)]
+
+    def _has_new_failure(self, observations: dict[str, HealthObservation]) -> bool:
+        """Whether an endpoint that was in the last report has failed since."""
+        return any(
+            observation.failed > self.reported.get(name, observation).failed
+            for name, observation in observations.items()
+        )
+
+    # -- requests ----------------------------------------------------------------------------------
+
+    def _request_received(self, request_id: int, client_request: ClientRequest, now: int) -> None:
+        exceeded = self.multi_pool_router.admit(request_id, client_request.route_selection, now)
+        if self.multi_pool_router.shares and self.multi_pool_router.shares.fresh:
+            self.effects += self._request_quota(now)  # a budget that nothing is held of waits for no timer
+        if exceeded is not None:
+            self.rejected_by_limit[exceeded.limit] = self.rejected_by_limit.get(exceeded.limit, 0) + 1
+            self.effects.append(SendResponse(request_id, responses.overloaded(exceeded.come_back)))
             return
-        super()._came(ticket, call, now)
-        if ticket not in self.hands:  # its id is in use, or nothing is taken any more
-            self.force.forget(ticket)
+        super()._request_received(request_id, client_request, now)
+        if request_id not in self.in_flight:  # its correlation id is in use, or the process is closed
+            self.multi_pool_router.forget(request_id)
 
-    def _req(self, ticket: int, call: ClientRequest) -> Request:
+    def _to_request(self, request_id: int, client_request: ClientRequest) -> Request:
+        selection = client_request.route_selection
         return Request(
-            ticket,
-            vhost_name(call.route_selection.route),
-            call.object_key.lower(),
-            call.tag,
-            call.chunk,
+            id=request_id,
+            traffic_class=vhost_name(selection.route),
+            object_key=client_request.object_key.lower(),
+            tag=client_request.tag,
+            chunk=client_request.chunk,
             size_kb=0.0,
-            timeout=call.timeout,
-            tenant=call.route_selection.tenant or None,
-            max_attempts=self.force.dispatches(call.route_selection),
-            queueing_time=call.queueing_time,
+            timeout=client_request.timeout,
+            tenant=selection.tenant or None,
+            max_attempts=self.multi_pool_router.dispatches(selection),
+            queueing_time=client_request.queueing_time,
         )
 
-    def _kept(self, call: ClientRequest) -> bool:
-        return not call.route_selection.vhost.uncacheable  # of the plan it came with
+    def _is_cacheable(self, client_request: ClientRequest) -> bool:
+        """By the configuration that the request came under, which may have been replaced since."""
+        return not client_request.route_selection.vhost.uncacheable
+
+    def _extra_headers(self, client_request: ClientRequest) -> list[tuple[str, str]]:
+        return [("X-Path", client_request.route_selection.path)]
+
+    def _client_gone(self, request_id: int, now: int) -> None:
+        self.multi_pool_router.release(request_id)
+        super()._client_gone(request_id, now)
 
-    def _fields(self, call: ClientRequest) -> list[tuple[str, str]]:
-        return [("X-Path", call.route_selection.path)]
+    def _respond(self, request_id: int, data: bytes) -> None:
+        if self.in_flight[request_id].is_response_owed:
+            self.multi_pool_router.release(request_id)
+        super()._respond(request_id, data)
+
+    def _attempt_ended(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded, now: int) -> None:
+        if self._is_copy_too_old(request_id, attempt, event):
+            selection = self.in_flight[request_id].client_request.route_selection
+            may_run_again = selection.vhost.idempotency is Idempotency.IDEMPOTENT
+            status = AttemptStatus.NOT_SENT if may_run_again else AttemptStatus.CONNECTION_LOST
+            self._finish_attempt(request_id, attempt, status, now)
+        else:
+            super()._attempt_ended(request_id, attempt, event, now)
+
+    def _is_copy_too_old(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded) -> bool:
+        """Whether a response brings a copy that the fleet's purges no longer allow."""
+        head = attempt.response_head
+        if event.failure is not None or head.status not in (HTTP_OK, HTTP_NOT_MODIFIED):
+            return False
+        selection = self.in_flight[request_id].client_request.route_selection
+        return not self.multi_pool_router.good(
+            selection, attempt.decision, head.cached_copy, attempt.started_at
+        )
 
-    def _left(self, ticket: int, now: int) -> None:
-        self.force.release(ticket)
-        super()._left(ticket, now)
 
-    def _reply(self, ticket: int, data: bytes) -> None:
-        hand: PendingRequest = self.hands[ticket]
-        if not hand.gone:
-            self.force.release(ticket)
-        super()._reply(ticket, data)
+def _since(before: HealthObservation | None, observation: HealthObservation) -> CacheObservation:
+    """What has been seen of an endpoint since the last report of it; counters that went back count as 0."""
+    last = before or replace(observation, completed=0, failed=0, in_flight=0)
+    succeeded = max(0, observation.completed - last.completed)
+    failed = max(0, observation.failed - last.failed)
+    started = max(0, succeeded + failed + observation.in_flight - last.in_flight)
+    return CacheObservation(
+        observation.cache, observation.ejected, succeeded, failed, observation.in_flight, started
+    )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -179,57 +179,72 @@
 
 
 class Play:
-    """A reducer of two caches, a parent and the origin; prints each event and the effects it brings about."""
+    """A state machine of two caches, a parent and the origin; prints each event and its effects."""
 
     def __init__(self, lines):
-        self.lines, self.now, self.start = lines, 10 * S, 10 * S
+        self.lines = lines
+        self.start = 10 * S
+        self.now = self.start
         setup = SETUP | {"limits": SETUP["limits"] | {"probes": True}}
         setup["categories"] = [*SETUP["categories"], SETUP["categories"][1] | KEYED]
         setup["family_info"] = SETUP["family_info"] | {
             "never_kept": [False, True, True],
             "pass_through_ok": True,
         }
-        self.reducer = state_machine.RouterStateMachine(Router(**DeploymentSettings(setup, 7).arguments))
-        self.list(whole=True, c1="up", c2="up", p1="up", o="up")
+        router = Router(**DeploymentSettings(setup, 7).arguments)
+        self.state_machine = state_machine.RouterStateMachine(router)
+        self.endpoint_update(is_snapshot=True, c1="up", c2="up", p1="up", o="up")
 
-    def list(self, whole=False, **states):
-        addresses = {name: (f"127.0.0.{n}", 80) for n, name in enumerate(states, 1)}
-        self.do(f"list {states}", events.EndpointUpdate(listed(states), addresses, whole))
+    def endpoint_update(self, is_snapshot=False, **states):
+        addresses = {name: (f"127.0.0.{number}", 80) for number, name in enumerate(states, 1)}
+        self.step(f"endpoints {states}", events.EndpointUpdate(listed(states), addresses, is_snapshot))
 
-    def came(self, ticket, vhost="page", **other):
+    def request_received(self, request_id, traffic_class="page", **other):
         given = {
-            "correlation_id": f"{ticket:016x}",
-            "traffic_class": vhost,
+            "correlation_id": f"{request_id:016x}",
+            "traffic_class": traffic_class,
             "object_key": f"{7:016x}",
             "chunk": 0,
             "tag": 5,
             "timeout": 2 * S,
         }
-        self.do(
-            f"req {ticket} {vhost}",
-            events.RequestReceived(ticket, events.ClientRequest(**(given | other))),
+        client_request = events.ClientRequest(**(given | other))
+        self.step(f"request {request_id} {traffic_class}", events.RequestReceived(request_id, client_request))
+
+    def connection_ready(self, request_id, attempt=0):
+        self.step(f"request {request_id} connection ready", events.ConnectionReady(request_id, attempt))
+
+    def response_head(
+        self, request_id, status=200, length=None, never_ran=False, has_copy_headers=True, attempt=0
+    ):
+        head = events.ResponseHead(
+            request_id, attempt, status, length, never_ran, has_copy_headers, FillStatus.UNKNOWN
         )
+        self.step(f"request {request_id} response head {status}", head)
+
+    def response_complete(self, request_id, body=b"", attempt=0):
+        event = events.AttemptEnded(request_id, attempt, None, body)
+        self.step(f"request {request_id} response complete", event)
 
-    def answered(self, ticket, status=200, length=None, never_ran=False, marked=True, hop=0):
-        event = events.ResponseHead(ticket, hop, status, length, never_ran, marked, FillStatus.UNKNOWN)
-        self.do(f"req {ticket} head {status}", event)
+    def attempt_failed(self, request_id, stage, cause, attempt=0):
+        event = events.AttemptEnded(request_id, attempt, attempt_failure.Failure(stage, cause))
+        self.step(f"request {request_id} attempt failed: {cause.name.lower()}", event)
 
-    def over(self, ticket, *failure, hop=0, body=b""):
-        event = events.AttemptEnded(ticket, hop, attempt_failure.Failure(*failure) if failure else None, body)
-        self.do(f"req {ticket} over {failure[1].name.lower() if failure else 'whole'}", event)
+    def client_gone(self, request_id, when=""):
+        self.step(f"request {request_id} client gone{when}", events.ClientGone(request_id))
 
-    def ready(self, ticket, hop=0):
-        self.do(f"req {ticket} ready", events.ConnectionReady(ticket, hop))
+    def timer_fired(self, quiet=False):
+        self.step("timer", events.TimerFired(), quiet)
 
-    def until(self, ms):
-        """Lets the timers fire up to that time."""
-        while self.reducer.due <= self.start + ms * MS:
-            self.now = max(self.now, self.reducer.due)
-            self.do("tick", events.TimerFired(), quiet=True)
+    def advance_to(self, ms):
+        """Lets the timers fire up to that time after the start."""
+        while self.state_machine.due <= self.start + ms * MS:
+            self.now = max(self.now, self.state_machine.due)
+            self.timer_fired(quiet=True)
         self.now = self.start + ms * MS
 
-    def do(self, text, event, quiet=False):
-        effects = self.reducer.step(event, self.now)
+    def step(self, text, event, quiet=False):
+        effects = self.state_machine.step(event, self.now)
         if effects or not quiet:
             self.lines.append(f"{(self.now - self.start) // MS:6d} ms  {text}")
         for effect in effects:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -81,7 +81,7 @@
 
 
 async def settled(world):
-    await until(lambda: not world.service.attempts and not world.service.reducer.hands)
+    await until(lambda: not world.service.attempts and not world.service.reducer.in_flight)
 
 
 # -- a client that has gone ------------------------------------------------------------------------
@@ -408,21 +408,21 @@
     """It was decided on in time, and its connection came up late."""
     lines = []
     play = Play(lines)
-    play.came(1, "hold", key="a" * 32, timeout=6_000_000)
-    play.ready(1)
-    play.over(1, attempt_failure.Stage.ASKING, attempt_failure.Cause.RESET)
+    play.request_received(1, "hold", idempotency_key="a" * 32, timeout=6_000_000)
+    play.connection_ready(1)
+    play.attempt_failed(1, attempt_failure.Stage.ASKING, attempt_failure.Cause.RESET)
     assert any("OpenConnection 1, 1" in line for line in lines)
-    play.until(2_940)
+    play.advance_to(2_940)
     lines.clear()
-    play.ready(1, hop=1)
+    play.connection_ready(1, attempt=1)
     assert any("SendRequest 1, 1" in line for line in lines)
-    play.came(2, "hold", key="b" * 32, timeout=6_000_000)
-    play.ready(2)
-    play.over(2, attempt_failure.Stage.ASKING, attempt_failure.Cause.RESET)
-    play.until(2_940 + 2_960)
+    play.request_received(2, "hold", idempotency_key="b" * 32, timeout=6_000_000)
+    play.connection_ready(2)
+    play.attempt_failed(2, attempt_failure.Stage.ASKING, attempt_failure.Cause.RESET)
+    play.advance_to(2_940 + 2_960)
     lines.clear()
-    play.ready(2, hop=1)
-    assert not any("write" in line for line in lines)
+    play.connection_ready(2, attempt=1)
+    assert not any("SendRequest" in line for line in lines)
 
 
 # -- signals and the end ---------------------------------------------------------------------------
@@ -644,7 +644,11 @@
             close(flood)
         await until(lambda: not service.front.open)
         await settled(world)
-        assert service.front.room == room and not service.front.clients and not service.reducer.ids
+        assert (
+            service.front.room == room
+            and not service.front.clients
+            and not service.reducer.open_correlation_ids
+        )
         other = await connect()
         await other.begin(50)
         assert "200 OK" in await other.end()
@@ -733,7 +737,7 @@
         async with anyio.create_task_group() as tasks:
             if at == "stopping":
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: service.reducer.stopping)
+                await until(lambda: service.reducer.is_shutting_down)
             there, told = await world.listen(tasks, world.journal), json.loads(world.path.read_text())
             world.path.write_text(json.dumps(told | {"journal": there}))
             before = world.asked.count("journal from 1")
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -74,4 +74,4 @@
 def test_what_an_answer_says_of_load_is_passed_on(trace):
     event = answer(1, "success", load=[0.43, 0.61, 1.5], first_byte_us=9400)
     for fields in (["x0", "busy", "x1"], []):
-        trace.append(f"{fields}: {wire.outcome(event, fields).load_report}")
+        trace.append(f"{fields}: {wire.attempt_result(event, fields).load_report}")
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -27,7 +27,7 @@
 from quartzrouter.cli import plan as cli_plan
 from quartzrouter.cli import purge as cli_purge
 from quartzrouter.drill import wire
-from quartzrouter.drill.host import Instance
+from quartzrouter.drill.host import RouterInstance
 from quartzrouter.fault_harness import fault_schedule
 from quartzrouter.fleet_health import aggregator
 from quartzrouter.lease_service.token_storage import TokenStorage
@@ -382,7 +382,7 @@
 
 def acted(what: str, *arguments: Any) -> bytes:
     """The drill's line for one action, as its host writes it."""
-    instance = Instance.__new__(Instance)  # its actions need no setup
+    instance = RouterInstance.__new__(RouterInstance)  # its actions need no setup
     instance.actions = []
     getattr(instance, what)(*arguments)
     (action,) = instance.actions
@@ -399,17 +399,17 @@
     "answer_health_good": lambda: responses.health(True),
     "answer_health_bad": lambda: responses.health(False),
     "drill_dispatch.json": lambda: acted(
-        "dispatch", 41, Forward(2, "n1", "p1", 3, 60 * S, True, True, 400_000, 9 * S), 8 * S
+        "forward", 41, Forward(2, "n1", "p1", 3, 60 * S, True, True, 400_000, 9 * S), 8 * S
     ),
     "drill_dispatch_plain.json": lambda: acted(
-        "dispatch", 42, Forward(0, "n2", "n2", 0, 0, False, False, 400_000, 9 * S), 8 * S
+        "forward", 42, Forward(0, "n2", "n2", 0, 0, False, False, 400_000, 9 * S), 8 * S
     ),
-    "drill_call_off.json": lambda: acted("call_off", 41, 2, 8 * S),
-    "drill_deny.json": lambda: acted("deny", 41, 250_000),
-    "drill_abort.json": lambda: acted("abort", 41),
-    "drill_probe.json": lambda: acted("probe", "n1", 300_000),
-    "drill_subscribe.json": lambda: acted("subscribe"),
-    "drill_timer.json": lambda: acted("timer", 9 * S, 8 * S, 5),
+    "drill_call_off.json": lambda: acted("cancel_attempt", 41, 2, 8 * S),
+    "drill_deny.json": lambda: acted("reject", 41, 250_000),
+    "drill_abort.json": lambda: acted("fail", 41),
+    "drill_probe.json": lambda: acted("start_health_check", "n1", 300_000),
+    "drill_subscribe.json": lambda: acted("subscribe_to_endpoints"),
+    "drill_timer.json": lambda: acted("set_timer", 9 * S, 8 * S, 5),
 }
 
 ANSWERS = {
@@ -617,19 +617,19 @@
 
 DRILL_READ = {
     "drill_listed.json": (
-        lambda event: wire.listed(event, Tiers()),
+        lambda event: wire.endpoint(event, Tiers()),
         Endpoint("n1", "north", Tier.CACHE, "box", 3, EndpointState.DRAINING, 2.5, WHEN),
     ),
     "drill_req.json": (wire.request, Request(41, "page", "00a1", 7, 2, 12.5, 3 * S, "acme")),
     "drill_req_defaults.json": (wire.request, Request(42, "page", "00a2", None, 0, 0.0, 3 * S)),
     "drill_outcome.json": (
-        lambda event: wire.outcome(event, ["busy", "x1", "rif"]),
+        lambda event: wire.attempt_result(event, ["busy", "x1", "rif"]),
         AttemptResult(
             2, AttemptStatus.OVERLOADED, 34_000, FillStatus(1), True, LoadReport(12_000, 0.75, 1.25)
         ),
     ),
     "drill_outcome_defaults.json": (
-        lambda event: wire.outcome(event, []),
+        lambda event: wire.attempt_result(event, []),
         AttemptResult(0, AttemptStatus.SUCCEEDED, 34_000),
     ),
 }
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""The reducer without sockets: events in, effects out, as tests/traces/ has them."""
+"""The state machine without sockets: events in, effects out, compared with the traces in tests/traces/."""
 
 from conftest import listed
 
@@ -7,80 +7,98 @@
 from quartzrouter.server.attempt_failure import Cause, Stage
 
 
-def empty(play):
-    held = play.reducer
-    assert not held.hands and not held.router.flights and not any(held.router.load.values())
+def assert_idle(play):
+    """No request is left in the state machine or in its router, and none counts as load."""
+    state_machine = play.state_machine
+    assert not state_machine.in_flight and not state_machine.open_correlation_ids
+    assert not state_machine.router.flights and not any(state_machine.router.load.values())
+
+
+def test_a_request_is_forwarded_and_its_response_passed_on(play):
+    play.request_received(1, if_none_match=f"{9:016x}")
+    play.connection_ready(1)
+    play.response_head(1, length=6)
+    play.response_complete(1, body=b"abcdef")
+    play.request_received(2, if_none_match=f"{9:016x}")
+    play.connection_ready(2)
+    play.response_head(2, 304)
+    play.response_complete(2)
+    play.request_received(3, traffic_class="hold", idempotency_key="k", body=b"two pots")
+    play.connection_ready(3)
+    play.response_head(3, length=0, has_copy_headers=False)
+    play.response_complete(3)
+    assert_idle(play)
+
+
+def test_a_client_that_goes_at_any_stage_leaves_no_state(play):
+    """A client may go at any time, and a response may come after that.
+
+    The attempt ends with the client where it can be cancelled, and what still comes of it is passed over.
+    """
+    for request_id, stage in enumerate(("connecting", "sent", "response started", "complete"), 1):
+        play.request_received(request_id)
+        if stage != "connecting":
+            play.connection_ready(request_id)
+        if stage in ("response started", "complete"):
+            play.response_head(request_id, length=3)
+        if stage == "complete":
+            play.response_complete(request_id, body=b"abc")
+        play.client_gone(request_id, f" while {stage}")
+        play.response_complete(request_id, body=b"abc")
+    assert_idle(play)
+
+
+def test_a_drain_or_purge_before_sending_decides_anew(play):
+    """A connection takes time to come up, and the decision ages meanwhile.
+
+    An endpoint that drains may get no new request, and a copy older than a purge may not be served: where
+    either came before the request was sent, the router decides again.
+    """
+    play.request_received(1)
+    endpoint = play.state_machine.in_flight[1].attempt.decision.endpoint
+    play.endpoint_update(**{endpoint: "draining"})
+    play.connection_ready(1)
+    play.request_received(2)
+    play.step("purge of another tag", events.PurgeNotice(6, None, play.now))
+    play.step("purge of another object", events.PurgeNotice(None, f"{8:016x}", play.now))
+    play.connection_ready(2)
+    play.request_received(3)
+    play.step("purge of the object", events.PurgeNotice(None, f"{7:016x}", play.now))
+    play.connection_ready(3)
+    play.request_received(4)
+    play.step("purge of the tag", events.PurgeNotice(5, None, play.now))
+    play.connection_ready(4)
+    play.now += 2_500_000
+    play.timer_fired()
+    play.request_received(5, timeout=1000)
+    play.now += 2_000_000
+    play.connection_ready(5)
 
 
-def test_a_req_goes_out_and_its_answer_is_passed_on(play):
-    play.came(1, if_none_match=f"{9:016x}")
-    play.ready(1)
-    play.answered(1, length=6)
-    play.over(1, body=b"abcdef")
-    play.came(2, if_none_match=f"{9:016x}")
-    play.ready(2)
-    play.answered(2, 304)
-    play.over(2)
-    play.came(3, vhost="hold", idempotency_key="k", body=b"two pots")
-    play.ready(3)
-    play.answered(3, length=0, marked=False)
-    play.over(3)
-    empty(play)
+def test_a_truncated_response_is_retried(play):
+    """A cache breaks off in the middle of a response.
 
+    Nothing of it has been passed on, so an idempotent request is sent again, and its client notices nothing.
+    """
+    play.request_received(1)
+    play.connection_ready(1)
+    play.response_head(1, length=9)
+    play.attempt_failed(1, Stage.ANSWERED, Cause.RESET)
+    play.connection_ready(1, attempt=1)
+    play.response_head(1, length=9, attempt=1)
+    play.response_complete(1, attempt=1, body=b"abcdefghi")
+    play.request_received(2)
+    play.connection_ready(2)
+    play.response_head(2, length=9)
+    play.advance_to(2_000)
+    assert_idle(play)
 
-def test_an_abort_at_each_stage_leaves_nothing(play):
-    for ticket, stage in enumerate(("connecting", "asking", "answered", "over"), 1):
-        play.came(ticket)
-        if stage != "connecting":
-            play.ready(ticket)
-        if stage in ("answered", "over"):
-            play.answered(ticket, length=3)
-        if stage == "over":
-            play.over(ticket, body=b"abc")
-        play.do(f"req {ticket} left while {stage}", events.ClientGone(ticket))
-        play.over(ticket, body=b"abc")
-    empty(play)
-
-
-def test_a_drain_or_a_purge_before_the_write_asks_anew(play):
-    play.came(1)
-    be = play.reducer.hands[1].going.answer.endpoint
-    play.list(**{be: "draining"})
-    play.ready(1)
-    play.came(2)
-    play.do("purge of another group", events.PurgeNotice(6, None, play.now))
-    play.do("purge of another object", events.PurgeNotice(None, f"{8:016x}", play.now))
-    play.ready(2)
-    play.came(3)
-    play.do("purge of the object", events.PurgeNotice(None, f"{7:016x}", play.now))
-    play.ready(3)
-    play.came(4)
-    play.do("purge of the group", events.PurgeNotice(5, None, play.now))
-    play.ready(4)
-    play.now += 2_500_000
-    play.do("tick", events.TimerFired())
-    play.came(5, timeout=1000)
-    play.now += 2_000_000
-    play.ready(5)
-
-
-def test_an_answer_that_breaks_off_is_asked_for_again(play):
-    play.came(1)
-    play.ready(1)
-    play.answered(1, length=9)
-    play.over(1, Stage.ANSWERED, Cause.RESET)
-    play.ready(1, hop=1)
-    play.answered(1, length=9, hop=1)
-    play.over(1, hop=1, body=b"abcdefghi")
-    play.came(2)
-    play.ready(2)
-    play.answered(2, length=9)
-    play.until(2_000)
-    empty(play)
-
-
-def test_what_proves_that_nothing_ran(play):
-    """Reqs of a non-replayable vhost: what may have run is aborted, what did not goes out again."""
+
+def test_only_attempts_that_never_ran_are_retried_for_non_idempotent_requests(play):
+    """A sale may not run twice.
+
+    An attempt that may have run fails the request; one that certainly did not is sent again.
+    """
     ways = [
         (404, False),
         (503, True),
@@ -95,115 +113,130 @@
         Cause.MALFORMED,
         Cause.DIED,
     ]
-    for ticket, way in enumerate(ways, 1):
-        play.came(ticket, vhost="sale")
+    for request_id, way in enumerate(ways, 1):
+        play.request_received(request_id, traffic_class="sale")
         if way in (Cause.REFUSED, Cause.NO_ROOM):
-            play.over(ticket, Stage.CONNECTING, way)
+            play.attempt_failed(request_id, Stage.CONNECTING, way)
         else:
-            play.ready(ticket)
+            play.connection_ready(request_id)
             if isinstance(way, tuple):
-                play.answered(ticket, way[0], never_ran=way[1])
-                play.over(ticket)
+                status, never_ran = way
+                play.response_head(request_id, status, never_ran=never_ran)
+                play.response_complete(request_id)
             else:
-                play.over(ticket, Stage.ASKING, way)
-        play.do(f"req {ticket} left", events.ClientGone(ticket))
-        play.until(10_000 * ticket)
-    empty(play)
-
-
-def test_answers_that_cannot_be_used_are_not_passed_on(play):
-    play.came(1)
-    play.ready(1)
-    play.answered(1, length=3, marked=False)
-    play.over(1, body=b"abc")
-    play.came(2)
-    play.ready(2)
-    play.answered(2, 304)
-
-
-def test_time_out_before_and_after_the_write(play):
-    play.came(1)
-    play.until(2_000)
-    play.came(2)
-    play.ready(2)
-    play.until(4_100)
-    play.came(3, vhost="hold", idempotency_key="k")
-    play.ready(3)
-    play.until(6_200)
-    empty(play)
-
-
-def test_addresses_of_what_has_gone_end(play):
-    for n in range(100):
+                play.attempt_failed(request_id, Stage.ASKING, way)
+        play.client_gone(request_id)
+        play.advance_to(10_000 * request_id)
+    assert_idle(play)
+
+
+def test_unusable_responses_are_not_passed_on(play):
+    """A cache says nothing of the copy it sends, or sends 304 to a client that holds no copy."""
+    play.request_received(1)
+    play.connection_ready(1)
+    play.response_head(1, length=3, has_copy_headers=False)
+    play.response_complete(1, body=b"abc")
+    play.request_received(2)
+    play.connection_ready(2)
+    play.response_head(2, 304)
+
+
+def test_attempt_timeout_before_and_after_sending(play):
+    """A connection doesn't come up, or a cache doesn't answer: the attempt ends before its client goes."""
+    play.request_received(1)
+    play.advance_to(2_000)
+    play.request_received(2)
+    play.connection_ready(2)
+    play.advance_to(4_100)
+    play.request_received(3, traffic_class="hold", idempotency_key="k")
+    play.connection_ready(3)
+    play.advance_to(6_200)
+    assert_idle(play)
+
+
+def test_addresses_of_gone_endpoints_are_dropped(play):
+    """Endpoints come and go for months under ever new names; what was known of them may not pile up."""
+    for number in range(100):
+        name = f"c{number + 10}"
         for state in ("up", "gone"):
-            lines = events.EndpointUpdate(
-                listed({f"c{n + 10}": state}), {f"c{n + 10}": ("127.0.0.9", n)}, False
-            )
-            play.do("", lines, quiet=True)
-    play.lines[1:] = [f"kept: {', '.join(play.reducer.addresses)}"]
-    play.list(whole=True, c1="up", o="up")
-    play.lines.append(f"kept: {', '.join(play.reducer.addresses)}")
-    play.list(whole=True, c1="up", o="up")
-
-
-def test_a_reload_asks_for_the_journal_at_its_new_address(play):
-    play.do("reload", events.ConfigurationReloaded(("127.0.0.9", 4222)))
-    play.do("stop", events.ShutdownRequested())
-    play.do("reload", events.ConfigurationReloaded(("127.0.0.8", 4222)))
-
-
-def test_sigterm_with_reqs_in_hand(play):
-    play.do("health", events.StatusQueried(90))
-    play.came(1, timeout=3_000_000)
-    play.ready(1)
-    play.do("stop", events.ShutdownRequested())
-    play.do("health", events.StatusQueried(91))
-    play.until(900)
-    play.came(2)
-    play.until(1_100)
-    play.came(3)
-    play.ready(2)
-    for ticket in (1, 2):
-        play.answered(ticket, length=1)
-        play.over(ticket, body=b"x")
-    play.until(1_200)
-    empty(play)
-
-
-def test_a_cache_that_is_lost_is_probed_and_its_connections_are_dropped(play):
-    for ticket in (1, 2, 3):
-        play.came(ticket, object_key=f"{ticket:016x}")
-        play.over(ticket, Stage.CONNECTING, Cause.REFUSED)
-    play.until(600)
-    name = min(play.reducer.probing)
-    play.do(f"probe of {name} done", events.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
-    play.list(c1="gone", c2="up")
-
-
-def test_a_late_answer_that_is_read_ahead_of_its_timer_counts(play):
-    """The process stood still: the answer had come, and any event fired the time-out ahead of it."""
-    play.came(1)
-    play.ready(1)
-    play.now = play.reducer.due + 1
-    play.answered(1, length=3)
-    play.over(1, body=b"abc")
-    empty(play)
-
-
-def test_a_req_that_has_waited_is_turned_away_by_its_own_time(play):
-    play.came(1, queueing_time=1_000)
-    play.came(2, queueing_time=1_900_000)
-    play.came(3, queueing_time=2_500_000)
-    empty_but = {1}
-    assert set(play.reducer.hands) == empty_but
-
-
-def test_a_decision_that_always_says_now_comes_back_at_the_next_tick(play):
-    play.reducer.router.route = lambda req, now: Defer(0)
-    play.came(1)
+            update = events.EndpointUpdate(listed({name: state}), {name: ("127.0.0.9", number)}, False)
+            play.step("", update, quiet=True)
+    play.lines[1:] = [f"kept: {', '.join(play.state_machine.addresses)}"]
+    play.endpoint_update(is_snapshot=True, c1="up", o="up")
+    play.lines.append(f"kept: {', '.join(play.state_machine.addresses)}")
+    play.endpoint_update(is_snapshot=True, c1="up", o="up")
+
+
+def test_a_reload_follows_discovery_at_its_new_address(play):
+    play.step("reload", events.ConfigurationReloaded(("127.0.0.9", 4222)))
+    play.step("shutdown", events.ShutdownRequested())
+    play.step("reload", events.ConfigurationReloaded(("127.0.0.8", 4222)))
+
+
+def test_sigterm_with_requests_in_flight(play):
+    """A router is told to end while requests are in flight and others still arrive.
+
+    It accepts requests until the grace period is over, rejects later ones, and exits after the last response.
+    """
+    play.step("health", events.StatusQueried(90))
+    play.request_received(1, timeout=3_000_000)
+    play.connection_ready(1)
+    play.step("shutdown", events.ShutdownRequested())
+    play.step("health", events.StatusQueried(91))
+    play.advance_to(900)
+    play.request_received(2)
+    play.advance_to(1_100)
+    play.request_received(3)
+    play.connection_ready(2)
+    for request_id in (1, 2):
+        play.response_head(request_id, length=1)
+        play.response_complete(request_id, body=b"x")
+    play.advance_to(1_200)
+    assert_idle(play)
+
+
+def test_a_refusing_endpoint_is_health_checked_and_its_connections_closed(play):
+    """A cache refuses connections; it is checked until it answers, and is then taken out of the list."""
+    for request_id in (1, 2, 3):
+        play.request_received(request_id, object_key=f"{request_id:016x}")
+        play.attempt_failed(request_id, Stage.CONNECTING, Cause.REFUSED)
+    play.advance_to(600)
+    name = min(play.state_machine.health_checks)
+    play.step(f"health check of {name} done", events.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
+    play.endpoint_update(c1="gone", c2="up")
+
+
+def test_a_response_read_before_its_overdue_timeout_counts(play):
+    """The process stood still for a while, and a response had come in time.
+
+    Any event once fired the timers that were due, so the attempt timed out ahead of the response to be read.
+    """
+    play.request_received(1)
+    play.connection_ready(1)
+    play.now = play.state_machine.due + 1
+    play.response_head(1, length=3)
+    play.response_complete(1, body=b"abc")
+    assert_idle(play)
+
+
+def test_queueing_time_counts_against_the_client_timeout(play):
+    """A busy process reads requests late; their clients have waited since they arrived."""
+    play.request_received(1, queueing_time=1_000)
+    play.request_received(2, queueing_time=1_900_000)
+    play.request_received(3, queueing_time=2_500_000)
+    assert set(play.state_machine.in_flight) == {1}
+
+
+def test_a_decision_that_always_defers_by_zero_does_not_loop_in_one_step(play):
+    """A fault in the decisions defers a request by no time, over and over.
+
+    Each step has to end all the same, so that other requests go on, and the client's deadline ends this one.
+    """
+    play.state_machine.router.route = lambda request, now: Defer(0)
+    play.request_received(1)
     for _ in range(3):
-        play.do("tick", events.TimerFired())
-        assert play.reducer.due <= play.now
+        play.timer_fired()
+        assert play.state_machine.due <= play.now
     play.now += 2_000_001
-    play.do("tick", events.TimerFired())
-    empty(play)
+    play.timer_fired()
+    assert_idle(play)
--- a/tests/test_reducer_machine.py
+++ b/tests/test_reducer_machine.py
@@ -206,12 +206,12 @@
     def tables_agree(self):
         if not hasattr(self, "reducer"):
             return
-        out = {
-            (ticket, hand.going.answer.attempt_number)
-            for ticket, hand in self.reducer.hands.items()
-            if hand.going
+        attempts = {
+            (request_id, pending.attempt.decision.attempt_number)
+            for request_id, pending in self.reducer.in_flight.items()
+            if pending.attempt
         }
-        assert out == set(self.opened)
+        assert attempts == set(self.opened)
         assert not self.exited or self.stopped
 
     def teardown(self):
@@ -221,10 +221,11 @@
             self.time(1_000)
         assert not self.owed(), "without an answer"
         held = self.reducer
-        assert not (held.hands or held.ids or held.reqs or held.router.flights or self.opened)
+        assert not (held.in_flight or held.open_correlation_ids or held.requests)
+        assert not (held.router.flights or self.opened)
         assert not any(held.router.load.values()) and not any(held.router.naming.values())
         self.time(1_000)
-        assert not held.held
+        assert not held.deferred
         assert self.exited == self.stopped
 
 
--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -225,7 +225,7 @@
                 await anyio.sleep(0.02)
         await site.stop_router()
         await site.start_router()
-        assert site.router.reducer.follower.held == (1 if kept else 0)
+        assert site.router.reducer.replica.held == (1 if kept else 0)
         await site.joined()
         assert await site.get() >= taken.when > first
         members = (await LedgerClient([("127.0.0.1", site.told["ledger"])]).ask(MembersQuery())).members
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -117,11 +117,11 @@
     "fault, named",
     [
         (TIMER, "ticks in a row with nothing done; due again"),
-        (WAIT, "ticks in a row with nothing done; due again: tag 0"),
+        (WAIT, "ticks in a row with nothing done; due again: maintenance"),
         (READABLE, "more"),
         (READER, "nobody"),
         (SOON, "more"),
-        (NOW, "ticks in a row with nothing done; due again: tag"),
+        (NOW, "ticks in a row with nothing done; due again: deferred request"),
     ],
 )
 def test_what_spins_is_named_and_braked_and_reqs_get_their_answers(tmp_path, fault, named):
