--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -206,7 +206,7 @@
             entry = _since(before.get(name), observation)
             if entry.out or entry.good or entry.bad or entry.in_hand:
                 entries.append(entry)
-        home = self.multi_pool_router.arguments["home"]
+        home = self.multi_pool_router.arguments["home_location"]
         wants_load = self.multi_pool_router.plan.deployment["counts"]
         report = HealthReport(home, tuple(entries[:SIGHTS_MOST]), len(observations), wants_load)
         return [QueueMessage(report)]
