--- a/quartzrouter/pool_routing/purge_bounds.py
+++ b/quartzrouter/pool_routing/purge_bounds.py
@@ -38,7 +38,7 @@
         named = (answer.endpoint, answer.fill_source)
         makers_of_copies = [name for name in named if not self._is_origin(name)]
         store = self._store(answer.endpoint)
-        return self.fleet.oldest(marked(selection), store, makers_of_copies, answer.max_age, now)
+        return self.fleet.max_age(marked(selection), store, makers_of_copies, answer.max_age, now)
 
     def is_outdated(self, selection: RouteSelection, answer: Forward, now: int) -> bool:
         """:returns: whether an attempt would now be sent with a lower maximal age."""
@@ -64,7 +64,7 @@
         traffic_class = traffic_classes.get(vhost_name(selection.route), selection.vhost)
         is_bound = not traffic_class.max_age or answer.max_age < traffic_class.max_age
         max_age = answer.max_age if is_bound else 0
-        return self.fleet.good(marked(selection), self._store(answer.endpoint), copy, written, max_age)
+        return self.fleet.accepts(marked(selection), self._store(answer.endpoint), copy, written, max_age)
 
     def _is_origin(self, name: str) -> bool:
         return name in self.endpoints and self.endpoints[name].tier is Tier.ORIGIN
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -117,11 +117,11 @@
     "fault, named",
     [
         (TIMER, "timer ticks in a row without effect; due again"),
-        (WAIT, "timer ticks in a row without effect; due again: tag 0"),
+        (WAIT, "timer ticks in a row without effect; due again: maintenance"),
         (READABLE, "more"),
         (READER, "nobody"),
         (SOON, "more"),
-        (NOW, "timer ticks in a row without effect; due again: tag"),
+        (NOW, "timer ticks in a row without effect; due again: deferred request"),
     ],
 )
 def test_what_spins_is_named_and_braked_and_reqs_get_their_answers(tmp_path, fault, named):
