--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -346,18 +346,20 @@
 
     def maintenance(self, now: int) -> MaintenanceActions:
         """Asks those routers that something has happened to, or whose time has come."""
-        probes: dict[str, None] = {}
-        timeout, subscribe, due = 0, False, NEVER
+        health_checks: dict[str, None] = {}
+        timeout = 0
+        needs_discovery = False
+        due = NEVER
         for pool_router in self._all():
             if pool_router in self.needs_maintenance or pool_router.next_maintenance_at <= now:
                 actions = pool_router.maintenance(now)
-                probes |= dict.fromkeys(actions.probes)
-                timeout = actions.probe_timeout
-                subscribe = subscribe or actions.subscribe
+                health_checks |= dict.fromkeys(actions.health_checks)
+                timeout = actions.health_check_timeout
+                needs_discovery = needs_discovery or actions.needs_discovery
             due = min(due, pool_router.next_maintenance_at)
         self.needs_maintenance.clear()
         delay = max(MIN_MAINTENANCE_INTERVAL, due - now)
-        return MaintenanceActions(delay, tuple(probes), timeout, subscribe)
+        return MaintenanceActions(delay, tuple(health_checks), timeout, needs_discovery)
 
     # -- what routers of a fleet tell one another ----------------------------------------------------------
 
--- a/quartzrouter/pool_routing/pool_router.py
+++ b/quartzrouter/pool_routing/pool_router.py
@@ -57,5 +57,5 @@
     def maintenance(self, now: int) -> MaintenanceActions:
         """Asks the router for maintenance, and notes when it wants to be asked again."""
         actions = self.router.maintenance(now)
-        self.next_maintenance_at = now + actions.time
+        self.next_maintenance_at = now + actions.delay
         return actions
--- a/quartzrouter/routing/driver.py
+++ b/quartzrouter/routing/driver.py
@@ -96,11 +96,11 @@
     def run_maintenance(self, now: int) -> None:
         """Carries out what the router asks for beside requests, and keeps one timer for the next time."""
         actions = self.router.maintenance(now)
-        for endpoint in actions.probes:
-            self.start_health_check(endpoint, actions.probe_timeout)
-        if actions.subscribe:
+        for endpoint in actions.health_checks:
+            self.start_health_check(endpoint, actions.health_check_timeout)
+        if actions.needs_discovery:
             self.subscribe_to_endpoints()
-        next_due = now + actions.time
+        next_due = now + actions.delay
         has_timer = self.maintenance_due is not None and now < self.maintenance_due <= next_due
         if not has_timer:
             self.maintenance_due = next_due
--- a/quartzrouter/routing/model.py
+++ b/quartzrouter/routing/model.py
@@ -348,13 +348,13 @@
 class MaintenanceActions:
     """What falls due between requests.
 
-    :ivar time: time until ``Router.maintenance()`` wants to be asked again.
-    :ivar probes: the names of endpoints whose health is to be checked.
-    :ivar probe_timeout: time after which a health check has failed.
-    :ivar subscribe: whether to ask for the endpoint list now.
+    :ivar delay: time until ``Router.maintenance()`` wants to be asked again.
+    :ivar health_checks: the names of endpoints whose health is to be checked.
+    :ivar health_check_timeout: time after which a health check has failed.
+    :ivar needs_discovery: whether to ask for the endpoint list now.
     """
 
-    time: int
-    probes: tuple[str, ...]
-    probe_timeout: int
-    subscribe: bool
+    delay: int
+    health_checks: tuple[str, ...]
+    health_check_timeout: int
+    needs_discovery: bool
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -44,8 +44,9 @@
 KEYED = {"name": "hold", "effect": "dedup", "group": "all", "window_us": 3000000}
 
 
-def vhost(name, effect=Idempotency.IDEMPOTENT, **other):
-    given = dict(
+def traffic_class(name, idempotency=Idempotency.IDEMPOTENT, **other):
+    """A cacheable class with an objective of 400 ms, unless told otherwise."""
+    defaults = dict(
         priority_weight=1.0,
         latency_objective=400 * MS,
         objective_stretch=2.0,
@@ -58,7 +59,7 @@
         stale_value_share=0.7,
         uncacheable=False,
     )
-    return TrafficClass(name, effect, **(given | other))
+    return TrafficClass(name, idempotency, **(defaults | other))
 
 
 def listed(states, started=0):
@@ -81,16 +82,24 @@
     return (9 + len(payload)).to_bytes(4, "big") + number.to_bytes(8, "big") + bytes((kind,)) + payload
 
 
-class Drive(logging.Handler):
-    """Three caches c1 to c3, two parents p1 and p2, the origin o; 1000 KB take a second to send."""
+class RouterScenario(logging.Handler):
+    """Drives one Router step by step, and prints its decisions and log lines.
 
-    def __init__(self, lines, rated=True, router_number=0, **permits):
+    Caches c1 to c3, parents p1 and p2, the origin o; 1000 KB take a second to send.  Of the traffic classes,
+    clip and page are cacheable, sale has a key by which repeats are discarded, vote must never be repeated.
+    """
+
+    def __init__(self, lines, rated=True, router_number=0, **capabilities):
         super().__init__()
-        self.lines, self.now, self.hops, self.last = lines, 10 * S, {}, {}
+        self.lines = lines
+        self.now = 10 * S
+        self.attempt_numbers = {}  # by request id, of its last attempt
+        self.requests = {}  # by id
         decisions_log = logging.getLogger(LOGGER_NAME)
-        decisions_log.handlers, decisions_log.propagate = [self], False
+        decisions_log.handlers = [self]
+        decisions_log.propagate = False
         decisions_log.setLevel(logging.INFO)
-        given = dict(
+        defaults = dict(
             max_attempts=4,
             pass_through=True,
             request_collapsing=True,
@@ -100,25 +109,25 @@
             max_retry_after=2 * S,
             discovery_on_request=False,
         )
-        cold = SlowStart(initial_share=0.25, ramp_time=16 * S, overload_factor=2.0, window=S, routers=2)
+        slow_start = SlowStart(initial_share=0.25, ramp_time=16 * S, overload_factor=2.0, window=S, routers=2)
         self.router = Router(
             router_number=router_number,
             seed=7,
             home_location="north",
-            capabilities=Capabilities(**(given | permits)),
-            cache_slow_start=cold,
-            parent_slow_start=cold,
+            capabilities=Capabilities(**(defaults | capabilities)),
+            cache_slow_start=slow_start,
+            parent_slow_start=slow_start,
             purge_lifetime=6 * S,
             transfer_rate=1000.0,
             has_capacity_ratings=rated,
             traffic_classes=[
-                vhost("clip", priority_weight=2.0, latency_objective=500 * MS, client_timeout=5 * S),
-                vhost("page", max_age=8 * S, stale_grace=20 * S),
-                vhost("sale", Idempotency.IDEMPOTENT_WITH_KEY, priority_weight=3.0, uncacheable=True),
-                vhost("vote", Idempotency.NON_IDEMPOTENT, priority_weight=3.0, uncacheable=True),
+                traffic_class("clip", priority_weight=2.0, latency_objective=500 * MS, client_timeout=5 * S),
+                traffic_class("page", max_age=8 * S, stale_grace=20 * S),
+                traffic_class("sale", Idempotency.IDEMPOTENT_WITH_KEY, priority_weight=3.0, uncacheable=True),
+                traffic_class("vote", Idempotency.NON_IDEMPOTENT, priority_weight=3.0, uncacheable=True),
             ],
         )
-        self.list(whole=True, c1="up", c2="up", c3="up", p1="up", p2="up", o="up")
+        self.update_endpoints(is_snapshot=True, c1="up", c2="up", c3="up", p1="up", p2="up", o="up")
 
     def emit(self, record):
         self.print(f"log: {record.getMessage()}")
@@ -126,50 +135,59 @@
     def print(self, text):
         self.lines.append(f"{self.now // MS - 10_000:6d} ms  {text}")
 
-    def list(self, whole=False, started=0, **states):
-        self.router.update_endpoints(listed(states, started), whole, self.now)
+    def update_endpoints(self, is_snapshot=False, started=0, **states):
+        self.router.update_endpoints(listed(states, started), is_snapshot, self.now)
 
-    def pass_(self, ms):
+    def advance(self, ms):
         self.now += ms * MS
 
-    def say(self, what, answer):
-        if isinstance(answer, Forward):
-            oldest = f"{answer.max_age // MS} ms" if answer.max_age else "usual"
-            rank = answer.cache_priority
-            text = f"{answer.endpoint} filling from {answer.fill_source}, rank {rank}, age {oldest}"
+    def print_decision(self, cause, decision):
+        if isinstance(decision, Forward):
+            max_age = f"{decision.max_age // MS} ms" if decision.max_age else "usual"
+            priority = decision.cache_priority
+            source = decision.fill_source
+            text = f"{decision.endpoint} filling from {source}, priority {priority}, max age {max_age}"
         else:
-            text = "nothing" if answer is None else str(answer)
-        self.print(f"{what}: {text}")
-        return answer
+            text = "nothing" if decision is None else str(decision)
+        self.print(f"{cause}: {text}")
 
-    def req(self, id, vhost, obj="a", kb=200.0, part=0, group=1, timeout=None, quiet=False):
-        timeout = timeout or self.router.traffic_classes[vhost].client_timeout // MS
-        self.last[id] = Request(id, vhost, obj, group, part, kb, timeout * MS)
+    def request(
+        self, id, class_name, object_key="a", size_kb=200.0, chunk=0, tag=1, timeout=None, quiet=False
+    ):
+        """Sends a new request; the timeout is in ms."""
+        timeout = timeout or self.router.traffic_classes[class_name].client_timeout // MS
+        self.requests[id] = Request(id, class_name, object_key, tag, chunk, size_kb, timeout * MS)
         return self.ask(id, quiet)
 
     def ask(self, id, quiet=False):
-        req = self.last[id]
-        answer = self.router.route(req, self.now)
-        if isinstance(answer, Forward):
-            self.hops[id] = answer.attempt_number
-        return (
-            answer
-            if quiet
-            else self.say(f"req {id} {req.traffic_class} {req.object_key}/{req.chunk}", answer)
+        """Asks for a decision, also on a request that was deferred."""
+        request = self.requests[id]
+        decision = self.router.route(request, self.now)
+        cause = f"request {id} {request.traffic_class} {request.object_key}/{request.chunk}"
+        return self._take(id, cause, decision, quiet)
+
+    def finish(self, id, status, fill_status=FillStatus.UNKNOWN, elapsed=50, quiet=False, **report):
+        """Ends the last attempt of a request; the elapsed time is in ms."""
+        result = AttemptResult(
+            self.attempt_numbers[id],
+            status,
+            elapsed * MS,
+            fill_status,
+            status is AttemptStatus.SUCCEEDED,
+            LoadReport(**report),
         )
+        decision = self.router.attempt_finished(id, result, self.now)
+        cause = f"request {id} {status.value[0]}"
+        if fill_status:
+            cause += f" {fill_status.name.lower()}"
+        return self._take(id, cause, decision, quiet)
 
-    def end(self, id, ending, told=FillStatus.UNKNOWN, elapsed=50, quiet=False, **report):
-        outcome = AttemptResult(
-            self.hops[id], ending, elapsed * MS, told, ending is AttemptStatus.SUCCEEDED, LoadReport(**report)
-        )
-        answer = self.router.attempt_finished(id, outcome, self.now)
-        if isinstance(answer, Forward):
-            self.hops[id] = answer.attempt_number
-        return (
-            answer
-            if quiet
-            else self.say(f"req {id} {ending.value[0]}{' ' + told.name.lower() if told else ''}", answer)
-        )
+    def _take(self, id, cause, decision, quiet):
+        if isinstance(decision, Forward):
+            self.attempt_numbers[id] = decision.attempt_number
+        if not quiet:
+            self.print_decision(cause, decision)
+        return decision
 
 
 def pytest_addoption(parser):
@@ -265,14 +283,14 @@
 
 
 @pytest.fixture
-def drive(request, trace):
-    return Drive(trace, **getattr(request, "param", {}))
+def scenario(request, trace):
+    return RouterScenario(trace, **getattr(request, "param", {}))
 
 
 @pytest.fixture
-def told(trace):
-    """Load is told in answers, and nothing may be probed."""
-    return Drive(trace, health_checks=False, load_in_responses=True)
+def scenario_with_reports(trace):
+    """Answers carry load reports, and nothing may be health-checked."""
+    return RouterScenario(trace, health_checks=False, load_in_responses=True)
 
 
 @pytest.fixture
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -6,7 +6,7 @@
 
 import hypothesis.strategies as st
 import pytest
-from conftest import MS, S, listed, vhost
+from conftest import MS, S, listed, traffic_class
 from hypothesis import given, settings
 
 from quartzrouter.routing.estimators import MIN_SAMPLES
@@ -53,7 +53,7 @@
             purge_lifetime=6 * S,
             transfer_rate=1000.0,
             has_capacity_ratings=True,
-            traffic_classes=[vhost("page")],
+            traffic_classes=[traffic_class("page")],
         )
         router.update_endpoints(listed(dict.fromkeys(["c1", "c2", "c3", "p1", "o"], "up")), True, 10 * S)
         router.update_endpoints(listed({at: "up"}, started=10 * S), False, 10 * S)
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -50,7 +50,7 @@
 """
 WAIT = """
 maintenance = Router.maintenance
-Router.maintenance = lambda self, now: replace(maintenance(self, now), time=0)
+Router.maintenance = lambda self, now: replace(maintenance(self, now), delay=0)
 """
 PROCESS = """
 import asyncio, os, socket, sys, anyio
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 import pytest
-from conftest import Drive
+from conftest import RouterScenario
 
 from quartzrouter.fault_harness import mutations
 from quartzrouter.quota import slow_start as module
@@ -176,23 +176,25 @@
 # -- in the decisions ----------------------------------------------------------------------------------------
 
 
-def driven(router_number=0):
-    played = Drive([], router_number=router_number)
-    played.list(whole=True, c1="up", c2="up", c3="up", o="up")  # no parents: budgets of caches only
-    return played
+def scenario_without_parents(router_number=0):
+    scenario = RouterScenario([], router_number=router_number)
+    scenario.update_endpoints(
+        is_snapshot=True, c1="up", c2="up", c3="up", o="up"
+    )  # no parents: budgets of caches only
+    return scenario
 
 
 def test_a_granted_part_goes_to_a_cold_cache_beyond_the_routers_own():
     # Own parts of a fifth of the budget of thirty routers bear no req; what is granted does, once.
     def sent(granted):
-        played = driven()
-        router = played.router
+        scenario = scenario_without_parents()
+        router = scenario.router
         router.share_slow_start(Tier.CACHE, routers=30, own_share=0.2)
         for index in router.endpoints.by_tier[Tier.CACHE]:
-            router.endpoints.started_at[index] = played.now
+            router.endpoints.started_at[index] = scenario.now
         router.share_slow_start_grants(dict(granted))
-        router.set_fleet_load({}, played.now)  # nobody else has anything out
-        found = [played.req(n, "page", f"obj-{n}", quiet=True) for n in range(8)]
+        router.set_fleet_load({}, scenario.now)  # nobody else has anything out
+        found = [scenario.request(n, "page", f"obj-{n}", quiet=True) for n in range(8)]
         return [
             each.endpoint for each in found if isinstance(each, Forward) and each.endpoint[0] == "c"
         ], router
@@ -211,23 +213,23 @@
 
 
 def test_loads_that_are_told_stand_in_for_own_reqs_times_routers():
-    played = driven()
-    router = played.router
+    scenario = scenario_without_parents()
+    router = scenario.router
     router.share_slow_start(Tier.CACHE, routers=8, own_share=1.0)
     one, two = router.endpoints.index_of["c1"], router.endpoints.index_of["c2"]
     router.load.in_flight[one], router.load.in_flight[two] = 2, 1
-    assert router.load.estimate(one, played.now) == 16
-    router.set_fleet_load({"c1": 3, "c2": -1, "gone": 4}, played.now)
-    assert router.load.estimate(one, played.now) == 5
-    assert router.load.estimate(two, played.now) == 8  # not known isn't none
-    assert router.load.estimate(one, played.now + S) == 16  # too old
+    assert router.load.estimate(one, scenario.now) == 16
+    router.set_fleet_load({"c1": 3, "c2": -1, "gone": 4}, scenario.now)
+    assert router.load.estimate(one, scenario.now) == 5
+    assert router.load.estimate(two, scenario.now) == 8  # not known isn't none
+    assert router.load.estimate(one, scenario.now + S) == 16  # too old
 
 
 def test_routers_try_a_cache_again_one_after_the_other():
     turns = set()
     for router_number in range(12):
-        played = driven(router_number)
-        router, now = played.router, played.now
+        scenario = scenario_without_parents(router_number)
+        router, now = scenario.router, scenario.now
         router.set_ejected_by_peers({"c1": now + S}, now)
         health = router.health.by_index[router.endpoints.index_of["c1"]]
         turns.add(health.ejected_by_peers_until - now - S)
@@ -239,8 +241,8 @@
 
 
 def test_few_servers_wait_for_their_turn():
-    played = driven()
-    router, now = played.router, played.now
+    scenario = scenario_without_parents()
+    router, now = scenario.router, scenario.now
     router.set_ejected_by_peers({"c1": now + 10 * MS}, now)
     router.set_ejected_by_peers({"c2": now + S}, now + 10 * MS)  # two of four would be out by others' word
     health = {name: router.health.by_index[router.endpoints.index_of[name]] for name in ("c1", "c2")}
