--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -107,7 +107,7 @@
         while True:
             for look in range(looks):
                 await anyio.sleep(NEWS_EVERY / 1e6)
-                self.feed(ReportHealth(failures=look < looks - 1))
+                self.feed(ReportHealth(only_failures=look < looks - 1))
 
     async def _tell_shares(self) -> None:
         """Says when this router begins and ends to act on its floor, and which asks were not obeyed."""
@@ -119,16 +119,16 @@
                 if said := shown(counts, before.get(name, NOTHING)):
                     self.report.say("shares", f"limit {name}: {said}")
             before = told
-            for budget, (place, reason, remedy) in self.reducer.refused.items():
+            for budget, (place, reason, remedy) in self.reducer.quota_refusals.items():
                 self.report.say("shares", f"limit {budget}: the ledger refuses {place}: {reason}; {remedy}")
-            self.reducer.refused.clear()
+            self.reducer.quota_refusals.clear()
 
     async def _save(self, path: str) -> None:
         """Beside the loop: encoding and writing 100,000 purges takes a tenth of a second."""
-        saved = self.reducer.follower.applied_up_to
+        saved = self.reducer.replica.applied_up_to
         while True:
             await anyio.sleep(purge_membership.SAVE_INTERVAL)
-            if (held := self.reducer.follower.applied_up_to) == saved:
+            if (held := self.reducer.replica.applied_up_to) == saved:
                 continue
             memo = purge_membership.stored_purges(self.fleet, held)
             try:
@@ -170,7 +170,7 @@
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
             self.report.say("process", f"SIGHUP: nothing changes: {faults[0].head}{more}")
             return
-        home = self.configuration.briefing.arguments["home"]
+        home = self.configuration.briefing.arguments["home_location"]
         if home not in loaded.plan.stores:
             self.report.say(
                 "process", f"SIGHUP: nothing changes: the home store '{home}' is gone; restart for that"
