--- a/quartzrouter/cli/ledger.py
+++ b/quartzrouter/cli/ledger.py
@@ -95,13 +95,13 @@
 @FOLDER
 def check(folder: str) -> None:
     """Read a folder whole, and say what it holds; exit with 1 if it is damaged."""
-    from quartzrouter.purge_log.errors import LogDamaged
+    from quartzrouter.purge_log.errors import LogDamagedError
     from quartzrouter.purge_log.segments import highest_epoch, read_log
 
     disk = _disk(folder)
     try:
         found = read_log(disk)
-    except LogDamaged as damage:
+    except LogDamagedError as damage:
         click.echo(f"{folder}: {damage}", err=True)
         sys.exit(1)
     click.echo(
@@ -114,12 +114,12 @@
 @FOLDER
 def repair(folder: str) -> None:
     """Give up what follows the first damage.  It may have been promised, so purge all afterwards."""
-    from quartzrouter.purge_log.errors import LogDamaged
+    from quartzrouter.purge_log.errors import LogDamagedError
     from quartzrouter.purge_log.segments import repair as mend
 
     try:
         click.echo(f"{folder}: {mend(_disk(folder))}")
-    except LogDamaged as damage:
+    except LogDamagedError as damage:
         click.echo(f"{folder}: {damage}", err=True)
         sys.exit(1)
 
--- a/quartzrouter/cli/purge.py
+++ b/quartzrouter/cli/purge.py
@@ -299,11 +299,11 @@
 def ran(what, *arguments):
     import anyio
 
-    from quartzrouter.purge_log.errors import Unreachable
+    from quartzrouter.purge_log.errors import UnreachableError
 
     try:
         return anyio.run(what, *arguments)
-    except Unreachable as error:
+    except UnreachableError as error:
         click.echo(f"no ledger answers: {error}; see that it runs, or name another with --ledger", err=True)
         sys.exit(1)
     except KeyboardInterrupt:
--- a/quartzrouter/fault_harness/fleet.py
+++ b/quartzrouter/fault_harness/fleet.py
@@ -13,7 +13,7 @@
 from quartzrouter.fault_harness.proxied_links import ProxiedLink
 from quartzrouter.fault_harness.skewed_clocks import ClockPage
 from quartzrouter.purge_log.query_client import QueryClient as LedgerClient
-from quartzrouter.purge_log.errors import Unreachable
+from quartzrouter.purge_log.errors import UnreachableError
 from quartzrouter.purges.messages import MembersQuery
 
 UP_WITHIN = 20.0  # s for a process to listen: Python starts in one, many at once on few cores in more
@@ -184,6 +184,6 @@
     async def _live(client: LedgerClient) -> int:
         try:
             members = (await client.ask(MembersQuery())).members
-        except Unreachable:
+        except UnreachableError:
             return 0
         return sum(member.is_live and member.kind == "router" for member in members)
--- a/quartzrouter/fault_scenarios/purge_fleet.py
+++ b/quartzrouter/fault_scenarios/purge_fleet.py
@@ -19,7 +19,7 @@
     Response,
     tags_of,
 )
-from quartzrouter.purge_log.errors import Unreachable
+from quartzrouter.purge_log.errors import UnreachableError
 from quartzrouter.purge_log.query_client import QueryClient
 from quartzrouter.purges.messages import PurgeAccepted, PurgeRequest, RequestRejected
 from quartzrouter.server import process
@@ -224,7 +224,7 @@
     async def purge(self, requests: list[PurgeRequest]) -> None:
         """Sends purges, again until a purge log answers.
 
-        :raises Unreachable: where none does for PURGE_TIMEOUT.
+        :raises UnreachableError: where none does for PURGE_TIMEOUT.
         """
         client = QueryClient([("127.0.0.1", self.purge_log_port)], QUERY_TIMEOUT)
         give_up_at = process.wall_clock() + PURGE_TIMEOUT
@@ -232,7 +232,7 @@
             try:
                 answers = await client.ask_all(requests)
                 break
-            except Unreachable:
+            except UnreachableError:
                 if process.wall_clock() > give_up_at:
                     raise
                 await anyio.sleep(0.05)
--- a/quartzrouter/purge_log/cache_connection.py
+++ b/quartzrouter/purge_log/cache_connection.py
@@ -20,15 +20,15 @@
 EXCHANGE_ERRORS = (*CONNECTION_LOST, TimeoutError, h11.ProtocolError, ValueError)
 
 
-class DeliveryFailed(PurgeLogError):
+class DeliveryError(PurgeLogError):
     """The cache did not answer."""
 
 
-class DeliveryRefused(DeliveryFailed):
+class DeliveryRefusedError(DeliveryError):
     """The cache answered, and did not do what was asked."""
 
 
-class FencedOff(DeliveryRefused):
+class CourierFencedError(DeliveryRefusedError):
     """The cache has seen a later lease of the task of delivering.
 
     :param highest_token: that lease's fencing token.
@@ -51,15 +51,15 @@
     def __init__(self, address: tuple[str, int]):
         self.address = address
         self.stream: anyio.abc.ByteStream | None = None
-        self.http: h11.Connection | None = None
+        self.http = h11.Connection(h11.CLIENT)
         self.lock = anyio.Lock()
 
     async def request(self, method: str, target: str, headers: Sequence[tuple[str, str]]) -> int:
         """Sends a request.
 
         :returns: the sequence number up to which the cache has purged without a gap.
-        :raises DeliveryFailed: where it doesn't answer.
-        :raises DeliveryRefused: where it answers with another status than 200.
+        :raises DeliveryError: where it doesn't answer.
+        :raises DeliveryRefusedError: where it answers with another status than 200.
         """
         async with self.lock:
             is_reusable = False
@@ -68,43 +68,44 @@
                     purged_up_to = await self._request(method, target, headers)
                 is_reusable = True
                 return purged_up_to
-            except DeliveryRefused:
+            except DeliveryRefusedError:
                 is_reusable = True
                 raise
             except EXCHANGE_ERRORS as error:
                 host, port = self.address
-                raise DeliveryFailed(f"{host}:{port}: {describe(error)}") from None
+                raise DeliveryError(f"{host}:{port}: {describe(error)}") from None
             finally:
                 if not is_reusable:  # nobody knows what is still to come on it
                     await self.close()
 
     async def _request(self, method: str, target: str, headers: Sequence[tuple[str, str]]) -> int:
-        if self.stream is None:
-            self.stream = await connect(self.address)
+        stream = self.stream
+        if stream is None:
+            stream = self.stream = await connect(self.address)
             self.http = h11.Connection(h11.CLIENT)
         host, port = self.address
         request = h11.Request(method=method, target=target, headers=[("Host", f"{host}:{port}"), *headers])
-        await self.stream.send(self.http.send(request))
-        await self.stream.send(self.http.send(h11.EndOfMessage()) or b"")
-        response = await self._response()
+        await stream.send(self.http.send(request) or b"")
+        await stream.send(self.http.send(h11.EndOfMessage()) or b"")
+        response = await self._response(stream)
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
         else:
             await self.close()
         if response.status == CONFLICT and response.highest_lease_seen:
-            raise FencedOff(response.highest_lease_seen)
+            raise CourierFencedError(response.highest_lease_seen)
         if response.status != OK:
-            raise DeliveryRefused(f"it answered {response.status}")
+            raise DeliveryRefusedError(f"it answered {response.status}")
         return response.purged_up_to
 
-    async def _response(self) -> _Response:
+    async def _response(self, stream: anyio.abc.ByteStream) -> _Response:
         response = _Response(0, 0, 0)
         while True:
             event = self.http.next_event()
             if isinstance(event, h11.EndOfMessage):
                 return response
             if event is h11.NEED_DATA:
-                self.http.receive_data(await self._receive())
+                self.http.receive_data(await _receive(stream))
             elif isinstance(event, h11.Response):
                 headers = dict(event.headers)
                 purged_up_to = int(headers.get(PURGED_UP_TO, b"0"))
@@ -113,12 +114,6 @@
             elif isinstance(event, h11.ConnectionClosed):
                 raise ValueError("closed without an answer")
 
-    async def _receive(self) -> bytes:
-        try:
-            return await self.stream.receive(READ_BYTES)
-        except anyio.EndOfStream:
-            return b""
-
     async def close(self) -> None:
         """Closes the connection; the next request opens another."""
         stream = self.stream
@@ -126,3 +121,11 @@
         if stream is not None:
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(stream)
+
+
+async def _receive(stream: anyio.abc.ByteStream) -> bytes:
+    """What comes next; empty at the end of the stream."""
+    try:
+        return await stream.receive(READ_BYTES)
+    except anyio.EndOfStream:
+        return b""
--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -9,9 +9,9 @@
 from quartzrouter.leases.handle import LeaseClient, LeaseHandle
 from quartzrouter.purge_log.cache_connection import (
     CacheConnection,
-    DeliveryFailed,
-    DeliveryRefused,
-    FencedOff,
+    DeliveryError,
+    DeliveryRefusedError,
+    CourierFencedError,
 )
 from quartzrouter.purge_log.member_client import ConnectionOpened, MemberClient, MessageReceived
 from quartzrouter.purges.delivery_plan import POLL_INTERVAL, Delivery, DeliveryQueue
@@ -130,7 +130,7 @@
         was_up = self.queue.is_up
         try:
             purged_up_to = await self.connections[0].request("GET", "/purged", ())
-        except DeliveryFailed as error:
+        except DeliveryError as error:
             if was_up:
                 self.report.say("cache", f"{self.name}: {error}; away until it answers")
             self.queue.unreachable(wall_clock())
@@ -157,13 +157,13 @@
         connection = self.connections[self.deliveries_started % CONNECTIONS_PER_CACHE]
         try:
             await connection.request("PURGE", "/", self._headers(delivery))
-        except DeliveryFailed as error:
+        except DeliveryError as error:
             self.report.say("cache", f"{self.name}: purge {sequence_number}: {error}")
-            if isinstance(error, DeliveryRefused):
+            if isinstance(error, DeliveryRefusedError):
                 self.queue.refused(sequence_number, wall_clock())
             else:
                 self.queue.unreachable(wall_clock())
-            if isinstance(error, FencedOff) and self.lease_handle:
+            if isinstance(error, CourierFencedError) and self.lease_handle:
                 self.lease_handle.passed(error.highest_token)
         else:
             self.queue.confirmed(sequence_number)
--- a/quartzrouter/purge_log/errors.py
+++ b/quartzrouter/purge_log/errors.py
@@ -7,7 +7,7 @@
     """The base of all errors of this package."""
 
 
-class LogDamaged(PurgeLogError):
+class LogDamagedError(PurgeLogError):
     """A folder that can't be read whole.
 
     :param place: the file, and the byte where that is known.
@@ -20,13 +20,13 @@
         self.remedy = remedy
 
 
-class DiskUnavailable(PurgeLogError):
+class DiskUnavailableError(PurgeLogError):
     """The disk takes nothing at the moment; nothing of what was to be written was promised."""
 
 
-class Fenced(PurgeLogError):
+class FencedError(PurgeLogError):
     """Another writer has begun a higher epoch, so that this one may promise nothing more."""
 
 
-class Unreachable(PurgeLogError):
+class UnreachableError(PurgeLogError):
     """No purge log answers at any address."""
--- a/quartzrouter/purge_log/leadership.py
+++ b/quartzrouter/purge_log/leadership.py
@@ -2,7 +2,7 @@
 
 import anyio
 
-from quartzrouter.purge_log.errors import Fenced, Unreachable
+from quartzrouter.purge_log.errors import FencedError, UnreachableError
 from quartzrouter.purge_log.log import PurgeLog
 from quartzrouter.purge_log.query_client import QueryClient
 from quartzrouter.purges.freshness_lease import lease_length
@@ -33,12 +33,12 @@
         """Looks at the disk whether this is still the newest writer; where it isn't, the server ends."""
         try:
             self.log.check_epoch()
-        except Fenced as error:
+        except FencedError as error:
             self.fence(error)
             return False
         return True
 
-    def fence(self, error: Fenced) -> None:
+    def fence(self, error: FencedError) -> None:
         """Ends the server, as another writer has begun."""
         self.is_fenced = True
         self.report.say("log", f"{error}; this process ends")
@@ -59,7 +59,7 @@
         try:
             await client.ask(MembersQuery())
             takes_over = watch.record(answered=True)
-        except Unreachable:
+        except UnreachableError:
             takes_over = watch.record(answered=False)
         if takes_over:
             break
--- a/quartzrouter/purge_log/log.py
+++ b/quartzrouter/purge_log/log.py
@@ -1,7 +1,7 @@
 """The single writer of a purge log's folder: begins an epoch, and goes on behind what is durable."""
 
 from quartzrouter.purge_log.disk import Disk, File
-from quartzrouter.purge_log.errors import DiskUnavailable, Fenced
+from quartzrouter.purge_log.errors import DiskUnavailableError, FencedError
 from quartzrouter.purge_log.segments import (
     EPOCH_FILE,
     FORMAT,
@@ -29,8 +29,8 @@
     the disk before this one read it, and what it writes later it doesn't promise.
 
     :param max_segment_bytes: after which a segment is followed by another.
-    :raises LogDamaged: where the folder can't be read whole.
-    :raises DiskUnavailable: where the disk takes nothing.
+    :raises LogDamagedError: where the folder can't be read whole.
+    :raises DiskUnavailableError: where the disk takes nothing.
     """
 
     def __init__(self, disk: Disk, max_segment_bytes: int = MAX_SEGMENT_BYTES):
@@ -62,7 +62,7 @@
             self.disk.sync()
             self._remove_epochs_below(epoch - 1)
             return epoch
-        raise DiskUnavailable("other writers begin again and again")
+        raise DiskUnavailableError("other writers begin again and again")
 
     def _remove_epochs_below(self, epoch: int) -> None:
         for name in self.disk.names():
@@ -77,36 +77,32 @@
                 return read_log(self.disk)
             except FileNotFoundError:  # the older writer was putting a snapshot in place
                 continue
-        raise DiskUnavailable("the files change again and again")
+        raise DiskUnavailableError("the files change again and again")
 
     def check_epoch(self) -> None:
         """Checks that this is still the newest writer.
 
-        :raises Fenced: where another has begun.
+        :raises FencedError: where another has begun.
         """
         highest = highest_epoch(self.disk)
         if highest != self.epoch:
-            raise Fenced(f"epoch {highest} has begun, this is {self.epoch}")
+            raise FencedError(f"epoch {highest} has begun, this is {self.epoch}")
 
     def append(self, purges: list[Purge]) -> None:
         """Makes purges durable, all or none.
 
-        :raises DiskUnavailable: where the disk takes nothing; none of them counts.
-        :raises Fenced: where another writer has begun; none of them is promised.
+        :raises DiskUnavailableError: where the disk takes nothing; none of them counts.
+        :raises FencedError: where another writer has begun; none of them is promised.
         """
-        if self.file is None:
-            try:
-                self._begin_segment()
-            except OSError as error:
-                raise _unavailable(error) from None
+        file = self.file or self._begin_segment_or_fail()
         data, checksum = encode_records(purges, self.checksum)
         try:
-            self.file.write(data)
+            file.write(data)
         except OSError as error:
-            self._remove_torn_write()
+            self._remove_torn_write(file)
             raise _unavailable(error) from None
         try:
-            self.file.sync()
+            file.sync()
         except OSError as error:
             # Nobody knows what is on the disk after a failed sync, and a later one that succeeds proves
             # nothing. So the log goes on in a new segment, whose header says how much of this one counts.
@@ -120,9 +116,9 @@
         if self.segment_length >= self.max_segment_bytes:
             self.close()
 
-    def _remove_torn_write(self) -> None:
+    def _remove_torn_write(self, file: File) -> None:
         try:
-            self.file.truncate(self.segment_length)
+            file.truncate(self.segment_length)
         except OSError:
             self.close()
 
@@ -133,7 +129,13 @@
         if file is not None:
             file.close()
 
-    def _begin_segment(self) -> None:
+    def _begin_segment_or_fail(self) -> File:
+        try:
+            return self._begin_segment()
+        except OSError as error:
+            raise _unavailable(error) from None
+
+    def _begin_segment(self) -> File:
         self.segment_number += 1
         name = f"{self.epoch:08d}-{self.segment_number:08d}.log"
         header = SegmentHeader(FORMAT, self.epoch, self.segment_name, self.segment_length, self.head)
@@ -150,6 +152,7 @@
         self.segment_name = name
         self.segment_length = len(data)
         self.checksum = checksum
+        return file
 
     def compact(self, purges: list[Purge], trimmed_up_to: int, low_watermark: int) -> None:
         """Puts a snapshot in place of all files but the segment that is written.
@@ -157,8 +160,8 @@
         :param purges: those that are retained, all durable, in their order.
         :param trimmed_up_to: the sequence number before the first of them.
         :param low_watermark: microseconds, the time of that purge.
-        :raises DiskUnavailable: where the disk takes nothing; the files stay.
-        :raises Fenced: where another writer has begun; the files stay.
+        :raises DiskUnavailableError: where the disk takes nothing; the files stay.
+        :raises FencedError: where another writer has begun; the files stay.
         """
         names = self.disk.names()
         try:
@@ -176,5 +179,5 @@
         self.purges_since_snapshot = 0
 
 
-def _unavailable(error: OSError) -> DiskUnavailable:
-    return DiskUnavailable(error.strerror or str(error))
+def _unavailable(error: OSError) -> DiskUnavailableError:
+    return DiskUnavailableError(error.strerror or str(error))
--- a/quartzrouter/purge_log/process.py
+++ b/quartzrouter/purge_log/process.py
@@ -7,7 +7,7 @@
 
 from quartzrouter.leases.handle import LeaseClient
 from quartzrouter.purge_log.disk import RealDisk
-from quartzrouter.purge_log.errors import DiskUnavailable, LogDamaged
+from quartzrouter.purge_log.errors import DiskUnavailableError, LogDamagedError
 from quartzrouter.purge_log.leadership import wait_for_silent_primary
 from quartzrouter.purge_log.quota_service import NOT_HELD, WITHOUT_LEASE
 from quartzrouter.purge_log.server import PurgeLogServer
@@ -18,7 +18,11 @@
 
 EXIT_STOPPED = 0
 EXIT_FENCED = 3  # another purge log has taken over
-START_ERRORS = (LogDamaged, DiskUnavailable, OSError)  # which name the place and the remedy themselves
+START_ERRORS = (
+    LogDamagedError,
+    DiskUnavailableError,
+    OSError,
+)  # which name the place and the remedy themselves
 
 ReadBudgets = Callable[[], tuple[list[Budget], dict[str, SlowStartTerms]]]
 
@@ -46,7 +50,7 @@
     :param lease_client: where several processes with folders of their own may grant quota: the one that
         holds the task does.
     :returns: the exit status.
-    :raises OSError, ValueError, LogDamaged, DiskUnavailable: before anything is served.
+    :raises OSError, ValueError, LogDamagedError, DiskUnavailableError: before anything is served.
     """
     process = _Process(report, read_budgets, lease_client)
     async with anyio.create_task_group() as tasks:
--- a/quartzrouter/purge_log/query_client.py
+++ b/quartzrouter/purge_log/query_client.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from quartzrouter.purge_log.errors import Unreachable
+from quartzrouter.purge_log.errors import UnreachableError
 from quartzrouter.purge_log.line_connection import CONNECTION_ENDED, connect, describe, read_lines
 from quartzrouter.purges import messages
 from quartzrouter.purges.messages import MalformedMessage
@@ -33,7 +33,7 @@
         A purge without an idempotency key may be accepted twice that way.
 
         :returns: the answer.
-        :raises Unreachable: where no address answers.
+        :raises UnreachableError: where no address answers.
         """
         failure = "no address is named"
         for _ in range(len(self.addresses) * ROUNDS):
@@ -45,39 +45,44 @@
                 failure = f"{host}:{port}: {describe(error)}"
                 await self.close()
                 self.addresses.append(self.addresses.pop(0))
-        raise Unreachable(failure)
+        raise UnreachableError(failure)
 
     async def _ask_once(self, message: messages.ToPurgeLog) -> messages.FromPurgeLog:
-        await self.connect()
-        await self.stream.send(messages.encode_line(message))
+        stream = await self.connect()
+        await stream.send(messages.encode_line(message))
         return await self.receive()
 
-    async def connect(self) -> None:
-        """Connects to the first address, where there is no connection."""
+    async def connect(self) -> anyio.abc.ByteStream:
+        """Connects to the first address, where there is no connection.
+
+        :returns: the connection.
+        """
         if self.stream is None:
             self.stream = await connect(self.addresses[0])
             self.lines = read_lines(self.stream)
+        return self.stream
 
     async def receive(self) -> messages.FromPurgeLog:
         """Returns the next message.
 
         :raises anyio.EndOfStream: where the purge log has closed the connection.
         """
-        async for line in self.lines:
-            return messages.decode_from_purge_log(line)
-        raise anyio.EndOfStream
+        line = await anext(self.lines, None) if self.lines else None
+        if line is None:
+            raise anyio.EndOfStream
+        return messages.decode_from_purge_log(line)
 
     async def ask_all(
         self,
         requests: Sequence[messages.PurgeRequest],
-        on_answered: Callable[[int], None] = lambda count: None,
+        on_answered: Callable[[int], None] | None = None,
     ) -> list[messages.FromPurgeLog]:
         """Sends purges, a page at a time without waiting for each answer.
 
         :param requests: all with idempotency keys, so that a page may be sent again elsewhere.
         :param on_answered: called with the number of each page's answers.
         :returns: the answers in order.
-        :raises Unreachable: where no address answers.
+        :raises UnreachableError: where no address answers.
         """
         answers: list[messages.FromPurgeLog] = []
         for start in range(0, len(requests), messages.MAX_PURGES_PER_LINE):
@@ -88,12 +93,14 @@
             except RETRIED_ERRORS:
                 await self.close()
                 answers += [await self.ask(request) for request in rest]
-            on_answered(1 + len(rest))
+            if on_answered:
+                on_answered(1 + len(rest))
         return answers
 
     async def _ask_pipelined(self, requests: Sequence[messages.PurgeRequest]) -> list[messages.FromPurgeLog]:
         with anyio.fail_after(self.timeout):
-            await self.stream.send(b"".join(map(messages.encode_line, requests)))
+            stream = await self.connect()
+            await stream.send(b"".join(map(messages.encode_line, requests)))
             return [await self.receive() for _ in requests]
 
     async def close(self) -> None:
--- a/quartzrouter/purge_log/quota_service.py
+++ b/quartzrouter/purge_log/quota_service.py
@@ -12,7 +12,7 @@
 )
 from quartzrouter.quota.allocator import QuotaAllocator
 from quartzrouter.quota.budget import Budget, QuotaGrant, QuotaRefusal, QuotaRequest
-from quartzrouter.quota.slow_start import COLDS_MOST, SlowStartAllocator, SlowStartTerms
+from quartzrouter.quota.slow_start import COLDS_MOST, SlowStartAllocator, SlowStartGrant, SlowStartTerms
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 WITHOUT_LEASE = 1  # in place of a fencing token, where a single process grants
@@ -56,7 +56,7 @@
         if not self._holds_lease():
             return None
         refused: dict[str, QuotaRefusal] = {}
-        grants = []
+        grants: list[QuotaGrant] = []
         for request in requests.asks[:MAX_QUOTA_REQUESTS]:
             reply = self._grant_one(request, member)
             if not isinstance(reply, QuotaRefusal):
@@ -64,14 +64,16 @@
             elif reply.place != LATE_REQUEST:
                 refused[request.budget] = reply
                 self._report_refusal(member, request.budget, reply)
-        slow_start_grants = []
+        slow_start_grants: list[SlowStartGrant] = []
         for slow_start_request in requests.colds[:COLDS_MOST]:
-            reply = self.slow_start.ask(slow_start_request, member.name, member.token, self.steady_clock())
-            if not isinstance(reply, QuotaRefusal):
-                slow_start_grants.append(reply)
-            elif reply.place != LATE_REQUEST:
-                refused[slow_start_request.server[:60]] = reply
-                self._report_refusal(member, slow_start_request.server, reply)
+            slow_start_reply = self.slow_start.ask(
+                slow_start_request, member.name, member.token, self.steady_clock()
+            )
+            if not isinstance(slow_start_reply, QuotaRefusal):
+                slow_start_grants.append(slow_start_reply)
+            elif slow_start_reply.place != LATE_REQUEST:
+                refused[slow_start_request.server[:60]] = slow_start_reply
+                self._report_refusal(member, slow_start_request.server, slow_start_reply)
         return QuotaGrants(tuple(grants), refused, tuple(slow_start_grants))
 
     def _holds_lease(self) -> bool:
@@ -81,7 +83,7 @@
         granted meanwhile, so it starts as after a takeover.
         """
         token = self.lease_token()
-        if token and token != self.last_lease_token:
+        if self.allocator and token and token != self.last_lease_token:
             now = self.steady_clock()
             self.allocator = QuotaAllocator(list(self.allocator.budgets.values()), now)
             self.slow_start = SlowStartAllocator(self.slow_start.terms, now)
@@ -93,6 +95,7 @@
         if (request.name, request.token) != (member.name, member.token):
             self.impersonations += 1
             return QuotaRefusal("name", f"{request.name!r:.40} asks on another's line", "mend the sender")
+        assert self.allocator is not None  # the caller looked whether quota is granted at all
         return self.allocator.ask(request, self.steady_clock())
 
     def _report_refusal(self, member: Member, requested: str, refusal: QuotaRefusal) -> None:
--- a/quartzrouter/purge_log/segments.py
+++ b/quartzrouter/purge_log/segments.py
@@ -9,12 +9,13 @@
 """
 
 import re
+from collections.abc import Sequence
 from typing import NamedTuple, TypeVar
 
 import msgspec
 
 from quartzrouter.purge_log.disk import Disk
-from quartzrouter.purge_log.errors import LogDamaged
+from quartzrouter.purge_log.errors import LogDamagedError
 from quartzrouter.purge_log.records import BrokenRecord, Record, encode_record, read_records
 from quartzrouter.purges.messages import Purge
 
@@ -120,7 +121,7 @@
     return max((int(found[1]) for found in epochs if found), default=0)
 
 
-def encode_records(contents: list[msgspec.Struct], previous_checksum: int) -> tuple[bytes, int]:
+def encode_records(contents: Sequence[msgspec.Struct], previous_checksum: int) -> tuple[bytes, int]:
     """Returns the bytes of records, and the checksum of the last.
 
     :param previous_checksum: of the record before them; 0 at the start of a file.
@@ -158,7 +159,7 @@
     """Reads a folder whole.
 
     :param cut_at: what stands there and behind is given up.
-    :raises LogDamaged: where something that was promised can't be read.
+    :raises LogDamagedError: where something that was promised can't be read.
     :raises OSError: where the disk fails.
     """
     names = disk.names()
@@ -201,13 +202,13 @@
             header = _decode(_segment_header_decoder, first, name)
             if header.format != FORMAT:
                 reason = f"format {header.format}, and {FORMAT} is read here"
-                raise LogDamaged(name, reason, "use the newer program")
+                raise LogDamagedError(name, reason, "use the newer program")
             segments.headers[name] = header
             segments.data[name] = data
         elif first is None or first.is_torn:  # a crash before the header was durable: nothing was promised
             segments.without_header.append(name)
         else:
-            raise LogDamaged(f"{name}, byte {first.start}", first.reason, RESTORE)
+            raise LogDamagedError(f"{name}, byte {first.start}", first.reason, RESTORE)
     return segments
 
 
@@ -227,7 +228,7 @@
         if name and name not in headers:
             if header.last_sequence_number > snapshot_head:
                 reason = f"it is missing, and with it purges up to {header.last_sequence_number}"
-                raise LogDamaged(name, reason, RESTORE)
+                raise LogDamagedError(name, reason, RESTORE)
             break
     return chain[::-1]
 
@@ -235,10 +236,10 @@
 def _check_segment(name: str, header: SegmentHeader, data: bytes, end: int, head: int) -> None:
     """Checks that a segment is long enough, and goes on where the purges before it end."""
     if end > len(data):
-        raise LogDamaged(name, f"it ends at byte {len(data)}, and {end} were promised", RESTORE)
+        raise LogDamagedError(name, f"it ends at byte {len(data)}, and {end} were promised", RESTORE)
     if header.last_sequence_number > head:
         reason = f"purges {head + 1} to {header.last_sequence_number} stand in no file"
-        raise LogDamaged(name, reason, RESTORE)
+        raise LogDamagedError(name, reason, RESTORE)
 
 
 def _append_purges(
@@ -263,7 +264,7 @@
         if isinstance(record, BrokenRecord):
             if is_last_segment and record.is_torn:
                 break
-            raise LogDamaged(f"{name}, byte {record.start}", record.reason, REPAIR)
+            raise LogDamagedError(f"{name}, byte {record.start}", record.reason, REPAIR)
         length = record.end
         if record.start == 0:  # the header
             continue
@@ -271,7 +272,7 @@
         expected = trimmed_up_to + len(purges) + 1
         if purge.sequence_number > expected:
             reason = f"purge {purge.sequence_number} where {expected} belongs"
-            raise LogDamaged(f"{name}, byte {record.start}", reason, RESTORE)
+            raise LogDamagedError(f"{name}, byte {record.start}", reason, RESTORE)
         if purge.sequence_number == expected:
             purges.append(purge)
     return length
@@ -283,17 +284,17 @@
     purges: list[Purge] = []
     for record in read_records(data, len(data)):
         if isinstance(record, BrokenRecord):
-            raise LogDamaged(f"{name}, byte {record.start}", record.reason, RESTORE)
+            raise LogDamagedError(f"{name}, byte {record.start}", record.reason, RESTORE)
         if header is None:
             header = _decode(_snapshot_header_decoder, record, name)
         else:
             purges.append(_decode(_purge_decoder, record, name))
     if header is None:
-        raise LogDamaged(f"{name}, byte 0", "it is empty", RESTORE)
+        raise LogDamagedError(f"{name}, byte 0", "it is empty", RESTORE)
     expected_numbers = list(range(header.trimmed_up_to + 1, header.head + 1))
     if [purge.sequence_number for purge in purges] != expected_numbers:
         reason = f"{len(purges)} purges, and {header.trimmed_up_to + 1} to {header.head} belong there"
-        raise LogDamaged(name, reason, RESTORE)
+        raise LogDamagedError(name, reason, RESTORE)
     return SnapshotContents(purges, header.trimmed_up_to, header.low_watermark)
 
 
@@ -302,20 +303,20 @@
         return decoder.decode(record.payload)
     except msgspec.DecodeError as error:
         reason = f"a record of another kind: {error}"
-        raise LogDamaged(f"{name}, byte {record.start}", reason, RESTORE) from None
+        raise LogDamagedError(f"{name}, byte {record.start}", reason, RESTORE) from None
 
 
 def repair(disk: Disk) -> str:
     """Gives up the first place that can't be read and all behind it; the files are kept under other names.
 
     :returns: what is kept and what is given up.
-    :raises LogDamaged: where the damage has no such place, as when a segment is missing.
+    :raises LogDamagedError: where the damage has no such place, as when a segment is missing.
     """
     try:
         contents = read_log(disk)
         torn = f"{contents.torn_bytes} bytes of a write that was cut short"
         return f"nothing to mend: purges up to {contents.head}, and {torn}"
-    except LogDamaged as damage:
+    except LogDamagedError as damage:
         place = re.fullmatch(r"(\S+\.log), byte (\d+)", damage.place)
         if not place or int(place[2]) == 0:
             raise
--- a/quartzrouter/purge_log/server.py
+++ b/quartzrouter/purge_log/server.py
@@ -10,7 +10,7 @@
 
 from quartzrouter.purge_log.clock import NonDecreasingClock
 from quartzrouter.purge_log.disk import Disk
-from quartzrouter.purge_log.errors import DiskUnavailable, Fenced
+from quartzrouter.purge_log.errors import DiskUnavailableError, FencedError
 from quartzrouter.purge_log.health_service import HealthService
 from quartzrouter.purge_log.leadership import Leadership
 from quartzrouter.purge_log.line_connection import ConnectionGuard, read_lines
@@ -42,8 +42,8 @@
     :param steady: returns microseconds of the monotonic clock.
     :param slow_start_terms: by tier.
     :param lease_token: returns the fencing token under which quota is granted; 0 where it is not held.
-    :raises LogDamaged: where the folder can't be read whole.
-    :raises DiskUnavailable: where the disk takes nothing.
+    :raises LogDamagedError: where the folder can't be read whole.
+    :raises DiskUnavailableError: where the disk takes nothing.
     """
 
     def __init__(
@@ -121,9 +121,9 @@
             while batch := self.registry.purges_after(self.registry.head, MAX_BATCH):
                 try:
                     await anyio.to_thread.run_sync(self.log.append, batch)
-                except DiskUnavailable as error:
+                except DiskUnavailableError as error:
                     self._reject_pending(str(error))
-                except Fenced as error:
+                except FencedError as error:
                     self.leadership.fence(error)
                     return
                 else:
@@ -151,10 +151,10 @@
             await anyio.to_thread.run_sync(
                 self.log.compact, durable, registry.trimmed_up_to, registry.low_watermark
             )
-        except DiskUnavailable as error:
+        except DiskUnavailableError as error:
             self.log.purges_since_snapshot = 0  # the next attempt comes after as many more
             self.report.say("log", f"no snapshot: {error}")
-        except Fenced as error:
+        except FencedError as error:
             self.leadership.fence(error)
 
     async def _keep_completeness(self) -> None:
--- a/quartzrouter/purges/fleet_purges.py
+++ b/quartzrouter/purges/fleet_purges.py
@@ -169,8 +169,7 @@
         :param max_age: microseconds, as the attempt named it, where that was lower than usual; 0 where not.
         """
         self.object_tags.learn(lookup.object_key, copy.tags)
-        has_age = copy.age is not None
-        made_at = sent_at - copy.age if has_age else copy.made_at - self.max_clock_skew
+        made_at = self._made_at(copy, sent_at)
         newest_purge = self.index.newest(lookup, copy.tags, store, max(self.low_watermark, made_at))
         is_purged = newest_purge > made_at
         is_too_old = bool(max_age) and made_at < sent_at - max_age
@@ -178,3 +177,9 @@
             self.stale_copies += 1
             return False
         return True
+
+    def _made_at(self, copy: CachedCopy, sent_at: int) -> int:
+        """When a copy was made at the earliest, by this router's clock."""
+        if copy.age is None:
+            return copy.made_at - self.max_clock_skew
+        return sent_at - copy.age
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -326,7 +326,7 @@
             late = await QueryClient([("127.0.0.1", first)], 2.0).ask(PurgeRequest("tag", ("b",), key="b"))
             assert not isinstance(late, PurgeAccepted)
         except Exception as error:
-            assert "Unreachable" in type(error).__name__
+            assert "UnreachableError" in type(error).__name__
         assert await anyio.to_thread.run_sync(one.wait) == 3
         assert b"has begun" in one.stderr.read()
         two.terminate()
--- a/tests/test_ledger_log.py
+++ b/tests/test_ledger_log.py
@@ -6,9 +6,9 @@
 
 from quartzrouter.fakes.faulty_disk import Crashed, FaultyDisk
 from quartzrouter.purge_log.disk import RealDisk
-from quartzrouter.purge_log.errors import Fenced
+from quartzrouter.purge_log.errors import FencedError
 from quartzrouter.purge_log.log import PurgeLog
-from quartzrouter.purge_log.errors import DiskUnavailable, LogDamaged
+from quartzrouter.purge_log.errors import DiskUnavailableError, LogDamagedError
 from quartzrouter.purge_log.segments import read_log, repair
 from quartzrouter.purges.messages import Purge
 
@@ -87,7 +87,7 @@
         spoilt = bytearray(data)
         spoilt[at] ^= 0x10
         disk.names_seen[log.segment_name].data = spoilt
-        with pytest.raises(LogDamaged) as raised:
+        with pytest.raises(LogDamagedError) as raised:
             read_log(disk)
         assert log.segment_name in raised.value.place and raised.value.reason and raised.value.remedy
 
@@ -99,7 +99,7 @@
     names = [name for name in disk.names() if name.endswith(".log")]
     assert len(names) >= 4
     del disk.names_seen[names[1]]
-    with pytest.raises(LogDamaged, match=f"{names[1]}: it is missing, and with it purges up to"):
+    with pytest.raises(LogDamagedError, match=f"{names[1]}: it is missing, and with it purges up to"):
         read_log(disk)
 
 
@@ -109,7 +109,7 @@
     write(disk, log, 12, 1)
     first = next(name for name in disk.names() if name.endswith(".log"))
     del disk.names_seen[first].data[-5:]
-    with pytest.raises(LogDamaged, match=f"{first}: it ends at byte"):
+    with pytest.raises(LogDamagedError, match=f"{first}: it ends at byte"):
         read_log(disk)
 
 
@@ -119,7 +119,7 @@
     write(disk, log, 8, 1)
     data = disk.names_seen[log.segment_name].data
     data[data.index(b"obj-6")] ^= 1
-    with pytest.raises(LogDamaged, match="checksum"):
+    with pytest.raises(LogDamagedError, match="checksum"):
         PurgeLog(disk)
     assert "purges up to 5 are kept" in repair(disk)
     log = PurgeLog(disk)
@@ -134,7 +134,7 @@
     write(disk, log, 2, 1)
     disk.room = disk.used + 10
     for _ in range(3):
-        with pytest.raises(DiskUnavailable, match="No space left"):
+        with pytest.raises(DiskUnavailableError, match="No space left"):
             log.append([purge(3)])
     assert read_log(disk).head == 2
     disk.room = 1 << 20
@@ -148,7 +148,7 @@
     write(disk, log, 1, 1)
     before = log.segment_name
     disk.fail_sync = disk.syncs + 1
-    with pytest.raises(DiskUnavailable, match="Input/output"):
+    with pytest.raises(DiskUnavailableError, match="Input/output"):
         log.append([purge(2)])
     log.append([purge(2)])
     assert log.segment_name != before and numbers(read_log(disk)) == [1, 2]
@@ -160,9 +160,9 @@
     write(disk, old, 3, 1)
     new = PurgeLog(disk)
     assert (new.epoch, new.head) == (old.epoch + 1, 3)
-    with pytest.raises(Fenced):
+    with pytest.raises(FencedError):
         old.append([purge(4)])  # stands in the file, and counts for nobody
-    with pytest.raises(Fenced):
+    with pytest.raises(FencedError):
         old.compact([], 3, 3_000)
     other = Purge(4, 9_000, "tag", ("rose",))
     new.append([other])
