--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -91,11 +91,12 @@
 
 def test_a_ledger_that_does_not_look_for_others_is_missed():
     class Blind(PurgeModel):
-        def _check(self, world, n):
-            line = world.routers[n].line
-            line.calm = False
-            ledger = world.ledgers[line.ledger]
-            ledger.prepared[n] = ledger.book.ack_to_echo(ledger.book.members.by_name[f"r{n}"])
-            self._beat(world, n)
+        def _check(self, world, number):
+            connection = world.routers[number].connection
+            connection.may_beat = False
+            purge_log = world.purge_logs[connection.purge_log]
+            member = purge_log.registry.members.by_name[f"r{number}"]
+            purge_log.checked_echoes[number] = purge_log.registry.ack_to_echo(member)
+            self._beat(world, number)
 
     assert "serves without it" in missed(Bounds(steps=2, takeovers=1), Blind).broken
