--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -38,10 +38,9 @@
     async def _run(self):
         note()
         await super()._run()
-    async def _accept_all(self):
+    def _start_background_tasks(self):
         note()
         print(*came, flush=True)
-        await super()._accept_all()
 configuration = Configuration(read(os.environ), os.environ)
 note()
 service = Service(configuration, None, signals)
--- a/quartzrouter/server/client_connection.py
+++ b/quartzrouter/server/client_connection.py
@@ -13,7 +13,7 @@
 from quartzrouter.server.events import ClientGone, RequestReceived, StatusQueried
 from quartzrouter.server.fastcgi import ProtocolStatus, RecordType
 from quartzrouter.server.request_reader import IncomingRequest, InvalidRequest, RequestMemoryExhausted
-from quartzrouter.server.response_writer import NO_TICKET, ResponseWriter
+from quartzrouter.server.response_writer import NO_REQUEST, ResponseWriter
 from quartzrouter.server.ring_buffer import RingBuffer
 from quartzrouter.server.stream import Pending, Stream
 
@@ -40,7 +40,7 @@
 class AwaitedResponse:
     """A request whose response its client awaits."""
 
-    request_id: int  # of its FastCGI records
+    fastcgi_id: int  # of its FastCGI records
     keep_connection: bool
     size: int  # bytes of request memory that it holds
 
@@ -48,8 +48,9 @@
 class ClientConnection:
     """One client's connection: its requests, and what is to be written to it.
 
-    A request is incoming until all of its records have come. Then it gets a ticket, a number of the
-    router's own, and is handed on as an event; its response is awaited until ``respond``.
+    A request is incoming until all of its records have come, under the id that its client gave it
+    (``fastcgi_id``). Then it gets a ``request_id``, a number of the router's own, and is handed on as an
+    event; its response is awaited until ``respond``.
 
     :param connections: all of the process's, with the limits that they share.
     :param stream: the connection, which its creator closes.
@@ -60,9 +61,9 @@
         self.stream = stream
         self._incoming_bytes = RingBuffer(READ_BUFFER_SIZE)
         self._records = fastcgi.RecordReader(self._incoming_bytes)
-        self.incoming: dict[int, IncomingRequest] = {}  # by FastCGI request id
-        self.tickets: dict[int, int] = {}  # by FastCGI request id, of requests whose response is awaited
-        self.awaited: dict[int, AwaitedResponse] = {}  # by ticket
+        self.incoming: dict[int, IncomingRequest] = {}  # by FastCGI id
+        self.request_ids: dict[int, int] = {}  # by FastCGI id; their responses are awaited
+        self.awaited: dict[int, AwaitedResponse] = {}  # by request id
         self.writer = ResponseWriter(stream, self._may_finish)
         self.scope = anyio.CancelScope()  # of the task that serves it
         self.rejected_requests = 0
@@ -106,29 +107,29 @@
                 continue
             consecutive_reads = 0
             queueing_time = self.time_since_last_byte if complete else 0
-            for request_id in complete:
-                self._begin_request(request_id, queueing_time)
+            for fastcgi_id in complete:
+                self._begin_request(fastcgi_id, queueing_time)
 
-    async def read_pending(self, ticket: int) -> None:
+    async def read_pending(self, request_id: int) -> None:
         """Returns once what the client has sent by now is read, or after a few iterations of the loop.
 
         Guards against an attempt for a client that has gone, though a busy process hasn't read that yet.
 
-        :param ticket: the request that the attempt is for.
+        :param request_id: the request that the attempt is for.
         """
         for _ in range(PENDING_READ_ITERATIONS):
             pending = self.stream.pending()
             if pending is Pending.ENDED:
                 self.abandon_requests()
                 self.scope.cancel()
-            if pending is not Pending.UNREAD or ticket not in self.awaited:
+            if pending is not Pending.UNREAD or request_id not in self.awaited:
                 return
             await anyio.sleep(0)
 
     @property
     def open_requests(self) -> int:
         """Requests that are open to their client: until the end of a response has gone out."""
-        return len(self.incoming) + len(self.tickets) + self.writer.unsent_responses
+        return len(self.incoming) + len(self.request_ids) + self.writer.unsent_responses
 
     @property
     def time_since_last_byte(self) -> int:
@@ -151,21 +152,21 @@
             self._handle_record(record)
 
     def _handle_record(self, record: fastcgi.Record) -> None:
-        record_type, request_id, content = record
-        if request_id == fastcgi.MANAGEMENT_ID:
+        record_type, fastcgi_id, content = record
+        if fastcgi_id == fastcgi.MANAGEMENT_ID:
             self._handle_management_record(record_type, content)
         elif record_type == RecordType.BEGIN_REQUEST:
-            self._handle_begin(request_id, content)
+            self._handle_begin(fastcgi_id, content)
         elif record_type == RecordType.ABORT_REQUEST:
-            self._handle_abort(request_id)
+            self._handle_abort(fastcgi_id)
         elif record_type in (RecordType.PARAMS, RecordType.STDIN):
-            incoming = self.incoming.get(request_id)
+            incoming = self.incoming.get(fastcgi_id)
             if incoming and not incoming.is_complete:
-                self._handle_content(request_id, incoming, record_type, content)
+                self._handle_content(fastcgi_id, incoming, record_type, content)
             else:
                 self._ignore_content(content)
         elif record_type != RecordType.DATA:
-            raise fastcgi.ProtocolError(f"a record of type {record_type} for req {request_id}")
+            raise fastcgi.ProtocolError(f"a record of type {record_type} for req {fastcgi_id}")
 
     def _handle_management_record(self, record_type: int, content: bytes) -> None:
         """Answers a record about the connection; not while responses pile up, else these would, too."""
@@ -179,9 +180,9 @@
                 "FCGI_MPXS_CONNS": 1,
             }
             result = fastcgi.encode_values_result(fastcgi.decode_pairs(content), values)
-            self.writer.queue(NO_TICKET, [result])
+            self.writer.queue(NO_REQUEST, [result])
         else:
-            self.writer.queue(NO_TICKET, [fastcgi.encode_unknown_type(record_type)])
+            self.writer.queue(NO_REQUEST, [fastcgi.encode_unknown_type(record_type)])
 
     def _ignore_content(self, content: bytes) -> None:
         """Drops what comes of a request behind its response; much of it closes the connection."""
@@ -189,34 +190,34 @@
         if self.ignored_bytes > MAX_IGNORED_BYTES and not self.closing:
             self.close_when_answered()
 
-    def _handle_begin(self, request_id: int, content: bytes) -> None:
+    def _handle_begin(self, fastcgi_id: int, content: bytes) -> None:
         role, flags = fastcgi.decode_begin_request(content)
-        if request_id in self.incoming or request_id in self.tickets:
-            raise fastcgi.ProtocolError(f"record id {request_id} is taken")
+        if fastcgi_id in self.incoming or fastcgi_id in self.request_ids:
+            raise fastcgi.ProtocolError(f"record id {fastcgi_id} is taken")
         if role != fastcgi.ROLE_RESPONDER:
-            refusal = fastcgi.encode_end_request(request_id, protocol_status=ProtocolStatus.UNKNOWN_ROLE)
+            refusal = fastcgi.encode_end_request(fastcgi_id, protocol_status=ProtocolStatus.UNKNOWN_ROLE)
             self._count_rejection([refusal])
         elif self.closing or self.open_requests >= MAX_OPEN_REQUESTS:
             # Its client may send it again. Where responses pile up, it gets no answer that would add to them.
-            refusal = fastcgi.encode_end_request(request_id, protocol_status=ProtocolStatus.OVERLOADED)
+            refusal = fastcgi.encode_end_request(fastcgi_id, protocol_status=ProtocolStatus.OVERLOADED)
             self._count_rejection([] if self.writer.is_backlogged else [refusal])
         else:
             keep_connection = bool(flags & fastcgi.FLAG_KEEP_CONNECTION)
-            self.incoming[request_id] = IncomingRequest(keep_connection, self.last_active_at)
+            self.incoming[fastcgi_id] = IncomingRequest(keep_connection, self.last_active_at)
 
-    def _handle_abort(self, request_id: int) -> None:
-        incoming = self.incoming.pop(request_id, None)
+    def _handle_abort(self, fastcgi_id: int) -> None:
+        incoming = self.incoming.pop(fastcgi_id, None)
         if incoming is not None:
             self._connections.free_request_memory += incoming.size
-            self.writer.queue(NO_TICKET, [fastcgi.encode_end_request(request_id, completed=False)])
+            self.writer.queue(NO_REQUEST, [fastcgi.encode_end_request(fastcgi_id, completed=False)])
             return
-        ticket = self.tickets.get(request_id)
-        if ticket is not None:
-            self._connections.feed(ClientGone(ticket))
-            self.respond(ticket, b"", completed=False)
+        request_id = self.request_ids.get(fastcgi_id)
+        if request_id is not None:
+            self._connections.feed(ClientGone(request_id))
+            self.respond(request_id, b"", completed=False)
 
     def _handle_content(
-        self, request_id: int, incoming: IncomingRequest, record_type: int, content: bytes
+        self, fastcgi_id: int, incoming: IncomingRequest, record_type: int, content: bytes
     ) -> None:
         """Takes in a record of a request; one that can't be used is rejected now, whatever still comes."""
         size_before = incoming.size
@@ -228,75 +229,75 @@
             else:
                 incoming.end_body()
         except (InvalidRequest, fastcgi.ProtocolError) as error:
-            self.reject_invalid(request_id, error)
+            self.reject_invalid(fastcgi_id, error)
         except RequestMemoryExhausted:
             self._connections.log.say("client", "request memory exhausted: a request is rejected with 503")
-            self._reject(request_id, responses.overloaded(self._connections.retry_after))
+            self._reject(fastcgi_id, responses.overloaded(self._connections.retry_after))
         else:
             self._connections.free_request_memory -= incoming.size - size_before
 
-    def _begin_request(self, request_id: int, queueing_time: int) -> None:
+    def _begin_request(self, fastcgi_id: int, queueing_time: int) -> None:
         """Hands on a complete request, which its client has not aborted.
 
         :param queueing_time: us that it has lain unread.
         """
-        incoming = self.incoming.pop(request_id)
-        ticket = self._connections.issue_ticket(self)
-        self.tickets[request_id] = ticket
-        self.awaited[ticket] = AwaitedResponse(request_id, incoming.keep_connection, incoming.size)
+        incoming = self.incoming.pop(fastcgi_id)
+        request_id = self._connections.issue_request_id(self)
+        self.request_ids[fastcgi_id] = request_id
+        self.awaited[request_id] = AwaitedResponse(fastcgi_id, incoming.keep_connection, incoming.size)
         self.has_begun_request = True
         if incoming.request is None:
-            self._connections.feed(StatusQueried(ticket))
+            self._connections.feed(StatusQueried(request_id))
         else:
             request = incoming.request._replace(body=incoming.body, queueing_time=queueing_time)
-            self._connections.feed(RequestReceived(ticket, request))
+            self._connections.feed(RequestReceived(request_id, request))
 
     # -- rejecting ---------------------------------------------------------------------------------
 
-    def reject_invalid(self, request_id: int, error: ServerError) -> None:
+    def reject_invalid(self, fastcgi_id: int, error: ServerError) -> None:
         """Responds to an incoming request that can't be used."""
         self._connections.log.say("client", f"invalid request: {error}")
         status = error.status if isinstance(error, InvalidRequest) else 400
-        self._reject(request_id, responses.invalid(status, str(error)))
+        self._reject(fastcgi_id, responses.invalid(status, str(error)))
 
-    def _reject(self, request_id: int, response: bytes) -> None:
-        incoming = self.incoming.pop(request_id)
+    def _reject(self, fastcgi_id: int, response: bytes) -> None:
+        incoming = self.incoming.pop(fastcgi_id)
         self._connections.free_request_memory += incoming.size
         self.closing |= not incoming.keep_connection
-        self._count_rejection(fastcgi.encode_response(request_id, response))
+        self._count_rejection(fastcgi.encode_response(fastcgi_id, response))
 
     def _count_rejection(self, records: list[bytes]) -> None:
         """Answers what can't be used with these records; after many the connection is closed."""
         self.rejected_requests += 1
         self.closing |= self.rejected_requests >= MAX_REJECTED_REQUESTS
         if records:
-            self.writer.queue(NO_TICKET, records)
+            self.writer.queue(NO_REQUEST, records)
 
     # -- responding --------------------------------------------------------------------------------
 
-    def respond(self, ticket: int, response: bytes, completed: bool = True) -> None:
+    def respond(self, request_id: int, response: bytes, completed: bool = True) -> None:
         """Sends the one response to a request; nothing where it has had it.
 
         :param response: status, headers and body.
         :param completed: False where the request was aborted, and only its end is written.
         """
-        if ticket not in self.awaited:
+        if request_id not in self.awaited:
             return
-        awaited = self.awaited.pop(ticket)
+        awaited = self.awaited.pop(request_id)
         self.last_active_at = anyio.current_time()  # a client may ask again for as long after its response
-        del self.tickets[awaited.request_id]
-        self._connections.by_ticket.pop(ticket, None)
+        del self.request_ids[awaited.fastcgi_id]
+        self._connections.by_request_id.pop(request_id, None)
         self._connections.free_request_memory += awaited.size
         self.closing |= not awaited.keep_connection
         if completed:
-            records = fastcgi.encode_response(awaited.request_id, response)
+            records = fastcgi.encode_response(awaited.fastcgi_id, response)
         else:
-            records = [fastcgi.encode_end_request(awaited.request_id, completed=False)]
-        self.writer.queue(ticket, records)
+            records = [fastcgi.encode_end_request(awaited.fastcgi_id, completed=False)]
+        self.writer.queue(request_id, records)
 
-    def call_when_sent(self, ticket: int, callback: Callable[[], None]) -> None:
+    def call_when_sent(self, request_id: int, callback: Callable[[], None]) -> None:
         """Calls the callback once the response to a request is on its way."""
-        self.writer.call_when_sent(ticket, callback)
+        self.writer.call_when_sent(request_id, callback)
 
     # -- closing -----------------------------------------------------------------------------------
 
@@ -334,10 +335,10 @@
     def abandon_requests(self) -> None:
         """Gives up all requests, for a client that has gone, and gives back what they held."""
         self._connections.free_request_memory += sum(incoming.size for incoming in self.incoming.values())
-        for ticket, awaited in list(self.awaited.items()):
+        for request_id, awaited in list(self.awaited.items()):
             self._connections.free_request_memory += awaited.size
-            self._connections.by_ticket.pop(ticket, None)
-            self._connections.feed(ClientGone(ticket))
+            self._connections.by_request_id.pop(request_id, None)
+            self._connections.feed(ClientGone(request_id))
         self.incoming.clear()
         self.awaited.clear()
         self.writer.discard()
--- a/quartzrouter/server/client_connections.py
+++ b/quartzrouter/server/client_connections.py
@@ -52,21 +52,21 @@
         self.parse_params = parse_params
         self.log = log
         self.retry_after = retry_after
-        self.by_ticket: dict[int, ClientConnection] = {}  # of requests whose response is awaited
+        self.by_request_id: dict[int, ClientConnection] = {}  # of requests whose response is awaited
         self.open: set[ClientConnection] = set()
         self.admitted = 0  # connections that were admitted, and aren't served yet
-        self._last_ticket = 0
+        self._last_request_id = 0
 
     @property
     def all_read(self) -> bool:
         """Whether nothing has arrived that this process hasn't read."""
         return not any(client.stream.pending() is Pending.UNREAD for client in self.open)
 
-    def issue_ticket(self, client: ClientConnection) -> int:
+    def issue_request_id(self, client: ClientConnection) -> int:
         """Numbers a request of this client, from 1."""
-        self._last_ticket += 1
-        self.by_ticket[self._last_ticket] = client
-        return self._last_ticket
+        self._last_request_id += 1
+        self.by_request_id[self._last_request_id] = client
+        return self._last_request_id
 
     def close_when_answered(self) -> None:
         """Closes all connections, each once its requests have their responses."""
@@ -157,12 +157,12 @@
     def _reject_overdue(self, client: ClientConnection, now: float) -> None:
         """Rejects requests of which records have been coming for too long."""
         overdue = [
-            request_id
-            for request_id, incoming in client.incoming.items()
+            fastcgi_id
+            for fastcgi_id, incoming in client.incoming.items()
             if now - incoming.started_at > REQUEST_TIMEOUT
         ]
-        for request_id in overdue:
-            client.reject_invalid(request_id, InvalidRequest("still not whole", 408))
+        for fastcgi_id in overdue:
+            client.reject_invalid(fastcgi_id, InvalidRequest("still not whole", 408))
 
     def _close_overdue(self, client: ClientConnection, now: float) -> None:
         """Closes a connection whose time is over."""
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -1,27 +1,32 @@
-"""The process: one task group, the clock, events into the reducer and its effects out to the sockets."""
+"""The router's process: events into the state machine, and its effects out to the sockets.
+
+One task group holds all tasks. ``feed`` is the only way to the state machine: connections, timers, signals
+and the endpoint watch call it with an event, and it carries out the effects that the state machine returns.
+"""
 
 import asyncio
 import gc
 import logging
 import signal
-import socket
 import sys
 import traceback
 from collections import deque
 from collections.abc import Callable
 from functools import partial
-from typing import Any
 
 import anyio
 
 from quartzrouter.configuration import Configuration, ConfigurationError, read
 from quartzrouter.routing import LOGGER_NAME
-from quartzrouter.routing.model import Idempotency as RepeatEffect
+from quartzrouter.routing.model import Idempotency
 from quartzrouter.routing.router import Router, retry_after
 from quartzrouter.server import endpoint_watch, responses
+from quartzrouter.server.attempt_task import AttemptTask
 from quartzrouter.server.cache_connections import CacheConnections
+from quartzrouter.server.cache_responses import CopyReader
 from quartzrouter.server.client_connections import ClientConnections
 from quartzrouter.server.clock import RouterClock, steady_clock, wall_clock
+from quartzrouter.server.connection_pool import ConnectionPool
 from quartzrouter.server.effects import (
     CancelAttempt,
     CloseIdleConnections,
@@ -36,357 +41,329 @@
 from quartzrouter.server.events import (
     AttemptEnded,
     ClientGone,
-    ClientRequest,
     ConfigurationReloaded,
     Event,
     ShutdownRequested,
     TimerFired,
 )
+from quartzrouter.server.listener import Listener
 from quartzrouter.server.rate_limited_log import ForwardingHandler, RateLimitedLog
-from quartzrouter.server.request_reader import parse_request
+from quartzrouter.server.request_reader import ParamsParser, parse_request
+from quartzrouter.server.shutdown import drain_and_close
 from quartzrouter.server.spin_guard import MIN_PAUSE, SpinGuard, TickGuard
 from quartzrouter.server.state_machine import RouterStateMachine
-from quartzrouter.server.stream import Stream
 from quartzrouter.signals import Signals
 
-RESERVE = 24  # descriptors for the listener, the journal service, the loop, the log and Python itself
-REQS_SHARE = 8  # of the memory told, one part in so many may hold clients' reqs, parameters and bodies
-HELD_SHARE = 8  # and one in so many answers that are not yet with their clients
-RECEIVE = 1 << 15  # bytes in a socket's own buffer, read whole at once: a fast sender may not fill the memory
-BACKLOG = 1024  # connections that wait to be accepted
-FLUSH_EVERY = 0.005  # s between looks whether the last answers have gone out
-READ_WITHIN = 1_500_000  # us at the end in which what clients have sent is read, should some never stop
-ACCEPT_AT_ONCE = 8  # connections a wake: those that make room hold their descriptors until the next
-ACCEPT_PAUSE = 0.05  # s after an accept that failed
-
-
-class AttemptTask:
-    """A dispatch's task, and the way to hand it what to write."""
+# Descriptors for the listener, the discovery service, the event loop, the log and Python itself.
+RESERVED_DESCRIPTORS = 24
+CLIENT_DESCRIPTORS_DIVISOR = 3  # one descriptor in so many is for clients' connections
+REQUEST_MEMORY_DIVISOR = 8  # one part of the memory in so many may hold requests, parameters and bodies
+RESPONSE_MEMORY_DIVISOR = 8  # and one in so many may hold responses that their clients don't have yet
 
-    def __init__(self) -> None:
-        self.scope, self.asked, self.write = anyio.CancelScope(), anyio.Event(), None
 
-    async def order(self) -> SendRequest:
-        if self.write is None:  # most often the reducer has said it already
-            await self.asked.wait()
-        return self.write
+class RouterProcess:
+    """One router: its state machine, its connections, and the tasks that move events between them.
 
+    :param configuration: as it was read at start.
+    :param reread: reads the configuration anew at SIGHUP; raises ConfigurationError.
+    :param signals: those that are handled already; what came before the router runs is played once it does.
+    """
 
-class RouterProcess:
     def __init__(
         self,
         configuration: Configuration,
         reread: Callable[[], Configuration] | None = None,
         signals: Signals | None = None,
     ):
-        self.configuration, self.reread, self.signals = configuration, reread, signals or Signals()
-        self.report = self._report()
-        decisions_log = logging.getLogger(LOGGER_NAME)
-        decisions_log.handlers = [ForwardingHandler(self.report)]
-        decisions_log.propagate = False
-        decisions_log.setLevel(logging.INFO)
-        self.reducer = self._reducer()
-        clients = configuration.sockets // 3
-        come_back = retry_after(configuration.briefing.arguments["permits"])
-        room = configuration.memory // REQS_SHARE
-        self.client_connections = ClientConnections(
-            self.feed, clients, room, self._reader(), self.report, come_back
+        self.configuration = configuration
+        self._reread = reread
+        self._signals = signals or Signals()
+        self.log = self._create_log()
+        forward_decisions(self.log)
+        self.state_machine = self._create_state_machine()
+        self.client_connections = self._create_client_connections()
+        self.cache_connections = self._create_cache_connections()
+        self.endpoint_watch = endpoint_watch.EndpointWatch(
+            configuration.journal, configuration.position, configuration.briefing, self.feed, self.log
         )
-        self.backend = CacheConnections(
-            self.feed,
-            configuration.sockets - clients - RESERVE,
-            configuration.memory // HELD_SHARE,
-            configuration.briefing.idle_most / 1e6,
-            configuration.briefing.connect_within / 1e6,
-            self._copy_of(),
-            configuration.briefing.arguments["permits"].load_in_responses,
-        )
-        self.journal = endpoint_watch.EndpointWatch(
-            configuration.journal, configuration.position, configuration.briefing, self.feed, self.report
-        )
-        self.attempts: dict[tuple[int, int], AttemptTask] = {}
-        self.events: deque[Event] = deque()
-        self.feeding, self.now, self.time = False, 0, RouterClock(wall_clock, steady_clock)
-        self.done = 0  # events played, but for ticks without effects
-        self.ticks, self.turns = TickGuard(self.report), SpinGuard(lambda: self.done, self.report)
-        self.changed = anyio.Event()  # the reducer's next timer
-        self.listening: list[socket.socket] = []
-        self.accepting: anyio.CancelScope
+        self.listener = Listener(self.client_connections, self.log)
+        self.attempts: dict[tuple[int, int], AttemptTask] = {}  # by request id and attempt number
+        self.clock = RouterClock(wall_clock, steady_clock)
+        self._now = 0  # us, of the last event
+        self._events: deque[Event] = deque()  # to be played
+        self._is_feeding = False
+        self._events_played = 0  # but for timer ticks without effects
+        self._tick_guard = TickGuard(self.log)
+        self._spin_guard = SpinGuard(lambda: self._events_played, self.log)
+        self._next_timer_changed = anyio.Event()
         self.tasks: anyio.abc.TaskGroup
 
-    def _report(self) -> RateLimitedLog:
+    # -- parts that a standalone router replaces -----------------------------------------------------
+
+    def _create_log(self) -> RateLimitedLog:
         return RateLimitedLog(self.configuration.name, wall_clock)
 
-    def _reducer(self) -> RouterStateMachine:
+    def _create_state_machine(self) -> RouterStateMachine:
         return RouterStateMachine(Router(**self.configuration.briefing.arguments))
 
-    def _reader(self) -> Callable[[dict[str, str]], ClientRequest]:
-        """What makes a req of a client's parameters."""
-        uniqued = {
-            vhost.name: vhost.idempotency is RepeatEffect.IDEMPOTENT_WITH_KEY
-            for vhost in self.configuration.briefing.vhosts
+    def _create_params_parser(self) -> ParamsParser:
+        """Makes the function that reads a request out of a client's parameters."""
+        requires_key = {
+            traffic_class.name: traffic_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
+            for traffic_class in self.configuration.briefing.vhosts
         }
-        return partial(parse_request, requires_key=uniqued.get)
+        return partial(parse_request, requires_key=requires_key.get)
 
-    def _copy_of(self) -> Callable[[dict[str, str]], Any] | None:
-        """What makes more of an answer's fields than the platform's protocol does."""
+    def _create_copy_reader(self) -> CopyReader | None:
+        """Makes the function that reads more of a response's fields than the platform's protocol does."""
         return None
 
+    def _start_background_tasks(self) -> None:
+        """Starts tasks beside those of every router."""
+
+    def _perform_extension(self, effect: object) -> None:
+        """Carries out effects that only a standalone router asks for."""
+        raise NotImplementedError(type(effect).__name__)
+
+    # -- connections ---------------------------------------------------------------------------------
+
+    def _create_client_connections(self) -> ClientConnections:
+        configuration = self.configuration
+        return ClientConnections(
+            self.feed,
+            configuration.sockets // CLIENT_DESCRIPTORS_DIVISOR,
+            configuration.memory // REQUEST_MEMORY_DIVISOR,
+            self._create_params_parser(),
+            self.log,
+            retry_after(configuration.briefing.arguments["permits"]),
+        )
+
+    def _create_cache_connections(self) -> CacheConnections:
+        configuration = self.configuration
+        client_descriptors = configuration.sockets // CLIENT_DESCRIPTORS_DIVISOR
+        pool = ConnectionPool(
+            configuration.sockets - client_descriptors - RESERVED_DESCRIPTORS,
+            configuration.briefing.idle_most / 1e6,
+            configuration.briefing.connect_within / 1e6,
+        )
+        return CacheConnections(
+            self.feed,
+            pool,
+            configuration.memory // RESPONSE_MEMORY_DIVISOR,
+            self._create_copy_reader(),
+            configuration.briefing.arguments["permits"].load_in_responses,
+        )
+
+    # -- events and effects --------------------------------------------------------------------------
+
     def feed(self, event: Event) -> None:
-        """Plays an event, and whatever its effects bring about at once."""
-        self.events.append(event)
-        if self.feeding:
+        """Plays an event, and whatever its effects bring about at once, in their order."""
+        self._events.append(event)
+        if self._is_feeding:
             return
-        self.feeding = True
+        self._is_feeding = True
         try:
-            while self.events:
-                self._step(self.events.popleft())
+            while self._events:
+                self._play(self._events.popleft())
         finally:
-            self.feeding = False
+            self._is_feeding = False
 
-    def _time(self) -> int:
-        self.now = self.time()
-        return self.now
+    def _read_clock(self) -> int:
+        self._now = self.clock()
+        return self._now
 
-    def _step(self, event: Event) -> None:
-        due, failed = self.reducer.due, None
-        if isinstance(event, AttemptEnded) and event.failure:
-            failure = event.failure
-            self.report.say("attempt", f"{failure.cause.name} while {failure.stage.name}: {failure.detail}")
+    def _play(self, event: Event) -> None:
+        """Plays one event; a fault in it costs the request that it is about, and nothing else."""
+        due_before = self.state_machine.due
+        failed_request_id = None
+        self._log_failure(event)
         try:
-            effects = self.reducer.step(event, self._time())
+            effects = self.state_machine.step(event, self._read_clock())
         except Exception:
-            self.report.say("fault", f"{type(event).__name__}: {traceback.format_exc()}")
-            effects = self.reducer.effects
-            if (
-                not isinstance(event, ClientGone)
-                and (failed := getattr(event, "request_id", None)) is not None
-            ):
-                self.events.append(ClientGone(failed))
+            self.log.say("fault", f"{type(event).__name__}: {traceback.format_exc()}")
+            effects = self.state_machine.effects
+            if not isinstance(event, ClientGone):
+                failed_request_id = getattr(event, "request_id", None)
+            if failed_request_id is not None:
+                self._events.append(ClientGone(failed_request_id))
         if effects or not isinstance(event, TimerFired):
-            self.done += 1
+            self._events_played += 1
         for effect in effects:
             try:
                 self._perform(effect)
             except Exception:
-                self.report.say("fault", f"{type(effect).__name__}: {traceback.format_exc()}")
-        if client := self.client_connections.by_ticket.get(failed):
-            client.respond(failed, responses.failed())
-        if self.reducer.due < due:
-            self.changed.set()
+                self.log.say("fault", f"{type(effect).__name__}: {traceback.format_exc()}")
+        if client := self.client_connections.by_request_id.get(failed_request_id):
+            client.respond(failed_request_id, responses.failed())
+        if self.state_machine.due < due_before:
+            self._next_timer_changed.set()
 
-    def _perform(self, effect) -> None:
+    def _log_failure(self, event: Event) -> None:
+        if isinstance(event, AttemptEnded) and event.failure:
+            failure = event.failure
+            self.log.say("attempt", f"{failure.cause.name} while {failure.stage.name}: {failure.detail}")
+
+    def _perform(self, effect: object) -> None:
         match effect:
-            case SendResponse(ticket, data):
-                if client := self.client_connections.by_ticket.get(ticket):
-                    client.respond(ticket, data)
-            case OpenConnection(ticket, hop, name, address):
-                self.attempts[ticket, hop] = AttemptTask()
-                self.tasks.start_soon(self._dispatch, ticket, hop, name, address)
-            case SendRequest(ticket, hop):
-                if attempt := self.attempts.get((ticket, hop)):  # else it has just ended
-                    attempt.write = effect
-                    attempt.asked.set()
-            case CancelAttempt(ticket, hop):
-                self.backend.drop(ticket, hop)
-                if attempt := self.attempts.get((ticket, hop)):
+            case SendResponse(request_id, data):
+                if client := self.client_connections.by_request_id.get(request_id):
+                    client.respond(request_id, data)
+            case OpenConnection(request_id, attempt_number):
+                client = self.client_connections.by_request_id.get(request_id)
+                self.attempts[request_id, attempt_number] = AttemptTask(request_id, client)
+                self.tasks.start_soon(self._run_attempt, effect)
+            case SendRequest(request_id, attempt_number):
+                if attempt := self.attempts.get((request_id, attempt_number)):  # else it has just ended
+                    attempt.set_request(effect)
+            case CancelAttempt(request_id, attempt_number):
+                self.cache_connections.cancel_attempt(request_id, attempt_number)
+                if attempt := self.attempts.get((request_id, attempt_number)):
                     attempt.scope.cancel()
             case StartHealthCheck():
-                self.tasks.start_soon(self.backend.probe, effect)
-            case CloseIdleConnections(name):
-                self.backend.forget(name)
+                self.tasks.start_soon(self.cache_connections.check_health, effect)
+            case CloseIdleConnections(endpoint):
+                self.cache_connections.pool.close_idle(endpoint)
             case FollowDiscovery(address):
-                self.journal.move(address)
+                self.endpoint_watch.move(address)
             case ExitProcess():
                 self.tasks.start_soon(self._exit)
             case _:
-                self._perform_more(effect)
-
-    def _perform_more(self, effect) -> None:
-        """Effects that only an installation of our own asks for."""
-        raise NotImplementedError(type(effect).__name__)
-
-    async def _dispatch(self, ticket: int, hop: int, name: str, address: tuple[str, int]) -> None:
-        attempt, client = self.attempts[ticket, hop], self.client_connections.by_ticket.get(ticket)
-
-        def given(then: Callable[[], None]) -> None:
-            if client:
-                client.call_when_sent(ticket, then)
-            else:
-                then()
-
-        async def heard() -> None:
-            if client:
-                await client.read_pending(ticket)
+                self._perform_extension(effect)
 
+    async def _run_attempt(self, order: OpenConnection) -> None:
+        key = order.request_id, order.attempt_number
+        attempt = self.attempts[key]
         try:
             with attempt.scope:
-                await self.backend.dispatch(ticket, hop, name, address, heard, attempt.order, given)
+                await self.cache_connections.run_attempt(order, attempt)
         finally:
-            del self.attempts[ticket, hop]
+            del self.attempts[key]
+
+    # -- tasks ---------------------------------------------------------------------------------------
 
-    async def _timers(self) -> None:
-        played = 0
+    async def _run_timers(self) -> None:
+        """Plays a tick whenever the state machine's next timer is due; runs for ever."""
+        events_played_before = 0
         while True:
-            self.changed = anyio.Event()
-            wait = (self.reducer.due - self._time()) / 1e6
-            with anyio.move_on_after(max(wait, self.ticks.pause)):
-                await self.changed.wait()
-            if self.reducer.due <= self._time():
+            self._next_timer_changed = anyio.Event()
+            wait = (self.state_machine.due - self._read_clock()) / 1e6
+            with anyio.move_on_after(max(wait, self._tick_guard.pause)):
+                await self._next_timer_changed.wait()
+            if self.state_machine.due <= self._read_clock():
                 self.feed(TimerFired())
-                again = self.reducer.due - self.now < MIN_PAUSE * 1e6
-                self.ticks.record_tick(self.done > played, self.reducer.due_for if again else None)
-                played = self.done
-
-    async def _accept_all(self) -> None:
-        with anyio.CancelScope() as self.accepting:
-            async with anyio.create_task_group() as tasks:
-                for raw in self.listening:
-                    tasks.start_soon(self._accept, raw)
-        while self._accept_all_waiting():  # nobody waits for these descriptors any more
-            pass
-        while self.listening:
-            self.listening.pop().close()
-
-    async def _accept(self, listener: socket.socket) -> None:
+                is_due_again = self.state_machine.due - self._now < MIN_PAUSE * 1e6
+                due_again = self.state_machine.due_for if is_due_again else None
+                self._tick_guard.record_tick(self._events_played > events_played_before, due_again)
+                events_played_before = self._events_played
+
+    async def _handle_signals(self) -> None:
+        """Plays signals in their order; runs for ever."""
+        loop = asyncio.get_running_loop()
+        arrived = anyio.Event()
+        self._signals.wake = lambda: loop.call_soon_threadsafe(arrived.set)
         while True:
-            await anyio.wait_readable(listener)
-            try:
-                self._accept_waiting(listener)
-            except OSError as error:
-                self.report.say("client", f"accept failed: {error}")
-                await anyio.sleep(ACCEPT_PAUSE)
-
-    def _accept_waiting(self, listener: socket.socket) -> bool:
-        """Takes all that wait, to a bound: one a turn of the loop would fall behind in a busy process.
-
-        Tells whether there was one; raises OSError.
-        """
-        for taken in range(ACCEPT_AT_ONCE):
-            try:
-                accepted, _ = listener.accept()
-            except BlockingIOError:
-                return taken > 0
-            try:
-                stream = Stream(accepted)
-            except OSError as error:  # it has ended already, say
-                self.report.say("client", f"connection ended: {error}")
-                accepted.close()
-                continue
-            if self.client_connections.admit():
-                self.tasks.start_soon(self.client_connections.serve, stream)
-            else:
-                stream.drain()
-                stream.close()
-        return True
-
-    def _accept_all_waiting(self) -> bool:
-        """Takes what waits at the listeners, and tells whether something did; any kernel says so."""
-        try:
-            return any([self._accept_waiting(each) for each in self.listening])
-        except OSError as error:
-            self.report.say("client", f"accept failed: {error}")
-            return False
-
-    async def _exit(self) -> None:
-        """Leaves nobody in between: what waits is taken, what was read is answered, and every answer arrives.
-
-        Connections end one way first: a close over unread bytes would reset them, and answers with them.
-        """
-        until = self._time() + READ_WITHIN
-        while self._accept_all_waiting() or not self.client_connections.all_read or self.reducer.hands:
-            if self._time() >= until:
-                break
-            await anyio.sleep(FLUSH_EVERY)
-        self.accepting.cancel()
-        while self.listening:
-            await anyio.sleep(FLUSH_EVERY)
-        longest = max(vhost.client_timeout for vhost in self.configuration.briefing.vhosts)
-        with anyio.move_on_after(longest / 1e6):  # later nobody waits for an answer
-            while self.client_connections.open or self.client_connections.admitted:
-                self.client_connections.close_when_answered()  # what was taken last has a turn to be read in
-                await anyio.sleep(FLUSH_EVERY)
-        self.tasks.cancel_scope.cancel()
-
-    async def _signals(self) -> None:
-        loop, come = asyncio.get_running_loop(), anyio.Event()
-        self.signals.wake = lambda: loop.call_soon_threadsafe(come.set)
-        while True:
-            while self.signals.pending:
-                number = self.signals.pending.popleft()
+            while self._signals.pending:
+                number = self._signals.pending.popleft()
                 if number == signal.SIGHUP:
                     self._reload()
                 else:
-                    self.report.say("process", f"{number.name}: finishing what is in hand")
+                    self.log.say("process", f"{number.name}: draining, in-flight requests are finished")
                     self.feed(ShutdownRequested())
                 await anyio.sleep(0)  # what one has started is under way when the next is taken up
-            await come.wait()
-            come = anyio.Event()
+            await arrived.wait()
+            arrived = anyio.Event()
 
     def _reload(self) -> None:
-        """The configuration as it now reads; one that can't be used changes nothing."""
+        """Reads the configuration anew; one that can't be used changes nothing."""
         try:
-            configuration = self.reread()
+            configuration = self._reread()
         except ConfigurationError as error:
-            self.report.say("process", f"SIGHUP: nothing changes: {error}")
+            self.log.say("process", f"SIGHUP: nothing changes: {error}")
             return
-        kept = [key for key, told in self.configuration.fixed.items() if configuration.fixed[key] != told]
+        kept = [key for key, value in self.configuration.fixed.items() if configuration.fixed[key] != value]
         change = f"{', '.join(kept)} kept until the next start" if kept else "read anew"
-        self.report.say(
-            "process", f"SIGHUP: journal at {configuration.journal[0]}:{configuration.journal[1]}; {change}"
-        )
+        host, port = configuration.journal
+        self.log.say("process", f"SIGHUP: journal at {host}:{port}; {change}")
         self.feed(ConfigurationReloaded(configuration.journal))
 
-    def _start_more(self) -> None:
-        """Tasks of an installation of our own."""
+    async def _exit(self) -> None:
+        """Ends the process once nobody waits for it any more."""
+        await drain_and_close(
+            self.listener,
+            self.client_connections,
+            lambda: bool(self.state_machine.hands),
+            self._read_clock,
+            max(traffic_class.client_timeout for traffic_class in self.configuration.briefing.vhosts),
+        )
+        self.tasks.cancel_scope.cancel()
+
+    # -- running -------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        with self.signals:
+        """Runs until the process is told to stop.
+
+        :raises ConfigurationError: the address to listen on can't be bound.
+        """
+        with self._signals:
             await self._run()
 
     async def _run(self) -> None:
-        configuration, now = self.configuration, self._time()
-        self.reducer.step(TimerFired(), now)
-        for event in endpoint_watch.initial_snapshot(configuration.known, configuration.briefing):
-            self.reducer.step(event, now)
-        host, port = configuration.listen
-        if self.signals.stop_pending:
-            self.report.say("process", "told to end before it listened: stopped")
+        self._load_initial_snapshot()
+        if self._signals.stop_pending:
+            self.log.say("process", "terminated before it listened: stopped")
             return
-        try:
-            listeners = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=BACKLOG)
-        except OSError as error:
-            raise ConfigurationError(
-                f"listen: {host}:{port} can't be bound: {error.strerror or error}"
-            ) from None
-        self.listening = [each.extra(anyio.abc.SocketAttribute.raw_socket) for each in listeners.listeners]
-        for raw in self.listening:  # what is accepted takes it on
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE)
+        await self._listen()
         gc.collect()
-        gc.freeze()
+        gc.freeze()  # what was loaded stays: the collector needn't look at it again
         async with anyio.create_task_group() as self.tasks:
-            self.tasks.start_soon(self._signals)
-            self.tasks.start_soon(self._timers)
-            self.turns.start()
-            self.tasks.start_soon(self.backend.sweep)
+            self.tasks.start_soon(self._handle_signals)
+            self.tasks.start_soon(self._run_timers)
+            self._spin_guard.start()
+            self.tasks.start_soon(self.cache_connections.pool.sweep)
             self.tasks.start_soon(self.client_connections.sweep)
-            if configuration.journal:
-                self.tasks.start_soon(self.journal.follow)
-            self.tasks.start_soon(self._accept_all)
-            self._start_more()
-        self.report.say("process", "stopped")
+            if self.configuration.journal:
+                self.tasks.start_soon(self.endpoint_watch.follow)
+            self.tasks.start_soon(self.listener.run, self.tasks)
+            self._start_background_tasks()
+        self.log.say("process", "stopped")
+
+    def _load_initial_snapshot(self) -> None:
+        """Plays the endpoints that the configuration lists."""
+        now = self._read_clock()
+        self.state_machine.step(TimerFired(), now)
+        known = self.configuration.known
+        for event in endpoint_watch.initial_snapshot(known, self.configuration.briefing):
+            self.state_machine.step(event, now)
+
+    async def _listen(self) -> None:
+        host, port = self.configuration.listen
+        try:
+            await self.listener.open(host, port)
+        except OSError as error:
+            reason = error.strerror or error
+            raise ConfigurationError(f"listen: {host}:{port} can't be bound: {reason}") from None
+
+
+def forward_decisions(log: RateLimitedLog) -> None:
+    """Has the routing package's log lines written to this log, in place of any before."""
+    decisions_log = logging.getLogger(LOGGER_NAME)
+    decisions_log.handlers = [ForwardingHandler(log)]
+    decisions_log.propagate = False
+    decisions_log.setLevel(logging.INFO)
 
 
 def main(environ, signals: Signals | None = None) -> int:
     """Runs one router to its end.
 
-    :param signals: those that listen already: what came before the router runs is played once it does.
+    :param environ: NODE_CONFIG, NODE_LISTEN and NODE_NAME.
+    :param signals: those that are handled already.
+    :returns: the exit status: 1 where the configuration can't be used.
     """
     try:
-        service = RouterProcess(
+        router_process = RouterProcess(
             Configuration(read(environ), environ), lambda: Configuration(read(environ), environ), signals
         )
-        anyio.run(service.run, backend_options=BACKEND_OPTIONS)
+        anyio.run(router_process.run, backend_options=BACKEND_OPTIONS)
     except ConfigurationError as error:
         print(f"quartzrouter: {error}", file=sys.stderr)
         return 1
--- a/quartzrouter/server/response_writer.py
+++ b/quartzrouter/server/response_writer.py
@@ -12,11 +12,11 @@
 # Records that wait on one connection; beyond, the client takes its responses more slowly than it asks,
 # and the connection is read slowly until some have gone out.
 MAX_QUEUED_RECORDS = 256
-NO_TICKET = 0  # the queue of records that belong to no response; tickets of requests start at 1
+NO_REQUEST = 0  # queue of records that belong to no response; request ids start at 1
 
 
 class ResponseWriter:
-    """The records that wait to be written to one client, by the ticket of their request.
+    """The records that wait to be written to one client, by request id.
 
     :param stream: the client's connection.
     :param may_finish: whether nothing more will be queued, so that writing may end.
@@ -26,9 +26,9 @@
         self._stream = stream
         self._may_finish = may_finish
         self.buffer = RingBuffer(WRITE_BUFFER_SIZE)
-        self.queues: dict[int, deque[bytes]] = {}  # by ticket
-        self._turns: deque[int] = deque()  # tickets with queued records
-        self._sent_callbacks: dict[int, Callable[[], None]] = {}  # by ticket
+        self.queues: dict[int, deque[bytes]] = {}  # by request id
+        self._turns: deque[int] = deque()  # request ids with queued records
+        self._sent_callbacks: dict[int, Callable[[], None]] = {}  # by request id
         self._changed = anyio.Event()  # something was queued, or it may be time to finish
         self._progressed = anyio.Event()  # some bytes have gone out
         self.sending_since = anyio.current_time()  # s: since when the same bytes go out
@@ -46,23 +46,23 @@
     @property
     def unsent_responses(self) -> int:
         """Responses of which records are still queued."""
-        return sum(ticket != NO_TICKET for ticket in self.queues)
+        return sum(request_id != NO_REQUEST for request_id in self.queues)
 
-    def queue(self, ticket: int, records: list[bytes]) -> None:
-        """Queues records, behind those of the same ticket and in turns with others.
+    def queue(self, request_id: int, records: list[bytes]) -> None:
+        """Queues records, behind those of the same request and in turns with others.
 
         :param records: each is shorter than ``WRITE_BUFFER_SIZE``.
         """
-        if ticket not in self.queues:
-            self.queues[ticket] = deque()
-            self._turns.append(ticket)
-        self.queues[ticket] += records
+        if request_id not in self.queues:
+            self.queues[request_id] = deque()
+            self._turns.append(request_id)
+        self.queues[request_id] += records
         self._changed.set()
 
-    def call_when_sent(self, ticket: int, callback: Callable[[], None]) -> None:
+    def call_when_sent(self, request_id: int, callback: Callable[[], None]) -> None:
         """Calls the callback once no record of a response is queued: at once where none is."""
-        if ticket in self.queues:
-            self._sent_callbacks[ticket] = callback
+        if request_id in self.queues:
+            self._sent_callbacks[request_id] = callback
         else:
             callback()
 
@@ -101,19 +101,19 @@
     def _fill_buffer(self) -> None:
         """Moves records to the buffer, one of each response in turn, until one doesn't fit."""
         while self._turns:
-            ticket = self._turns[0]
-            records = self.queues.get(ticket)  # None once the responses were discarded
+            request_id = self._turns[0]
+            records = self.queues.get(request_id)  # None once the responses were discarded
             if records and len(records[0]) > self.buffer.free:
                 return
             self._turns.popleft()
             if records:
                 self.buffer.put(records.popleft())
             if records:
-                self._turns.append(ticket)
+                self._turns.append(request_id)
                 continue
-            self.queues.pop(ticket, None)
-            if ticket in self._sent_callbacks:
-                self._sent_callbacks.pop(ticket)()
+            self.queues.pop(request_id, None)
+            if request_id in self._sent_callbacks:
+                self._sent_callbacks.pop(request_id)()
 
     def discard(self) -> None:
         """Drops what is queued, for a client that has gone; the callbacks are called."""
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -40,14 +40,14 @@
     """
 
     def __init__(self, path: str, plan: Plan, log: Any, signals: Signals | None = None):
-        self.path, self.plan, self.log = path, plan, log
+        self.path, self.plan, self._logger = path, plan, log
         self.again = self.reading = False  # a reload was asked for; one is under way
         super().__init__(configuration(plan), signals=signals)
 
-    def _report(self) -> RateLimitedLog:
-        return StructuredLog(self.configuration.name, process.wall_clock, self.log)
+    def _create_log(self) -> RateLimitedLog:
+        return StructuredLog(self.configuration.name, process.wall_clock, self._logger)
 
-    def _reducer(self) -> StandaloneStateMachine:
+    def _create_state_machine(self) -> StandaloneStateMachine:
         self.fleet, follower = purge_membership.joined(self.plan) or (None, None)
         arguments, home = self.configuration.briefing.arguments, self.plan.deployment["home"]
         name, token = (follower.name, follower.token) if follower else (self.configuration.name, "")
@@ -56,19 +56,19 @@
         self.force = MultiPoolRouter(self.plan, arguments, self.fleet, shares, parts)
         file = self.plan.purges["file"] if self.fleet else None
         if file and (wrong := purge_membership.resume(file, self.fleet, follower, process.wall_clock())):
-            self.report.say("ledger", wrong)
+            self.log.say("ledger", wrong)
         return StandaloneStateMachine(self.force, follower)
 
-    def _copy_of(self):
+    def _create_copy_reader(self):
         return purge_membership.copy_of if self.fleet else None
 
-    def _start_more(self) -> None:
+    def _start_background_tasks(self) -> None:
         if self.fleet is None:
             return
         told = self.plan.purges
         silent = purge_membership.SILENT_LEASES * self.fleet.lease.length
         ledgers = [address(at, "purges.ledgers") for at in told["ledgers"]]
-        self.link = MemberClient(ledgers, silent, self.feed, self.report)
+        self.link = MemberClient(ledgers, silent, self.feed, self.log)
         self.tasks.start_soon(self.link.run)
         self.tasks.start_soon(self._tell)
         self.tasks.start_soon(self._ask_shares)
@@ -84,11 +84,11 @@
         while True:
             await anyio.sleep(purge_membership.TELL_EVERY)
             if self.fleet.old > old:
-                self.report.say(
+                self.log.say(
                     "purges", f"{self.fleet.old - old} answers brought old copies, and were asked for again"
                 )
             if self.fleet.marks.merged > merged:
-                self.report.say(
+                self.log.say(
                     "purges", f"{self.fleet.marks.merged - merged} marks became marks of all: too many"
                 )
             old, merged = self.fleet.old, self.fleet.marks.merged
@@ -116,34 +116,34 @@
             told = self.force.shares.told()
             for name, counts in told.items():
                 if said := shown(counts, before.get(name, NOTHING)):
-                    self.report.say("shares", f"limit {name}: {said}")
+                    self.log.say("shares", f"limit {name}: {said}")
             before = told
-            for budget, (place, reason, remedy) in self.reducer.refused.items():
-                self.report.say("shares", f"limit {budget}: the ledger refuses {place}: {reason}; {remedy}")
-            self.reducer.refused.clear()
+            for budget, (place, reason, remedy) in self.state_machine.refused.items():
+                self.log.say("shares", f"limit {budget}: the ledger refuses {place}: {reason}; {remedy}")
+            self.state_machine.refused.clear()
 
     async def _save(self, path: str) -> None:
         """Beside the loop: encoding and writing 100,000 purges takes a tenth of a second."""
-        saved = self.reducer.follower.held
+        saved = self.state_machine.follower.held
         while True:
             await anyio.sleep(purge_membership.SAVE_EVERY)
-            if (held := self.reducer.follower.held) == saved:
+            if (held := self.state_machine.follower.held) == saved:
                 continue
             memo = purge_membership.memo(self.fleet, held)
             try:
                 await anyio.to_thread.run_sync(purge_membership.save, path, memo)
                 saved = held
             except OSError as error:
-                self.report.say("ledger", f"{path}: {error.strerror or error}; it is written again later")
+                self.log.say("ledger", f"{path}: {error.strerror or error}; it is written again later")
 
-    def _perform_more(self, effect: QueueMessage | CloseConnection) -> None:
+    def _perform_extension(self, effect: QueueMessage | CloseConnection) -> None:
         match effect:
             case QueueMessage(said):
                 self.link.tell(said)
             case CloseConnection(reason, come_back):
                 self.link.hang(reason, come_back)
 
-    def _reader(self):
+    def _create_params_parser(self):
         return RequestParser(self.force, self.plan.deployment["home"]).call
 
     def _reload(self) -> None:
@@ -159,7 +159,7 @@
             try:
                 self._take(await anyio.to_thread.run_sync(load, self.path))
             except Exception as error:  # a fault of ours may not end the service
-                self.report.say("process", f"SIGHUP: nothing changes: {type(error).__name__}: {error}")
+                self.log.say("process", f"SIGHUP: nothing changes: {type(error).__name__}: {error}")
         self.reading = False
 
     def _take(self, loaded: Loaded) -> None:
@@ -167,11 +167,11 @@
         if loaded.plan is None:
             faults = loaded.faults.errors
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
-            self.report.say("process", f"SIGHUP: nothing changes: {faults[0].head}{more}")
+            self.log.say("process", f"SIGHUP: nothing changes: {faults[0].head}{more}")
             return
         home = self.configuration.briefing.arguments["home"]
         if home not in loaded.plan.stores:
-            self.report.say(
+            self.log.say(
                 "process", f"SIGHUP: nothing changes: the home store '{home}' is gone; restart for that"
             )
             return
@@ -180,14 +180,14 @@
         lines = None if loaded.plan.deployment["journal"] else self._lines(loaded.plan)
         self.plan = loaded.plan
         change = f"; {', '.join(kept)} kept until the next start" if kept else ""
-        self.report.say("process", f"SIGHUP: the plan is in force, {len(self.plan.routes)} routes{change}")
+        self.log.say("process", f"SIGHUP: the plan is in force, {len(self.plan.routes)} routes{change}")
         self.feed(ConfigurationReplaced(self.plan, lines))
 
     def _lines(self, plan: Plan) -> EndpointUpdate:
         """The caches that a plan lists; those that weren't listed before are taken for just started."""
         hosts = {"hosts": {"complete": True, "members": members(plan)}}
         (lines,) = initial_snapshot([Section(hosts)], self.configuration.briefing)
-        listed, now = self.reducer.addresses, self._time()
+        listed, now = self.state_machine.addresses, self._read_clock()
         fresh = [line if line.name in listed else replace(line, started_at=now) for line in lines.endpoints]
         return lines._replace(endpoints=fresh)
 
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -22,9 +22,9 @@
 from quartzrouter.server import process
 chance = random.Random(11)
 class Service(process.RouterProcess):
-    async def _timers(self):
+    async def _run_timers(self):
         self.tasks.start_soon(self.stall)
-        await super()._timers()
+        await super()._run_timers()
     async def stall(self):
         while True:
             await anyio.sleep(chance.uniform(0.005, 0.06))
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -7,7 +7,7 @@
 from conftest import SETUP, frame
 
 from quartzrouter.configuration import Configuration, ConfigurationError, DeploymentSettings, Section, read
-from quartzrouter.server import cache_connections, endpoint_watch, fastcgi, request_reader, responses
+from quartzrouter.server import cache_responses, endpoint_watch, fastcgi, request_reader, responses
 from quartzrouter.server.ring_buffer import RingBuffer
 
 
@@ -124,9 +124,9 @@
     ):
         response = h11.Response(status_code=status, headers=fields)
         try:
-            told = cache_connections.fields_of(response)
-            said = cache_connections.read_head(1, 0, response.status_code, told, reports=True)
-        except cache_connections.MalformedResponse as error:
+            told = cache_responses.header_fields(response)
+            said = cache_responses.parse_head(1, 0, response.status_code, told, with_load_report=True)
+        except cache_responses.MalformedResponse as error:
             said = f"Unreadable {error}"
         trace.append(f"{status} {fields}: {said}")
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -20,11 +20,14 @@
 
 from quartzrouter.server import (
     attempt_failure,
-    cache_connections,
+    byte_budget,
+    cache_responses,
+    connection_pool,
     client_connection,
     endpoint_watch,
     events,
     fastcgi,
+    listener,
     process,
     response_writer,
     stream,
@@ -87,7 +90,7 @@
 
 
 async def settled(world):
-    await until(lambda: not world.service.attempts and not world.service.reducer.hands)
+    await until(lambda: not world.service.attempts and not world.service.state_machine.hands)
 
 
 # -- a client that has gone ------------------------------------------------------------------------
@@ -125,7 +128,7 @@
 
     async def scene(connect):
         client = await connect()
-        monkeypatch.setattr(cache_connections, "connect", held)
+        monkeypatch.setattr(connection_pool, "connect", held)
         await client.begin(1)
         await until(lambda: come)
         await client.send((fastcgi.RecordType.ABORT_REQUEST, b""))
@@ -153,12 +156,12 @@
         return await receive(self, most)
 
     async def scene(connect):
-        client, pool = await connect(), world.service.backend.pool
+        client, pool = await connect(), world.service.cache_connections.pool.idle
         for id in range(10, 60):
             if len(pool) < 2:
                 await client.begin(id)
                 assert "200 OK" in await client.end()
-        await anyio.sleep(2 * cache_connections.REST)
+        await anyio.sleep(2 * connection_pool.REST)
         monkeypatch.setattr(stream.Stream, "receive", slow)
         await client.begin(1)  # the reader comes back to the slow way after it
         await until(lambda: asked(world, 1))
@@ -173,7 +176,7 @@
         assert asked(world, 1) == 1
 
     def asking():
-        return world.service.backend.asked.values()
+        return world.service.cache_connections.in_use.values()
 
     world.play(scene)
 
@@ -200,7 +203,7 @@
         await client.send((fastcgi.RecordType.GET_VALUES, b"\x0f\x00FCGI_MPXS_CONNS"), id=0)
         await until(lambda: mine.rejected_requests)  # read, and not answered
         write(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
-        await until(lambda: 1 not in mine.tickets)
+        await until(lambda: 1 not in mine.request_ids)
         full.set()
         await settled(world)
         assert asked(world, 1) == 1
@@ -269,12 +272,12 @@
         client = await connect()
         await client.begin(1, path="/rpc/sale")
         assert "200 OK" in await client.end()
-        await anyio.sleep(2 * cache_connections.REST_UNMARKED)
+        await anyio.sleep(2 * connection_pool.REST_AFTER_UNNAMED_COPY)
 
         async def late(self, ticket):
             if not ends:
                 ends.append(ticket)
-                taken = next(iter(world.service.backend.asked.values()))
+                taken = next(iter(world.service.cache_connections.in_use.values()))
                 taken.stream.shutdown()  # as its cache would
             await hear(self, ticket)
 
@@ -298,7 +301,7 @@
         world.answers = {7: [FIRST]}
         await client.begin(1, **same)
         assert "first" in await client.end()
-        await anyio.sleep(2 * cache_connections.REST)
+        await anyio.sleep(2 * connection_pool.REST)
         world.answers = {7: [gate, FIRST, WHOLE]}  # the cache has read the next req by then
         await client.begin(2, HTTP_X_CHUNK="1", **same)
         await until(lambda: asked(world, 7) == 2)
@@ -322,9 +325,9 @@
         world.answers = {7: [FIRST]}
         await client.begin(1, **same)
         assert "first" in await client.end()
-        await anyio.sleep(2 * cache_connections.REST)
+        await anyio.sleep(2 * connection_pool.REST)
         if purged:
-            world.service.feed(events.PurgeNotice(None, f"{7:016x}", world.service.time()))
+            world.service.feed(events.PurgeNotice(None, f"{7:016x}", world.service.clock()))
         world.answers = {7: [gate, FIRST, WHOLE]}
         await client.begin(2, **same)
         await until(lambda: asked(world, 7) == 2)
@@ -338,7 +341,7 @@
 @pytest.mark.parametrize("answer", [FULL, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsold"])
 def test_a_connection_rests_longer_after_an_answer_that_names_no_copy(world, monkeypatch, answer):
     """Once more on the next req it says that this one is done, or that it never ran."""
-    monkeypatch.setattr(cache_connections, "REST_UNMARKED", 3_600.0)
+    monkeypatch.setattr(connection_pool, "REST_AFTER_UNNAMED_COPY", 3_600.0)
 
     async def scene(connect):
         client = await connect()
@@ -346,7 +349,7 @@
         for id in (1, 2, 3):
             await client.begin(id, path="/rpc/sale")
             await client.end()
-            await anyio.sleep(2 * cache_connections.REST)
+            await anyio.sleep(2 * connection_pool.REST)
         attempts = sum(line.startswith("GET /x/sale/") for line in world.asked)
         assert world.connections == attempts >= 3
 
@@ -358,14 +361,14 @@
     order = []
 
     async def run():
-        budget = cache_connections.ByteBudget(cache_connections.ANSWER_MOST)
+        budget = byte_budget.ByteBudget(cache_responses.MAX_BODY_SIZE)
 
         async def answer(name, count):
             await budget.take(count)
             order.append(name)
 
         async with anyio.create_task_group() as tasks:
-            await budget.take(cache_connections.ANSWER_MOST)
+            await budget.take(cache_responses.MAX_BODY_SIZE)
             gone = anyio.CancelScope()
 
             async def given_up():
@@ -381,12 +384,12 @@
             assert order == []
             gone.cancel()
             await anyio.sleep(0)
-            budget.give(cache_connections.ANSWER_MOST - 60_000)
+            budget.give(cache_responses.MAX_BODY_SIZE - 60_000)
             await anyio.sleep(0.01)
             assert order == ["large"]
             budget.give(200_000)
-        assert order == ["large", "small"] and budget.free == cache_connections.ANSWER_MOST - 50_000
-        assert not budget.waiting
+        assert order == ["large", "small"] and budget.free == cache_responses.MAX_BODY_SIZE - 50_000
+        assert not budget.waiters
 
     anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
@@ -419,7 +422,7 @@
     """It was decided on in time, and its connection came up late."""
     lines = []
     play = Play(lines)
-    play.came(1, "hold", key="a" * 32, timeout=6_000_000)
+    play.came(1, "hold", idempotency_key="a" * 32, timeout=6_000_000)
     play.ready(1)
     play.over(1, attempt_failure.Stage.ASKING, attempt_failure.Cause.RESET)
     assert any("OpenConnection 1, 1" in line for line in lines)
@@ -427,7 +430,7 @@
     lines.clear()
     play.ready(1, hop=1)
     assert any("SendRequest 1, 1" in line for line in lines)
-    play.came(2, "hold", key="b" * 32, timeout=6_000_000)
+    play.came(2, "hold", idempotency_key="b" * 32, timeout=6_000_000)
     play.ready(2)
     play.over(2, attempt_failure.Stage.ASKING, attempt_failure.Cause.RESET)
     play.until(2_940 + 2_960)
@@ -527,11 +530,11 @@
 
 def test_what_reaches_a_router_at_its_end_is_answered_and_nothing_is_reset(world, monkeypatch):
     """A connection that nobody has accepted yet, a resting one, one with half a req, one that isn't read."""
-    accept, stopping = process.RouterProcess._accept_waiting, []
+    accept, stopping = listener.Listener._accept_from, []
     world.answers = {3: [BIG]}
 
-    def late(self, listener):  # the accepting task is behind; the end itself looks
-        return False if stopping and not self.accepting.cancel_called else accept(self, listener)
+    def late(self, listening_socket):  # the accepting task is behind; the end itself looks
+        return False if stopping and not self._scope.cancel_called else accept(self, listening_socket)
 
     async def scene(connect):
         resting, half, slow = await connect(), await connect(), await connect()
@@ -540,7 +543,7 @@
         await half.begin(2, whole=False)
         await slow.begin(3)
         await until(lambda: asked(world, 3))
-        monkeypatch.setattr(process.RouterProcess, "_accept_waiting", late)
+        monkeypatch.setattr(listener.Listener, "_accept_from", late)
         stopping.append(True)
         os.kill(os.getpid(), signal.SIGTERM)
         new = await connect()
@@ -584,14 +587,14 @@
         await client.begin(1)
         assert "200 OK" in await client.end()
         await anyio.sleep(0.02)
-        (pooled,) = next(iter(world.service.backend.pool.values()))
+        (pooled,) = next(iter(world.service.cache_connections.pool.idle.values()))
         number = pooled.stream.raw.fileno()
         pooled.stream.close()
         one, two = socket.socketpair()
         try:
             assert number in (one.fileno(), two.fileno())  # the descriptor is taken again
             pooled.stream.shutdown()
-            assert not pooled.quiet()
+            assert not pooled.is_quiet()
             one.setblocking(False)
             one.send(b"still there")
             assert two.recv(20) == b"still there"
@@ -657,8 +660,8 @@
         await settled(world)
         assert (
             service.client_connections.free_request_memory == room
-            and not service.client_connections.by_ticket
-            and not service.reducer.ids
+            and not service.client_connections.by_request_id
+            and not service.state_machine.ids
         )
         other = await connect()
         await other.begin(50)
@@ -741,14 +744,14 @@
     async def scene(connect):
         client, service = await connect(), world.service
         if at == "connecting":
-            monkeypatch.setattr(cache_connections, "connect", held)
+            monkeypatch.setattr(connection_pool, "connect", held)
         world.answers = {1: [WHOLE[:-2], gate, WHOLE[-2:]] if at == "half an answer" else [gate, WHOLE]}
         await client.begin(1)
         await until(lambda: come or asked(world, 1))
         async with anyio.create_task_group() as tasks:
             if at == "stopping":
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: service.reducer.stopping)
+                await until(lambda: service.state_machine.stopping)
             there, told = await world.listen(tasks, world.journal), json.loads(world.path.read_text())
             world.path.write_text(json.dumps(told | {"journal": there}))
             before = world.asked.count("journal from 1")
@@ -776,8 +779,8 @@
 
     async def scene(connect):
         service, purged = world.service, []
-        feed = service.journal.feed
-        service.journal.feed = lambda event: (purged.append(event), feed(event))
+        feed = service.endpoint_watch.feed
+        service.endpoint_watch.feed = lambda event: (purged.append(event), feed(event))
         await connect()
         half = anyio.Event()
 
@@ -805,7 +808,7 @@
             await follow(world.journal)
             await until(lambda: purged)
             assert purged == [events.PurgeNotice(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
-            assert service.journal.held == 2
+            assert service.endpoint_watch.held == 2
             tasks.cancel_scope.cancel()
 
     world.play(scene)
@@ -852,7 +855,7 @@
 
     async def scene(connect):
         slow, other = await connect(), await connect()
-        monkeypatch.setattr(cache_connections, "connect", held)
+        monkeypatch.setattr(connection_pool, "connect", held)
         await slow.begin(1)
         await until(lambda: come)
         for id in range(10, 15):
@@ -866,7 +869,9 @@
         await settled(world)
         service = world.service
         assert asked(world, 1) == 1
-        assert service.backend.open == sum(map(len, service.backend.pool.values()))
+        assert service.cache_connections.pool.open == sum(
+            map(len, service.cache_connections.pool.idle.values())
+        )
 
     within = 800_000 if in_time else 50_000
     limits = SETUP["limits"] | {"dial_timeout_us": within}
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -11,7 +11,7 @@
 from quartzrouter.configuration import DeploymentSettings
 from quartzrouter.routing import router
 from quartzrouter.routing.model import FillStatus
-from quartzrouter.server import cache_connections, effects, events, responses, state_machine
+from quartzrouter.server import cache_responses, effects, events, responses, state_machine
 
 PACE = 300  # KB a second
 LARGE, SMALL = 240_000, 5_000  # bytes
@@ -145,8 +145,8 @@
         async with anyio.create_task_group() as tasks:
             for n, client in enumerate(clients, 1):
                 tasks.start_soon(ask, client, range(n, 97, 12))
-        assert world.service.backend.room.free == max(
-            (memory << 20) // 8, cache_connections.ANSWER_MOST
+        assert world.service.cache_connections.response_memory.free == max(
+            (memory << 20) // 8, cache_responses.MAX_BODY_SIZE
         )  # all of it was given back
 
     world.play(scene, limits={"sockets": 128, "memory_mb": memory})
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -303,7 +303,7 @@
 
 def test_a_fault_costs_one_req_its_answer_and_nothing_else(world, trace, capsys):
     async def scene(connect):
-        client, decisions = await connect(), world.service.reducer.router
+        client, decisions = await connect(), world.service.state_machine.router
         for call in ("route", "attempt_finished", "cancel_request", "maintenance"):
             setattr(decisions, call, lambda *arguments: 1 / 0)
             await client.begin(1)
@@ -441,7 +441,7 @@
         client = await connect()
         await client.begin(1)
         trace.append(await client.end())
-        router = world.service.reducer.router
+        router = world.service.state_machine.router
         trace.append(f"busy {[busy for _, busy in router.reports.values()]}, link {router.link_in[1] > 0}")
 
     for how in ("silent", "piggyback"):
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -127,7 +127,7 @@
 
     site.play_site(scene)
     assert len(site.where) == 5
-    assert site.service.reducer.denied == {"few": 8} and not site.service.force.limits.held
+    assert site.service.state_machine.denied == {"few": 8} and not site.service.force.limits.held
 
 
 def test_a_rate_names_a_time_to_come_back(site):
--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -95,14 +95,14 @@
                 await self.router.run()
 
         self.tasks.start_soon(run)
-        while not self.router.listening:
+        while not self.router.listener.is_open:
             await anyio.sleep(0.01)
         self.client = Client(await anyio.connect_tcp("127.0.0.1", self.told["port"]))
 
     async def stop_router(self):
         """As if it were killed; what it listened at is free again."""
         self.scope.cancel()
-        for raw in self.router.listening:
+        for raw in self.router.listener.sockets:
             raw.close()
         await anyio.sleep(0.05)
         self.told["port"] = await free_port()
@@ -225,7 +225,7 @@
                 await anyio.sleep(0.02)
         await site.stop_router()
         await site.start_router()
-        assert site.router.reducer.follower.held == (1 if kept else 0)
+        assert site.router.state_machine.follower.held == (1 if kept else 0)
         await site.joined()
         assert await site.get() >= taken.when > first
         members = (await LedgerClient([("127.0.0.1", site.told["ledger"])]).ask(MembersQuery())).members
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -30,19 +30,19 @@
     while True:
         await anyio.wait_readable(ends[0])
         await anyio.lowlevel.checkpoint()  # else a stop may never reach it
-RouterProcess._start_more = lambda self: self.tasks.start_soon(more, self)
+RouterProcess._start_background_tasks = lambda self: self.tasks.start_soon(more, self)
 """
 READER = """
 ends = socket.socketpair()
 ends[1].send(b"x")
 def nobody(): pass
-RouterProcess._start_more = lambda self: asyncio.get_running_loop().add_reader(ends[0], nobody)
+RouterProcess._start_background_tasks = lambda self: asyncio.get_running_loop().add_reader(ends[0], nobody)
 """
 SOON = """
 async def more(self):
     while True:
         await anyio.lowlevel.checkpoint()
-RouterProcess._start_more = lambda self: self.tasks.start_soon(more, self)
+RouterProcess._start_background_tasks = lambda self: self.tasks.start_soon(more, self)
 """
 NOW = """
 route = Router.route
