--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -291,7 +291,7 @@
         await drain_and_close(
             self.listener,
             self.client_connections,
-            lambda: bool(self.state_machine.hands),
+            lambda: bool(self.state_machine.in_flight),
             self._read_clock,
             max(traffic_class.client_timeout for traffic_class in self.configuration.briefing.vhosts),
         )
