--- a/benchmarks/purges.py
+++ b/benchmarks/purges.py
@@ -13,9 +13,9 @@
 import anyio
 
 from quartzrouter.purge_log.disk import RealDisk
-from quartzrouter.purge_log.query_client import QueryClient
 from quartzrouter.purge_log.line_connection import read_lines
 from quartzrouter.purge_log.log import PurgeLog
+from quartzrouter.purge_log.query_client import QueryClient
 from quartzrouter.purge_log.server import PurgeLogServer
 from quartzrouter.purges import messages
 from quartzrouter.purges.freshness_lease import FreshnessLease, lease_length
--- a/tests/test_ledger_log.py
+++ b/tests/test_ledger_log.py
@@ -6,9 +6,8 @@
 
 from quartzrouter.fakes.faulty_disk import Crashed, FaultyDisk
 from quartzrouter.purge_log.disk import RealDisk
-from quartzrouter.purge_log.errors import FencedError
+from quartzrouter.purge_log.errors import DiskUnavailableError, FencedError, LogDamagedError
 from quartzrouter.purge_log.log import PurgeLog
-from quartzrouter.purge_log.errors import DiskUnavailableError, LogDamagedError
 from quartzrouter.purge_log.segments import read_log, repair
 from quartzrouter.purges.messages import Purge
 
