--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -129,7 +129,7 @@
     print("| decisions | us a req |\n| --- | --- |")
     text = template(1)
     plan = load("main", lambda path: text).plan
-    arguments = Configuration(compiled(plan), {}, journal_needed=False).briefing.arguments
+    arguments = Configuration(compiled(plan), {}, needs_discovery=False).settings.router_arguments
     router = Router(**arguments)
     router.update_endpoints(listed(plan), True, 0)
 
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -29,7 +29,7 @@
 came = [time.monotonic()]
 from quartzrouter.signals import Signals
 signals = Signals().__enter__()
-from quartzrouter.configuration import Configuration, read
+from quartzrouter.configuration import Configuration, read_configuration
 from quartzrouter.server import process
 import anyio
 note = lambda: came.append(time.monotonic())
@@ -42,7 +42,7 @@
         note()
         print(*came, flush=True)
         await super()._accept_all()
-configuration = Configuration(read(os.environ), os.environ)
+configuration = Configuration(read_configuration(os.environ), os.environ)
 note()
 service = Service(configuration, None, signals)
 note()
--- a/quartzrouter/cli/parameter_types.py
+++ b/quartzrouter/cli/parameter_types.py
@@ -9,10 +9,10 @@
     def convert(self, value, param, ctx) -> tuple[str, int]:
         if isinstance(value, tuple):
             return value
-        from quartzrouter.configuration import ConfigurationError, address
+        from quartzrouter.configuration_section import ConfigurationError, parse_address
 
         try:
-            return address(value, "it")
+            return parse_address(value, "it")
         except ConfigurationError as error:
             self.fail(f"{error}: write it as 127.0.0.1:7700", param, ctx)
 
--- a/quartzrouter/cli/purge.py
+++ b/quartzrouter/cli/purge.py
@@ -237,7 +237,7 @@
     import anyio
 
     from quartzrouter.cli.plan import checked
-    from quartzrouter.configuration import address
+    from quartzrouter.configuration_section import parse_address
     from quartzrouter.purge_log.delivery import deliver as run
     from quartzrouter.server.clock import wall_clock
     from quartzrouter.server.event_loop import BACKEND_OPTIONS
@@ -247,14 +247,14 @@
     if not made.purges:
         raise click.UsageError(f"{path} names no ledger: give it `purges`")
     caches = {
-        name: address(told["address"], f"caches.{name}")
+        name: parse_address(told["address"], f"caches.{name}")
         for name, told in made.caches.items()
         if told["tier"] != "origin"
     }
     if unknown := set(only) - set(caches):
         raise click.UsageError(f"there is no cache {sorted(unknown)[0]!r} in {path}")
     caches = {name: at for name, at in caches.items() if not only or name in only}
-    ledgers = [address(at, "purges.ledgers") for at in made.purges["ledgers"]]
+    ledgers = [parse_address(at, "purges.ledgers") for at in made.purges["ledgers"]]
     report = StructuredLog(name or "courier", wall_clock, logger())
     claims = claims_of(made, path, task, name, report) if task else None
     told = (caches, ledgers, made.purges["grace"], report, rate, claims, task)
--- /dev/null
+++ b/quartzrouter/deployment_settings.py
@@ -0,0 +1,207 @@
+"""The platform's settings of a deployment: the one place at which its field names become ours.
+
+Both the router process and the bench adapter get them.  They are read and checked here, and given defaults.
+Unknown keys are passed over.  Keys that end in ``_us`` are microseconds, and so are all times below.
+"""
+
+from typing import Any
+
+from quartzrouter.configuration_section import NUMBER_TYPES, ConfigurationError, ConfigurationSection
+from quartzrouter.routing.model import Capabilities, Idempotency, SlowStart, Tier, TrafficClass
+
+BYTES_PER_KB = 1_000
+
+IDEMPOTENCY_BY_EFFECT = {
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.IDEMPOTENT_WITH_KEY,
+    "fragile": Idempotency.NON_IDEMPOTENT,
+}
+
+# where endpoints report their load
+LOAD_NOWHERE = "silent"
+LOAD_IN_HEALTH_CHECKS = "pull"
+LOAD_IN_RESPONSES = "piggyback"
+LOAD_REPORTS = (LOAD_NOWHERE, LOAD_IN_HEALTH_CHECKS, LOAD_IN_RESPONSES)
+
+UTILIZATION_FIELD = "busy"  # the figure of a load report that the decisions read
+NOT_PROVIDED = "silent"  # of sibling fills and of capacity ratings
+DISCOVERY_PUSHED = "pushed"  # the discovery service sends the endpoint list without being asked
+DISCOVERY_ON_REQUEST = "on_request"
+NO_MACHINE_TYPE = -1
+
+DEFAULT_CONNECT_TIMEOUT = 400_000  # us
+DEFAULT_CONNECTION_IDLE_TIMEOUT = 15_000_000  # us
+DEFAULT_OVERLOAD_WINDOW = 1_000_000  # us
+
+
+class DeploymentSettings:
+    """The settings of a deployment.
+
+    :param values: the parsed JSON.
+    :param seed: for the router's chance draws.
+    :raises ConfigurationError: where a value can't be used.
+
+    Attributes: ``zones`` and ``machine_types`` give meaning to numbers in frames of the discovery service,
+    ``load_report_fields`` to those in a load report.  ``connect_timeout`` and ``connection_idle_timeout``
+    are for connections to caches.  ``router_arguments`` are those of a Router.
+    """
+
+    def __init__(self, values: Any, seed: int):
+        settings = ConfigurationSection(values, "settings")
+        family = settings.subsection("family_info")
+        limits = settings.subsection("limits")
+        rules = settings.subsection("rules")
+        self.zones: list[str] = settings.items("zones")
+        self.machine_types: list[str] = settings.items("models")
+        self.parent_machine_type = self._machine_type(family, "shield_kind")
+        self.origin_machine_type = self._machine_type(family, "store_kind")
+        self.connect_timeout = limits.integer("dial_timeout_us", DEFAULT_CONNECT_TIMEOUT, least=1)
+        self.connection_idle_timeout = limits.integer(
+            "conn_idle_us", DEFAULT_CONNECTION_IDLE_TIMEOUT, least=1
+        )
+        self.load_report = settings.subsection("load_report")
+        self.load_report_fields: list[str] = self.load_report.items("fields")
+        self.traffic_classes = [
+            _traffic_class(category, index, family)
+            for index, category in enumerate(settings.subsections("categories"))
+        ]
+        self.capabilities = self._capabilities(settings, family, limits)
+        self.router_arguments: dict[str, Any] = {
+            "me": settings.integer("me"),
+            "seed": seed,
+            "home": settings.text("zone"),
+            "vhosts": self.traffic_classes,
+            "permits": self.capabilities,
+            "cold_cache": self._cache_slow_start(settings, family, rules),
+            "cold_parent": _parent_slow_start(settings, family, rules),
+            "purge_life": family.integer("gone_everywhere_us"),
+            "pace": family.number("flow_kb_per_s"),
+            "rated": settings.text("weights", NOT_PROVIDED) != NOT_PROVIDED,
+        }
+
+    def tier(self, machine_type: str) -> Tier:
+        """The tier of an endpoint: machine types tell parents and the origin from caches."""
+        if machine_type == self.parent_machine_type:
+            return Tier.PARENT
+        if machine_type == self.origin_machine_type:
+            return Tier.ORIGIN
+        return Tier.CACHE
+
+    def check_load_report(self) -> None:
+        """Checks that load comes either with health checks or in responses.
+
+        Guards against settings that mix the two: the decisions would wait for reports that never come, and
+        take every endpoint for idle.
+
+        :raises ConfigurationError: where they do.
+        """
+        source, path_of = self._load_source(), self.load_report.path_of
+        if source not in LOAD_REPORTS:
+            known = ", ".join(LOAD_REPORTS)
+            raise ConfigurationError(f"{path_of('how')} is {source!r:.60}; it may be {known}")
+        has_health_checks = self.capabilities.health_checks
+        if source == LOAD_IN_HEALTH_CHECKS and not has_health_checks:
+            raise ConfigurationError(
+                f"{path_of('how')} is 'pull', which needs settings.limits.probes to be true"
+            )
+        if source == LOAD_IN_RESPONSES and has_health_checks:
+            raise ConfigurationError(
+                f"settings.limits.probes is true and {path_of('how')} is 'piggyback': set one of them"
+            )
+        if source == LOAD_IN_RESPONSES and UTILIZATION_FIELD not in self.load_report_fields:
+            raise ConfigurationError(
+                f"{path_of('fields')} lacks {UTILIZATION_FIELD!r}, which {path_of('how')} = 'piggyback' needs"
+            )
+
+    def _machine_type(self, family: ConfigurationSection, key: str) -> str | None:
+        """The machine type that a key names by its position in the list; None where it names none."""
+        position = family.optional(key, NO_MACHINE_TYPE, int)
+        return self.machine_types[position] if 0 <= position < len(self.machine_types) else None
+
+    def _load_source(self) -> str:
+        return self.load_report.text("how", LOAD_NOWHERE)
+
+    def _capabilities(
+        self, settings: ConfigurationSection, family: ConfigurationSection, limits: ConfigurationSection
+    ) -> Capabilities:
+        has_health_checks = limits.boolean("probes")
+        has_load_in_responses = (
+            self._load_source() == LOAD_IN_RESPONSES and UTILIZATION_FIELD in self.load_report_fields
+        )
+        names_retry_after = limits.boolean("retry_after")
+        max_retry_after = limits.integer("max_retry_after_us")
+        return Capabilities(
+            max_attempts=limits.integer("try_limit", 1, least=1),
+            pass_through=family.boolean("pass_through_ok"),
+            request_collapsing=family.boolean("shares_fills", True),
+            siblings=family.text("sideways", NOT_PROVIDED) != NOT_PROVIDED,
+            health_checks=has_health_checks,
+            cancellation=limits.boolean("cancel"),
+            max_retry_after=max_retry_after if names_retry_after else 0,
+            discovery_on_request=settings.text("discovery", DISCOVERY_PUSHED) == DISCOVERY_ON_REQUEST,
+            load_in_responses=has_load_in_responses and not has_health_checks,
+        )
+
+    def _cache_slow_start(
+        self, settings: ConfigurationSection, family: ConfigurationSection, rules: ConfigurationSection
+    ) -> SlowStart:
+        """Slow start of a cache: the routers of its zone share what it can take."""
+        home = settings.text("zone")
+        zone_index = self.zones.index(home) if home in self.zones else len(self.zones)
+        routers_of_zone = family.list_item("zone_balancers", zone_index, 0, int)
+        return SlowStart(
+            initial_share=rules.number("cold_from", most=1),
+            ramp_time=rules.integer("ramp_time_us"),
+            overload_factor=_overload_factor(rules),
+            window=_overload_window(rules),
+            routers=max(1, routers_of_zone or _all_routers(settings)),
+        )
+
+
+def _parent_slow_start(
+    settings: ConfigurationSection, family: ConfigurationSection, rules: ConfigurationSection
+) -> SlowStart:
+    """Slow start of a parent: all routers share what it can take."""
+    return SlowStart(
+        initial_share=family.number("parent_floor", most=1),
+        ramp_time=family.integer("parent_cold_us"),
+        overload_factor=family.number("parent_fall_multiple") or _overload_factor(rules),
+        window=_overload_window(rules),
+        routers=_all_routers(settings),
+    )
+
+
+def _overload_factor(rules: ConfigurationSection) -> float:
+    return rules.number("tip_multiple") or 1.0
+
+
+def _overload_window(rules: ConfigurationSection) -> int:
+    return rules.integer("tip_after_us", DEFAULT_OVERLOAD_WINDOW, least=1)
+
+
+def _all_routers(settings: ConfigurationSection) -> int:
+    return settings.integer("peers_total", 1, least=1)
+
+
+def _traffic_class(category: ConfigurationSection, index: int, family: ConfigurationSection) -> TrafficClass:
+    """A traffic class.
+
+    :param index: its position, by which lists of the family have its freshness.
+    """
+    client_timeout = category.integer("deadline_us", least=1)
+    effect = category.text("effect")
+    return TrafficClass(
+        name=category.required("name", str),
+        idempotency=IDEMPOTENCY_BY_EFFECT.get(effect, Idempotency.NON_IDEMPOTENT),
+        priority_weight=category.number("worth"),
+        latency_objective=category.integer("aim_us") or client_timeout,
+        objective_stretch=category.number("aim_stretch"),
+        client_timeout=client_timeout,
+        late_value_share=category.number("late_share"),
+        deduplication_scope=category.text("group", "cell"),
+        deduplication_window=category.integer("window_us"),
+        max_age=family.list_item("good_for_us", index, 0, int),
+        stale_grace=family.list_item("grace_for_us", index, 0, int),
+        stale_value_share=float(family.list_item("class_stale_worth", index, 0.0, *NUMBER_TYPES)),
+        uncacheable=family.list_item("never_kept", index, False, bool),
+    )
--- a/quartzrouter/drill/host.py
+++ b/quartzrouter/drill/host.py
@@ -6,7 +6,8 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from quartzrouter.configuration import ConfigurationError, DeploymentSettings
+from quartzrouter.configuration_section import ConfigurationError
+from quartzrouter.deployment_settings import DeploymentSettings
 from quartzrouter.drill import wire
 from quartzrouter.drill.events import (
     AttemptEnded,
@@ -41,7 +42,7 @@
     """One router of the bench; collects what it asks for as actions."""
 
     def __init__(self, settings: DeploymentSettings):
-        super().__init__(Router(**settings.arguments))
+        super().__init__(Router(**settings.router_arguments))
         self.settings = settings
         self.actions: list[dict[str, Any]] = []
 
--- a/quartzrouter/drill/wire.py
+++ b/quartzrouter/drill/wire.py
@@ -10,7 +10,7 @@
 
 import orjson
 
-from quartzrouter.configuration import DeploymentSettings
+from quartzrouter.deployment_settings import DeploymentSettings
 from quartzrouter.drill.events import (
     AttemptEnded,
     ClientGone,
@@ -223,7 +223,7 @@
 
 
 def _attempt_ended(event: dict[str, Any], settings: DeploymentSettings) -> Event:
-    return AttemptEnded(required(event, "op_id", int), attempt_result(event, settings.fields))
+    return AttemptEnded(required(event, "op_id", int), attempt_result(event, settings.load_report_fields))
 
 
 def _response_started(event: dict[str, Any], settings: DeploymentSettings) -> Event:
@@ -241,7 +241,7 @@
 
 def _health_check_done(event: dict[str, Any], settings: DeploymentSettings) -> Event:
     name, status = required(event, "cache", str), _attempt_status(event)
-    return HealthCheckDone(name, status, _load(event.get("load"), settings.fields))
+    return HealthCheckDone(name, status, _load(event.get("load"), settings.load_report_fields))
 
 
 def _timer_fired(event: dict[str, Any], settings: DeploymentSettings) -> Event:
--- a/quartzrouter/fault_harness/child_process.py
+++ b/quartzrouter/fault_harness/child_process.py
@@ -12,7 +12,7 @@
 
 import anyio
 
-from quartzrouter.configuration import address
+from quartzrouter.configuration_section import parse_address
 from quartzrouter.fault_harness.skewed_clocks import clocks
 from quartzrouter.server import process as net
 from quartzrouter.server.event_loop import BACKEND_OPTIONS
@@ -34,8 +34,8 @@
         folder, listen, grace, plan, standby, *guards = told
         _take_out(guards, wall)
         report, granted = StructuredLog("ledger", wall, logger()), budgets_of(plan) if plan != "-" else None
-        beside = address(standby, "standby") if standby != "-" else None
-        told = (folder, address(listen, "listen"), int(grace), report, beside, wall, granted, even)
+        beside = parse_address(standby, "standby") if standby != "-" else None
+        told = (folder, parse_address(listen, "listen"), int(grace), report, beside, wall, granted, even)
         return anyio.run(server.serve, *told, backend_options=BACKEND_OPTIONS)
     if what == "keeper":
         from quartzrouter.cli.keeper import reader
--- a/quartzrouter/fault_scenarios/sharing.py
+++ b/quartzrouter/fault_scenarios/sharing.py
@@ -15,7 +15,7 @@
 
 from quartzrouter.config.loader import load
 from quartzrouter.config.quantity import quantity
-from quartzrouter.configuration import address
+from quartzrouter.configuration_section import parse_address
 from quartzrouter.fault_harness import fault_schedule, history_checks
 from quartzrouter.fault_harness.counting_cache import CountingCache
 from quartzrouter.fault_harness.fault_injection import FaultInjectedFleet
@@ -136,7 +136,7 @@
             await self.add_ledger(shared, standby, clocks, self.guards)
         for _ in range(shape.routers):
             n = await self.add_links(tasks)
-            to_caches = [ProxiedLink(address(at, "cache"), chance, by_line=False) for at in addresses]
+            to_caches = [ProxiedLink(parse_address(at, "cache"), chance, by_line=False) for at in addresses]
             for link in to_caches if shape.cache_links else ():
                 await link.start(tasks)
             self.to_caches.append(to_caches)
--- a/quartzrouter/lease_service/plan_terms.py
+++ b/quartzrouter/lease_service/plan_terms.py
@@ -1,7 +1,7 @@
 """The terms of leases, and where keepers listen, as a plan tells them."""
 
 from quartzrouter.config.model import Plan
-from quartzrouter.configuration import address
+from quartzrouter.configuration_section import parse_address
 from quartzrouter.leases.terms import LeaseTerms
 
 
@@ -14,7 +14,7 @@
     told = plan.leases
     if not told:
         raise LeasesNotConfigured("the plan names no keepers: give it `leases`")
-    addresses = {name: address(at, f"leases.keepers.{name}") for name, at in told["keepers"].items()}
+    addresses = {name: parse_address(at, f"leases.keepers.{name}") for name, at in told["keepers"].items()}
     tasks = tuple((name, tuple(task["prefer"])) for name, task in sorted(told["tasks"].items()))
     names = tuple(sorted(addresses))
     return LeaseTerms(names, told["version"], told["length"], told["drift"], tasks), addresses
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -14,11 +14,12 @@
 
 import anyio
 
-from quartzrouter.configuration import Configuration, ConfigurationError, read
+from quartzrouter.configuration import Configuration, read_configuration
+from quartzrouter.configuration_section import ConfigurationError
 from quartzrouter.routing import LOGGER_NAME
 from quartzrouter.routing.model import Idempotency as RepeatEffect
 from quartzrouter.routing.router import Router, retry_after
-from quartzrouter.server import endpoint_watch, responses
+from quartzrouter.server import discovery_protocol, endpoint_watch, responses
 from quartzrouter.server.cache_connections import CacheConnections
 from quartzrouter.server.client_connections import ClientConnections, parse_request
 from quartzrouter.server.clock import RouterClock, steady_clock, wall_clock
@@ -85,21 +86,25 @@
         decisions_log.propagate = False
         decisions_log.setLevel(logging.INFO)
         self.reducer = self._reducer()
-        clients = configuration.sockets // 3
-        come_back = retry_after(configuration.briefing.arguments["permits"])
-        room = configuration.memory // REQS_SHARE
+        clients = configuration.max_descriptors // 3
+        come_back = retry_after(configuration.settings.capabilities)
+        room = configuration.memory_limit // REQS_SHARE
         self.front = ClientConnections(self.feed, clients, room, self._reader(), self.report, come_back)
         self.backend = CacheConnections(
             self.feed,
-            configuration.sockets - clients - RESERVE,
-            configuration.memory // HELD_SHARE,
-            configuration.briefing.idle_most / 1e6,
-            configuration.briefing.connect_within / 1e6,
+            configuration.max_descriptors - clients - RESERVE,
+            configuration.memory_limit // HELD_SHARE,
+            configuration.settings.connection_idle_timeout / 1e6,
+            configuration.settings.connect_timeout / 1e6,
             self._copy_of(),
-            configuration.briefing.arguments["permits"].load_in_responses,
+            configuration.settings.capabilities.load_in_responses,
         )
         self.journal = endpoint_watch.EndpointWatch(
-            configuration.journal, configuration.position, configuration.briefing, self.feed, self.report
+            configuration.discovery_address,
+            configuration.initial_sequence,
+            configuration.settings,
+            self.feed,
+            self.report,
         )
         self.attempts: dict[tuple[int, int], AttemptTask] = {}
         self.events: deque[Event] = deque()
@@ -115,13 +120,13 @@
         return RateLimitedLog(self.configuration.name, wall_clock)
 
     def _reducer(self) -> RouterStateMachine:
-        return RouterStateMachine(Router(**self.configuration.briefing.arguments))
+        return RouterStateMachine(Router(**self.configuration.settings.router_arguments))
 
     def _reader(self) -> Callable[[dict[str, str]], ClientRequest]:
         """What makes a req of a client's parameters."""
         uniqued = {
             vhost.name: vhost.idempotency is RepeatEffect.IDEMPOTENT_WITH_KEY
-            for vhost in self.configuration.briefing.vhosts
+            for vhost in self.configuration.settings.traffic_classes
         }
         return partial(parse_request, uniqued=uniqued.get)
 
@@ -298,7 +303,7 @@
         self.accepting.cancel()
         while self.listening:
             await anyio.sleep(FLUSH_EVERY)
-        longest = max(vhost.client_timeout for vhost in self.configuration.briefing.vhosts)
+        longest = max(vhost.client_timeout for vhost in self.configuration.settings.traffic_classes)
         with anyio.move_on_after(longest / 1e6):  # later nobody waits for an answer
             while self.front.open or self.front.coming:
                 self.front.end()  # what was taken last has a turn to be read in
@@ -327,12 +332,15 @@
         except ConfigurationError as error:
             self.report.say("process", f"SIGHUP: nothing changes: {error}")
             return
-        kept = [key for key, told in self.configuration.fixed.items() if configuration.fixed[key] != told]
+        kept = [
+            key
+            for key, told in self.configuration.restart_only.items()
+            if configuration.restart_only[key] != told
+        ]
         change = f"{', '.join(kept)} kept until the next start" if kept else "read anew"
-        self.report.say(
-            "process", f"SIGHUP: journal at {configuration.journal[0]}:{configuration.journal[1]}; {change}"
-        )
-        self.feed(ConfigurationReloaded(configuration.journal))
+        host, port = configuration.discovery_address
+        self.report.say("process", f"SIGHUP: journal at {host}:{port}; {change}")
+        self.feed(ConfigurationReloaded(configuration.discovery_address))
 
     def _start_more(self) -> None:
         """Tasks of an installation of our own."""
@@ -344,9 +352,9 @@
     async def _run(self) -> None:
         configuration, now = self.configuration, self._time()
         self.reducer.step(TimerFired(), now)
-        for event in endpoint_watch.initial_snapshot(configuration.known, configuration.briefing):
+        for event in discovery_protocol.initial_events(configuration.initial_entries, configuration.settings):
             self.reducer.step(event, now)
-        host, port = configuration.listen
+        host, port = configuration.listen_address
         if self.signals.stop_pending:
             self.report.say("process", "told to end before it listened: stopped")
             return
@@ -367,7 +375,7 @@
             self.turns.start()
             self.tasks.start_soon(self.backend.sweep)
             self.tasks.start_soon(self.front.sweep)
-            if configuration.journal:
+            if configuration.discovery_address:
                 self.tasks.start_soon(self.journal.follow)
             self.tasks.start_soon(self._accept_all)
             self._start_more()
@@ -381,7 +389,9 @@
     """
     try:
         service = RouterProcess(
-            Configuration(read(environ), environ), lambda: Configuration(read(environ), environ), signals
+            Configuration(read_configuration(environ), environ),
+            lambda: Configuration(read_configuration(environ), environ),
+            signals,
         )
         anyio.run(service.run, backend_options=BACKEND_OPTIONS)
     except ConfigurationError as error:
--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from quartzrouter.configuration import KB
+from quartzrouter.deployment_settings import BYTES_PER_KB
 from quartzrouter.routing.driver import MAINTENANCE_TIMER, RouterDriver
 from quartzrouter.routing.model import (
     AttemptResult,
@@ -362,7 +362,7 @@
             # the request may have run
             self._abandon_attempt(request_id, attempt, AttemptStatus.CONNECTION_LOST, now)
         elif head.content_length:
-            deadline = self.router.response_deadline(request_id, head.content_length / KB)
+            deadline = self.router.response_deadline(request_id, head.content_length / BYTES_PER_KB)
             if deadline > attempt.times_out_at:
                 attempt.times_out_at = deadline
                 self._add_timer(deadline, AttemptTimeout(request_id, attempt.decision.attempt_number))
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -9,7 +9,8 @@
 from quartzrouter.config.loader import Loaded, load
 from quartzrouter.config.model import Plan
 from quartzrouter.config.platform_json import compiled, members
-from quartzrouter.configuration import Configuration, ConfigurationError, Section, address
+from quartzrouter.configuration import Configuration
+from quartzrouter.configuration_section import ConfigurationError, ConfigurationSection, parse_address
 from quartzrouter.fleet_health.aggregator import NEWS_EVERY, TELL_EVERY
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.shared_limits import budgets, terms
@@ -17,7 +18,7 @@
 from quartzrouter.quota.client import NOTHING, QuotaClient, QuotaCounters, shown
 from quartzrouter.quota.slow_start import SlowStartClient
 from quartzrouter.server import process
-from quartzrouter.server.endpoint_watch import initial_snapshot
+from quartzrouter.server.discovery_protocol import initial_events
 from quartzrouter.server.events import EndpointUpdate
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 from quartzrouter.signals import Signals
@@ -49,7 +50,7 @@
 
     def _reducer(self) -> StandaloneStateMachine:
         self.fleet, follower = purge_membership.joined(self.plan) or (None, None)
-        arguments, home = self.configuration.briefing.arguments, self.plan.deployment["home"]
+        arguments, home = self.configuration.settings.router_arguments, self.plan.deployment["home"]
         name, token = (follower.name, follower.token) if follower else (self.configuration.name, "")
         shares = QuotaClient(budgets(self.plan, (home,)), name, token, process.steady_clock)
         parts = SlowStartClient(terms(self.plan), process.steady_clock) if follower else None
@@ -67,7 +68,7 @@
             return
         told = self.plan.purges
         silent = purge_membership.SILENT_LEASES * self.fleet.lease.length
-        ledgers = [address(at, "purges.ledgers") for at in told["ledgers"]]
+        ledgers = [parse_address(at, "purges.ledgers") for at in told["ledgers"]]
         self.link = MemberClient(ledgers, silent, self.feed, self.report)
         self.tasks.start_soon(self.link.run)
         self.tasks.start_soon(self._tell)
@@ -169,7 +170,7 @@
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
             self.report.say("process", f"SIGHUP: nothing changes: {faults[0].head}{more}")
             return
-        home = self.configuration.briefing.arguments["home"]
+        home = self.configuration.settings.router_arguments["home"]
         if home not in loaded.plan.stores:
             self.report.say(
                 "process", f"SIGHUP: nothing changes: the home store '{home}' is gone; restart for that"
@@ -186,7 +187,7 @@
     def _lines(self, plan: Plan) -> EndpointUpdate:
         """The caches that a plan lists; those that weren't listed before are taken for just started."""
         hosts = {"hosts": {"complete": True, "members": members(plan)}}
-        (lines,) = initial_snapshot([Section(hosts)], self.configuration.briefing)
+        (lines,) = initial_events([ConfigurationSection(hosts)], self.configuration.settings)
         listed, now = self.reducer.addresses, self._time()
         fresh = [line if line.name in listed else replace(line, started_at=now) for line in lines.endpoints]
         return lines._replace(endpoints=fresh)
@@ -194,7 +195,7 @@
 
 def configuration(plan: Plan) -> Configuration:
     """Where the router stands, by the plan's words in the platform's."""
-    return Configuration(compiled(plan), {}, journal_needed=False)
+    return Configuration(compiled(plan), {}, needs_discovery=False)
 
 
 def run(path: str, plan: Plan, log: Any, signals: Signals | None = None) -> int:
--- a/quartzrouter/standalone/structured_log.py
+++ b/quartzrouter/standalone/structured_log.py
@@ -13,7 +13,7 @@
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
 # By kind of line; all others are written at "info".
-LEVEL_BY_KIND = {"fault": "error", "attempt": "warning", "client": "warning", "journal": "warning"}
+LEVEL_BY_KIND = {"fault": "error", "attempt": "warning", "client": "warning", "discovery": "warning"}
 
 
 def logger(level: str = "info", form: str = "auto", out: Any = None) -> Any:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from quartzrouter.configuration import DeploymentSettings
+from quartzrouter.deployment_settings import DeploymentSettings
 from quartzrouter.routing import LOGGER_NAME
 from quartzrouter.routing.model import (
     AttemptResult,
@@ -191,7 +191,7 @@
             "never_kept": [False, True, True],
             "pass_through_ok": True,
         }
-        router = Router(**DeploymentSettings(setup, 7).arguments)
+        router = Router(**DeploymentSettings(setup, 7).router_arguments)
         self.state_machine = state_machine.RouterStateMachine(router)
         self.endpoint_update(is_snapshot=True, c1="up", c2="up", p1="up", o="up")
 
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -5,7 +5,7 @@
 import anyio
 from conftest import SETUP
 
-from quartzrouter.configuration import Configuration, read
+from quartzrouter.configuration import Configuration, read_configuration
 from quartzrouter.fakes.loopback import MARKS, TAG, WHOLE, Client, begin, free_port, heads, listen, tagged
 from quartzrouter.server import process
 
@@ -99,7 +99,8 @@
 
     def router(self, environ):
         return process.RouterProcess(
-            Configuration(read(environ), environ), lambda: Configuration(read(environ), environ)
+            Configuration(read_configuration(environ), environ),
+            lambda: Configuration(read_configuration(environ), environ),
         )
 
     async def connect(self, port):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -74,15 +74,15 @@
 
     _, said = call("plan", "compile", HOLDS)
     configuration = Configuration(json.loads(said), {})
-    assert configuration.journal == ("127.0.0.1", 4222) and [
-        v.name for v in configuration.briefing.vhosts
+    assert configuration.discovery_address == ("127.0.0.1", 4222) and [
+        v.name for v in configuration.settings.traffic_classes
     ] == [
         "hold",
         "release",
         "stock",
     ]
     made = load(HOLDS).plan
-    assert configuration.briefing.vhosts == list(made.vhosts.values())
+    assert configuration.settings.traffic_classes == list(made.vhosts.values())
 
 
 def test_diff_replays_recorded_reqs(tmp_path):
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -6,8 +6,10 @@
 import pytest
 from conftest import SETUP, frame
 
-from quartzrouter.configuration import Configuration, ConfigurationError, DeploymentSettings, Section, read
-from quartzrouter.server import cache_connections, client_connections, endpoint_watch, fastcgi, responses
+from quartzrouter.configuration import Configuration, read_configuration
+from quartzrouter.configuration_section import ConfigurationError, ConfigurationSection
+from quartzrouter.deployment_settings import DeploymentSettings
+from quartzrouter.server import cache_connections, client_connections, discovery_protocol, fastcgi, responses
 from quartzrouter.server.ring_buffer import RingBuffer
 
 
@@ -134,8 +136,13 @@
 LINE = bytes.fromhex("00c41f7a 7f080103 20fb 01 01 00 0002 00002904 0000019ab3c4d5e6".replace(" ", ""))
 
 
-def test_frames_of_the_journal(trace):
-    briefing = DeploymentSettings(SETUP, 7)
+def test_discovery_frames(trace):
+    """Frames are read in order and resume after the last event held; bytes that no service sends are refused.
+
+    A frame that was lost or can't be read ends the connection: the next one starts after the last event held,
+    so nothing is missed.
+    """
+    settings = DeploymentSettings(SETUP, 7)
     good = [
         frame(5, 0),
         frame(6, 1, LINE),
@@ -154,18 +161,20 @@
         b"\xff" * 13,
         bytes(13),
     ):
-        ring, held = RingBuffer(endpoint_watch.RING), 5
-        ring.put(b"".join(good) + wrong)
+        buffer = RingBuffer(discovery_protocol.RECEIVE_BUFFER_SIZE)
+        buffer.put(b"".join(good) + wrong)
+        last_sequence = 5
         try:
-            while found := endpoint_watch.next_frame(ring):
-                said, held = endpoint_watch.frame(held, *found, briefing), found[0]
+            while found := discovery_protocol.take_frame(buffer):
+                event = discovery_protocol.decode_frame(found, last_sequence, settings)
+                last_sequence = found.sequence
                 if not wrong:
-                    trace.append(f"event {held}: {said}")
-        except endpoint_watch.MalformedFrame as error:
-            trace.append(f"after event {held}: {error}")
+                    trace.append(f"event {last_sequence}: {event}")
+        except discovery_protocol.MalformedFrame as error:
+            trace.append(f"after event {last_sequence}: {error}")
 
 
-def test_what_is_known_at_start(trace):
+def test_initial_discovery_events(trace):
     host = {
         "id": "s-00c41f7a",
         "host_port": "10.1.0.9:8443",
@@ -189,18 +198,17 @@
         [{"hosts": {"members": 7}}],
         [{"expire": {"set": 17, "stamp": "now"}}],
     ):
+        section = ConfigurationSection({"known": entries})
         try:
-            trace += [
-                str(event)
-                for event in endpoint_watch.initial_snapshot(
-                    Section({"known": entries}).parts("known"), DeploymentSettings(SETUP, 7)
-                )
-            ]
+            found = discovery_protocol.initial_events(
+                section.subsections("known"), DeploymentSettings(SETUP, 7)
+            )
+            trace += [str(event) for event in found]
         except ConfigurationError as error:
-            trace.append(f"Unusable {error}")
+            trace.append(f"ConfigurationError {error}")
 
 
-def test_what_cannot_be_used_at_start_is_named(trace, tmp_path):
+def test_an_unusable_configuration_is_refused_by_its_key(trace, tmp_path):
     told = {
         "listen": "127.0.0.1:8443",
         "journal": "127.0.0.1:4222",
@@ -240,12 +248,12 @@
     ):
         path.write_text(json.dumps(told | change))
         try:
-            said = Configuration(read({"NODE_CONFIG": str(path)}), {}).listen
+            said = Configuration(read_configuration({"NODE_CONFIG": str(path)}), {}).listen_address
         except ConfigurationError as error:
             said = error
         trace.append(f"{str(change)[:90]}: {said}")
     path.write_text("{")
     for environ in ({}, {"NODE_CONFIG": str(path)}, {"NODE_CONFIG": "/nowhere"}):
         with pytest.raises(ConfigurationError) as found:
-            Configuration(read(environ), environ)
+            Configuration(read_configuration(environ), environ)
         trace.append(str(found.value).replace(str(path), "FILE"))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -385,7 +385,7 @@
 
 def test_bytes_without_a_whole_frame_are_silence(world, monkeypatch):
     """A service that trickled half a frame was taken for one that has nothing to tell."""
-    monkeypatch.setattr(endpoint_watch, "SILENT_AFTER", 0.2)
+    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", 0.2)
 
     async def trickle(connection):
         async with connection:
@@ -794,7 +794,7 @@
             await follow(world.journal)
             await until(lambda: purged)
             assert purged == [events.PurgeNotice(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
-            assert service.journal.held == 2
+            assert service.journal.last_sequence == 2
             tasks.cancel_scope.cancel()
 
     world.play(scene)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -8,7 +8,7 @@
 from conftest import SETUP
 from standins import free_port
 
-from quartzrouter.configuration import ConfigurationError
+from quartzrouter.configuration_section import ConfigurationError
 from quartzrouter.server import process
 
 ABSENT = object()
--- a/tests/test_force.py
+++ b/tests/test_force.py
@@ -192,9 +192,9 @@
         from quartzrouter.configuration import Configuration
 
         self.plan = self.load(text)
-        configuration = Configuration(compiled(self.plan), {}, journal_needed=False)
+        configuration = Configuration(compiled(self.plan), {}, needs_discovery=False)
         self.force, self.now, self.ids, self.hops = (
-            MultiPoolRouter(self.plan, configuration.briefing.arguments),
+            MultiPoolRouter(self.plan, configuration.settings.router_arguments),
             10 * S,
             0,
             {},
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -8,7 +8,7 @@
 from conftest import MS, SETUP, S, listed
 from standins import WHOLE
 
-from quartzrouter.configuration import DeploymentSettings
+from quartzrouter.deployment_settings import DeploymentSettings
 from quartzrouter.routing import router
 from quartzrouter.routing.model import FillStatus
 from quartzrouter.server import cache_connections, effects, events, responses, state_machine
@@ -30,7 +30,7 @@
     def __init__(self, head_first=True, **page):
         self.head_first = head_first  # else caches say nothing until they have all of an answer
         self.reducer = state_machine.RouterStateMachine(
-            router.Router(**DeploymentSettings(told(**page), 7).arguments)
+            router.Router(**DeploymentSettings(told(**page), 7).router_arguments)
         )
         self.now, self.events, self.numbers = 10 * S, [], 0
         self.sizes, self.done, self.ends = {}, set(), {}
--- a/tests/test_reducer_machine.py
+++ b/tests/test_reducer_machine.py
@@ -5,7 +5,7 @@
 from hypothesis import settings
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from quartzrouter.configuration import DeploymentSettings
+from quartzrouter.deployment_settings import DeploymentSettings
 from quartzrouter.routing import router
 from quartzrouter.routing.model import FillStatus
 from quartzrouter.server import attempt_failure, effects, events, state_machine
@@ -43,7 +43,7 @@
         self.now, self.tickets = 10 * S, 0
         self.window = KEYED["window_us"]
         self.reducer = state_machine.RouterStateMachine(
-            router.Router(**DeploymentSettings(setup(cancel), 7).arguments)
+            router.Router(**DeploymentSettings(setup(cancel), 7).router_arguments)
         )
         self.replied, self.gone = {}, set()
         self.vhost, self.object = {}, {}
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -280,7 +280,9 @@
 
 def test_a_client_waits_no_longer_than_a_shared_slot_is_reckoned_in_use():
     plan = load("main", lambda path: PLAN % PURGES).plan
-    force = MultiPoolRouter(plan, Configuration(compiled(plan), {}, journal_needed=False).briefing.arguments)
+    force = MultiPoolRouter(
+        plan, Configuration(compiled(plan), {}, needs_discovery=False).settings.router_arguments
+    )
     ruling = force.rule(Asked("north", "", "/a", "GET", {}, {}), "c")
     assert [force.timeout(ruling, told) for told in (0, 5 * S, 60 * S)] == [3 * S, 5 * S, 9 * S]
 
