--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -29,7 +29,7 @@
 came = [time.monotonic()]
 from quartzrouter.signals import Signals
 signals = Signals().__enter__()
-from quartzrouter.configuration import Configuration, read
+from quartzrouter.configuration import Configuration, read_configuration
 from quartzrouter.server import process
 import anyio
 note = lambda: came.append(time.monotonic())
@@ -41,7 +41,7 @@
     def _start_background_tasks(self):
         note()
         print(*came, flush=True)
-configuration = Configuration(read(os.environ), os.environ)
+configuration = Configuration(read_configuration(os.environ), os.environ)
 note()
 service = Service(configuration, None, signals)
 note()
