--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -7,6 +7,7 @@
 from quartzrouter.config.request_sets import Asked
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.routing.model import Idempotency
+from quartzrouter.server.events import ClientRequest
 from quartzrouter.server.request_reader import (
     KEY_PATTERN,
     MAX_DEADLINE_MS,
@@ -14,7 +15,6 @@
     TOKEN_PATTERN,
     InvalidRequest,
 )
-from quartzrouter.server.events import ClientRequest
 
 PATH_MOST = 2_048  # characters: longer paths name nothing
 PARAMS_MOST = 64  # of a query
--- a/tests/test_purge_marks.py
+++ b/tests/test_purge_marks.py
@@ -9,9 +9,9 @@
 from quartzrouter.purges.freshness_lease import FreshnessLease, lease_length
 from quartzrouter.purges.glob import Glob
 from quartzrouter.purges.messages import Purge
+from quartzrouter.purges.pattern_trie import MAX_GLOBS_PER_NODE, PatternTrie
 from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
 from quartzrouter.purges.surrogate_tags import ObjectTags, parse_tags
-from quartzrouter.purges.pattern_trie import MAX_GLOBS_PER_NODE, PatternTrie
 
 S = 1_000_000
 PARTS = ["a", "b", "ab", "*", "a*", "*b", "a*b", "*a*"]
