--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -65,24 +65,24 @@
         self,
         plan: Plan,
         arguments: Mapping[str, Any],
-        fleet: FleetPurges | None = None,
-        shares: QuotaClient | None = None,
-        parts: SlowStartClient | None = None,
+        fleet_purges: FleetPurges | None = None,
+        quota_client: QuotaClient | None = None,
+        slow_start_client: SlowStartClient | None = None,
     ) -> None:
         """:param arguments: those of a ``Router``, for the deployment as a whole.
-        :param fleet: the fleet's purges, where there is a purge log.
-        :param shares: what this router has of limits that routers share.
-        :param parts: what it has of what endpoints that are warming up may be sent, where routers share that.
+        :param fleet_purges: the fleet's purges, where there is a purge log.
+        :param quota_client: what this router has of limits that routers share.
+        :param slow_start_client: what it has of slow-start budgets that routers share.
         """
         self.arguments = dict(arguments)
         self.home_location: str = arguments["home_location"]
-        self.fleet = fleet
-        self.shares = shares
-        self.parts = parts
-        self.limits = RateLimiter(plan.limits, shares, self.home_location)
+        self.fleet_purges = fleet_purges
+        self.quota_client = quota_client
+        self.slow_start_client = slow_start_client
+        self.limits = RateLimiter(plan.limits, quota_client, self.home_location)
         self.pools = PoolSelector(plan.pools, plan.splits)
         self.policy_budgets = PolicyBudgets()
-        self.purge_bounds = PurgeBounds(fleet)
+        self.purge_bounds = PurgeBounds(fleet_purges)
         self.freshness = Freshness(arguments["purge_lifetime"])  # for routers that are made later
         self.endpoints: dict[str, Endpoint] = {}
         self.pool_routers: dict[str, PoolRouter] = {}
@@ -98,8 +98,8 @@
     def replace(self, plan: Plan, now: int) -> None:
         """Puts a new plan in force."""
         self.limits.replace(plan.limits)
-        if self.shares:
-            self.shares.replace(budgets(plan, (self.home_location,)))
+        if self.quota_client:
+            self.quota_client.replace(budgets(plan, (self.home_location,)))
         self.pools.replace(plan.pools, plan.splits)
         self.policy_budgets.keep_only(plan.policies)
         self._take_in(plan)
@@ -140,8 +140,8 @@
         arguments = self.arguments | {"traffic_classes": list(self.traffic_classes.values())}
         router = Router(**arguments)
         router.set_purges(self.freshness)
-        if self.parts:
-            router.share_slow_start_grants(self.parts.left)
+        if self.slow_start_client:
+            router.share_slow_start_grants(self.slow_start_client.left)
         return router
 
     def _share_budgets(self, pool_router: PoolRouter, pools: int) -> None:
@@ -151,7 +151,7 @@
             slow_start: SlowStart = self.arguments[key]
             is_at_home = pool_router.pool.stores == (self.home_location,)
             routers = slow_start.routers if is_at_home else everyone
-            terms = self.parts.terms.get(tier.value) if self.parts else None
+            terms = self.slow_start_client.terms.get(tier.value) if self.slow_start_client else None
             own_share = terms.floors if terms else 1.0
             pool_router.router.share_slow_start(tier, routers * pools, own_share)
         pool_router.router.share_fill_limits(everyone * pools)
@@ -261,8 +261,8 @@
     ) -> Decision | None:
         """Asks a request's router, with what others leave to this one as it stands right now."""
         router, selection = self.router_of[request_id].router, self.selections[request_id]
-        if self.parts:
-            self.parts.look()
+        if self.slow_start_client:
+            self.slow_start_client.look()
         limits = self.limits_on_retries.get(selection.route.name) if may_retry else None
         if not limits:
             return ask(router)
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -97,8 +97,8 @@
 
     async def _ask_shares(self) -> None:
         while True:
-            due = self.force.shares.wait()
-            if colds := self.force.parts.wait():
+            due = self.force.quota_client.wait()
+            if colds := self.force.slow_start_client.wait():
                 due = min(due, colds)
             await anyio.sleep(due / 1e6)
             self.feed(RequestQuota())
@@ -115,7 +115,7 @@
         before: dict[str, QuotaCounters] = {}
         while True:
             await anyio.sleep(purge_membership.REPORT_INTERVAL)
-            told = self.force.shares.told()
+            told = self.force.quota_client.told()
             for name, counts in told.items():
                 if said := shown(counts, before.get(name, NOTHING)):
                     self.log.say("shares", f"limit {name}: {said}")
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -124,7 +124,7 @@
                 case ApplyPurges():
                     self._apply_purges(effect, now)
                 case CaughtUp(caches):
-                    self.multi_pool_router.fleet.caches_caught_up = caches
+                    self.multi_pool_router.fleet_purges.caches_caught_up = caches
                 case QuotaGrants():
                     self._take_grants(effect)
                 case EjectionVerdicts(verdicts, loads):
@@ -142,7 +142,7 @@
         Attempts that are not sent yet, and whose decision allows a copy that is now too old, are decided
         anew.  Those that are sent are checked when their copy comes.
         """
-        self.multi_pool_router.fleet.apply(purges, self.replica.applied_up_to, now)
+        self.multi_pool_router.fleet_purges.apply(purges, self.replica.applied_up_to, now)
         if not purges.purges:
             return
         for pending in self.in_flight.values():
@@ -152,9 +152,9 @@
                 attempt.is_outdated |= self.multi_pool_router.is_outdated(selection, attempt.decision, now)
 
     def _take_grants(self, grants: QuotaGrants) -> None:
-        self.multi_pool_router.shares.granted(grants.grants)
-        if self.multi_pool_router.parts:
-            self.multi_pool_router.parts.granted(grants.colds)
+        self.multi_pool_router.quota_client.granted(grants.grants)
+        if self.multi_pool_router.slow_start_client:
+            self.multi_pool_router.slow_start_client.granted(grants.colds)
         for budget, refusal in grants.refused.items():
             self.quota_refusals[budget] = refusal
             while len(self.quota_refusals) > MAX_REFUSALS_KEPT:
@@ -183,9 +183,9 @@
         """Asks for shares of quota, where the purge log grants them and there is something to ask for."""
         if not (self.replica and self.replica.grants_quota):
             return []
-        asks = self.multi_pool_router.shares.asks()
+        asks = self.multi_pool_router.quota_client.asks()
         slow_start_asks = ()
-        slow_start = self.multi_pool_router.parts
+        slow_start = self.multi_pool_router.slow_start_client
         if slow_start and slow_start.terms:
             slow_start_asks = slow_start.asks(self.multi_pool_router.slow_start_demand(now))
         if not (asks or slow_start_asks):
@@ -222,7 +222,7 @@
 
     def _request_received(self, request_id: int, client_request: ClientRequest, now: int) -> None:
         exceeded = self.multi_pool_router.admit(request_id, client_request.route_selection, now)
-        if self.multi_pool_router.shares and self.multi_pool_router.shares.fresh:
+        if self.multi_pool_router.quota_client and self.multi_pool_router.quota_client.fresh:
             self.effects += self._request_quota(now)  # a budget that nothing is held of waits for no timer
         if exceeded is not None:
             self.rejected_by_limit[exceeded.limit] = self.rejected_by_limit.get(exceeded.limit, 0) + 1
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from test_force import Played
+from test_pool_routing import PlanScenario
 
 from quartzrouter.fault_scenarios.sharing import FEW, Fault, play
 from quartzrouter.fleet_health import aggregator as module
@@ -203,51 +203,53 @@
 # -- at a router, and between processes ----------------------------------------------------------------------
 
 
-def asked(played, reqs):
+def asked(scenario, reqs):
     """Which caches some reqs go to, all answered well or not, by cache."""
     found = Counter()
     for n in range(reqs):
-        played.now += 10_000
-        answer = played.req(f"/x{n}")
+        scenario.now += 10_000
+        answer = scenario.request(f"/x{n}")
         found[answer.endpoint] += 1
-        played.end(AttemptStatus.SUCCEEDED)
+        scenario.finish(AttemptStatus.SUCCEEDED)
     return found
 
 
 def test_hearsay_leaves_a_cache_out_until_it_ends():
-    played = Played()
+    scenario = PlanScenario()
     caches = {
         sight.cache
-        for sight in played.force.health_observations(played.now).values()
+        for sight in scenario.router.health_observations(scenario.now).values()
         if sight.cache.startswith("n")
     }
     bad = sorted(caches)[0]
-    assert set(asked(played, 80)) == caches
-    played.now += S
-    played.force.set_ejected_by_peers({bad: played.now + 5 * S}, played.now)
-    assert set(asked(played, 80)) == caches - {bad}
-    played.now += 5 * S
-    assert bad in asked(played, 80)
-    played.now += S
-    played.force.set_ejected_by_peers({bad: played.now + 5 * S}, played.now)
-    played.force.set_ejected_by_peers({}, played.now)  # others have nothing against it any more
-    assert bad in asked(played, 80)
+    assert set(asked(scenario, 80)) == caches
+    scenario.now += S
+    scenario.router.set_ejected_by_peers({bad: scenario.now + 5 * S}, scenario.now)
+    assert set(asked(scenario, 80)) == caches - {bad}
+    scenario.now += 5 * S
+    assert bad in asked(scenario, 80)
+    scenario.now += S
+    scenario.router.set_ejected_by_peers({bad: scenario.now + 5 * S}, scenario.now)
+    scenario.router.set_ejected_by_peers({}, scenario.now)  # others have nothing against it any more
+    assert bad in asked(scenario, 80)
 
 
 def test_what_a_router_saw_itself_lately_goes_first():
-    played = Played()
-    bad = sorted(asked(played, 80))[0]
-    played.force.set_ejected_by_peers({bad: played.now + 5 * S}, played.now)  # it served well a moment ago
-    assert bad in asked(played, 80)
-    assert played.force.health_observations(played.now)[bad].completed > 0
+    scenario = PlanScenario()
+    bad = sorted(asked(scenario, 80))[0]
+    scenario.router.set_ejected_by_peers(
+        {bad: scenario.now + 5 * S}, scenario.now
+    )  # it served well a moment ago
+    assert bad in asked(scenario, 80)
+    assert scenario.router.health_observations(scenario.now)[bad].completed > 0
 
 
 def test_all_caches_left_out_is_as_none():
-    played = Played()
-    names = set(asked(played, 80))
-    played.now += S
-    played.force.set_ejected_by_peers(dict.fromkeys(names, played.now + 5 * S), played.now)
-    assert asked(played, 40)
+    scenario = PlanScenario()
+    names = set(asked(scenario, 80))
+    scenario.now += S
+    scenario.router.set_ejected_by_peers(dict.fromkeys(names, scenario.now + 5 * S), scenario.now)
+    assert asked(scenario, 40)
 
 
 SHAPE = replace(
--- a/tests/test_force.py
+++ b/tests/test_pool_routing.py
@@ -1,4 +1,4 @@
-"""Limits, pools and a plan in force, played by hand: no I/O, no clock but the one handed in."""
+"""Limits, pools and a plan in force, scenario by hand: no I/O, no clock but the one handed in."""
 
 import random
 from dataclasses import replace
@@ -29,7 +29,7 @@
 )
 
 
-def test_a_rate_lets_its_burst_through_and_then_its_pace():
+def test_a_rate_limit_admits_its_burst_and_then_its_rate():
     limits = RateLimiter({"r": Limit("r", "all", rate=10.0, burst=5)})
     through = [n for n in range(100) if limits.admit(n, [LimitKey("r", "")], 1.0, n * 10 * MS) is None]
     assert through[:5] == [0, 1, 2, 3, 4]
@@ -41,7 +41,7 @@
 
 @settings(max_examples=100)
 @given(st.integers(1, 50), st.integers(1, 20), st.lists(st.integers(0, 200), min_size=1, max_size=80))
-def test_no_time_sees_more_than_the_burst_and_the_pace(rate, burst, gaps):
+def test_no_interval_admits_more_than_the_burst_and_the_rate(rate, burst, gaps):
     limits, now, taken = RateLimiter({"r": Limit("r", "all", rate=float(rate), burst=burst)}), 0, []
     for n, gap in enumerate(gaps):
         now += gap * MS
@@ -52,7 +52,7 @@
             assert count <= burst + rate * (until - since) / S + 1e-6
 
 
-def test_all_limits_or_none_are_charged_and_reqs_give_back_once():
+def test_all_limits_or_none_are_charged_and_requests_release_them_once():
     limits = RateLimiter({"a": Limit("a", "all", concurrent=3), "b": Limit("b", "all", concurrent=1)})
     both = [LimitKey("a", ""), LimitKey("b", "")]
     assert limits.admit(1, both, 1.0, 0) is None
@@ -64,7 +64,7 @@
     assert limits.admit(9, [LimitKey("a", "")], 1.0, 0).limit == "a"
 
 
-def test_a_share_is_kept_free_for_more_value():
+def test_a_share_of_a_limit_is_kept_free_for_higher_priority():
     limits = RateLimiter({"a": Limit("a", "all", concurrent=10, keep_free=0.3, below=5.0)})
     cheap = sum(limits.admit(n, [LimitKey("a", "")], 1.0, 0) is None for n in range(20))
     dear = sum(limits.admit(100 + n, [LimitKey("a", "")], 5.0, 0) is None for n in range(20))
@@ -127,7 +127,7 @@
     assert back * 50 * MS >= S - 50 * MS
 
 
-def test_the_fullest_serves_where_all_are_short():
+def test_the_first_pool_with_any_cache_serves_where_all_are_short():
     pools = fallback()
     assert (
         pools.serving("first", lambda name: {"first": CacheCount(1, 4), "second": CacheCount(0, 3)}[name], 0)
@@ -198,21 +198,19 @@
 }"""
 
 
-class Played:
-    """A plan in force, and the reqs of a few hands."""
+class PlanScenario:
+    """Drives a MultiPoolRouter under a plan step by step."""
 
     def __init__(self, text=PLAN):
         from quartzrouter.configuration import Configuration
 
         self.plan = self.load(text)
         configuration = Configuration(compiled(self.plan), {}, needs_discovery=False)
-        self.force, self.now, self.ids, self.hops = (
-            MultiPoolRouter(self.plan, configuration.settings.router_arguments),
-            10 * S,
-            0,
-            {},
-        )
-        self.list(self.plan)
+        self.router = MultiPoolRouter(self.plan, configuration.settings.router_arguments)
+        self.now = 10 * S
+        self.last_id = 0
+        self.attempt_numbers = {}  # by request id, of its last attempt
+        self.update_endpoints(self.plan)
 
     @staticmethod
     def load(text):
@@ -220,7 +218,7 @@
         assert loaded.plan, [fault.shown() for fault in loaded.faults.errors]
         return loaded.plan
 
-    def list(self, plan, **states):
+    def update_endpoints(self, plan, **states):
         lines = [
             Endpoint(
                 name,
@@ -234,167 +232,171 @@
             )
             for name, cache in plan.caches.items()
         ]
-        self.force.update_endpoints(lines, True, self.now)
+        self.router.update_endpoints(lines, True, self.now)
 
-    def req(self, path, client="c"):
-        self.ids += 1
-        ruling = self.force.select_route(Asked("north", "", path, "GET", {}, {}), client)
-        denied = self.force.admit(self.ids, ruling, self.now)
+    def request(self, path, client="c"):
+        self.last_id += 1
+        selection = self.router.select_route(Asked("north", "", path, "GET", {}, {}), client)
+        denied = self.router.admit(self.last_id, selection, self.now)
         if denied:
             return Reject(denied.come_back)
         from quartzrouter.pool_routing.route_selection import vhost_name
 
         req = Request(
-            self.ids,
-            vhost_name(ruling.route),
-            ruling.obj,
-            ruling.group,
-            ruling.part,
+            self.last_id,
+            vhost_name(selection.route),
+            selection.obj,
+            selection.group,
+            selection.part,
             0.0,
             3 * S,
-            max_attempts=self.force.max_attempts(ruling),
+            max_attempts=self.router.max_attempts(selection),
         )
-        return self.told(self.force.route(req, self.now))
+        return self._take(self.router.route(req, self.now))
 
-    def told(self, answer, id=None):
-        id = id or self.ids
+    def _take(self, answer, id=None):
+        id = id or self.last_id
         if isinstance(answer, Forward):
-            self.hops[id] = answer.attempt_number
+            self.attempt_numbers[id] = answer.attempt_number
         elif isinstance(answer, Reject | Fail) or answer is None:
-            self.force.release(id)
+            self.router.release(id)
         return answer
 
-    def end(self, ending, id=None):
-        id = id or self.ids
-        outcome = AttemptResult(self.hops[id], ending, 50 * MS, final=ending is AttemptStatus.SUCCEEDED)
-        return self.told(self.force.attempt_finished(id, outcome, self.now), id)
+    def finish(self, ending, id=None):
+        id = id or self.last_id
+        outcome = AttemptResult(
+            self.attempt_numbers[id], ending, 50 * MS, final=ending is AttemptStatus.SUCCEEDED
+        )
+        return self._take(self.router.attempt_finished(id, outcome, self.now), id)
 
 
 @pytest.fixture
-def played():
-    return Played()
+def scenario():
+    return PlanScenario()
 
 
-def test_a_route_goes_to_its_pool_under_its_policy(played):
-    assert played.req("/far/a").endpoint.startswith("s")
-    assert played.req("/a").endpoint.startswith("n")
-    assert played.req("/shut/a") == Reject(2 * S)  # nine seconds are asked for, two may be named
-    answer = played.req("/once/a")
+def test_a_route_goes_to_its_pool_under_its_policy(scenario):
+    assert scenario.request("/far/a").endpoint.startswith("s")
+    assert scenario.request("/a").endpoint.startswith("n")
+    assert scenario.request("/shut/a") == Reject(2 * S)  # nine seconds are asked for, two may be named
+    answer = scenario.request("/once/a")
     assert answer.endpoint.startswith("n") and answer.cache_priority == 0
-    assert not isinstance(played.end(AttemptStatus.CONNECTION_LOST), Forward)  # a second one isn't permitted
-    again = played.req("/a")
-    assert isinstance(again, Forward) and isinstance(played.end(AttemptStatus.CONNECTION_LOST), Forward)
+    assert not isinstance(
+        scenario.finish(AttemptStatus.CONNECTION_LOST), Forward
+    )  # a second one isn't permitted
+    again = scenario.request("/a")
+    assert isinstance(again, Forward) and isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST), Forward)
 
 
-def test_a_budget_lets_few_further_dispatches_through(played):
+def test_a_retry_budget_allows_few_retries(scenario):
     further = 0
     for n in range(300):
-        played.now += 5 * MS
-        played.req(f"/poor/{n}")
-        answer = played.end(AttemptStatus.CONNECTION_LOST if n % 2 else AttemptStatus.SUCCEEDED)
+        scenario.now += 5 * MS
+        scenario.request(f"/poor/{n}")
+        answer = scenario.finish(AttemptStatus.CONNECTION_LOST if n % 2 else AttemptStatus.SUCCEEDED)
         if isinstance(answer, Forward):
             further += 1
-            played.end(AttemptStatus.SUCCEEDED)
+            scenario.finish(AttemptStatus.SUCCEEDED)
     assert 10 <= further <= 10 + 300 * 0.1 + 1
 
 
-def test_limits_turn_away_before_a_dispatch_and_are_given_back(played):
-    first = [played.req("/few/a"), played.req("/few/b"), played.req("/few/c")]
+def test_limits_reject_before_an_attempt_and_are_released(scenario):
+    first = [scenario.request("/few/a"), scenario.request("/few/b"), scenario.request("/few/c")]
     assert [type(answer) for answer in first] == [Forward, Forward, Reject]
-    played.end(AttemptStatus.SUCCEEDED, 1)
-    played.force.release(1)
-    assert isinstance(played.req("/few/d"), Forward)
-    assert isinstance(played.req("/slow/a", "x"), Forward)
-    assert played.req("/slow/b", "x") == Reject(500 * MS)
-    assert isinstance(played.req("/slow/b", "y"), Forward)
-
-
-def test_the_fallback_stands_in_and_comes_back(played):
-    played.list(played.plan, n1="draining", n2="draining")
-    assert played.req("/a").endpoint.startswith("s")
-    played.list(played.plan)
-    played.now += 100 * MS
-    assert played.req("/a").endpoint.startswith("s")
-    played.now += 900 * MS
-    assert played.req("/a").endpoint.startswith("s")
-    played.now += 200 * MS
-    assert played.req("/a").endpoint.startswith("n")
-
-
-def test_a_new_plan_keeps_what_was_learnt_and_ends_what_is_in_hand(played):
-    answer = played.req("/a")
-    router = played.force.pool_routers["near"].router
-    played.force.record_purge(None, "00" * 8, 0, played.now)
+    scenario.finish(AttemptStatus.SUCCEEDED, 1)
+    scenario.router.release(1)
+    assert isinstance(scenario.request("/few/d"), Forward)
+    assert isinstance(scenario.request("/slow/a", "x"), Forward)
+    assert scenario.request("/slow/b", "x") == Reject(500 * MS)
+    assert isinstance(scenario.request("/slow/b", "y"), Forward)
+
+
+def test_the_fallback_serves_until_the_pool_has_recovered(scenario):
+    scenario.update_endpoints(scenario.plan, n1="draining", n2="draining")
+    assert scenario.request("/a").endpoint.startswith("s")
+    scenario.update_endpoints(scenario.plan)
+    scenario.now += 100 * MS
+    assert scenario.request("/a").endpoint.startswith("s")
+    scenario.now += 900 * MS
+    assert scenario.request("/a").endpoint.startswith("s")
+    scenario.now += 200 * MS
+    assert scenario.request("/a").endpoint.startswith("n")
+
+
+def test_a_new_plan_keeps_what_was_learnt_and_finishes_requests_in_flight(scenario):
+    answer = scenario.request("/a")
+    router = scenario.router.pool_routers["near"].router
+    scenario.router.record_purge(None, "00" * 8, 0, scenario.now)
     text = PLAN.replace("pools: {", 'pools: { third: { stores: ["north", "south"] },')
     text = text.replace(
         'path: "/few/**" }, vhost: "page", pool: "near"', 'path: "/few/**" }, vhost: "page", pool: "third"'
     )
-    played.force.replace(played.load(text), played.now)
-    assert played.force.pool_routers["near"].router is router
-    third = played.force.pool_routers["third"].router
+    scenario.router.replace(scenario.load(text), scenario.now)
+    assert scenario.router.pool_routers["near"].router is router
+    third = scenario.router.pool_routers["third"].router
     assert third.freshness.purged_at == router.freshness.purged_at and third.endpoints.locations == (
         "north",
         "south",
     )
-    assert isinstance(played.end(AttemptStatus.CONNECTION_LOST, 1), Forward)
-    assert played.end(AttemptStatus.SUCCEEDED, 1) is None and not played.force.router_of
+    assert isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST, 1), Forward)
+    assert scenario.finish(AttemptStatus.SUCCEEDED, 1) is None and not scenario.router.router_of
     assert answer.endpoint.startswith("n")
 
 
-def test_a_plan_that_takes_a_pool_away_ends_its_reqs(played):
-    played.req("/far/a")
-    far = played.force.pool_routers["far"]
+def test_a_plan_without_a_pool_finishes_the_requests_of_that_pool(scenario):
+    scenario.request("/far/a")
+    far = scenario.router.pool_routers["far"]
     text = PLAN.replace('far: { stores: "south" },', "").replace(
         'near: { fallback: "far", at_least: 2, back_after: 1s },', "near: {},"
     )
     text = text.replace('pool: "far"', 'pool: "near"')
     for _ in range(2):  # twice within a second
-        played.force.replace(played.load(text), played.now)
-    assert played.force.leaving == [far]
-    assert isinstance(played.end(AttemptStatus.CONNECTION_LOST, 1), Forward)
-    assert played.end(AttemptStatus.SUCCEEDED, 1) is None
-    assert played.force.leaving == [] and not played.force.router_of and not played.force.selections
-    assert played.req("/far/a").endpoint.startswith("n")
-
-
-def sent_cold(played, change):
-    """Dispatches to a cold cache within a window, with a change of the plan in its middle."""
-    played.list(played.plan)
-    for name, line in list(played.force.endpoints.items()):
+        scenario.router.replace(scenario.load(text), scenario.now)
+    assert scenario.router.leaving == [far]
+    assert isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST, 1), Forward)
+    assert scenario.finish(AttemptStatus.SUCCEEDED, 1) is None
+    assert scenario.router.leaving == [] and not scenario.router.router_of and not scenario.router.selections
+    assert scenario.request("/far/a").endpoint.startswith("n")
+
+
+def sent_to_slow_start(scenario, change):
+    """Counts attempts at a cache in slow start within a window, with a change of the plan in its middle."""
+    scenario.update_endpoints(scenario.plan)
+    for name, line in list(scenario.router.endpoints.items()):
         if name == "n1":
-            played.force.update_endpoints([replace(line, started_at=played.now)], False, played.now)
+            scenario.router.update_endpoints([replace(line, started_at=scenario.now)], False, scenario.now)
     sent = 0
     for n in range(400):
         if n == 200:
             change()
-        played.now += 2 * MS
-        answer = played.req(f"/{n}")
+        scenario.now += 2 * MS
+        answer = scenario.request(f"/{n}")
         sent += isinstance(answer, Forward) and answer.endpoint == "n1"
         if isinstance(answer, Forward):
-            played.end(AttemptStatus.SUCCEEDED)
+            scenario.finish(AttemptStatus.SUCCEEDED)
     return sent
 
 
-def test_a_cold_cache_is_not_pushed_over_by_new_pools():
+def test_a_cache_in_slow_start_is_not_overloaded_by_new_pools():
     pools = "".join(f'm{n}: {{ stores: "north" }}, ' for n in range(4))
     routes = "".join(
         f'm{n}: {{ match: {{ path: "/*{n}" }}, vhost: "page", pool: "m{n}" }}, ' for n in range(4)
     )
     text = PLAN.replace("pools: {", "pools: { " + pools).replace("routes: {", "routes: { " + routes)
-    steady, changed = Played(), Played()
-    before = sent_cold(steady, lambda: None)
-    after = sent_cold(changed, lambda: changed.force.replace(changed.load(text), changed.now))
+    steady, changed = PlanScenario(), PlanScenario()
+    before = sent_to_slow_start(steady, lambda: None)
+    after = sent_to_slow_start(changed, lambda: changed.router.replace(changed.load(text), changed.now))
     assert 0 < after <= before
     routers = {
         pool_router.router.slow_start.budgets[Tier.CACHE].terms.routers
-        for pool_router in changed.force.pool_routers.values()
+        for pool_router in changed.router.pool_routers.values()
     }
     assert routers == {6}  # one router, six pools
-    assert {pool_router.router.fills.routers for pool_router in changed.force.pool_routers.values()} == {6}
+    assert {pool_router.router.fills.routers for pool_router in changed.router.pool_routers.values()} == {6}
 
 
-def test_a_pool_that_goes_with_nothing_in_hand_leaves_at_once(played):
+def test_the_router_of_a_removed_pool_without_requests_leaves_at_once(scenario):
     text = PLAN.replace('far: { stores: "south" },', 'other: { stores: "south" },')
     text = text.replace('"far"', '"other"')
-    played.force.replace(played.load(text), played.now)
-    assert played.force.leaving == [] and set(played.force.pool_routers) == {"near", "other"}
+    scenario.router.replace(scenario.load(text), scenario.now)
+    assert scenario.router.leaving == [] and set(scenario.router.pool_routers) == {"near", "other"}
