--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -16,7 +16,7 @@
 import time
 from pathlib import Path
 
-from quartzrouter.fakes.loopback import PORTS, Client, begin
+from quartzrouter.fakes.loopback import PORT_RANGE, Client, begin_request_record
 from quartzrouter.server import fastcgi
 
 ROUTERS = 20
@@ -82,8 +82,8 @@
 def health(port: int) -> bool:
     """Whether /health answers 200, over FastCGI on a connection of its own."""
     params = (fastcgi.RecordType.PARAMS, b"\x0b\x07SCRIPT_NAME/health")
-    ask = Client.records_of(
-        begin(), params, (fastcgi.RecordType.PARAMS, b""), (fastcgi.RecordType.STDIN, b"")
+    ask = Client.encode_records(
+        begin_request_record(), params, (fastcgi.RecordType.PARAMS, b""), (fastcgi.RecordType.STDIN, b"")
     )
     try:
         with socket.create_connection(("127.0.0.1", port), 1) as connection:
@@ -94,7 +94,7 @@
 
 
 def main(routers: int) -> None:
-    ports = random.SystemRandom().sample(range(*PORTS), routers)
+    ports = random.SystemRandom().sample(range(*PORT_RANGE), routers)
     with tempfile.TemporaryDirectory() as name:
         path = Path(name) / "config.json"
         path.write_text(json.dumps(configuration()))
--- a/quartzrouter/fakes/caches.py
+++ b/quartzrouter/fakes/caches.py
@@ -13,7 +13,7 @@
 
 import anyio
 
-from quartzrouter.fakes.loopback import Server, heads, tag
+from quartzrouter.fakes.loopback import Server, request_heads, tag_of_target
 from quartzrouter.purges.messages import Purge
 from quartzrouter.purges.purge_index import ANY_STORE, PurgeIndex, PurgeLookup
 from quartzrouter.server.clock import wall_clock
@@ -109,7 +109,7 @@
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
         """Serves one connection."""
         async with stream:
-            async for head in heads(stream):
+            async for head in request_heads(stream):
                 request_line, *header_lines = head.decode("latin-1").split("\r\n")
                 method, target, _ = request_line.split(" ", 2)
                 try:
@@ -134,7 +134,7 @@
             return _response(504, {"X-No-Effect": "0", "X-Tell": "up_lost"}, b"")
         age_on_receipt = received_at - copy.made_at  # negative: made since
         response_headers = {
-            "X-Tag": tag(target.encode()).decode(),
+            "X-Tag": tag_of_target(target.encode()).decode(),
             "X-Minted": str(copy.minted_at // MILLISECOND),
             "X-Tell": outcome,
             "Cache-Tag": copy.tags,
--- a/quartzrouter/fakes/loopback.py
+++ b/quartzrouter/fakes/loopback.py
@@ -1,4 +1,4 @@
-"""A client that speaks FastCGI, and caches that answer over HTTP/1.1, by the public pages of both."""
+"""A client that speaks FastCGI, and caches that respond over HTTP/1.1, by the public pages of both."""
 
 import random
 import zlib
@@ -8,90 +8,132 @@
 import anyio
 
 from quartzrouter.server import fastcgi
+from quartzrouter.server.fastcgi import RecordType
 from quartzrouter.server.ring_buffer import RingBuffer
 
-TAG = b"4be0c1927d55a6f3"
-MARKS = b"X-Tag: " + TAG + b"\r\nX-Minted: 1764576000123\r\n"
-PORTS = 20_000, 32_000
-WHOLE = b"HTTP/1.1 200 OK\r\n" + MARKS + b"Content-Length: 5\r\n\r\nabcde"
+COPY_TAG = b"4be0c1927d55a6f3"  # stands in a response until it is replaced by its target's
+COPY_HEADERS = b"X-Tag: " + COPY_TAG + b"\r\nX-Minted: 1764576000123\r\n"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\n" + COPY_HEADERS + b"Content-Length: 5\r\n\r\nabcde"
+HEALTH_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
+PORT_RANGE = 20_000, 32_000  # below the ports that the system gives to connections
+CLIENT_BUFFER_SIZE = 1 << 16  # bytes
+MAX_STDIN_CONTENT = 60_000  # bytes in a record of a request's body
 
 
-def tag(target: bytes) -> bytes:
-    """Of a part, and of no other: caches tell their copies apart by it."""
+def tag_of_target(target: bytes) -> bytes:
+    """The tag of a chunk's copy, and of no other's: copies are told apart by it."""
     return b"%016x" % zlib.crc32(target)
 
 
-def tagged(answer: bytes, head: bytes) -> bytes:
-    """The answer to a req, with the tag of the part that it names."""
-    return answer.replace(TAG, tag(head.split(b" ", 2)[1]))
+def with_tag_of_request(response: bytes, request_head: bytes) -> bytes:
+    """The response, with the tag of the chunk that the request names."""
+    target = request_head.split(b" ", 2)[1]
+    return response.replace(COPY_TAG, tag_of_target(target))
 
 
-def begin(role=fastcgi.ROLE_RESPONDER):
-    return fastcgi.RecordType.BEGIN_REQUEST, bytes((0, role, fastcgi.FLAG_KEEP_CONNECTION, 0, 0, 0, 0, 0))
+def begin_request_record(role: int = fastcgi.ROLE_RESPONDER) -> tuple[RecordType, bytes]:
+    """Type and content of a BEGIN_REQUEST that keeps its connection."""
+    return RecordType.BEGIN_REQUEST, fastcgi.BEGIN_REQUEST_BODY.pack(role, fastcgi.FLAG_KEEP_CONNECTION)
 
 
 class Client:
-    """Speaks FastCGI, and shows what comes back."""
+    """A front server with one connection.
 
-    def __init__(self, stream):
-        self.stream, self.ring, self.said = stream, RingBuffer(1 << 16), {}
-        self.records = fastcgi.RecordReader(self.ring)
-
-    async def begin(self, id, *arguments, **other):
-        await self.stream.send(self.req(id, *arguments, **other))
+    :param stream: an anyio byte stream to a router.
+    """
 
-    def req(self, id, path="/rpc/page", body=b"", role=1, whole=True, **other):
-        fields = {
+    def __init__(self, stream: anyio.abc.ByteStream):
+        self.stream = stream
+        self._buffer = RingBuffer(CLIENT_BUFFER_SIZE)
+        self._records = fastcgi.RecordReader(self._buffer)
+        self._partial_responses: dict[int, bytes] = {}  # by FastCGI id
+
+    async def send_request(self, id, *arguments, **keywords) -> None:
+        """Sends a request; arguments as ``encode_request``."""
+        await self.stream.send(self.encode_request(id, *arguments, **keywords))
+
+    def encode_request(
+        self,
+        id: int,
+        path: str = "/rpc/page",
+        body: bytes = b"",
+        role: int = fastcgi.ROLE_RESPONDER,
+        whole: bool = True,
+        **params: str | None,
+    ) -> bytes:
+        """Encodes a request for an object of its own.
+
+        :param id: its FastCGI id, and what its object and correlation id are made of.
+        :param whole: False leaves the end of the body out.
+        :param params: CGI parameters beside, or instead of, the usual ones; None leaves one out.
+        """
+        all_params = {
             "SCRIPT_NAME": path,
             "HTTP_X_CORRELATION_ID": f"{id:016x}",
             "HTTP_X_DEADLINE_MS": "1000",
             "HTTP_X_SUBJECT": f"{id:016x}",
             "HTTP_X_CHUNK": "0",
             "HTTP_X_TAG": "5",
-        } | other
-        params = b"".join(
-            bytes((len(k), len(v))) + k.encode() + v.encode() for k, v in fields.items() if v is not None
+        } | params
+        encoded_params = b"".join(
+            bytes((len(name), len(value))) + name.encode() + value.encode()
+            for name, value in all_params.items()
+            if value is not None
         )
-        pieces = [
-            begin(role),
-            (fastcgi.RecordType.PARAMS, params),
-            (fastcgi.RecordType.PARAMS, b""),
+        records = [
+            begin_request_record(role),
+            (RecordType.PARAMS, encoded_params),
+            (RecordType.PARAMS, b""),
         ]
-        pieces += [(fastcgi.RecordType.STDIN, body[at : at + 60_000]) for at in range(0, len(body), 60_000)]
-        return self.records_of(*pieces, *([(fastcgi.RecordType.STDIN, b"")] if whole else []), id=id)
+        for start in range(0, len(body), MAX_STDIN_CONTENT):
+            records.append((RecordType.STDIN, body[start : start + MAX_STDIN_CONTENT]))
+        if whole:
+            records.append((RecordType.STDIN, b""))
+        return self.encode_records(*records, id=id)
 
     @staticmethod
-    def records_of(*pieces, id=1):
-        return b"".join(fastcgi.encode_record(kind, id, data) for kind, data in pieces)
+    def encode_records(*records: tuple[int, bytes], id: int = 1) -> bytes:
+        """Encodes records, each given as type and content."""
+        return b"".join(fastcgi.encode_record(record_type, id, content) for record_type, content in records)
 
-    async def send(self, *pieces, id=1):
-        await self.stream.send(self.records_of(*pieces, id=id))
+    async def send_records(self, *records: tuple[int, bytes], id: int = 1) -> None:
+        """Sends records, each given as type and content."""
+        await self.stream.send(self.encode_records(*records, id=id))
 
-    async def end(self):
-        """The next answer: its record id, what it says, how it ended; or that the connection is closed."""
-        said = self.said
+    async def receive_response(self) -> str:
+        """Waits for the next response.
+
+        :returns: its FastCGI id, status, the body's first 40 bytes and how it ended (application and
+            protocol status), in words; another record in words; "closed" at the end of the connection.
+        """
         while True:
-            while record := self.records.next():
-                if record.record_type == fastcgi.RecordType.STDOUT:
-                    said[record.request_id] = said.get(record.request_id, b"") + record.content
-                elif record.record_type == fastcgi.RecordType.END_REQUEST:
-                    status, _, body = said.pop(record.request_id, b"").partition(b"\r\n")
-                    body = body.rpartition(b"\r\n\r\n")[2]
-                    status = status.decode()
-                    ended = f"end {record.content[3]} {record.content[4]}"
-                    return f"{record.request_id}: {status} {body[:40]} {ended}"
+            while record := self._records.next():
+                if record.record_type == RecordType.STDOUT:
+                    before = self._partial_responses.get(record.request_id, b"")
+                    self._partial_responses[record.request_id] = before + record.content
+                elif record.record_type == RecordType.END_REQUEST:
+                    return self._describe_response(record)
                 else:
                     return f"record of kind {record.record_type}: {record.content}"
             try:
-                self.ring.put(await self.stream.receive(self.ring.free))
+                self._buffer.put(await self.stream.receive(self._buffer.free))
             except (anyio.EndOfStream, anyio.BrokenResourceError):
                 return "closed"
 
+    def _describe_response(self, end: fastcgi.Record) -> str:
+        response = self._partial_responses.pop(end.request_id, b"")
+        status, _, headers_and_body = response.partition(b"\r\n")
+        body = headers_and_body.rpartition(b"\r\n\r\n")[2]
+        app_status = end.content[3]
+        protocol_status = end.content[4]
+        ended = f"end {app_status} {protocol_status}"
+        return f"{end.request_id}: {status.decode()} {body[:40]} {ended}"
+
 
-async def free_port():
+async def free_port() -> int:
     """A port that nobody listens at, below those that the system gives to connections."""
     while True:
-        port = random.SystemRandom().randrange(*PORTS)
+        port = random.SystemRandom().randrange(*PORT_RANGE)
         try:
             async with await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port):
                 return port
@@ -107,10 +149,14 @@
 
     @property
     def address(self) -> str:
+        """Host and port, as a configuration names them."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> str:
-        """Listens, at the port it had before if any; gives the address."""
+        """Listens, at the port that it had before if any.
+
+        :returns: the address.
+        """
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=self.port)
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
         self.scope = anyio.CancelScope()
@@ -123,44 +169,47 @@
         await listener.aclose()
 
     def stop(self) -> None:
-        """Its process dies: connections are reset, new ones refused."""
+        """Ends it as if its process died: connections are reset, new ones refused."""
         self.scope.cancel()
 
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
+        """Serves one connection to its end."""
         raise NotImplementedError
 
 
 class Cache(Server):
-    """A cache that answers after a while; counts what it was asked and how much at once.
+    """A cache that responds after a while, and counts its requests.
 
-    :param delay: s before each answer.
+    :param delay: gives the seconds before each response.
     """
 
     def __init__(self, delay: Callable[[], float]):
         self.delay = delay
-        self.asked: Counter[str] = Counter()  # by hop id
-        self.open = self.most = 0
+        self.request_counts: Counter[str] = Counter()  # by the id that attempts carry
+        self.open_requests = 0
+        self.max_open_requests = 0
 
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
+        """Serves one connection to its end."""
         async with stream:
-            async for head in heads(stream):
+            async for head in request_heads(stream):
                 if head.startswith(b"GET /alive"):
-                    await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+                    await stream.send(HEALTH_RESPONSE)
                     continue
-                self.asked[head.partition(b"X-Hop-Id: ")[2][:16].decode()] += 1
-                self.open += 1
-                self.most = max(self.most, self.open)
+                self.request_counts[head.partition(b"X-Hop-Id: ")[2][:16].decode()] += 1
+                self.open_requests += 1
+                self.max_open_requests = max(self.max_open_requests, self.open_requests)
                 try:
                     await anyio.sleep(self.delay())
-                    await stream.send(tagged(WHOLE, head))
+                    await stream.send(with_tag_of_request(OK_RESPONSE, head))
                 except (anyio.BrokenResourceError, anyio.ClosedResourceError):
                     return
                 finally:
-                    self.open -= 1
+                    self.open_requests -= 1
 
 
-async def heads(stream: anyio.abc.ByteStream) -> AsyncIterator[bytes]:
-    """The head of each req on a connection, without a body, until it ends."""
+async def request_heads(stream: anyio.abc.ByteStream) -> AsyncIterator[bytes]:
+    """Yields the head of each request on a connection, until it ends; requests have no body."""
     data = b""
     while True:
         try:
@@ -172,8 +221,11 @@
         yield head
 
 
-async def listen(tasks: anyio.abc.TaskGroup, handler: Callable) -> str:
-    """Serves connections with the handler; gives the address."""
+async def start_server(tasks: anyio.abc.TaskGroup, handler: Callable) -> str:
+    """Serves connections with the handler, at a port of its own.
+
+    :returns: the address.
+    """
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
     tasks.start_soon(listener.serve, handler)
     return f"127.0.0.1:{listener.extra(anyio.abc.SocketAttribute.local_port)}"
--- a/quartzrouter/fault_harness/counting_cache.py
+++ b/quartzrouter/fault_harness/counting_cache.py
@@ -6,7 +6,7 @@
 import anyio
 
 from quartzrouter.fakes.caches import CONNECTION_LOST
-from quartzrouter.fakes.loopback import WHOLE, Server, tagged
+from quartzrouter.fakes.loopback import OK_RESPONSE, Server, with_tag_of_request
 from quartzrouter.fault_harness.history import History
 
 ALIVE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
@@ -54,7 +54,7 @@
             else:
                 await anyio.sleep(delay)
             wrong = self.chance.random() < self.bad
-            await stream.send(LOST_ANSWER if wrong else tagged(WHOLE, head))
+            await stream.send(LOST_ANSWER if wrong else with_tag_of_request(OK_RESPONSE, head))
             how = "failed" if wrong else "answered"
         finally:
             self.history.add("leave", self.name, path=path, how=how)
--- a/quartzrouter/fault_harness/load_generator.py
+++ b/quartzrouter/fault_harness/load_generator.py
@@ -58,9 +58,9 @@
         fields["HTTP_X_CORRELATION_ID"] = None
         self.history.add("send", self.path, path=path)
         try:
-            await client.begin(1, path=path, **fields)
+            await client.send_request(1, path=path, **fields)
             with anyio.fail_after(GIVEN_UP):
-                said = await client.end()
+                said = await client.receive_response()
         except CONNECTION_LOST:
             said = "closed"
         except TimeoutError:
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -243,8 +243,8 @@
             async def ask(first: int) -> None:
                 client = Client(await _connect(told["port"]))
                 for id in range(first, first + EACH):
-                    await client.begin(id, path=f"/{chance.randrange(40)}", HTTP_X_DEADLINE_MS="3000")
-                    said = await client.end()
+                    await client.send_request(id, path=f"/{chance.randrange(40)}", HTTP_X_DEADLINE_MS="3000")
+                    said = await client.receive_response()
                     ends[
                         "200"
                         if "200 OK" in said
@@ -277,15 +277,15 @@
             os.kill(os.getpid(), signal.SIGTERM)
             await put(SITE.format(**told | {"crowd": 1}))  # a plan replaced during SIGTERM
             last = Client(await _connect(told["port"]))
-            await last.begin(50_000, path="/late")
-            ends["200" if "200 OK" in await last.end() else "late req not answered"] += 1
+            await last.send_request(50_000, path="/late")
+            ends["200" if "200 OK" in await last.receive_response() else "late req not answered"] += 1
             with anyio.move_on_after(STOPPED_WITHIN):
                 await router.wait()
             tally.expect(router.is_set(), "the router didn't stop")
             tasks.cancel_scope.cancel()
     lines = [json.loads(line) for line in out.getvalue().splitlines()]
     asked = ASKERS * EACH + 1
-    most = max(cache.most for cache in caches.values())
+    most = max(cache.max_open_requests for cache in caches.values())
     faults = [line["event"] for line in lines if line["kind"] == "fault"]
     told_once = sum("nothing changes" in line["event"] for line in lines)
     hand = sum(ends[end] for end in ("200", "denied"))
--- a/quartzrouter/fault_scenarios/purges.py
+++ b/quartzrouter/fault_scenarios/purges.py
@@ -219,7 +219,7 @@
                 sent = process.wall_clock()
                 fields = {"HTTP_X_SUBJECT": None, "HTTP_X_CHUNK": None, "HTTP_X_DEADLINE_MS": "3000"}
                 fields["HTTP_X_CORRELATION_ID"] = f"{id:016x}"
-                await client.begin(1, path=path, **fields)
+                await client.send_request(1, path=path, **fields)
                 with anyio.fail_after(4):
                     said = await self._end(client)
             except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
@@ -243,7 +243,7 @@
     @staticmethod
     async def _end(client: Client) -> tuple[str, bytes] | None:
         """Its status and the start of its body."""
-        said = await client.end()
+        said = await client.receive_response()
         found = re.match(r"\d+: Status: (\d+) .*? b'(.*)' end", said) or re.match(
             r"\d+: Status: (\d+)()", said
         )
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Parties for the tests over loopback: a client that speaks FastCGI, a cache, a journal service."""
+"""Parties for the tests over loopback: a client that speaks FastCGI, a cache, a discovery service."""
 
 import json
 
@@ -6,58 +6,96 @@
 from conftest import SETUP
 
 from quartzrouter.configuration import Configuration, read
-from quartzrouter.fakes.loopback import MARKS, TAG, WHOLE, Client, begin, free_port, heads, listen, tagged
+from quartzrouter.fakes.loopback import (
+    COPY_HEADERS,
+    COPY_TAG,
+    OK_RESPONSE,
+    Client,
+    begin_request_record,
+    free_port,
+    request_heads,
+    start_server,
+    with_tag_of_request,
+)
 from quartzrouter.server import process
 
-__all__ = ["MARKS", "TAG", "WHOLE", "Client", "World", "begin", "free_port", "tagged"]
+__all__ = [
+    "COPY_HEADERS",
+    "COPY_TAG",
+    "OK_RESPONSE",
+    "Client",
+    "World",
+    "begin_request_record",
+    "free_port",
+    "with_tag_of_request",
+]
+
+SCENE_TIMEOUT = 10  # s
 
 
 class World:
-    """A router, one stand-in that answers for all caches, and a journal service with frames to tell."""
+    """A router, one fake that responds for all caches, and a discovery service with frames to send.
 
-    def __init__(self, tmp_path):
-        self.answers, self.asked, self.path = {}, [], tmp_path / "config.json"
-        self.open = self.most = self.connections = 0
+    ``responses`` says by object what the cache sends for a request: pieces of bytes, seconds to wait,
+    events to wait for, or None to close the connection. ``requests`` lists the first lines of what the
+    cache received, and what the discovery service was asked for.
+    """
 
-    async def cache(self, stream):
-        self.open, self.connections = self.open + 1, self.connections + 1
-        self.most = max(self.most, self.open)
+    def __init__(self, tmp_path):
+        self.responses = {}
+        self.requests = []
+        self.config_path = tmp_path / "config.json"
+        self.open_connections = 0
+        self.max_open_connections = 0
+        self.accepted_connections = 0
+        self.discovery_frames = []
+        self.router_process = None
+
+    async def serve_cache(self, stream):
+        """Serves one connection of the router to a cache, and counts it."""
+        self.open_connections += 1
+        self.accepted_connections += 1
+        self.max_open_connections = max(self.max_open_connections, self.open_connections)
         try:
             await self.serve(stream)
         finally:
-            self.open -= 1
+            self.open_connections -= 1
 
     async def serve(self, stream):
+        """Sends what ``responses`` says for each request."""
         async with stream:
-            async for head in heads(stream):
+            async for head in request_heads(stream):
                 line = head.partition(b"\r\n")[0]
-                self.asked.append(line.decode())
-                obj = int(line.split(b"/")[3], 16) if line.startswith(b"GET /x/") else 0
-                for part in self.answers.get(obj, [WHOLE]):
-                    if part is None:
+                self.requests.append(line.decode())
+                object_number = int(line.split(b"/")[3], 16) if line.startswith(b"GET /x/") else 0
+                for piece in self.responses.get(object_number, [OK_RESPONSE]):
+                    if piece is None:
                         return
-                    if isinstance(part, anyio.Event):
-                        await part.wait()
-                    elif isinstance(part, float):
-                        await anyio.sleep(part)
+                    if isinstance(piece, anyio.Event):
+                        await piece.wait()
+                    elif isinstance(piece, float):
+                        await anyio.sleep(piece)
                     else:
-                        await stream.send(tagged(part, head))
+                        await stream.send(with_tag_of_request(piece, head))
 
-    async def journal(self, stream):
+    async def serve_discovery(self, stream):
+        """Sends the next of ``discovery_frames``, and closes the connection after a while."""
         async with stream:
             try:
-                self.asked.append(f"journal from {int.from_bytes(await stream.receive(8), 'big')}")
+                position = int.from_bytes(await stream.receive(8), "big")
             except (anyio.EndOfStream, anyio.BrokenResourceError):  # a router that ends while it connects
                 return
-            await stream.send(self.frames.pop(0) if self.frames else b"")
-            await anyio.sleep(0.05 if self.frames else 5)
+            self.requests.append(f"journal from {position}")
+            await stream.send(self.discovery_frames.pop(0) if self.discovery_frames else b"")
+            await anyio.sleep(0.05 if self.discovery_frames else 5)
 
-    listen = staticmethod(listen)
+    start_server = staticmethod(start_server)
 
-    def tell(self, cache, journal, **other):
+    def write_configuration(self, cache, journal, **settings):
+        """Writes a configuration with two caches, a parent and an origin, all at one address."""
         members = [
             {
-                "id": f"s-0000000{n}",
+                "id": f"s-0000000{number}",
                 "host_port": cache,
                 "locality": "north",
                 "flavor": flavor,
@@ -66,9 +104,9 @@
                 "size": 6,
                 "up_since_ms": 0,
             }
-            for n, flavor in enumerate(["box", "box", "parent", "origin"])
+            for number, flavor in enumerate(["box", "box", "parent", "origin"])
         ]
-        told = {
+        configuration = {
             "name": "n0",
             "listen": "127.0.0.1:1",
             "journal": journal,
@@ -76,33 +114,39 @@
             "limits": {"sockets": 128},
             "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": members}}]},
             "settings": SETUP,
-        } | other
-        self.path.write_text(json.dumps(told))
+        } | settings
+        self.config_path.write_text(json.dumps(configuration))
+
+    def run_scene(self, scene, frames=(), **settings):
+        """Runs a scene beside a router in this process.
 
-    def play(self, scene, frames=(), **other):
-        """Runs a scene, an async function of this world and a way to connect, beside a router."""
-        self.frames = list(frames)
+        :param scene: an async function that takes a way to connect.
+        """
+        self.discovery_frames = list(frames)
 
         async def run():
-            with anyio.fail_after(10):
+            with anyio.fail_after(SCENE_TIMEOUT):
                 async with anyio.create_task_group() as tasks:
-                    cache = await self.listen(tasks, self.cache)
-                    self.tell(cache, await self.listen(tasks, self.journal), **other)
+                    cache = await self.start_server(tasks, self.serve_cache)
+                    discovery = await self.start_server(tasks, self.serve_discovery)
+                    self.write_configuration(cache, discovery, **settings)
                     port = await free_port()
-                    environ = {"NODE_CONFIG": str(self.path), "NODE_LISTEN": f"127.0.0.1:{port}"}
-                    self.service = self.router(environ)
-                    tasks.start_soon(self.service.run)
+                    environ = {"NODE_CONFIG": str(self.config_path), "NODE_LISTEN": f"127.0.0.1:{port}"}
+                    self.router_process = self.create_router(environ)
+                    tasks.start_soon(self.router_process.run)
                     await scene(lambda: self.connect(port))
                     tasks.cancel_scope.cancel()
 
         anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
-    def router(self, environ):
+    def create_router(self, environ):
+        """Makes the router, which reads its configuration anew at SIGHUP."""
         return process.RouterProcess(
             Configuration(read(environ), environ), lambda: Configuration(read(environ), environ)
         )
 
     async def connect(self, port):
+        """Connects a client, as soon as the router listens."""
         while True:
             try:
                 return Client(await anyio.connect_tcp("127.0.0.1", port))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -54,9 +54,9 @@
             self.open += 1
             client = await self.world.connect(self.port)
         try:
-            await client.begin(id, HTTP_X_DEADLINE_MS="3000")
+            await client.send_request(id, HTTP_X_DEADLINE_MS="3000")
             written = time.monotonic()
-            said = await client.end()
+            said = await client.receive_response()
         except anyio.BrokenResourceError:  # closed before a byte of it was taken
             written, said = time.monotonic(), "closed"
         if said != "closed":
@@ -74,14 +74,19 @@
 
 def test_no_req_is_lost_where_every_req_comes_on_a_connection_of_its_own(tmp_path):
     world, chance, left = World(tmp_path), random.Random(5), 3_000
-    world.frames = []
+    world.discovery_frames = []
 
     async def run():
         with anyio.fail_after(60):
             async with anyio.create_task_group() as tasks:
-                cache, port = await world.listen(tasks, world.cache), await free_port()
-                world.tell(cache, await world.listen(tasks, world.journal), limits={"sockets": 96})
-                environ = os.environ | {"NODE_CONFIG": str(world.path), "NODE_LISTEN": f"127.0.0.1:{port}"}
+                cache, port = await world.start_server(tasks, world.serve_cache), await free_port()
+                world.write_configuration(
+                    cache, await world.start_server(tasks, world.serve_discovery), limits={"sockets": 96}
+                )
+                environ = os.environ | {
+                    "NODE_CONFIG": str(world.config_path),
+                    "NODE_LISTEN": f"127.0.0.1:{port}",
+                }
                 router = subprocess.Popen([sys.executable, "-c", STALLED], env=environ)
                 crowd = Crowd(world, port, 40)
 
@@ -114,24 +119,24 @@
     def late(self):
         for client, id in behind:
             raw = client.stream.extra(anyio.abc.SocketAttribute.raw_socket)
-            os.write(raw.fileno(), client.req(id))
+            os.write(raw.fileno(), client.encode_request(id))
         time.sleep(2 * CROSSES)
         return make_room(self)
 
     async def scene(connect):
         idle = [await connect() for _ in range(21)]
         for id, client in enumerate(idle, 1):
-            await client.begin(id)
-            await client.end()
+            await client.send_request(id)
+            await client.receive_response()
         behind.extend((client, 100 + n) for n, client in enumerate(idle[:12]))
         monkeypatch.setattr(client_connections.ClientConnections, "_close_one_idle", late)
         new = await connect()
-        await new.begin(50)
-        trace.append(f"new: {await new.end()}")
+        await new.send_request(50)
+        trace.append(f"new: {await new.receive_response()}")
         for client in idle[:13]:
-            trace.append(await client.end())
+            trace.append(await client.receive_response())
 
-    world.play(scene, limits={"sockets": 64})
+    world.run_scene(scene, limits={"sockets": 64})
 
 
 @pytest.mark.parametrize("looked_at", [False, True])
@@ -140,10 +145,10 @@
 
     async def scene(connect):
         kept, reset = await connect(), await connect()
-        await kept.begin(1)
-        await kept.end()
+        await kept.send_request(1)
+        await kept.receive_response()
         ended, *_ = [
-            client for client in world.service.client_connections.open if not client.has_begun_request
+            client for client in world.router_process.client_connections.open if not client.has_begun_request
         ]
         assert not looked_at or ended.stream.pending() is stream.Pending.QUIET
         raw = reset.stream.extra(anyio.abc.SocketAttribute.raw_socket)
@@ -158,7 +163,7 @@
         assert (
             ended.stream.pending() is stream.Pending.ENDED and not ended.time_since_last_byte
         )  # closed here
-        await kept.begin(2)
-        assert "200 OK" in await kept.end()
+        await kept.send_request(2)
+        assert "200 OK" in await kept.receive_response()
 
-    world.play(scene)
+    world.run_scene(scene)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -16,7 +16,7 @@
 import anyio
 import pytest
 from conftest import SETUP, Play, frame
-from standins import TAG, WHOLE, free_port
+from standins import COPY_TAG, OK_RESPONSE, free_port
 
 from quartzrouter.server import (
     attempt_failure,
@@ -35,7 +35,7 @@
 from quartzrouter.signals import MAX_PENDING, Signals
 
 FULL = b"HTTP/1.1 503 Busy\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
-BIG = WHOLE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + bytes(240_000)
+BIG = OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + bytes(240_000)
 ESTABLISHED, CLOSE_WAIT = 1, 8  # a reset leaves neither
 NO_CANCEL = SETUP | {"limits": SETUP["limits"] | {"cancel": False}}
 
@@ -69,7 +69,7 @@
 
 
 def asked(world, id):
-    return sum(f"/{id:016x}/" in line for line in world.asked)
+    return sum(f"/{id:016x}/" in line for line in world.requests)
 
 
 def holding(come, gate):
@@ -90,7 +90,9 @@
 
 
 async def settled(world):
-    await until(lambda: not world.service.attempts and not world.service.state_machine.in_flight)
+    await until(
+        lambda: not world.router_process.attempts and not world.router_process.state_machine.in_flight
+    )
 
 
 # -- a client that has gone ------------------------------------------------------------------------
@@ -103,21 +105,21 @@
     async def scene(connect):
         client, other = await connect(), await connect()
         more = (
-            client.req(2, body=bytes(client_connection.READ_BUFFER_SIZE), whole=False)
+            client.encode_request(2, body=bytes(client_connection.READ_BUFFER_SIZE), whole=False)
             if "behind" in way
             else b""
         )
         abort = fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b"") if "abort" in way else b""
-        write(client, client.req(1) + more + abort)
+        write(client, client.encode_request(1) + more + abort)
         if "end" in way:
             close(client)
-        await other.begin(3)
-        assert "200 OK" in await other.end()
+        await other.send_request(3)
+        assert "200 OK" in await other.receive_response()
         await settled(world)
         assert asked(world, 1) == 0 and asked(world, 3) == 1
-        assert world.connections == 1  # nor did one come up for it
+        assert world.accepted_connections == 1  # nor did one come up for it
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 @pytest.mark.parametrize("settings", [SETUP, NO_CANCEL])
@@ -129,41 +131,41 @@
     async def scene(connect):
         client = await connect()
         monkeypatch.setattr(connection_pool, "connect", held)
-        await client.begin(1)
+        await client.send_request(1)
         await until(lambda: come)
-        await client.send((fastcgi.RecordType.ABORT_REQUEST, b""))
-        assert "end 1 0" in await client.end()  # taken back
+        await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""))
+        assert "end 1 0" in await client.receive_response()  # taken back
         gate.set()
-        await client.begin(2)
-        assert "200 OK" in await client.end()
+        await client.send_request(2)
+        assert "200 OK" in await client.receive_response()
         await settled(world)
         assert asked(world, 1) == 0 and asked(world, 2) == 1
 
-    world.play(scene, settings=settings)
+    world.run_scene(scene, settings=settings)
 
 
 @pytest.mark.parametrize("way", ["end", "abort"])
 def test_no_further_attempt_for_a_client_whose_leaving_is_not_read_yet(world, monkeypatch, way):
     """A busy process reads it after the answer that has it try again, on a connection that is there."""
     receive, full = stream.Stream.receive, anyio.Event()
-    world.answers = {1: [full, FULL]}
+    world.responses = {1: [full, FULL]}
 
     async def slow(self, most):
-        if any(self is client.stream for client in world.service.client_connections.open):
+        if any(self is client.stream for client in world.router_process.client_connections.open):
             await anyio.wait_readable(self.raw)
             for _ in range(4):  # others go first, for as long as an attempt takes from here
                 await anyio.sleep(0)
         return await receive(self, most)
 
     async def scene(connect):
-        client, pool = await connect(), world.service.cache_connections.pool.idle
+        client, pool = await connect(), world.router_process.cache_connections.pool.idle
         for id in range(10, 60):
             if len(pool) < 2:
-                await client.begin(id)
-                assert "200 OK" in await client.end()
+                await client.send_request(id)
+                assert "200 OK" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REST)
         monkeypatch.setattr(stream.Stream, "receive", slow)
-        await client.begin(1)  # the reader comes back to the slow way after it
+        await client.send_request(1)  # the reader comes back to the slow way after it
         await until(lambda: asked(world, 1))
         full.set()
         while not any(each.stream.pending() is stream.Pending.UNREAD for each in asking()):
@@ -176,31 +178,31 @@
         assert asked(world, 1) == 1
 
     def asking():
-        return world.service.cache_connections.in_use.values()
+        return world.router_process.cache_connections.in_use.values()
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_a_pile_of_answers_does_not_hide_that_the_client_has_gone(world, monkeypatch):
     """Above so many records nothing was read, so neither an abort nor an end was heard."""
     monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)  # the kernel holds some megabytes as well
     full = anyio.Event()
-    world.answers = {n: [BIG] for n in range(2, 32)} | {1: [full, FULL]}
+    world.responses = {n: [BIG] for n in range(2, 32)} | {1: [full, FULL]}
 
     async def scene(connect):
         client = await connect()
-        mine, *_ = world.service.client_connections.open
-        await client.begin(1, path="/rpc/sale", HTTP_X_DEADLINE_MS="9000")  # which has all that time
+        mine, *_ = world.router_process.client_connections.open
+        await client.send_request(1, path="/rpc/sale", HTTP_X_DEADLINE_MS="9000")  # which has all that time
         await until(lambda: asked(world, 1))
         for id in range(2, 32):
-            await client.begin(id)
+            await client.send_request(id)
         before = None
         with anyio.fail_after(5):  # the kernel takes some megabytes first, and a busy machine its time
             while not mine.writer.is_backlogged or before != queued(mine.writer):
                 before = queued(mine.writer)
                 await anyio.sleep(0.05)
         assert mine.writer.is_backlogged
-        await client.send((fastcgi.RecordType.GET_VALUES, b"\x0f\x00FCGI_MPXS_CONNS"), id=0)
+        await client.send_records((fastcgi.RecordType.GET_VALUES, b"\x0f\x00FCGI_MPXS_CONNS"), id=0)
         await until(lambda: mine.rejected_requests)  # read, and not answered
         write(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
         await until(lambda: 1 not in mine.request_ids)
@@ -208,32 +210,32 @@
         await settled(world)
         assert asked(world, 1) == 1
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_a_connection_that_closes_hears_aborts_and_answers_reqs(world):
     """Whatever came once it was closing was dropped: an abort, and a whole req without an answer."""
     full = anyio.Event()
-    world.answers = {1: [full, FULL]}
+    world.responses = {1: [full, FULL]}
 
     async def scene(connect):
         client = await connect()
-        mine, *_ = world.service.client_connections.open
-        await client.begin(1)
+        mine, *_ = world.router_process.client_connections.open
+        await client.send_request(1)
         await until(lambda: asked(world, 1))
         for id in range(2, 2 + client_connection.MAX_REJECTED_REQUESTS):
-            await client.begin(id, path="/rpc/other")
-            assert "404" in await client.end()
+            await client.send_request(id, path="/rpc/other")
+            assert "404" in await client.receive_response()
         assert mine.closing
-        await client.begin(90)
-        assert "end 0 2" in await client.end()  # overloaded: it may come again
-        await client.send((fastcgi.RecordType.ABORT_REQUEST, b""))
-        assert "end 1 0" in await client.end()  # taken back
+        await client.send_request(90)
+        assert "end 0 2" in await client.receive_response()  # overloaded: it may come again
+        await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""))
+        assert "end 1 0" in await client.receive_response()  # taken back
         full.set()
         await settled(world)
-        assert await client.end() == "closed" and asked(world, 1) == 1 and not asked(world, 90)
+        assert await client.receive_response() == "closed" and asked(world, 1) == 1 and not asked(world, 90)
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 # -- closes ----------------------------------------------------------------------------------------
@@ -245,14 +247,14 @@
 
     async def scene(connect):
         client = await connect()
-        await client.begin(1)
-        assert "200 OK" in await client.end()
-        mine, *_ = world.service.client_connections.open
+        await client.send_request(1)
+        assert "200 OK" in await client.receive_response()
+        mine, *_ = world.router_process.client_connections.open
 
         def look(self):
             found = pending(self)
             if self is mine.stream and found is stream.Pending.QUIET:
-                write(client, client.req(2))
+                write(client, client.encode_request(2))
             return found
 
         monkeypatch.setattr(stream.Stream, "pending", look)
@@ -261,7 +263,7 @@
         await until(lambda: mine.stream.raw.fileno() < 0 and state(client) != ESTABLISHED)
         assert state(client) == CLOSE_WAIT and not asked(world, 2)  # an end, and no reset
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_a_pooled_connection_that_ends_as_it_is_taken_costs_no_req(world, monkeypatch):
@@ -270,26 +272,26 @@
 
     async def scene(connect):
         client = await connect()
-        await client.begin(1, path="/rpc/sale")
-        assert "200 OK" in await client.end()
+        await client.send_request(1, path="/rpc/sale")
+        assert "200 OK" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REST_AFTER_UNNAMED_COPY)
 
         async def late(self, ticket):
             if not ends:
                 ends.append(ticket)
-                taken = next(iter(world.service.cache_connections.in_use.values()))
+                taken = next(iter(world.router_process.cache_connections.in_use.values()))
                 taken.stream.shutdown()  # as its cache would
             await hear(self, ticket)
 
         monkeypatch.setattr(client_connection.ClientConnection, "read_pending", late)
-        await client.begin(2, path="/rpc/sale")
-        assert "200 OK" in await client.end()
+        await client.send_request(2, path="/rpc/sale")
+        assert "200 OK" in await client.receive_response()
         assert ends and asked(world, 2) == 1
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
-FIRST = WHOLE.replace(b"abcde", b"first").replace(TAG, b"00000000000000f1")
+FIRST = OK_RESPONSE.replace(b"abcde", b"first").replace(COPY_TAG, b"00000000000000f1")
 
 
 def test_a_second_answer_that_comes_after_the_next_req_is_not_that_reqs(world):
@@ -298,21 +300,21 @@
 
     async def scene(connect):
         client, same = await connect(), {"HTTP_X_SUBJECT": f"{7:016x}"}
-        world.answers = {7: [FIRST]}
-        await client.begin(1, **same)
-        assert "first" in await client.end()
+        world.responses = {7: [FIRST]}
+        await client.send_request(1, **same)
+        assert "first" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REST)
-        world.answers = {7: [gate, FIRST, WHOLE]}  # the cache has read the next req by then
-        await client.begin(2, HTTP_X_CHUNK="1", **same)
+        world.responses = {7: [gate, FIRST, OK_RESPONSE]}  # the cache has read the next req by then
+        await client.send_request(2, HTTP_X_CHUNK="1", **same)
         await until(lambda: asked(world, 7) == 2)
-        assert world.connections == 1
-        world.answers = {}
+        assert world.accepted_connections == 1
+        world.responses = {}
         gate.set()
-        said = await client.end()
+        said = await client.receive_response()
         assert "200 OK" in said and "abcde" in said
         assert asked(world, 7) == 3  # of another cache, on a connection of its own
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 @pytest.mark.parametrize("purged", [False, True])
@@ -322,20 +324,20 @@
 
     async def scene(connect):
         client, same = await connect(), {"HTTP_X_SUBJECT": f"{7:016x}"}
-        world.answers = {7: [FIRST]}
-        await client.begin(1, **same)
-        assert "first" in await client.end()
+        world.responses = {7: [FIRST]}
+        await client.send_request(1, **same)
+        assert "first" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REST)
         if purged:
-            world.service.feed(events.PurgeNotice(None, f"{7:016x}", world.service.clock()))
-        world.answers = {7: [gate, FIRST, WHOLE]}
-        await client.begin(2, **same)
+            world.router_process.feed(events.PurgeNotice(None, f"{7:016x}", world.router_process.clock()))
+        world.responses = {7: [gate, FIRST, OK_RESPONSE]}
+        await client.send_request(2, **same)
         await until(lambda: asked(world, 7) == 2)
-        world.answers = {7: [WHOLE]}
+        world.responses = {7: [OK_RESPONSE]}
         gate.set()
-        assert ("abcde" if purged else "first") in await client.end()
+        assert ("abcde" if purged else "first") in await client.receive_response()
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 @pytest.mark.parametrize("answer", [FULL, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsold"])
@@ -345,15 +347,15 @@
 
     async def scene(connect):
         client = await connect()
-        world.answers = {n: [answer] for n in range(1, 4)}
+        world.responses = {n: [answer] for n in range(1, 4)}
         for id in (1, 2, 3):
-            await client.begin(id, path="/rpc/sale")
-            await client.end()
+            await client.send_request(id, path="/rpc/sale")
+            await client.receive_response()
             await anyio.sleep(2 * connection_pool.REST)
-        attempts = sum(line.startswith("GET /x/sale/") for line in world.asked)
-        assert world.connections == attempts >= 3
+        attempts = sum(line.startswith("GET /x/sale/") for line in world.requests)
+        assert world.accepted_connections == attempts >= 3
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_large_answers_have_their_turn():
@@ -403,19 +405,19 @@
 
     async def trickle(connection):
         async with connection:
-            world.asked.append(f"journal from {int.from_bytes(await connection.receive(8), 'big')}")
+            world.requests.append(f"journal from {int.from_bytes(await connection.receive(8), 'big')}")
             for byte in frame(2, 1, bytes(2_400 * 27)):  # 32 minutes of it
                 with contextlib.suppress(anyio.BrokenResourceError):  # nobody listens any more
                     await connection.send(bytes([byte]))
                 await anyio.sleep(0.03)
 
-    monkeypatch.setattr(world, "journal", trickle, raising=False)
+    monkeypatch.setattr(world, "serve_discovery", trickle, raising=False)
 
     async def scene(connect):
         await connect()
-        await until(lambda: world.asked.count("journal from 1") > 1)
+        await until(lambda: world.requests.count("journal from 1") > 1)
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_a_repeat_is_not_sent_once_its_key_may_be_forgotten():
@@ -462,15 +464,18 @@
         if descriptors:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
-    world.frames = []
+    world.discovery_frames = []
 
     async def run():
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
-                cache, port = await world.listen(tasks, world.cache), await free_port()
-                told = {"journal": await world.listen(tasks, world.journal)} | other
-                world.tell(cache, **told)
-                environ = os.environ | {"NODE_CONFIG": str(world.path), "NODE_LISTEN": f"127.0.0.1:{port}"}
+                cache, port = await world.start_server(tasks, world.serve_cache), await free_port()
+                told = {"journal": await world.start_server(tasks, world.serve_discovery)} | other
+                world.write_configuration(cache, **told)
+                environ = os.environ | {
+                    "NODE_CONFIG": str(world.config_path),
+                    "NODE_LISTEN": f"127.0.0.1:{port}",
+                }
                 command = [sys.executable, *script]
                 router = subprocess.Popen(command, env=environ, stderr=subprocess.PIPE, preexec_fn=few)
                 try:
@@ -487,8 +492,8 @@
 def test_a_reload_before_the_program_is_loaded_ends_nothing(world):
     async def scene(router, connect):
         client = await connect()
-        await client.begin(1)
-        assert "200 OK" in await client.end()
+        await client.send_request(1)
+        assert "200 OK" in await client.receive_response()
         router.send_signal(signal.SIGTERM)
 
     status, said = played(world, ["-c", EARLY.format(number=int(signal.SIGHUP))], scene)
@@ -508,8 +513,8 @@
 
     async def scene(router, connect):
         client = await connect()
-        await client.begin(1)
-        assert "200 OK" in await client.end()
+        await client.send_request(1)
+        assert "200 OK" in await client.receive_response()
         router.send_signal(signal.SIGTERM)
         while router.poll() is None:
             router.send_signal(signal.SIGHUP)
@@ -531,52 +536,56 @@
 def test_what_reaches_a_router_at_its_end_is_answered_and_nothing_is_reset(world, monkeypatch):
     """A connection that nobody has accepted yet, a resting one, one with half a req, one that isn't read."""
     accept, stopping = listener.Listener._accept_from, []
-    world.answers = {3: [BIG]}
+    world.responses = {3: [BIG]}
 
     def late(self, listening_socket):  # the accepting task is behind; the end itself looks
         return False if stopping and not self._scope.cancel_called else accept(self, listening_socket)
 
     async def scene(connect):
         resting, half, slow = await connect(), await connect(), await connect()
-        await resting.begin(1)
-        assert "200 OK" in await resting.end()
-        await half.begin(2, whole=False)
-        await slow.begin(3)
+        await resting.send_request(1)
+        assert "200 OK" in await resting.receive_response()
+        await half.send_request(2, whole=False)
+        await slow.send_request(3)
         await until(lambda: asked(world, 3))
         monkeypatch.setattr(listener.Listener, "_accept_from", late)
         stopping.append(True)
         os.kill(os.getpid(), signal.SIGTERM)
         new = await connect()
-        await new.begin(4)
-        assert "503" in await new.end()
-        ended = [each for each in world.service.client_connections.open if each.responses_ended]
+        await new.send_request(4)
+        assert "503" in await new.receive_response()
+        ended = [each for each in world.router_process.client_connections.open if each.responses_ended]
         assert len(ended) < 4
-        await until(lambda: any(each.responses_ended for each in world.service.client_connections.open))
-        write(resting, resting.req(5))  # crosses the end, and is never begun
-        assert "200 OK" in (said := await slow.end()) and "end 0 0" in said
+        await until(
+            lambda: any(each.responses_ended for each in world.router_process.client_connections.open)
+        )
+        write(resting, resting.encode_request(5))  # crosses the end, and is never begun
+        assert "200 OK" in (said := await slow.receive_response()) and "end 0 0" in said
         for client in (resting, half, slow, new):
             with pytest.raises(anyio.EndOfStream):
                 while True:
                     await client.stream.receive()
         assert not asked(world, 5) and not asked(world, 2)
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_clients_that_do_not_read_do_not_keep_a_router_from_its_end(world, monkeypatch):
     monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)
     timeout = [kind | {"deadline_us": 1_000_000} for kind in SETUP["categories"]]
-    world.answers = {n: [BIG] for n in range(1, 31)}
+    world.responses = {n: [BIG] for n in range(1, 31)}
 
     async def scene(connect):
         client = await connect()
         for id in range(1, 31):
-            await client.begin(id)
-        await until(lambda: any(each.writer.is_backlogged for each in world.service.client_connections.open))
+            await client.send_request(id)
+        await until(
+            lambda: any(each.writer.is_backlogged for each in world.router_process.client_connections.open)
+        )
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: not world.service.client_connections.open, most=6)
+        await until(lambda: not world.router_process.client_connections.open, most=6)
 
-    world.play(scene, settings=SETUP | {"categories": timeout})
+    world.run_scene(scene, settings=SETUP | {"categories": timeout})
 
 
 def test_a_reset_reaches_no_other_connection(world):
@@ -584,10 +593,10 @@
 
     async def scene(connect):
         client = await connect()
-        await client.begin(1)
-        assert "200 OK" in await client.end()
+        await client.send_request(1)
+        assert "200 OK" in await client.receive_response()
         await anyio.sleep(0.02)
-        (pooled,) = next(iter(world.service.cache_connections.pool.idle.values()))
+        (pooled,) = next(iter(world.router_process.cache_connections.pool.idle.values()))
         number = pooled.stream.raw.fileno()
         pooled.stream.close()
         one, two = socket.socketpair()
@@ -602,18 +611,18 @@
             one.close()
             two.close()
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_answers_that_are_not_taken_count_as_open_reqs(world):
     """A req is open to its client until its answer has gone out; else answers would pile up without end."""
-    world.answers = {n: [BIG] for n in range(1, 121)}
+    world.responses = {n: [BIG] for n in range(1, 121)}
 
     async def scene(connect):
         client = await connect()
-        mine, *_ = world.service.client_connections.open
+        mine, *_ = world.router_process.client_connections.open
         for id in range(1, 121):
-            await client.begin(id)
+            await client.send_request(id)
             await until(lambda id=id: mine.rejected_requests or asked(world, id))
             await until(lambda: not mine.awaited)
             assert (
@@ -624,7 +633,7 @@
                 break
         await until(lambda: mine.closing)
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 # -- clients that send badly -----------------------------------------------------------------------
@@ -633,25 +642,25 @@
 def test_a_req_that_trickles_in_is_answered_and_others_are_served_meanwhile(world):
     async def scene(connect):
         slow, other = await connect(), await connect()
-        for at, byte in enumerate(slow.req(1)):
+        for at, byte in enumerate(slow.encode_request(1)):
             await slow.stream.send(bytes([byte]))
             if at % 50 == 0:
-                await other.begin(100 + at)
-                assert "200 OK" in await other.end()
-        assert "200 OK" in await slow.end()
+                await other.send_request(100 + at)
+                assert "200 OK" in await other.receive_response()
+        assert "200 OK" in await slow.receive_response()
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_clients_that_send_much_and_leave_leave_nothing_behind(world):
     """Whole reqs, half ones, records for nobody: none is begun, and what they held is given back."""
 
     async def scene(connect):
-        service = world.service
+        service = world.router_process
         room = service.client_connections.free_request_memory
         for id in range(1, 21):
             flood = await connect()
-            data = flood.req(id) + flood.req(2, body=bytes(4_000), whole=False)
+            data = flood.encode_request(id) + flood.encode_request(2, body=bytes(4_000), whole=False)
             data += fastcgi.encode_record(fastcgi.RecordType.STDIN, 99, bytes(8_000))
             with contextlib.suppress(BlockingIOError):
                 os.write(raw(flood).fileno(), data)
@@ -664,11 +673,11 @@
             and not service.state_machine.open_correlation_ids
         )
         other = await connect()
-        await other.begin(50)
-        assert "200 OK" in await other.end()
-        assert [line for line in world.asked if "GET" in line and f"{50:016x}" not in line] == []
+        await other.send_request(50)
+        assert "200 OK" in await other.receive_response()
+        assert [line for line in world.requests if "GET" in line and f"{50:016x}" not in line] == []
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_idle_clients_that_fill_the_descriptors_keep_nobody_out_while_discovery_is_down(world):
@@ -678,15 +687,15 @@
         idle = [await connect() for _ in range(60)]
         for round in (1, 2):
             new = await connect()
-            await new.begin(1, path="/health")
-            assert "200" in await new.end()  # by what the configuration knows
-            await new.begin(10 * round)
-            assert "200 OK" in await new.end()
+            await new.send_request(1, path="/health")
+            assert "200" in await new.receive_response()  # by what the configuration knows
+            await new.send_request(10 * round)
+            assert "200 OK" in await new.receive_response()
             idle += [await connect() for _ in range(30)]
             if round == 1:
                 listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
-                tasks.start_soon(listener.serve, world.journal)
-                await until(lambda: "journal from 1" in world.asked)
+                tasks.start_soon(listener.serve, world.serve_discovery)
+                await until(lambda: "journal from 1" in world.requests)
         router.send_signal(signal.SIGTERM)
 
     async def whole(router, connect):
@@ -712,12 +721,12 @@
     async def scene(connect):
         client, said = await connect(), b""
         for id in range(1, 5):
-            await client.begin(id, body=bytes(40_000), whole=False)
+            await client.send_request(id, body=bytes(40_000), whole=False)
         while b"Status" not in said:
             said += await client.stream.receive()
         assert b"Status: 503" in said and b"X-Pushback-Ms: 500\r\n" in said
 
-    world.play(scene, limits={"sockets": 128, "memory_mb": 1})
+    world.run_scene(scene, limits={"sockets": 128, "memory_mb": 1})
 
 
 def test_many_reloads_push_out_no_stop_that_waits():
@@ -742,27 +751,32 @@
     held = holding(come, gate)
 
     async def scene(connect):
-        client, service = await connect(), world.service
+        client, service = await connect(), world.router_process
         if at == "connecting":
             monkeypatch.setattr(connection_pool, "connect", held)
-        world.answers = {1: [WHOLE[:-2], gate, WHOLE[-2:]] if at == "half an answer" else [gate, WHOLE]}
-        await client.begin(1)
+        world.responses = {
+            1: [OK_RESPONSE[:-2], gate, OK_RESPONSE[-2:]] if at == "half an answer" else [gate, OK_RESPONSE]
+        }
+        await client.send_request(1)
         await until(lambda: come or asked(world, 1))
         async with anyio.create_task_group() as tasks:
             if at == "stopping":
                 os.kill(os.getpid(), signal.SIGTERM)
                 await until(lambda: service.state_machine.is_shutting_down)
-            there, told = await world.listen(tasks, world.journal), json.loads(world.path.read_text())
-            world.path.write_text(json.dumps(told | {"journal": there}))
-            before = world.asked.count("journal from 1")
+            there, told = (
+                await world.start_server(tasks, world.serve_discovery),
+                json.loads(world.config_path.read_text()),
+            )
+            world.config_path.write_text(json.dumps(told | {"journal": there}))
+            before = world.requests.count("journal from 1")
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: world.asked.count("journal from 1") > before)
+            await until(lambda: world.requests.count("journal from 1") > before)
             gate.set()
-            assert "200 OK b'abcde' end 0 0" in await client.end()
+            assert "200 OK b'abcde' end 0 0" in await client.receive_response()
             assert asked(world, 1) == 1
             tasks.cancel_scope.cancel()
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 @pytest.mark.parametrize("at", ["connecting", "half a frame"])
@@ -778,7 +792,7 @@
         return await real(address)
 
     async def scene(connect):
-        service, purged = world.service, []
+        service, purged = world.router_process, []
         feed = service.endpoint_watch.feed
         service.endpoint_watch.feed = lambda event: (purged.append(event), feed(event))
         await connect()
@@ -792,26 +806,28 @@
                 await anyio.sleep_forever()
 
         async with anyio.create_task_group() as tasks:
-            told = json.loads(world.path.read_text())
+            told = json.loads(world.config_path.read_text())
 
             async def follow(handler):
-                world.path.write_text(json.dumps(told | {"journal": await world.listen(tasks, handler)}))
+                world.config_path.write_text(
+                    json.dumps(told | {"journal": await world.start_server(tasks, handler)})
+                )
                 os.kill(os.getpid(), signal.SIGHUP)
 
-            await until(lambda: "journal from 1" in world.asked)
+            await until(lambda: "journal from 1" in world.requests)
             monkeypatch.setattr(endpoint_watch, "connect", held)
             await follow(old)
             await until(lambda: come)
             if at == "half a frame":
                 await half.wait()
-            world.frames = [purge]
-            await follow(world.journal)
+            world.discovery_frames = [purge]
+            await follow(world.serve_discovery)
             await until(lambda: purged)
             assert purged == [events.PurgeNotice(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
             assert service.endpoint_watch.held == 2
             tasks.cancel_scope.cancel()
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_a_journal_service_that_resets_connections_as_they_come_up_is_asked_again(world):
@@ -824,22 +840,24 @@
             own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             await stream.aclose()
         else:
-            await world.journal(stream)
+            await world.serve_discovery(stream)
 
     async def scene(connect):
         client = await connect()
         async with anyio.create_task_group() as tasks:
-            told = json.loads(world.path.read_text())
-            world.path.write_text(json.dumps(told | {"journal": await world.listen(tasks, reset)}))
-            before = world.asked.count("journal from 1")
+            told = json.loads(world.config_path.read_text())
+            world.config_path.write_text(
+                json.dumps(told | {"journal": await world.start_server(tasks, reset)})
+            )
+            before = world.requests.count("journal from 1")
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: world.asked.count("journal from 1") > before)
+            await until(lambda: world.requests.count("journal from 1") > before)
             assert len(times) == 3
-            await client.begin(1)
-            assert "200 OK" in await client.end()
+            await client.send_request(1)
+            assert "200 OK" in await client.receive_response()
             tasks.cancel_scope.cancel()
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 @pytest.mark.parametrize("in_time", [True, False])
@@ -856,18 +874,18 @@
     async def scene(connect):
         slow, other = await connect(), await connect()
         monkeypatch.setattr(connection_pool, "connect", held)
-        await slow.begin(1)
+        await slow.send_request(1)
         await until(lambda: come)
         for id in range(10, 15):
-            await other.begin(id)
-            assert "200 OK" in await other.end()
+            await other.send_request(id)
+            assert "200 OK" in await other.receive_response()
         if in_time:
             assert not asked(world, 1)
             gate.set()
-        assert "200 OK" in await slow.end()
+        assert "200 OK" in await slow.receive_response()
         gate.set()
         await settled(world)
-        service = world.service
+        service = world.router_process
         assert asked(world, 1) == 1
         assert service.cache_connections.pool.open == sum(
             map(len, service.cache_connections.pool.idle.values())
@@ -875,7 +893,7 @@
 
     within = 800_000 if in_time else 50_000
     limits = SETUP["limits"] | {"dial_timeout_us": within}
-    world.play(scene, settings=SETUP | {"limits": limits})
+    world.run_scene(scene, settings=SETUP | {"limits": limits})
 
 
 def test_a_flood_of_what_cannot_be_used_costs_few_lines_and_no_other_client(world, capsys):
@@ -886,14 +904,14 @@
         other = await connect()
         for at in range(floods):
             flood = await connect()
-            write(flood, flood.req(1, HTTP_X_CHUNK="none") + b"\0" * 64)
+            write(flood, flood.encode_request(1, HTTP_X_CHUNK="none") + b"\0" * 64)
             if at % 2:
                 close(flood)
             if at % 20 == 0:
-                await other.begin(1000 + at)
-                assert "200 OK" in await other.end()
-        await until(lambda: len(world.service.client_connections.open) == 1)
+                await other.send_request(1000 + at)
+                assert "200 OK" in await other.receive_response()
+        await until(lambda: len(world.router_process.client_connections.open) == 1)
 
-    world.play(scene)
+    world.run_scene(scene)
     lines = [line for line in capsys.readouterr().err.splitlines() if "client: " in line]
     assert 0 < len(lines) < floods / 2 and not any("Traceback" in line for line in lines)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -63,9 +63,9 @@
     async def scene(connect):
         client, said = await connect(), set()
         for id in range(1, 9):
-            await client.begin(id)
+            await client.send_request(id)
         for _ in range(8):
-            said.add((await client.end()).partition(" ")[2])
+            said.add((await client.receive_response()).partition(" ")[2])
         assert said <= {"Status: 200 OK b'abcde' end 0 0", "Status: 503 Service Unavailable b'' end 0 0"}
         if edge in HOT or (routers == 1 and edge not in COLD):
             assert "Status: 200 OK b'abcde' end 0 0" in said
@@ -90,8 +90,8 @@
         known = {"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": members}}]}
         told(cache, journal, known=known, **other)
 
-    told, world.tell = world.tell, tell
-    world.play(scene, settings=settings)
+    told, world.write_configuration = world.write_configuration, tell
+    world.run_scene(scene, settings=settings)
     err = capsys.readouterr().err
     assert "fault" not in err and "Traceback" not in err
 
@@ -112,8 +112,8 @@
 def test_what_no_router_can_serve_under_is_refused_by_its_key(world, key):
     async def run():
         port = await free_port()
-        world.tell("127.0.0.1:9", "127.0.0.1:9", **BROKEN[key])
-        world.router({"NODE_CONFIG": str(world.path), "NODE_LISTEN": f"127.0.0.1:{port}"})
+        world.write_configuration("127.0.0.1:9", "127.0.0.1:9", **BROKEN[key])
+        world.create_router({"NODE_CONFIG": str(world.config_path), "NODE_LISTEN": f"127.0.0.1:{port}"})
 
     with pytest.raises(ConfigurationError) as refused:
         anyio.run(run, backend_options=process.BACKEND_OPTIONS)
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 from conftest import MS, SETUP, S, listed
-from standins import WHOLE
+from standins import OK_RESPONSE
 
 from quartzrouter.configuration import DeploymentSettings
 from quartzrouter.routing import router
@@ -133,23 +133,23 @@
     async def scene(connect):
         async def ask(client, ids):
             for id in ids:
-                await client.begin(id, HTTP_X_DEADLINE_MS="3000")
-                said = await client.end()
+                await client.send_request(id, HTTP_X_DEADLINE_MS="3000")
+                said = await client.receive_response()
                 ends.append((id, "200 OK" in said))
 
         for id in range(1, 97):
             sizes[id] = LARGE if id % 8 == 0 else SMALL
-            head = WHOLE.replace(b"5\r\n\r\nabcde", b"%d\r\n\r\n" % sizes[id])
-            world.answers[id] = [head + bytes(sizes[id])]
+            head = OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"%d\r\n\r\n" % sizes[id])
+            world.responses[id] = [head + bytes(sizes[id])]
         clients = [await connect() for _ in range(12)]
         async with anyio.create_task_group() as tasks:
             for n, client in enumerate(clients, 1):
                 tasks.start_soon(ask, client, range(n, 97, 12))
-        assert world.service.cache_connections.response_memory.free == max(
+        assert world.router_process.cache_connections.response_memory.free == max(
             (memory << 20) // 8, cache_responses.MAX_BODY_SIZE
         )  # all of it was given back
 
-    world.play(scene, limits={"sockets": 128, "memory_mb": memory})
+    world.run_scene(scene, limits={"sockets": 128, "memory_mb": memory})
     share = {size: sum(good for id, good in ends if sizes[id] == size) for size in (LARGE, SMALL)}
     print(f"answered: {share[LARGE]} of 12 large reqs, {share[SMALL]} of 84 others")
     assert len(ends) == 96
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -11,7 +11,7 @@
 
 import anyio
 from conftest import SETUP, frame
-from standins import MARKS, WHOLE, begin, free_port
+from standins import COPY_HEADERS, OK_RESPONSE, begin_request_record, free_port
 
 from quartzrouter.server import client_connection, client_connections, fastcgi, response_writer, stream
 from quartzrouter.server import process as process_module
@@ -20,52 +20,52 @@
 def test_reqs_are_answered_over_one_connection(world, trace):
     async def scene(connect):
         client = await connect()
-        await client.begin(1, path="/health")
-        trace.append(await client.end())
+        await client.send_request(1, path="/health")
+        trace.append(await client.receive_response())
         for id in range(1, 5):
-            await client.begin(id)
-        trace.extend(sorted([await client.end() for _ in range(4)]))
-        await client.begin(9, path="/rpc/other")
-        trace.append(await client.end())
-        await client.begin(10, body=bytes(60_000))
-        trace.append(await client.end())
-        await (client := await connect()).begin(11, HTTP_X_TAG="none")
-        trace.append(await client.end())
+            await client.send_request(id)
+        trace.extend(sorted([await client.receive_response() for _ in range(4)]))
+        await client.send_request(9, path="/rpc/other")
+        trace.append(await client.receive_response())
+        await client.send_request(10, body=bytes(60_000))
+        trace.append(await client.receive_response())
+        await (client := await connect()).send_request(11, HTTP_X_TAG="none")
+        trace.append(await client.receive_response())
 
-    world.play(scene)
-    trace += sorted(line for line in world.asked if line.startswith("GET"))
+    world.run_scene(scene)
+    trace += sorted(line for line in world.requests if line.startswith("GET"))
 
 
 def test_what_caches_get_wrong_ends_at_their_connection(world, trace, capsys):
-    head = b"HTTP/1.1 200 OK\r\n" + MARKS
+    head = b"HTTP/1.1 200 OK\r\n" + COPY_HEADERS
     wrong = {
         1: [b"nonsense\r\n\r\n"],
         2: [head + b"Content-Length: 9\r\n\r\nabcde", None],
         3: [head + b"\r\nabcde", None],
-        4: [WHOLE + b"more"],
+        4: [OK_RESPONSE + b"more"],
         5: [b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nabcde"],
         6: [None],
         7: [b"HTTP/1.1 200 OK\r\nX-A: " + b"a" * 20_000],
-        8: [WHOLE.replace(b"X-Tag", b"X-Tell: guessed\r\nX-Tag")],
-        9: [WHOLE[:-5], 0.05, b"ab", 0.05, b"cde"],
-        10: [b"HTTP/1.1 100 Continue\r\n\r\n" + WHOLE],
-        11: [WHOLE * 2],
-        12: [WHOLE, b"\x00noise", None],
+        8: [OK_RESPONSE.replace(b"X-Tag", b"X-Tell: guessed\r\nX-Tag")],
+        9: [OK_RESPONSE[:-5], 0.05, b"ab", 0.05, b"cde"],
+        10: [b"HTTP/1.1 100 Continue\r\n\r\n" + OK_RESPONSE],
+        11: [OK_RESPONSE * 2],
+        12: [OK_RESPONSE, b"\x00noise", None],
         13: [b"HTTP/1.1 100 Continue\r\n\r\n" * 99],
-        14: [WHOLE.replace(b"5", b"3000000000") + bytes(300_000)],
+        14: [OK_RESPONSE.replace(b"5", b"3000000000") + bytes(300_000)],
         15: [head + b"Transfer-Encoding: chunked\r\n\r\n" + b"ffff\r\n%b\r\n" % bytes(0xFFFF) * 5],
         16: [head + b"Content-Length: -5\r\n\r\nabcde"],
-        17: [WHOLE],
+        17: [OK_RESPONSE],
     }
-    world.answers = wrong
+    world.responses = wrong
 
     async def scene(connect):
         client = await connect()
         for id in wrong:
-            await client.begin(id)
-            trace.append(await client.end())
+            await client.send_request(id)
+            trace.append(await client.receive_response())
 
-    world.play(scene)
+    world.run_scene(scene)
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -81,25 +81,25 @@
         ):
             client = await connect()
             await client.stream.send(said)
-            trace.append(f"{said[:20]}: {await client.end()}")
+            trace.append(f"{said[:20]}: {await client.receive_response()}")
         client = await connect()
-        await client.begin(1, role=2)
-        trace.append(await client.end())
+        await client.send_request(1, role=2)
+        trace.append(await client.receive_response())
         await client.stream.send(fastcgi.encode_record(77, 0, b""))
-        trace.append(await client.end())
+        trace.append(await client.receive_response())
         await client.stream.send(
             fastcgi.encode_record(fastcgi.RecordType.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS")
         )
-        trace.append(await client.end())
+        trace.append(await client.receive_response())
         for id in range(1, 34):
-            await client.send(begin(), id=id)
-        trace.append(await client.end())
-        await client.send((fastcgi.RecordType.ABORT_REQUEST, b""), id=7)
-        trace.append(await client.end())
-        await client.begin(40)
-        trace.append(await client.end())
-
-    world.play(scene)
+            await client.send_records(begin_request_record(), id=id)
+        trace.append(await client.receive_response())
+        await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""), id=7)
+        trace.append(await client.receive_response())
+        await client.send_request(40)
+        trace.append(await client.receive_response())
+
+    world.run_scene(scene)
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -107,38 +107,38 @@
     async def stream(client, kind):
         with contextlib.suppress(anyio.BrokenResourceError):
             for _ in range(2_000):
-                await client.send((kind, bytes(30_000)))
+                await client.send_records((kind, bytes(30_000)))
 
     async def silence(client):
         pass
 
     async def half(client):
-        await client.begin(1, body=b"abc", whole=False)
+        await client.send_request(1, body=b"abc", whole=False)
 
     async def body_without_end(client):
-        await client.begin(1, whole=False)
+        await client.send_request(1, whole=False)
         await stream(client, fastcgi.RecordType.STDIN)
 
     async def params_without_end(client):
-        await client.send(begin())
+        await client.send_records(begin_request_record())
         await stream(client, fastcgi.RecordType.PARAMS)
 
     async def announced(client, length="60000000"):
-        await client.begin(1, whole=False, CONTENT_LENGTH=length)
+        await client.send_request(1, whole=False, CONTENT_LENGTH=length)
 
     async def negative(client):
         await announced(client, "-3")
 
     async def short(client):
-        await client.begin(1, body=b"abc", CONTENT_LENGTH="4")
+        await client.send_request(1, body=b"abc", CONTENT_LENGTH="4")
 
     async def open_twice(client):
-        await client.begin(1, HTTP_X_SUBJECT=f"{9:016x}")
-        await client.begin(2, HTTP_X_CORRELATION_ID=f"{1:016x}")
+        await client.send_request(1, HTTP_X_SUBJECT=f"{9:016x}")
+        await client.send_request(2, HTTP_X_CORRELATION_ID=f"{1:016x}")
 
     async def taken_back(client):
         for id in range(1, 33):
-            await client.begin(id, whole=False)
+            await client.send_request(id, whole=False)
         await client.stream.send(
             b"".join(
                 fastcgi.encode_record(k, n, b"")
@@ -150,7 +150,7 @@
     async def again(client):
         with contextlib.suppress(anyio.BrokenResourceError):
             for _ in range(100):
-                await client.begin(1, path="/rpc/other")
+                await client.send_request(1, path="/rpc/other")
 
     ways = (
         silence,
@@ -164,7 +164,7 @@
         taken_back,
         again,
     )
-    world.answers = {9: [0.2, WHOLE]}
+    world.responses = {9: [0.2, OK_RESPONSE]}
 
     async def scene(connect):
         said = {}
@@ -173,7 +173,7 @@
             began, client = time.monotonic(), await connect()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(way, client)
-                said[way] = await client.end()
+                said[way] = await client.receive_response()
                 spent = "at once" if time.monotonic() - began < 1 else "soon"
                 said[way] += f" {spent}" if time.monotonic() - began < 2.9 else " late"
                 tasks.cancel_scope.cancel()
@@ -183,42 +183,44 @@
                 tasks.start_soon(play, way)
         trace.extend(f"{way.__name__}: {said[way]}" for way in ways)
         await anyio.sleep(0.05)  # until the ends of the last clients have been read
-        asked = [line for line in world.asked if "GET" in line and f"{9:016x}" not in line]
-        clients = len(world.service.client_connections.open)
+        asked = [line for line in world.requests if "GET" in line and f"{9:016x}" not in line]
+        clients = len(world.router_process.client_connections.open)
         trace.append(f"{clients} clients, {len(asked)} dispatches for what was taken back")
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_aborts_before_and_during_an_answer(world, trace):
-    world.answers = {1: [1.0, WHOLE], 2: [WHOLE[:-2], 1.0, b"de"]}
+    world.responses = {1: [1.0, OK_RESPONSE], 2: [OK_RESPONSE[:-2], 1.0, b"de"]}
 
     async def scene(connect):
         client = await connect()
         for id in (1, 2):
-            await client.begin(id)
+            await client.send_request(id)
             await anyio.sleep(0.1)
-            await client.send((fastcgi.RecordType.ABORT_REQUEST, b""), id=id)
-            trace.append(await client.end())
-        await client.begin(3)
-        trace.append(await client.end())
+            await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""), id=id)
+            trace.append(await client.receive_response())
+        await client.send_request(3)
+        trace.append(await client.receive_response())
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_a_client_that_reads_nothing_holds_nobody_else(world, trace):
     big = b"x" * 240_000
-    world.answers = {n: [WHOLE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + big] for n in range(1, 31)}
+    world.responses = {
+        n: [OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + big] for n in range(1, 31)
+    }
 
     async def scene(connect):
         slow, client = await connect(), await connect()
         for id in range(1, 31):
-            await slow.begin(id)
+            await slow.send_request(id)
         await anyio.sleep(0.3)
-        await client.begin(40)
-        trace.append(await client.end())
+        await client.send_request(40)
+        trace.append(await client.receive_response())
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_a_journal_that_fails_is_asked_anew_from_the_last_number(world, trace):
@@ -233,106 +235,108 @@
 
     async def scene(connect):
         client = await connect()
-        while world.frames:
+        while world.discovery_frames:
             await anyio.sleep(0.02)
-        await client.begin(1)
-        trace.append(await client.end())
+        await client.send_request(1)
+        trace.append(await client.receive_response())
 
-    world.play(scene, frames)
-    trace += [line for line in world.asked if line.startswith("journal")]
+    world.run_scene(scene, frames)
+    trace += [line for line in world.requests if line.startswith("journal")]
 
 
 def test_a_reload_follows_the_journal_at_its_new_address(world, trace, capsys):
     async def scene(connect):
-        client, stay = await connect(), world.path.read_text()
+        client, stay = await connect(), world.config_path.read_text()
         async with anyio.create_task_group() as tasks:
-            there = await world.listen(tasks, world.journal)
-            world.frames = [frame(2, 3, bytes(16)), b"", frame(2, 3, bytes(16)) + frame(3, 0)]
+            there = await world.start_server(tasks, world.serve_discovery)
+            world.discovery_frames = [frame(2, 3, bytes(16)), b"", frame(2, 3, bytes(16)) + frame(3, 0)]
             for told in ("{", stay.replace('"127.0.0.1:1"', "7"), None, stay):
                 if told is None:
                     told = json.dumps(json.loads(stay) | {"journal": there, "limits": {"sockets": 256}})
-                world.path.write_text(told)
+                world.config_path.write_text(told)
                 os.kill(os.getpid(), signal.SIGHUP)
                 await anyio.sleep(0.2)
-            await client.begin(1)
-            trace.append(await client.end())
+            await client.send_request(1)
+            trace.append(await client.receive_response())
             tasks.cancel_scope.cancel()
 
-    world.play(scene)
-    trace += [line for line in world.asked if line.startswith("journal")]
+    world.run_scene(scene)
+    trace += [line for line in world.requests if line.startswith("journal")]
     said = [line for line in capsys.readouterr().err.splitlines() if "SIGHUP" in line]
-    trace += [re.sub("[0-9]{4,}", "PORT", line.replace(str(world.path), "FILE")) for line in said]
+    trace += [re.sub("[0-9]{4,}", "PORT", line.replace(str(world.config_path), "FILE")) for line in said]
 
 
 def test_at_the_bound_of_descriptors_reqs_are_denied(world, trace):
-    world.answers = {n: [3.0] for n in range(1, 200)}
+    world.responses = {n: [3.0] for n in range(1, 200)}
 
     async def scene(connect):
         clients = [await connect() for _ in range(3)]
         for id in range(1, 97):
-            await clients[id % 3].begin(id)
+            await clients[id % 3].send_request(id)
         ends = []
         with anyio.move_on_after(0.4):  # the others are denied once their dispatch has timed out
             for id in range(1, 97):
-                ends.append(await clients[id % 3].end())
+                ends.append(await clients[id % 3].receive_response())
         trace.extend(sorted({end.partition(" ")[2] for end in ends}))
         await anyio.sleep(0.6)
-        world.answers = {}
-        await (client := await connect()).begin(1)
-        trace.append(await client.end())
-        assert 50 < world.most < 70  # a few are closed here before they are there
+        world.responses = {}
+        await (client := await connect()).send_request(1)
+        trace.append(await client.receive_response())
+        assert 50 < world.max_open_connections < 70  # a few are closed here before they are there
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_a_pooled_connection_that_has_ended_carries_no_req(world, trace):
-    world.answers = {n: [WHOLE, None] for n in range(1, 9)}
+    world.responses = {n: [OK_RESPONSE, None] for n in range(1, 9)}
 
     async def scene(connect):
         client = await connect()
         for id in range(1, 9):
-            await client.begin(id)
-            await client.end()
+            await client.send_request(id)
+            await client.receive_response()
         await anyio.sleep(0.05)
         for id in range(9, 13):
-            await client.begin(id, path="/rpc/sale")
-            trace.append(await client.end())
+            await client.send_request(id, path="/rpc/sale")
+            trace.append(await client.receive_response())
 
-    world.play(scene)
+    world.run_scene(scene)
 
 
 def test_a_fault_costs_one_req_its_answer_and_nothing_else(world, trace, capsys):
     async def scene(connect):
-        client, decisions = await connect(), world.service.state_machine.router
+        client, decisions = await connect(), world.router_process.state_machine.router
         for call in ("route", "attempt_finished", "cancel_request", "maintenance"):
             setattr(decisions, call, lambda *arguments: 1 / 0)
-            await client.begin(1)
+            await client.send_request(1)
             if call == "cancel_request":
-                await client.send((fastcgi.RecordType.ABORT_REQUEST, b""))
-            trace.append(f"{call}: {await client.end()}")
+                await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""))
+            trace.append(f"{call}: {await client.receive_response()}")
             delattr(decisions, call)
-        await client.begin(2)
-        trace.append(await client.end())
+        await client.send_request(2)
+        trace.append(await client.receive_response())
 
-    world.play(scene)
+    world.run_scene(scene)
     assert "ZeroDivisionError" in capsys.readouterr().err
 
 
 def test_bytes_of_reqs_are_bounded_and_given_back(world, trace):
     async def scene(connect):
-        client, room = await connect(), world.service.client_connections.free_request_memory
+        client, room = await connect(), world.router_process.client_connections.free_request_memory
         for id in range(1, 5):
-            await client.begin(id, body=bytes(40_000), whole=False)
+            await client.send_request(id, body=bytes(40_000), whole=False)
         for id in (4, 1):
-            await client.send((fastcgi.RecordType.STDIN, b""), id=id)
-            trace.append(await client.end())
-        await client.send((fastcgi.RecordType.ABORT_REQUEST, b""), id=2)
-        trace.append(await client.end())
+            await client.send_records((fastcgi.RecordType.STDIN, b""), id=id)
+            trace.append(await client.receive_response())
+        await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""), id=2)
+        trace.append(await client.receive_response())
         await client.stream.aclose()
         await anyio.sleep(0.05)
-        trace.append(f"{room} bytes, at the end {world.service.client_connections.free_request_memory}")
+        trace.append(
+            f"{room} bytes, at the end {world.router_process.client_connections.free_request_memory}"
+        )
 
-    world.play(scene, limits={"sockets": 128, "memory_mb": 1})
+    world.run_scene(scene, limits={"sockets": 128, "memory_mb": 1})
 
 
 def test_a_client_that_floods_and_reads_nothing_is_read_at_a_pace(trace):
@@ -381,11 +385,11 @@
     async def scene(connect):
         idle = [await connect() for _ in range(25)]
         client = await connect()
-        await client.begin(1)
-        trace.append(await client.end())
-        trace.append(await idle[0].end())
+        await client.send_request(1)
+        trace.append(await client.receive_response())
+        trace.append(await idle[0].receive_response())
 
-    world.play(scene, limits={"sockets": 64})
+    world.run_scene(scene, limits={"sockets": 64})
 
 
 def process(path, port):
@@ -394,17 +398,17 @@
 
 
 def test_sigterm_finishes_what_is_in_hand(world, trace):
-    world.answers = {1: [0.3, WHOLE]}
-    world.frames = []
+    world.responses = {1: [0.3, OK_RESPONSE]}
+    world.discovery_frames = []
 
     async def run():
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
-                cache, port = await world.listen(tasks, world.cache), await free_port()
-                world.tell(cache, await world.listen(tasks, world.journal))
-                routers = [process(world.path, port)]
+                cache, port = await world.start_server(tasks, world.serve_cache), await free_port()
+                world.write_configuration(cache, await world.start_server(tasks, world.serve_discovery))
+                routers = [process(world.config_path, port)]
                 client = await world.connect(port)
-                second = process(world.path, port)
+                second = process(world.config_path, port)
                 trace.append(
                     (await anyio.to_thread.run_sync(second.communicate))[1]
                     .decode()
@@ -412,15 +416,15 @@
                     .replace(f"{port}", "PORT")
                 )
                 trace.append(f"exit {second.returncode}")
-                await client.begin(1)
+                await client.send_request(1)
                 await anyio.sleep(0.1)
                 began = time.monotonic()
                 routers[0].send_signal(signal.SIGTERM)
-                trace.append(await client.end())
+                trace.append(await client.receive_response())
                 await anyio.sleep(0.6 - (time.monotonic() - began))
                 late = await world.connect(port)
-                await late.begin(2)
-                trace.append(await late.end())
+                await late.send_request(2)
+                trace.append(await late.receive_response())
                 error = (await anyio.to_thread.run_sync(routers[0].communicate))[1].decode()
                 took = (
                     time.monotonic() - began
@@ -434,16 +438,18 @@
 
 def test_load_told_in_answers_follows_from_the_settings_alone(world, trace):
     """One build for both shapes: with reports in answers a req has its time, and the report is held."""
-    told = WHOLE.replace(b"X-Tag", b"X-Report: busy:0.61;x1:1.5\r\nX-Ttfb: 9.4\r\nX-Tell: cached\r\nX-Tag")
-    world.answers = {1: [told]}
+    told = OK_RESPONSE.replace(
+        b"X-Tag", b"X-Report: busy:0.61;x1:1.5\r\nX-Ttfb: 9.4\r\nX-Tell: cached\r\nX-Tag"
+    )
+    world.responses = {1: [told]}
 
     async def scene(connect):
         client = await connect()
-        await client.begin(1)
-        trace.append(await client.end())
-        router = world.service.state_machine.router
+        await client.send_request(1)
+        trace.append(await client.receive_response())
+        router = world.router_process.state_machine.router
         trace.append(f"busy {[busy for _, busy in router.reports.values()]}, link {router.link_in[1] > 0}")
 
     for how in ("silent", "piggyback"):
         trace.append(f"load_report.how = {how}")
-        world.play(scene, settings=SETUP | {"load_report": {"how": how, "fields": ["busy", "x1"]}})
+        world.run_scene(scene, settings=SETUP | {"load_report": {"how": how, "fields": ["busy", "x1"]}})
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -19,8 +19,8 @@
         """s until /health is 200 for the first time, as a front asks it."""
         while True:
             client = await world.connect(port)
-            await client.begin(1, path="/health")
-            said = await client.end()
+            await client.send_request(1, path="/health")
+            said = await client.receive_response()
             await client.stream.aclose()
             if "200" in said:
                 return time.monotonic() - began
@@ -29,11 +29,14 @@
     async def run():
         routers, took = [], []
         cache, ports = "127.0.0.1:9", [await free_port() for _ in range(ROUTERS)]
-        world.tell(cache, f"127.0.0.1:{await free_port()}")  # discovery is down
+        world.write_configuration(cache, f"127.0.0.1:{await free_port()}")  # discovery is down
         began = time.monotonic()
         try:
             for port in ports:
-                environ = os.environ | {"NODE_CONFIG": str(world.path), "NODE_LISTEN": f"127.0.0.1:{port}"}
+                environ = os.environ | {
+                    "NODE_CONFIG": str(world.config_path),
+                    "NODE_LISTEN": f"127.0.0.1:{port}",
+                }
                 command = [sys.executable, "-m", "quartzrouter"]
                 routers.append(subprocess.Popen(command, env=environ, stderr=subprocess.DEVNULL))
 
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -9,15 +9,15 @@
 import anyio
 import pytest
 from conftest import frame
-from standins import WHOLE, World, free_port, tagged
+from standins import OK_RESPONSE, World, free_port, with_tag_of_request
 
 from quartzrouter.config.loader import load
-from quartzrouter.fakes.loopback import heads
+from quartzrouter.fakes.loopback import request_heads
 from quartzrouter.server import process
 from quartzrouter.standalone.process import StandaloneProcess
 from quartzrouter.standalone.structured_log import logger
 
-SLOW = [0.15, WHOLE]
+SLOW = [0.15, OK_RESPONSE]
 PLAN = """{
   deployment: { name: "t", home: "north", listen: "127.0.0.1:%(port)d", descriptors: 256 },
   stores: { north: { hub: "h" }, south: { hub: "h" } }, hubs: { h: {} },
@@ -42,40 +42,42 @@
 
     def __init__(self, tmp_path):
         super().__init__(tmp_path)
-        self.path, self.where, self.delay, self.heads = tmp_path / "main.plan", [], 0.0, []
+        self.config_path, self.where, self.delay, self.heads = tmp_path / "main.plan", [], 0.0, []
 
-    def tell(self, cache, journal, **other):
+    def write_configuration(self, cache, journal, **other):
         """Nothing of the platform's is told."""
 
     def at(self, name):
         async def answer(stream):
             async with stream:
-                async for head in heads(stream):
+                async for head in request_heads(stream):
                     self.where.append(name)
                     self.heads.append(head.decode())
                     await anyio.sleep(self.delay)
-                    await stream.send(tagged(WHOLE, head))
+                    await stream.send(with_tag_of_request(OK_RESPONSE, head))
 
         return answer
 
     def write(self, **other):
         told = self.told | {"limits": self.limits, "near": self.near, "on": '"few"'} | other
-        self.path.write_text(PLAN % told)
+        self.config_path.write_text(PLAN % told)
 
     def play_site(self, scene):
-        self.frames = []
+        self.discovery_frames = []
 
         async def run():
             with anyio.fail_after(20):
                 async with anyio.create_task_group() as tasks:
                     names = ("north", "south", "hub", "far")
-                    self.told = {name: await self.listen(tasks, self.at(name)) for name in names}
+                    self.told = {name: await self.start_server(tasks, self.at(name)) for name in names}
                     self.told["port"] = await free_port()
                     self.write()
-                    loaded = load(str(self.path))
+                    loaded = load(str(self.config_path))
                     assert loaded.plan, [fault.shown() for fault in loaded.faults.errors]
-                    self.service = StandaloneProcess(str(self.path), loaded.plan, logger("info", "json"))
-                    tasks.start_soon(self.service.run)
+                    self.router_process = StandaloneProcess(
+                        str(self.config_path), loaded.plan, logger("info", "json")
+                    )
+                    tasks.start_soon(self.router_process.run)
                     await scene(lambda: self.connect(self.told["port"]))
                     tasks.cancel_scope.cancel()
 
@@ -100,10 +102,10 @@
     async def scene(connect):
         client = await connect()
         for id, path in enumerate(["/a", "/m/rose/3.mp4", "/m/rose/4.mp4", "/m/lily/3.mp4"], 1):
-            await client.begin(id, path=path, HTTP_X_SUBJECT=None, HTTP_X_CHUNK=None)
-            assert status(await client.end()) == "200"
-        await client.begin(9, path="/a", REQUEST_METHOD="BREW")
-        assert status(await client.end()) == "400"
+            await client.send_request(id, path=path, HTTP_X_SUBJECT=None, HTTP_X_CHUNK=None)
+            assert status(await client.receive_response()) == "200"
+        await client.send_request(9, path="/a", REQUEST_METHOD="BREW")
+        assert status(await client.receive_response()) == "400"
 
     site.play_site(scene)
     assert site.where == ["north", "south", "south", "south"]
@@ -119,15 +121,18 @@
     async def scene(connect):
         client = await connect()
         for id in range(1, 13):
-            await client.begin(id, path=f"/{id}")
-        said = [await client.end() for _ in range(12)]
+            await client.send_request(id, path=f"/{id}")
+        said = [await client.receive_response() for _ in range(12)]
         assert sorted(map(status, said)) == ["200"] * 4 + ["503"] * 8
-        await client.begin(20, path="/a")
-        assert status(await client.end()) == "200"
+        await client.send_request(20, path="/a")
+        assert status(await client.receive_response()) == "200"
 
     site.play_site(scene)
     assert len(site.where) == 5
-    assert site.service.state_machine.rejected_by_limit == {"few": 8} and not site.service.force.limits.held
+    assert (
+        site.router_process.state_machine.rejected_by_limit == {"few": 8}
+        and not site.router_process.force.limits.held
+    )
 
 
 def test_a_rate_names_a_time_to_come_back(site):
@@ -137,8 +142,8 @@
         client = await connect()
         said = []
         for id in range(1, 41):
-            await client.begin(id, path=f"/{id}", HTTP_X_CLIENT="a" if id % 2 else "b")
-            said.append(status(await client.end()))
+            await client.send_request(id, path=f"/{id}", HTTP_X_CLIENT="a" if id % 2 else "b")
+            said.append(status(await client.receive_response()))
             await anyio.sleep(0.02)
         assert 2 * 2 + 4 <= said.count("200") <= 2 * (2 + 5 * 1.2)  # two clients, 0.8 s or a little more
 
@@ -154,8 +159,8 @@
         async def ask(first):
             client = await connect()
             for id in range(first, first + 60):
-                await client.begin(id, path=f"/m/{id}/1.mp4" if id % 2 else f"/{id}")
-                said.append(status(await client.end()))
+                await client.send_request(id, path=f"/m/{id}/1.mp4" if id % 2 else f"/{id}")
+                said.append(status(await client.receive_response()))
 
         async with anyio.create_task_group() as tasks:
             for n in range(4):
@@ -169,7 +174,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await hup()
         assert len(said) == 240 and set(said) <= {"200", "503"} and said.count("200") > 150
-        assert not site.service.force.where and not site.service.force.limits.held
+        assert not site.router_process.force.where and not site.router_process.force.limits.held
 
     site.play_site(scene)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
@@ -184,16 +189,16 @@
 
     async def scene(connect):
         client = await connect()
-        await client.begin(1, path="/a")
+        await client.send_request(1, path="/a")
         await anyio.sleep(0.1)
-        text = site.path.read_text()
+        text = site.config_path.read_text()
         other = 'n9: { address: "127.0.0.1:1", at: "north", kind: "other" }, s1: {'
         text = text.replace("s1: {", other).replace("near: {  }", 'near: { kinds: "other" }')
-        site.path.write_text(text)
+        site.config_path.write_text(text)
         await hup()
-        assert status(await client.end()) == "200"
-        await client.begin(2, path="/b")
-        assert status(await client.end()) in ("503", "502", "500")
+        assert status(await client.receive_response()) == "200"
+        await client.send_request(2, path="/b")
+        assert status(await client.receive_response()) in ("503", "502", "500")
 
     site.play_site(scene)
 
@@ -203,15 +208,15 @@
 
     async def scene(connect):
         client = await connect()
-        await client.begin(1, path="/a")
-        await client.end()
-        text = site.path.read_text()
-        site.path.write_text(text.replace(site.told["north"], "127.0.0.1:1"))  # where nobody listens
+        await client.send_request(1, path="/a")
+        await client.receive_response()
+        text = site.config_path.read_text()
+        site.config_path.write_text(text.replace(site.told["north"], "127.0.0.1:1"))  # where nobody listens
         await hup()
         ends = []
         for id in range(2, 12):
-            await client.begin(id, path=f"/{id}")
-            ends.append(status(await client.end()))
+            await client.send_request(id, path=f"/{id}")
+            ends.append(status(await client.receive_response()))
             await anyio.sleep(0.06)
         assert ends[-5:] == ["200"] * 5
 
@@ -224,14 +229,14 @@
 
     async def scene(connect):
         client = await connect()
-        await client.begin(1, path="/a")
+        await client.send_request(1, path="/a")
         await anyio.sleep(0.1)
         os.kill(os.getpid(), signal.SIGTERM)
         site.write(limits="few: { concurrent: 1 }")
         await hup()
-        assert status(await client.end()) == "200"
-        await client.begin(2, path="/b")
-        assert status(await client.end()) == "200"
+        assert status(await client.receive_response()) == "200"
+        await client.send_request(2, path="/b")
+        assert status(await client.receive_response()) == "200"
 
     site.play_site(scene)
 
@@ -240,28 +245,30 @@
     async def scene(connect):
         await connect()
         with anyio.move_on_after(1):
-            while not site.asked:
+            while not site.requests:
                 await anyio.sleep(0.02)
 
     write = Site.write
 
     def with_journal(self, **other):
         write(self, **other)
-        text = self.path.read_text()
-        self.path.write_text(text.replace('home: "north",', f'home: "north", journal: "{self.told["hub"]}",'))
+        text = self.config_path.read_text()
+        self.config_path.write_text(
+            text.replace('home: "north",', f'home: "north", journal: "{self.told["hub"]}",')
+        )
 
     site.write = with_journal.__get__(site)
-    site.frames = [frame(2, 0)]
+    site.discovery_frames = [frame(2, 0)]
 
     async def journal(stream):
         async with stream:
-            site.asked.append(f"journal from {int.from_bytes(await stream.receive(8), 'big')}")
+            site.requests.append(f"journal from {int.from_bytes(await stream.receive(8), 'big')}")
             await anyio.sleep(1)
 
     at = site.at
     site.at = lambda name: journal if name == "hub" else at(name)
     site.play_site(scene)
-    assert site.asked[0] == "journal from 1"
+    assert site.requests[0] == "journal from 1"
 
 
 def test_logs_are_logfmt_or_json_with_levels(capsys):
@@ -282,13 +289,15 @@
 
     async def scene(connect):
         client = await connect()
-        await client.begin(1, path="/a")
+        await client.send_request(1, path="/a")
         await anyio.sleep(0.1)
-        site.path.write_text(site.path.read_text().replace("page", "leaf").replace("all:", "every:"))
+        site.config_path.write_text(
+            site.config_path.read_text().replace("page", "leaf").replace("all:", "every:")
+        )
         await hup()
-        assert status(await client.end()) == "200"
-        await client.begin(2, path="/b")
-        assert status(await client.end()) == "200"
+        assert status(await client.receive_response()) == "200"
+        await client.send_request(2, path="/b")
+        assert status(await client.receive_response()) == "200"
 
     site.play_site(scene)
     assert "fault" not in capsys.readouterr().err
@@ -297,11 +306,15 @@
 def test_a_plan_without_the_home_store_changes_nothing(site, capsys):
     async def scene(connect):
         client = await connect()
-        text = site.path.read_text().replace('home: "north"', 'home: "south"').replace("north: {", "west: {")
-        site.path.write_text(text.replace('at: "north"', 'at: "west"'))
+        text = (
+            site.config_path.read_text()
+            .replace('home: "north"', 'home: "south"')
+            .replace("north: {", "west: {")
+        )
+        site.config_path.write_text(text.replace('at: "north"', 'at: "west"'))
         await hup()
-        await client.begin(1, path="/a")
-        assert status(await client.end()) == "200"
+        await client.send_request(1, path="/a")
+        assert status(await client.receive_response()) == "200"
 
     site.play_site(scene)
     assert "nothing changes: the home store 'north' is gone" in capsys.readouterr().err
@@ -312,12 +325,12 @@
 
     async def scene(connect):
         client = await connect()
-        await client.begin(1, path="/a")
-        await client.begin(2, path="/b", HTTP_X_CORRELATION_ID=f"{1:016x}")
-        assert status(await client.end()) == "409"
-        assert len(site.service.force.where) == 1
-        assert status(await client.end()) == "200"
+        await client.send_request(1, path="/a")
+        await client.send_request(2, path="/b", HTTP_X_CORRELATION_ID=f"{1:016x}")
+        assert status(await client.receive_response()) == "409"
+        assert len(site.router_process.force.where) == 1
+        assert status(await client.receive_response()) == "200"
 
     site.play_site(scene)
-    force = site.service.force
+    force = site.router_process.force
     assert not force.where and not force.rulings and not force.limits.held
--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -119,8 +119,8 @@
         """When the copy was made that the router answers with, in us."""
         self.id += 1
         fields = {"HTTP_X_SUBJECT": None, "HTTP_X_CHUNK": None, "HTTP_X_DEADLINE_MS": "3000"}
-        await self.client.begin(1, path=path, HTTP_X_CORRELATION_ID=f"{self.id:016x}", **fields)
-        said = await self.client.end()
+        await self.client.send_request(1, path=path, HTTP_X_CORRELATION_ID=f"{self.id:016x}", **fields)
+        said = await self.client.receive_response()
         return int(said.split(" ")[-4].strip("'")) if " 200 OK" in said else said
 
 
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -14,7 +14,7 @@
 
 import anyio
 import pytest
-from standins import WHOLE, World, free_port
+from standins import OK_RESPONSE, World, free_port
 
 from quartzrouter.server import process
 from quartzrouter.server.event_loop import BACKEND_OPTIONS, EventLoop
@@ -71,15 +71,20 @@
     def __init__(self, tmp_path, program):
         self.world, self.program, self.answers = World(tmp_path), program, {}
 
-    def play(self, scene, **other):
+    def run_scene(self, scene, **other):
         async def run():
             with anyio.fail_after(25):
                 async with anyio.create_task_group() as tasks:
-                    cache, self.port = await self.world.listen(tasks, self.world.cache), await free_port()
-                    self.world.frames = []
-                    self.world.tell(cache, await self.world.listen(tasks, self.world.journal), **other)
+                    cache, self.port = (
+                        await self.world.start_server(tasks, self.world.serve_cache),
+                        await free_port(),
+                    )
+                    self.world.discovery_frames = []
+                    self.world.write_configuration(
+                        cache, await self.world.start_server(tasks, self.world.serve_discovery), **other
+                    )
                     environ = os.environ | {
-                        "NODE_CONFIG": str(self.world.path),
+                        "NODE_CONFIG": str(self.world.config_path),
                         "NODE_LISTEN": f"127.0.0.1:{self.port}",
                     }
                     self.process = subprocess.Popen(
@@ -106,9 +111,9 @@
         """One req on a connection of its own; how it ended and how late that was."""
         client = await self.world.connect(self.port)
         began = time.monotonic()
-        await client.begin(id, path=f"/rpc/{vhost}", HTTP_X_DEADLINE_MS=str(round(timeout * 1e3)))
+        await client.send_request(id, path=f"/rpc/{vhost}", HTTP_X_DEADLINE_MS=str(round(timeout * 1e3)))
         with anyio.move_on_after(timeout + 5):
-            said = await client.end()
+            said = await client.receive_response()
             self.answers[id] = said.split("\r\n")[0], time.monotonic() - began - timeout
         await client.stream.aclose()
 
@@ -135,7 +140,7 @@
         await anyio.sleep(0.6)
 
     router = Process(tmp_path, PROCESS.format(fault))
-    router.play(scene)
+    router.run_scene(scene)
     lines = [line for line in router.said.splitlines() if ": event loop: " in line]
     print(router.share, router.answers, *lines, sep="\n")
     assert any(name in line for line in lines for name in named.split("|"))
@@ -160,7 +165,7 @@
         await router.ask(3, 3.0)
 
     router = Process(tmp_path, PROCESS.format(""))
-    router.play(scene)
+    router.run_scene(scene)
     assert [router.answers[id][0].split()[2] for id in (1, 2, 3)] == ["200", "503", "200"]
 
 
@@ -192,7 +197,7 @@
         assert not children.exists() or not children.read_text()
 
     router = Process(tmp_path, PROCESS.format(AUDIT + more))
-    router.play(scene)
+    router.run_scene(scene)
     assert "200" in router.answers[1][0]
     assert [line for line in router.said.splitlines() if line.startswith("AUDIT")] == heard
 
@@ -206,7 +211,7 @@
                     await anyio.sleep(0.01)
 
     router = Process(tmp_path, PROCESS.format(""))
-    router.play(scene, limits={"sockets": 1024})
+    router.run_scene(scene, limits={"sockets": 1024})
     assert len(router.answers) == 600 and all("200" in said for said, _ in router.answers.values())
     assert ": event loop: " not in router.said
 
@@ -257,8 +262,8 @@
             tasks.cancel_scope.cancel()
 
     router = Process(tmp_path, PROCESS.format(""))
-    router.world.answers = {n: [0.02, WHOLE] for n in range(1, 251)}
-    router.play(scene, limits={"sockets": 1024})
+    router.world.responses = {n: [0.02, OK_RESPONSE] for n in range(1, 251)}
+    router.run_scene(scene, limits={"sockets": 1024})
     ends = Counter(said.split(": ")[-1].split(" b'")[0] for said, _ in router.answers.values())
     print(ends, max(late for _, late in router.answers.values()))
     print(router.said[-2000:])
