--- a/quartzrouter/drill/host.py
+++ b/quartzrouter/drill/host.py
@@ -65,8 +65,8 @@
                 self.cancel_request(request_id, now)
             case ObjectsPurged(tag, object_key, age):
                 self.router.record_purge(tag, object_key, age, now)
-            case HealthCheckDone(endpoint, status, load):
-                self.router.record_health_check(endpoint, status, load, now)
+            case HealthCheckDone(endpoint, status):
+                self.router.record_health_check(endpoint, status, now)
             case TimerFired(number):
                 self.resume_deferred(number, now)
 
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -19,7 +19,8 @@
 from quartzrouter.configuration import Configuration, ConfigurationError, read
 from quartzrouter.routing import LOGGER_NAME
 from quartzrouter.routing.model import Idempotency
-from quartzrouter.routing.router import Router, retry_after
+from quartzrouter.routing.retries import retry_after
+from quartzrouter.routing.router import Router
 from quartzrouter.server import endpoint_watch, responses
 from quartzrouter.server.attempt_task import AttemptTask
 from quartzrouter.server.cache_connections import CacheConnections
@@ -135,7 +136,7 @@
             configuration.memory // REQUEST_MEMORY_DIVISOR,
             self._create_params_parser(),
             self.log,
-            retry_after(configuration.briefing.arguments["permits"]),
+            retry_after(configuration.briefing.arguments["capabilities"]),
         )
 
     def _create_cache_connections(self) -> CacheConnections:
@@ -151,7 +152,7 @@
             pool,
             configuration.memory // RESPONSE_MEMORY_DIVISOR,
             self._create_copy_reader(),
-            configuration.briefing.arguments["permits"].load_in_responses,
+            configuration.briefing.arguments["capabilities"].load_in_responses,
         )
 
     # -- events and effects --------------------------------------------------------------------------
--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -304,7 +304,7 @@
 
     def _is_cacheable(self, client_request: ClientRequest) -> bool:
         """Whether caches keep copies of it, so that a response says which copy it is and how old."""
-        return not self.router.vhosts[client_request.traffic_class].uncacheable
+        return not self.router.traffic_classes[client_request.traffic_class].uncacheable
 
     def _extra_headers(self, client_request: ClientRequest) -> list[tuple[str, str]]:
         """Headers that are passed on beside those of the platform's protocol."""
@@ -451,7 +451,7 @@
     def _health_check_done(self, endpoint: str, status: AttemptStatus, now: int) -> None:
         self.health_checks.discard(endpoint)
         if status is not AttemptStatus.NOT_SENT:  # this process had no descriptor left: nothing was learnt
-            self.router.record_health_check(endpoint, status, {}, now)
+            self.router.record_health_check(endpoint, status, now)
 
 
 def _is_purged(client_request: ClientRequest, purge: PurgeNotice) -> bool:
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -11,7 +11,8 @@
     """No request is left in the state machine or in its router, and none counts as load."""
     state_machine = play.state_machine
     assert not state_machine.in_flight and not state_machine.open_correlation_ids
-    assert not state_machine.router.flights and not any(state_machine.router.load.values())
+    assert not state_machine.router.in_flight
+    assert not any(state_machine.router.load.in_flight.values())
 
 
 def test_a_request_is_forwarded_and_its_response_passed_on(play):
--- a/tests/test_reducer_machine.py
+++ b/tests/test_reducer_machine.py
@@ -222,8 +222,10 @@
         assert not self.owed(), "without an answer"
         held = self.reducer
         assert not (held.in_flight or held.open_correlation_ids or held.requests)
-        assert not (held.router.flights or self.opened)
-        assert not any(held.router.load.values()) and not any(held.router.naming.values())
+        assert not (held.router.in_flight or self.opened)
+        assert not any(held.router.load.in_flight.values()) and not any(
+            held.router.load.as_fill_source.values()
+        )
         self.time(1_000)
         assert not held.deferred
         assert self.exited == self.stopped
