--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -72,7 +72,12 @@
         await client.stream.aclose()
 
 
-def test_no_req_is_lost_where_every_req_comes_on_a_connection_of_its_own(tmp_path):
+def test_no_request_is_lost_where_each_comes_on_a_connection_of_its_own(tmp_path):
+    """Clients open a connection for nearly each request, beyond the bound, to a router that stalls.
+
+    Connections on which a request waited unread were closed to make room, and the request was lost. Now one
+    on which something waits is never given up.
+    """
     world, chance, left = World(tmp_path), random.Random(5), 3_000
     world.discovery_frames = []
 
@@ -112,8 +117,8 @@
     assert ends["lost"] == 0
 
 
-def test_what_a_busy_router_has_not_read_keeps_its_connection(world, trace, monkeypatch):
-    """A req reaches the kernel after the router last read, long before it looks for room."""
+def test_an_unread_request_keeps_its_connection(world, trace, monkeypatch):
+    """A request reaches the kernel after the router last read, and before it looks for one to close."""
     make_room, behind = client_connections.ClientConnections._close_one_idle, []
 
     def late(self):
@@ -140,8 +145,12 @@
 
 
 @pytest.mark.parametrize("looked_at", [False, True])
-def test_a_connection_that_is_reset_or_closed_faults_nobody(world, looked_at):
-    """One that the loop had closed was still there to be asked, and raised ValueError: the router ended."""
+def test_a_connection_that_was_reset_or_closed_can_still_be_looked_at(world, looked_at):
+    """A client resets its connection, and the router's task for it hasn't run yet.
+
+    One that the event loop had closed was still there to be looked at, and raised ValueError: the router
+    ended.
+    """
 
     async def scene(connect):
         kept, reset = await connect(), await connect()
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -11,7 +11,7 @@
 from quartzrouter.server.ring_buffer import RingBuffer
 
 
-def test_a_ring_wraps_and_keeps_the_order(trace):
+def test_a_ring_buffer_wraps_and_keeps_the_order(trace):
     ring, sent = RingBuffer(8), iter(range(100))
     for put, take in ((5, 3), (6, 4), (4, 8), (8, 5), (5, 8)):
         ring.put(bytes(next(sent) for _ in range(put)))
@@ -21,7 +21,7 @@
             wrong()
 
 
-def test_records_come_whole_however_they_are_cut(trace):
+def test_records_are_read_whole_however_they_are_cut(trace):
     long = "x" * 200
     names = b"".join(
         bytes((len(name),)) + (len(value) | 1 << 31).to_bytes(4, "big") + name.encode() + value.encode()
@@ -49,12 +49,12 @@
 
 
 @pytest.mark.parametrize("data", [b"\x05a", b"\x01\x01a", b"\x81\x00\x00", b"\xff\xff\xff\xff\x01ab"])
-def test_pairs_that_are_cut_off(data):
+def test_pairs_that_are_cut_off_are_refused(data):
     with pytest.raises(fastcgi.ProtocolError):
         fastcgi.decode_pairs(data)
 
 
-def test_records_out(trace):
+def test_encoded_records_and_responses(trace):
     for data in (
         *fastcgi.encode_stdout(1, b"x" * 20_000),
         fastcgi.encode_end_request(258),
@@ -73,7 +73,7 @@
         trace.append(f"{len(data)} bytes, {data[:120]}")
 
 
-def test_reqs_that_cannot_be_used(trace):
+def test_requests_that_cannot_be_used(trace):
     whole = {
         "SCRIPT_NAME": "/rpc/page",
         "HTTP_X_CORRELATION_ID": "0123456789abcdef",
@@ -108,7 +108,7 @@
         trace.append(f"{change}: {said}")
 
 
-def test_heads_of_answers(trace):
+def test_heads_of_responses(trace):
     marks = [("X-Tag", "4be0"), ("X-Minted", "1764576000123")]
     for status, fields in (
         (200, [("Content-Length", "5"), *marks, ("X-Tell", "fetched")]),
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -34,54 +34,54 @@
 )
 from quartzrouter.signals import MAX_PENDING, Signals
 
-FULL = b"HTTP/1.1 503 Busy\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
-BIG = OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + bytes(240_000)
+OVERLOADED_RESPONSE = b"HTTP/1.1 503 Busy\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
+LARGE_RESPONSE = OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + bytes(240_000)
 ESTABLISHED, CLOSE_WAIT = 1, 8  # a reset leaves neither
 NO_CANCEL = SETUP | {"limits": SETUP["limits"] | {"cancel": False}}
 
 
-def raw(client):
+def raw_socket(client):
     return client.stream.extra(anyio.abc.SocketAttribute.raw_socket)
 
 
-def write(client, data):
+def write_at_once(client, data):
     """Into the kernel, in one step: nothing else of this process runs."""
-    assert os.write(raw(client).fileno(), data) == len(data)
+    assert os.write(raw_socket(client).fileno(), data) == len(data)
 
 
-def close(client):
+def end_sending(client):
     """As a client that goes: what it wrote before stays to be read, its end behind it."""
-    with socket.socket(fileno=os.dup(raw(client).fileno())) as own:
+    with socket.socket(fileno=os.dup(raw_socket(client).fileno())) as own:
         own.shutdown(socket.SHUT_WR)
 
 
-def state(client):
+def tcp_state(client):
     """Of its TCP, as the kernel tells it."""
-    return raw(client).getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
+    return raw_socket(client).getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
 
 
-async def until(true, most=3.0):
+async def wait_until(condition, timeout=3.0):
     """Waits for something to have come about; that it never does is the verdict."""
-    with anyio.move_on_after(most):
-        while not true():
+    with anyio.move_on_after(timeout):
+        while not condition():
             await anyio.sleep(0.005)
-    assert true()
+    assert condition()
 
 
-def asked(world, id):
+def request_count(world, id):
     return sum(f"/{id:016x}/" in line for line in world.requests)
 
 
-def holding(come, gate):
+def hold_connects(addresses, gate):
     """A way to connect to a cache that notes who asks, and waits for a gate."""
-    real = stream.connect
+    real_connect = stream.connect
 
-    async def held(address):
-        come.append(address)
+    async def held_connect(address):
+        addresses.append(address)
         await gate.wait()
-        return await real(address)
+        return await real_connect(address)
 
-    return held
+    return held_connect
 
 
 def queued(writer):
@@ -89,8 +89,8 @@
     return len(writer.buffer) + sum(map(len, writer.queues.values()))
 
 
-async def settled(world):
-    await until(
+async def wait_until_settled(world):
+    await wait_until(
         lambda: not world.router_process.attempts and not world.router_process.state_machine.in_flight
     )
 
@@ -99,8 +99,11 @@
 
 
 @pytest.mark.parametrize("way", ["end", "abort behind a read's worth", "end behind a read's worth"])
-def test_a_req_read_late_is_not_begun_for_a_client_that_has_gone(world, way):
-    """Its end, or its abort, had come when the req was read: in the kernel, but not in this process."""
+def test_a_request_read_late_is_not_begun_for_a_client_that_has_gone(world, way):
+    """A busy router reads a request late, and its client's end or abort is already in the kernel behind it.
+
+    The request was begun for nobody. Now all that has arrived is read before any request is begun.
+    """
 
     async def scene(connect):
         client, other = await connect(), await connect()
@@ -110,45 +113,52 @@
             else b""
         )
         abort = fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b"") if "abort" in way else b""
-        write(client, client.encode_request(1) + more + abort)
+        write_at_once(client, client.encode_request(1) + more + abort)
         if "end" in way:
-            close(client)
+            end_sending(client)
         await other.send_request(3)
         assert "200 OK" in await other.receive_response()
-        await settled(world)
-        assert asked(world, 1) == 0 and asked(world, 3) == 1
+        await wait_until_settled(world)
+        assert request_count(world, 1) == 0 and request_count(world, 3) == 1
         assert world.accepted_connections == 1  # nor did one come up for it
 
     world.run_scene(scene)
 
 
 @pytest.mark.parametrize("settings", [SETUP, NO_CANCEL])
-def test_an_attempt_that_was_connecting_is_not_sent_for_a_client_that_has_gone(world, monkeypatch, settings):
-    """Where cancels are not permitted, it went on connecting, and out."""
-    come, gate = [], anyio.Event()
-    held = holding(come, gate)
+def test_a_connecting_attempt_is_not_sent_for_a_client_that_has_gone(world, monkeypatch, settings):
+    """A client leaves while the attempt at its request is still connecting.
+
+    Where attempts may not be cancelled, it went on connecting, and the request went out for nobody.
+    """
+    addresses, gate = [], anyio.Event()
+    held_connect = hold_connects(addresses, gate)
 
     async def scene(connect):
         client = await connect()
-        monkeypatch.setattr(connection_pool, "connect", held)
+        monkeypatch.setattr(connection_pool, "connect", held_connect)
         await client.send_request(1)
-        await until(lambda: come)
+        await wait_until(lambda: addresses)
         await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""))
         assert "end 1 0" in await client.receive_response()  # taken back
         gate.set()
         await client.send_request(2)
         assert "200 OK" in await client.receive_response()
-        await settled(world)
-        assert asked(world, 1) == 0 and asked(world, 2) == 1
+        await wait_until_settled(world)
+        assert request_count(world, 1) == 0 and request_count(world, 2) == 1
 
     world.run_scene(scene, settings=settings)
 
 
 @pytest.mark.parametrize("way", ["end", "abort"])
-def test_no_further_attempt_for_a_client_whose_leaving_is_not_read_yet(world, monkeypatch, way):
-    """A busy process reads it after the answer that has it try again, on a connection that is there."""
-    receive, full = stream.Stream.receive, anyio.Event()
-    world.responses = {1: [full, FULL]}
+def test_no_retry_for_a_client_whose_leaving_is_not_read_yet(world, monkeypatch, way):
+    """A response has the request retried, and its client's end or abort arrived just before it.
+
+    A busy process reads that after the response; the retry went out on a pooled connection. Now what the
+    client has sent is read before each attempt.
+    """
+    receive, overloaded = stream.Stream.receive, anyio.Event()
+    world.responses = {1: [overloaded, OVERLOADED_RESPONSE]}
 
     async def slow(self, most):
         if any(self is client.stream for client in world.router_process.client_connections.open):
@@ -166,16 +176,16 @@
         await anyio.sleep(2 * connection_pool.REST)
         monkeypatch.setattr(stream.Stream, "receive", slow)
         await client.send_request(1)  # the reader comes back to the slow way after it
-        await until(lambda: asked(world, 1))
-        full.set()
+        await wait_until(lambda: request_count(world, 1))
+        overloaded.set()
         while not any(each.stream.pending() is stream.Pending.UNREAD for each in asking()):
             await anyio.sleep(0)
         if way == "abort":
-            write(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
+            write_at_once(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
         else:
-            close(client)
-        await settled(world)
-        assert asked(world, 1) == 1
+            end_sending(client)
+        await wait_until_settled(world)
+        assert request_count(world, 1) == 1
 
     def asking():
         return world.router_process.cache_connections.in_use.values()
@@ -183,57 +193,69 @@
     world.run_scene(scene)
 
 
-def test_a_pile_of_answers_does_not_hide_that_the_client_has_gone(world, monkeypatch):
-    """Above so many records nothing was read, so neither an abort nor an end was heard."""
+def test_queued_responses_do_not_hide_that_the_client_has_gone(world, monkeypatch):
+    """A client takes no response, so records are queued for it, and then it aborts a request.
+
+    Above a number of queued records nothing was read, so neither an abort nor an end was noticed. Now the
+    connection is read slowly.
+    """
     monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)  # the kernel holds some megabytes as well
-    full = anyio.Event()
-    world.responses = {n: [BIG] for n in range(2, 32)} | {1: [full, FULL]}
+    overloaded = anyio.Event()
+    world.responses = {n: [LARGE_RESPONSE] for n in range(2, 32)} | {1: [overloaded, OVERLOADED_RESPONSE]}
 
     async def scene(connect):
         client = await connect()
-        mine, *_ = world.router_process.client_connections.open
+        connection, *_ = world.router_process.client_connections.open
         await client.send_request(1, path="/rpc/sale", HTTP_X_DEADLINE_MS="9000")  # which has all that time
-        await until(lambda: asked(world, 1))
+        await wait_until(lambda: request_count(world, 1))
         for id in range(2, 32):
             await client.send_request(id)
         before = None
         with anyio.fail_after(5):  # the kernel takes some megabytes first, and a busy machine its time
-            while not mine.writer.is_backlogged or before != queued(mine.writer):
-                before = queued(mine.writer)
+            while not connection.writer.is_backlogged or before != queued(connection.writer):
+                before = queued(connection.writer)
                 await anyio.sleep(0.05)
-        assert mine.writer.is_backlogged
+        assert connection.writer.is_backlogged
         await client.send_records((fastcgi.RecordType.GET_VALUES, b"\x0f\x00FCGI_MPXS_CONNS"), id=0)
-        await until(lambda: mine.rejected_requests)  # read, and not answered
-        write(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
-        await until(lambda: 1 not in mine.request_ids)
-        full.set()
-        await settled(world)
-        assert asked(world, 1) == 1
+        await wait_until(lambda: connection.rejected_requests)  # read, and not answered
+        write_at_once(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
+        await wait_until(lambda: 1 not in connection.request_ids)
+        overloaded.set()
+        await wait_until_settled(world)
+        assert request_count(world, 1) == 1
 
     world.run_scene(scene)
 
 
-def test_a_connection_that_closes_hears_aborts_and_answers_reqs(world):
-    """Whatever came once it was closing was dropped: an abort, and a whole req without an answer."""
-    full = anyio.Event()
-    world.responses = {1: [full, FULL]}
+def test_a_closing_connection_reads_aborts_and_answers_requests(world):
+    """A connection is closing, and its client sends an abort and a further request.
+
+    Both were dropped: the aborted attempt ran on, and the request had no response. Now records are read
+    until the end of the responses is written, and the request is refused as OVERLOADED.
+    """
+    overloaded = anyio.Event()
+    world.responses = {1: [overloaded, OVERLOADED_RESPONSE]}
 
     async def scene(connect):
         client = await connect()
-        mine, *_ = world.router_process.client_connections.open
+        connection, *_ = world.router_process.client_connections.open
         await client.send_request(1)
-        await until(lambda: asked(world, 1))
+        await wait_until(lambda: request_count(world, 1))
         for id in range(2, 2 + client_connection.MAX_REJECTED_REQUESTS):
             await client.send_request(id, path="/rpc/other")
             assert "404" in await client.receive_response()
-        assert mine.closing
+        assert connection.closing
         await client.send_request(90)
         assert "end 0 2" in await client.receive_response()  # overloaded: it may come again
         await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""))
         assert "end 1 0" in await client.receive_response()  # taken back
-        full.set()
-        await settled(world)
-        assert await client.receive_response() == "closed" and asked(world, 1) == 1 and not asked(world, 90)
+        overloaded.set()
+        await wait_until_settled(world)
+        assert (
+            await client.receive_response() == "closed"
+            and request_count(world, 1) == 1
+            and not request_count(world, 90)
+        )
 
     world.run_scene(scene)
 
@@ -241,33 +263,41 @@
 # -- closes ----------------------------------------------------------------------------------------
 
 
-def test_bytes_between_the_look_and_the_end_reset_nothing(world, monkeypatch):
-    """A close over unread bytes resets: the client reads an end, and its req was never begun."""
+def test_a_request_that_crosses_an_idle_close_resets_nothing(world, monkeypatch):
+    """The router looks at an idle connection, a request arrives, and the router closes it.
+
+    A close over unread bytes resets the connection, and the last response may be lost with it. Now one side
+    is ended first: the client reads an end, and its request was never begun.
+    """
     pending = stream.Stream.pending
 
     async def scene(connect):
         client = await connect()
         await client.send_request(1)
         assert "200 OK" in await client.receive_response()
-        mine, *_ = world.router_process.client_connections.open
+        connection, *_ = world.router_process.client_connections.open
 
         def look(self):
             found = pending(self)
-            if self is mine.stream and found is stream.Pending.QUIET:
-                write(client, client.encode_request(2))
+            if self is connection.stream and found is stream.Pending.QUIET:
+                write_at_once(client, client.encode_request(2))
             return found
 
         monkeypatch.setattr(stream.Stream, "pending", look)
-        assert mine.close_if_idle()
+        assert connection.close_if_idle()
         monkeypatch.setattr(stream.Stream, "pending", pending)
-        await until(lambda: mine.stream.raw.fileno() < 0 and state(client) != ESTABLISHED)
-        assert state(client) == CLOSE_WAIT and not asked(world, 2)  # an end, and no reset
+        await wait_until(lambda: connection.stream.raw.fileno() < 0 and tcp_state(client) != ESTABLISHED)
+        assert tcp_state(client) == CLOSE_WAIT and not request_count(world, 2)  # an end, and no reset
 
     world.run_scene(scene)
 
 
-def test_a_pooled_connection_that_ends_as_it_is_taken_costs_no_req(world, monkeypatch):
-    """One that may not run twice was written to it, and could not be tried again."""
+def test_a_pooled_connection_that_ends_as_it_is_taken_costs_no_request(world, monkeypatch):
+    """A cache ends a pooled connection while it is being taken for a request.
+
+    A request that may not run twice was written to it, and could not be retried. Now the connection is
+    looked at again right before the request, and another one is taken.
+    """
     hear, ends = client_connection.ClientConnection.read_pending, []
 
     async def scene(connect):
@@ -286,53 +316,61 @@
         monkeypatch.setattr(client_connection.ClientConnection, "read_pending", late)
         await client.send_request(2, path="/rpc/sale")
         assert "200 OK" in await client.receive_response()
-        assert ends and asked(world, 2) == 1
+        assert ends and request_count(world, 2) == 1
 
     world.run_scene(scene)
 
 
-FIRST = OK_RESPONSE.replace(b"abcde", b"first").replace(COPY_TAG, b"00000000000000f1")
+FIRST_RESPONSE = OK_RESPONSE.replace(b"abcde", b"first").replace(COPY_TAG, b"00000000000000f1")
+
 
+def test_a_repeated_response_is_not_taken_for_the_next_requests(world):
+    """A cache sends a response twice, the second time after the next request was written.
 
-def test_a_second_answer_that_comes_after_the_next_req_is_not_that_reqs(world):
-    """It had not come when the connection was looked at: the next req's client got another part's bytes."""
+    It had not arrived when the connection was looked at, so the next request's client got another chunk's
+    bytes. Now the copy that it names gives it away, and the request is retried elsewhere.
+    """
     gate = anyio.Event()
 
     async def scene(connect):
         client, same = await connect(), {"HTTP_X_SUBJECT": f"{7:016x}"}
-        world.responses = {7: [FIRST]}
+        world.responses = {7: [FIRST_RESPONSE]}
         await client.send_request(1, **same)
         assert "first" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REST)
-        world.responses = {7: [gate, FIRST, OK_RESPONSE]}  # the cache has read the next req by then
+        world.responses = {7: [gate, FIRST_RESPONSE, OK_RESPONSE]}  # the cache has read the next req by then
         await client.send_request(2, HTTP_X_CHUNK="1", **same)
-        await until(lambda: asked(world, 7) == 2)
+        await wait_until(lambda: request_count(world, 7) == 2)
         assert world.accepted_connections == 1
         world.responses = {}
         gate.set()
-        said = await client.receive_response()
-        assert "200 OK" in said and "abcde" in said
-        assert asked(world, 7) == 3  # of another cache, on a connection of its own
+        response = await client.receive_response()
+        assert "200 OK" in response and "abcde" in response
+        assert request_count(world, 7) == 3  # of another cache, on a connection of its own
 
     world.run_scene(scene)
 
 
 @pytest.mark.parametrize("purged", [False, True])
-def test_a_second_answer_to_a_req_for_the_same_part_is_no_older_than_it_may_be(world, purged):
-    """Where it can't be told from a cache's next answer it will do as well, but not after a purge."""
+def test_a_repeated_response_for_the_same_chunk_is_no_older_than_allowed(world, purged):
+    """A cache sends a response twice, and the next request is for the same chunk.
+
+    Where it can't be told from the cache's next response it does as well, but not after a purge of that
+    chunk: its client would get a copy older than the purge.
+    """
     gate = anyio.Event()
 
     async def scene(connect):
         client, same = await connect(), {"HTTP_X_SUBJECT": f"{7:016x}"}
-        world.responses = {7: [FIRST]}
+        world.responses = {7: [FIRST_RESPONSE]}
         await client.send_request(1, **same)
         assert "first" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REST)
         if purged:
             world.router_process.feed(events.PurgeNotice(None, f"{7:016x}", world.router_process.clock()))
-        world.responses = {7: [gate, FIRST, OK_RESPONSE]}
+        world.responses = {7: [gate, FIRST_RESPONSE, OK_RESPONSE]}
         await client.send_request(2, **same)
-        await until(lambda: asked(world, 7) == 2)
+        await wait_until(lambda: request_count(world, 7) == 2)
         world.responses = {7: [OK_RESPONSE]}
         gate.set()
         assert ("abcde" if purged else "first") in await client.receive_response()
@@ -340,9 +378,13 @@
     world.run_scene(scene)
 
 
-@pytest.mark.parametrize("answer", [FULL, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsold"])
-def test_a_connection_rests_longer_after_an_answer_that_names_no_copy(world, monkeypatch, answer):
-    """Once more on the next req it says that this one is done, or that it never ran."""
+@pytest.mark.parametrize("answer", [OVERLOADED_RESPONSE, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsold"])
+def test_a_connection_rests_longer_after_a_response_that_names_no_copy(world, monkeypatch, answer):
+    """A cache repeats a response that names no copy, an error or that of a write.
+
+    Taken for the next request's, it says that this one is done, or that it never ran. Nothing tells the two
+    apart, so such a connection rests for longer before its next request.
+    """
     monkeypatch.setattr(connection_pool, "REST_AFTER_UNNAMED_COPY", 3_600.0)
 
     async def scene(connect):
@@ -358,8 +400,12 @@
     world.run_scene(scene)
 
 
-def test_large_answers_have_their_turn():
-    """Small ones took the bytes that were given back, and a large one waited for ever."""
+def test_large_responses_get_room_in_their_turn():
+    """The memory for responses is full, and small ones take what is given back as it comes.
+
+    A large response waited for ever. Now room is granted in order; a waiter that is cancelled gives its
+    turn up.
+    """
     order = []
 
     async def run():
@@ -399,8 +445,12 @@
 # -- lists and windows -----------------------------------------------------------------------------
 
 
-def test_bytes_without_a_whole_frame_are_silence(world, monkeypatch):
-    """A service that trickled half a frame was taken for one that has nothing to tell."""
+def test_bytes_without_a_whole_frame_count_as_silence(world, monkeypatch):
+    """A discovery service sends half a frame, a byte at a time, and never the rest.
+
+    It was taken for one that has nothing to tell, and the endpoint list grew old. Now silence counts from
+    the last whole frame, and the service is connected to anew.
+    """
     monkeypatch.setattr(endpoint_watch, "SILENT_AFTER", 0.2)
 
     async def trickle(connection):
@@ -415,13 +465,16 @@
 
     async def scene(connect):
         await connect()
-        await until(lambda: world.requests.count("journal from 1") > 1)
+        await wait_until(lambda: world.requests.count("journal from 1") > 1)
 
     world.run_scene(scene)
 
 
-def test_a_repeat_is_not_sent_once_its_key_may_be_forgotten():
-    """It was decided on in time, and its connection came up late."""
+def test_a_retry_is_not_sent_once_its_idempotency_key_may_be_forgotten():
+    """A retry is decided on in time, and its connection comes up late.
+
+    By then caches may have forgotten the key by which they know a repeat: the operation would run twice.
+    """
     lines = []
     play = Play(lines)
     play.request_received(1, "hold", idempotency_key="a" * 32, timeout=6_000_000)
@@ -443,7 +496,7 @@
 
 # -- signals and the end ---------------------------------------------------------------------------
 
-EARLY = """
+SIGNAL_DURING_IMPORT = """
 import os, runpy, signal, sys
 class Early:
     def find_spec(self, name, path=None, target=None):
@@ -454,7 +507,7 @@
 """
 
 
-def played(world, script, scene, descriptors=None, **other):
+def run_router_process(world, script, scene, descriptors=None, **other):
     """Runs a scene beside a router that is a process of its own; gives its exit status and what it said.
 
     :param descriptors: as many as the process may have.
@@ -480,36 +533,55 @@
                 router = subprocess.Popen(command, env=environ, stderr=subprocess.PIPE, preexec_fn=few)
                 try:
                     await scene(router, lambda: world.connect(port))
-                    said = (await anyio.to_thread.run_sync(router.communicate))[1].decode()
+                    output = (await anyio.to_thread.run_sync(router.communicate))[1].decode()
                 finally:
                     router.kill()
                 tasks.cancel_scope.cancel()
-        return router.returncode, said
+        return router.returncode, output
 
     return anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
 
-def test_a_reload_before_the_program_is_loaded_ends_nothing(world):
+def test_sighup_during_imports_does_not_end_the_process(world):
+    """SIGHUP arrives while the program is being imported.
+
+    The system's default action ended the process. Now handlers are set up first, and the reload is played
+    once the router runs.
+    """
+
     async def scene(router, connect):
         client = await connect()
         await client.send_request(1)
         assert "200 OK" in await client.receive_response()
         router.send_signal(signal.SIGTERM)
 
-    status, said = played(world, ["-c", EARLY.format(number=int(signal.SIGHUP))], scene)
-    assert status == 0 and "SIGHUP: journal at" in said
+    status, output = run_router_process(
+        world, ["-c", SIGNAL_DURING_IMPORT.format(number=int(signal.SIGHUP))], scene
+    )
+    assert status == 0 and "SIGHUP: journal at" in output
+
 
+def test_sigterm_during_imports_ends_the_process_in_order(world):
+    """SIGTERM arrives while the program is being imported.
+
+    The system's default action ended the process with the signal's status. Now it ends with 0, before it
+    listens.
+    """
 
-def test_a_stop_before_the_program_is_loaded_ends_it_in_order(world):
     async def scene(router, connect):
         await anyio.to_thread.run_sync(router.wait)
 
-    status, said = played(world, ["-c", EARLY.format(number=int(signal.SIGTERM))], scene)
-    assert status == 0 and "before it listened" in said and "Traceback" not in said
+    status, output = run_router_process(
+        world, ["-c", SIGNAL_DURING_IMPORT.format(number=int(signal.SIGTERM))], scene
+    )
+    assert status == 0 and "before it listened" in output and "Traceback" not in output
 
 
-def test_signals_to_the_last_moment_change_nothing_about_the_end(world):
-    """The handlers were gone a while before the process was: a reload then ended it by the default."""
+def test_sighup_up_to_the_last_moment_does_not_change_the_exit_status(world):
+    """SIGHUP arrives again and again while the process ends.
+
+    Its handlers were gone a while before the process was, and a reload then ended it by the default.
+    """
 
     async def scene(router, connect):
         client = await connect()
@@ -520,12 +592,15 @@
             router.send_signal(signal.SIGHUP)
             await anyio.sleep(0.001)
 
-    status, said = played(world, ["-m", "quartzrouter"], scene)
-    assert status == 0 and "Traceback" not in said
+    status, output = run_router_process(world, ["-m", "quartzrouter"], scene)
+    assert status == 0 and "Traceback" not in output
 
 
-def test_a_signal_between_the_loops_end_and_the_process_end_is_kept():
-    """It woke a loop that was closed, whose error ended the process with a traceback."""
+def test_a_signal_after_the_event_loops_end_is_kept():
+    """A signal arrives after the event loop has closed.
+
+    It woke that loop, whose error ended the process with a traceback.
+    """
     with Signals() as signals:
         with signals:
             signals.wake = lambda: 1 / 0
@@ -533,10 +608,15 @@
         assert list(signals.pending) == [signal.SIGHUP]
 
 
-def test_what_reaches_a_router_at_its_end_is_answered_and_nothing_is_reset(world, monkeypatch):
-    """A connection that nobody has accepted yet, a resting one, one with half a req, one that isn't read."""
+def test_what_reaches_a_stopping_router_is_answered_and_nothing_is_reset(world, monkeypatch):
+    """A router stops with a connection that nobody has accepted yet, an idle one, one with half a request and
+    one whose client reads slowly.
+
+    Each close over unread bytes was a reset, and requests were without a response. Now what waits is
+    accepted, what was read is answered, and connections end one way before they are closed.
+    """
     accept, stopping = listener.Listener._accept_from, []
-    world.responses = {3: [BIG]}
+    world.responses = {3: [LARGE_RESPONSE]}
 
     def late(self, listening_socket):  # the accepting task is behind; the end itself looks
         return False if stopping and not self._scope.cancel_called else accept(self, listening_socket)
@@ -547,7 +627,7 @@
         assert "200 OK" in await resting.receive_response()
         await half.send_request(2, whole=False)
         await slow.send_request(3)
-        await until(lambda: asked(world, 3))
+        await wait_until(lambda: request_count(world, 3))
         monkeypatch.setattr(listener.Listener, "_accept_from", late)
         stopping.append(True)
         os.kill(os.getpid(), signal.SIGTERM)
@@ -556,40 +636,48 @@
         assert "503" in await new.receive_response()
         ended = [each for each in world.router_process.client_connections.open if each.responses_ended]
         assert len(ended) < 4
-        await until(
+        await wait_until(
             lambda: any(each.responses_ended for each in world.router_process.client_connections.open)
         )
-        write(resting, resting.encode_request(5))  # crosses the end, and is never begun
-        assert "200 OK" in (said := await slow.receive_response()) and "end 0 0" in said
+        write_at_once(resting, resting.encode_request(5))  # crosses the end, and is never begun
+        assert "200 OK" in (response := await slow.receive_response()) and "end 0 0" in response
         for client in (resting, half, slow, new):
             with pytest.raises(anyio.EndOfStream):
                 while True:
                     await client.stream.receive()
-        assert not asked(world, 5) and not asked(world, 2)
+        assert not request_count(world, 5) and not request_count(world, 2)
 
     world.run_scene(scene)
 
 
-def test_clients_that_do_not_read_do_not_keep_a_router_from_its_end(world, monkeypatch):
+def test_clients_that_do_not_read_do_not_keep_the_process_from_exiting(world, monkeypatch):
+    """A router stops while a client takes none of its responses.
+
+    The process never ended. Now it ends once the longest client timeout has passed.
+    """
     monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)
     timeout = [kind | {"deadline_us": 1_000_000} for kind in SETUP["categories"]]
-    world.responses = {n: [BIG] for n in range(1, 31)}
+    world.responses = {n: [LARGE_RESPONSE] for n in range(1, 31)}
 
     async def scene(connect):
         client = await connect()
         for id in range(1, 31):
             await client.send_request(id)
-        await until(
+        await wait_until(
             lambda: any(each.writer.is_backlogged for each in world.router_process.client_connections.open)
         )
         os.kill(os.getpid(), signal.SIGTERM)
-        await until(lambda: not world.router_process.client_connections.open, most=6)
+        await wait_until(lambda: not world.router_process.client_connections.open, timeout=6)
 
     world.run_scene(scene, settings=SETUP | {"categories": timeout})
 
 
-def test_a_reset_reaches_no_other_connection(world):
-    """The descriptor of one that the loop had closed could be another's when it was looked at or shut."""
+def test_closing_one_connection_reaches_no_other(world):
+    """A connection is closed, and another one is given its descriptor.
+
+    One that the event loop had closed by itself was still looked at and shut down by its number, which was
+    another's by then.
+    """
 
     async def scene(connect):
         client = await connect()
@@ -614,24 +702,28 @@
     world.run_scene(scene)
 
 
-def test_answers_that_are_not_taken_count_as_open_reqs(world):
-    """A req is open to its client until its answer has gone out; else answers would pile up without end."""
-    world.responses = {n: [BIG] for n in range(1, 121)}
+def test_responses_that_are_not_taken_count_as_open_requests(world):
+    """A client asks and asks, and takes no response.
+
+    Responses piled up without end. Now a request is open until its response has gone out, and open requests
+    have a bound.
+    """
+    world.responses = {n: [LARGE_RESPONSE] for n in range(1, 121)}
 
     async def scene(connect):
         client = await connect()
-        mine, *_ = world.router_process.client_connections.open
+        connection, *_ = world.router_process.client_connections.open
         for id in range(1, 121):
             await client.send_request(id)
-            await until(lambda id=id: mine.rejected_requests or asked(world, id))
-            await until(lambda: not mine.awaited)
+            await wait_until(lambda id=id: connection.rejected_requests or request_count(world, id))
+            await wait_until(lambda: not connection.awaited)
             assert (
-                mine.open_requests <= client_connection.MAX_OPEN_REQUESTS
-                and len(mine.writer.queues) <= client_connection.MAX_OPEN_REQUESTS + 1
+                connection.open_requests <= client_connection.MAX_OPEN_REQUESTS
+                and len(connection.writer.queues) <= client_connection.MAX_OPEN_REQUESTS + 1
             )
-            if mine.closing:
+            if connection.closing:
                 break
-        await until(lambda: mine.closing)
+        await wait_until(lambda: connection.closing)
 
     world.run_scene(scene)
 
@@ -639,7 +731,9 @@
 # -- clients that send badly -----------------------------------------------------------------------
 
 
-def test_a_req_that_trickles_in_is_answered_and_others_are_served_meanwhile(world):
+def test_a_request_that_trickles_in_is_answered_and_others_meanwhile(world):
+    """A client sends its request a byte at a time: it is answered, and others don't wait for it."""
+
     async def scene(connect):
         slow, other = await connect(), await connect()
         for at, byte in enumerate(slow.encode_request(1)):
@@ -653,7 +747,10 @@
 
 
 def test_clients_that_send_much_and_leave_leave_nothing_behind(world):
-    """Whole reqs, half ones, records for nobody: none is begun, and what they held is given back."""
+    """Clients send complete requests, half ones and records for nobody, and leave at once.
+
+    None of them is begun, and the memory that they held is given back.
+    """
 
     async def scene(connect):
         service = world.router_process
@@ -663,10 +760,10 @@
             data = flood.encode_request(id) + flood.encode_request(2, body=bytes(4_000), whole=False)
             data += fastcgi.encode_record(fastcgi.RecordType.STDIN, 99, bytes(8_000))
             with contextlib.suppress(BlockingIOError):
-                os.write(raw(flood).fileno(), data)
-            close(flood)
-        await until(lambda: not service.client_connections.open)
-        await settled(world)
+                os.write(raw_socket(flood).fileno(), data)
+            end_sending(flood)
+        await wait_until(lambda: not service.client_connections.open)
+        await wait_until_settled(world)
         assert (
             service.client_connections.free_request_memory == room
             and not service.client_connections.by_request_id
@@ -680,8 +777,12 @@
     world.run_scene(scene)
 
 
-def test_idle_clients_that_fill_the_descriptors_keep_nobody_out_while_discovery_is_down(world):
-    """At the lowest limit that may be told, and with no descriptor more than that."""
+def test_idle_clients_keep_nobody_out_while_discovery_is_down(world):
+    """Idle clients take all descriptors of a router with the least that may be configured, and no more than
+    that, while its discovery service is away.
+
+    New clients are served, and so is the connection to the service once it is there.
+    """
 
     async def scene(router, connect):
         idle = [await connect() for _ in range(60)]
@@ -695,7 +796,7 @@
             if round == 1:
                 listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
                 tasks.start_soon(listener.serve, world.serve_discovery)
-                await until(lambda: "journal from 1" in world.requests)
+                await wait_until(lambda: "journal from 1" in world.requests)
         router.send_signal(signal.SIGTERM)
 
     async def whole(router, connect):
@@ -706,7 +807,7 @@
             tasks.cancel_scope.cancel()
 
     tasks, port = None, anyio.run(free_port)
-    status, said = played(
+    status, output = run_router_process(
         world,
         ["-m", "quartzrouter"],
         whole,
@@ -714,23 +815,28 @@
         journal=f"127.0.0.1:{port}",
         limits={"sockets": 64},
     )
-    assert status == 0 and "Traceback" not in said and "accept failed" not in said
+    assert status == 0 and "Traceback" not in output and "accept failed" not in output
+
 
+def test_a_rejection_for_memory_names_retry_after(world):
+    """Requests hold all the memory that there is: the one that finds none is told when to retry."""
 
-def test_a_client_that_finds_no_room_is_told_when_to_come_back(world):
     async def scene(connect):
-        client, said = await connect(), b""
+        client, response = await connect(), b""
         for id in range(1, 5):
             await client.send_request(id, body=bytes(40_000), whole=False)
-        while b"Status" not in said:
-            said += await client.stream.receive()
-        assert b"Status: 503" in said and b"X-Pushback-Ms: 500\r\n" in said
+        while b"Status" not in response:
+            response += await client.stream.receive()
+        assert b"Status: 503" in response and b"X-Pushback-Ms: 500\r\n" in response
 
     world.run_scene(scene, limits={"sockets": 128, "memory_mb": 1})
 
 
-def test_many_reloads_push_out_no_stop_that_waits():
-    """What is kept has a bound, and the oldest went first: a stop that a busy process had not taken up."""
+def test_many_reloads_do_not_push_out_a_pending_stop():
+    """A busy process hasn't handled SIGTERM yet, and SIGHUP arrives a thousand times.
+
+    Pending signals have a bound, and the oldest went first: the stop was lost.
+    """
     with Signals() as signals:
         os.kill(os.getpid(), signal.SIGTERM)
         for _ in range(1_000):
@@ -745,24 +851,27 @@
 
 
 @pytest.mark.parametrize("at", ["connecting", "asked", "half an answer", "stopping"])
-def test_a_reload_between_two_steps_of_an_attempt_changes_nothing_about_it(world, monkeypatch, at):
-    """The new journal service is followed, and the req has its one answer."""
-    come, gate = [], anyio.Event()
-    held = holding(come, gate)
+def test_a_reload_between_two_steps_of_an_attempt_does_not_change_it(world, monkeypatch, at):
+    """SIGHUP arrives while an attempt connects, waits for its response, has half of it, or the process stops.
+
+    The new discovery service is followed, and the request has its one response.
+    """
+    addresses, gate = [], anyio.Event()
+    held_connect = hold_connects(addresses, gate)
 
     async def scene(connect):
         client, service = await connect(), world.router_process
         if at == "connecting":
-            monkeypatch.setattr(connection_pool, "connect", held)
+            monkeypatch.setattr(connection_pool, "connect", held_connect)
         world.responses = {
             1: [OK_RESPONSE[:-2], gate, OK_RESPONSE[-2:]] if at == "half an answer" else [gate, OK_RESPONSE]
         }
         await client.send_request(1)
-        await until(lambda: come or asked(world, 1))
+        await wait_until(lambda: addresses or request_count(world, 1))
         async with anyio.create_task_group() as tasks:
             if at == "stopping":
                 os.kill(os.getpid(), signal.SIGTERM)
-                await until(lambda: service.state_machine.is_shutting_down)
+                await wait_until(lambda: service.state_machine.is_shutting_down)
             there, told = (
                 await world.start_server(tasks, world.serve_discovery),
                 json.loads(world.config_path.read_text()),
@@ -770,26 +879,29 @@
             world.config_path.write_text(json.dumps(told | {"journal": there}))
             before = world.requests.count("journal from 1")
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: world.requests.count("journal from 1") > before)
+            await wait_until(lambda: world.requests.count("journal from 1") > before)
             gate.set()
             assert "200 OK b'abcde' end 0 0" in await client.receive_response()
-            assert asked(world, 1) == 1
+            assert request_count(world, 1) == 1
             tasks.cancel_scope.cancel()
 
     world.run_scene(scene)
 
 
 @pytest.mark.parametrize("at", ["connecting", "half a frame"])
-def test_a_reload_leaves_what_the_old_journal_was_about_to_say_to_the_new_one(world, monkeypatch, at):
-    """Neither told twice nor never: the new one is asked from the last whole frame."""
-    real, come = endpoint_watch.connect, []
+def test_a_reload_in_the_middle_of_an_event_takes_it_from_the_new_service(world, monkeypatch, at):
+    """The discovery service moves while the router connects to the old one, or has half a frame of it.
+
+    The event is played once, neither twice nor never: the new service is asked from the last whole frame.
+    """
+    real_connect, addresses = endpoint_watch.connect, []
     purge = frame(2, 3, bytes(7) + b"\7" + b"\0\0\1\x9a\0\0\0\0")
 
-    async def held(address):
-        come.append(address)
-        if at == "connecting" and address == come[0]:
+    async def held_connect(address):
+        addresses.append(address)
+        if at == "connecting" and address == addresses[0]:
             await anyio.sleep_forever()
-        return await real(address)
+        return await real_connect(address)
 
     async def scene(connect):
         service, purged = world.router_process, []
@@ -814,15 +926,15 @@
                 )
                 os.kill(os.getpid(), signal.SIGHUP)
 
-            await until(lambda: "journal from 1" in world.requests)
-            monkeypatch.setattr(endpoint_watch, "connect", held)
+            await wait_until(lambda: "journal from 1" in world.requests)
+            monkeypatch.setattr(endpoint_watch, "connect", held_connect)
             await follow(old)
-            await until(lambda: come)
+            await wait_until(lambda: addresses)
             if at == "half a frame":
                 await half.wait()
             world.discovery_frames = [purge]
             await follow(world.serve_discovery)
-            await until(lambda: purged)
+            await wait_until(lambda: purged)
             assert purged == [events.PurgeNotice(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
             assert service.endpoint_watch.held == 2
             tasks.cancel_scope.cancel()
@@ -830,7 +942,11 @@
     world.run_scene(scene)
 
 
-def test_a_journal_service_that_resets_connections_as_they_come_up_is_asked_again(world):
+def test_a_discovery_service_that_resets_new_connections_is_retried(world):
+    """A discovery service resets connections as they come up.
+
+    The error of the stream's own library ended the process. Now any failure is an OSError, and retried.
+    """
     times = []
 
     async def reset(stream):
@@ -851,7 +967,7 @@
             )
             before = world.requests.count("journal from 1")
             os.kill(os.getpid(), signal.SIGHUP)
-            await until(lambda: world.requests.count("journal from 1") > before)
+            await wait_until(lambda: world.requests.count("journal from 1") > before)
             assert len(times) == 3
             await client.send_request(1)
             assert "200 OK" in await client.receive_response()
@@ -861,32 +977,36 @@
 
 
 @pytest.mark.parametrize("in_time", [True, False])
-def test_a_connection_that_comes_up_late_keeps_nobody_and_carries_nothing_late(world, monkeypatch, in_time):
-    """Within what is told it is used; beyond, another cache is asked, and it is closed if it comes at all."""
-    real, come, gate = stream.connect, [], anyio.Event()
+def test_a_connection_that_opens_late_delays_nobody_and_carries_nothing_late(world, monkeypatch, in_time):
+    """A connection to a cache comes up late.
 
-    async def held(address):
-        come.append(address)
-        if len(come) == 1:
+    Within the connect timeout it is used. Beyond, the request is retried elsewhere, and the connection is
+    closed if it comes up at all: its request may not go out twice.
+    """
+    real_connect, addresses, gate = stream.connect, [], anyio.Event()
+
+    async def held_connect(address):
+        addresses.append(address)
+        if len(addresses) == 1:
             await gate.wait()
-        return await real(address)
+        return await real_connect(address)
 
     async def scene(connect):
         slow, other = await connect(), await connect()
-        monkeypatch.setattr(connection_pool, "connect", held)
+        monkeypatch.setattr(connection_pool, "connect", held_connect)
         await slow.send_request(1)
-        await until(lambda: come)
+        await wait_until(lambda: addresses)
         for id in range(10, 15):
             await other.send_request(id)
             assert "200 OK" in await other.receive_response()
         if in_time:
-            assert not asked(world, 1)
+            assert not request_count(world, 1)
             gate.set()
         assert "200 OK" in await slow.receive_response()
         gate.set()
-        await settled(world)
+        await wait_until_settled(world)
         service = world.router_process
-        assert asked(world, 1) == 1
+        assert request_count(world, 1) == 1
         assert service.cache_connections.pool.open == sum(
             map(len, service.cache_connections.pool.idle.values())
         )
@@ -896,21 +1016,24 @@
     world.run_scene(scene, settings=SETUP | {"limits": limits})
 
 
-def test_a_flood_of_what_cannot_be_used_costs_few_lines_and_no_other_client(world, capsys):
-    """A line each would be more than a log takes; what is left out is counted in the next."""
+def test_a_flood_of_invalid_requests_costs_few_log_lines_and_no_other_client(world, capsys):
+    """Clients send what can't be used, as fast as they can.
+
+    A line each would be more than a log takes, and others would wait. Lines are suppressed and counted.
+    """
     floods = 200
 
     async def scene(connect):
         other = await connect()
         for at in range(floods):
             flood = await connect()
-            write(flood, flood.encode_request(1, HTTP_X_CHUNK="none") + b"\0" * 64)
+            write_at_once(flood, flood.encode_request(1, HTTP_X_CHUNK="none") + b"\0" * 64)
             if at % 2:
-                close(flood)
+                end_sending(flood)
             if at % 20 == 0:
                 await other.send_request(1000 + at)
                 assert "200 OK" in await other.receive_response()
-        await until(lambda: len(world.router_process.client_connections.open) == 1)
+        await wait_until(lambda: len(world.router_process.client_connections.open) == 1)
 
     world.run_scene(scene)
     lines = [line for line in capsys.readouterr().err.splitlines() if "client: " in line]
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -88,8 +88,8 @@
         return sum(ticket in self.done for ticket in these) / len(these)
 
 
-def test_large_answers_that_have_begun_are_not_taken_for_hangs():
-    """Time-outs went by the mean size: the largest tenth was given up in the middle, each time."""
+def test_large_responses_that_have_begun_are_not_taken_for_hangs():
+    """Timeouts went by the mean size: the largest tenth was given up in the middle, each time."""
     paced, draw = Paced(), random.Random(5)
     for ticket in range(400):
         paced.came(10 * S + ticket * 100 * MS, ticket, LARGE if draw.random() < 0.1 else SMALL)
@@ -99,8 +99,11 @@
     assert paced.share(LARGE) >= FLOOR * len(paced.done) / len(paced.sizes)
 
 
-def test_large_answers_that_are_told_of_at_their_end_are_not_taken_for_hangs():
-    """Then what was seen of the class says how long a large one takes, not its mean."""
+def test_large_responses_announced_at_their_end_are_not_taken_for_hangs():
+    """Caches say nothing until they have all of a response.
+
+    Timeouts went by the mean size; now by what was seen of the class.
+    """
     paced, draw = Paced(head_first=False, aim_us=100 * MS), random.Random(5)
     for ticket in range(400):
         paced.came(10 * S + ticket * 100 * MS, ticket, int(SMALL * (LARGE / SMALL) ** draw.random()))
@@ -112,7 +115,8 @@
     assert share >= FLOOR * len(paced.done) / 400
 
 
-def test_a_large_answer_that_stops_in_the_middle_is_given_up_before_its_client_does():
+def test_a_large_response_that_stops_in_the_middle_is_given_up_in_time():
+    """A cache stops in the middle of a large response: it is given up before its client gives up."""
     paced = Paced()
     for ticket in range(40):
         paced.came(10 * S + ticket * 100 * MS, ticket, SMALL)
@@ -128,8 +132,8 @@
 
 
 @pytest.mark.parametrize("memory", [1, 4])
-def test_where_the_bytes_of_answers_are_bounded_large_ones_are_answered_too(world, memory):
-    """At most one of them fits at once; small ones that come all the while don't pass it by."""
+def test_large_responses_are_sent_where_response_memory_is_small(world, memory):
+    """At most one large response fits at once: small ones that come all the while don't pass it by."""
     ends, sizes = [], {}
 
     async def scene(connect):
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -17,7 +17,7 @@
 from quartzrouter.server import process as process_module
 
 
-def test_reqs_are_answered_over_one_connection(world, trace):
+def test_requests_are_answered_over_one_connection(world, trace):
     async def scene(connect):
         client = await connect()
         await client.send_request(1, path="/health")
@@ -36,7 +36,10 @@
     trace += sorted(line for line in world.requests if line.startswith("GET"))
 
 
-def test_what_caches_get_wrong_ends_at_their_connection(world, trace, capsys):
+def test_malformed_responses_end_at_their_connection(world, trace, capsys):
+    """Caches break HTTP or the protocol in many ways: a client gets a whole response or an error, no
+    traceback.
+    """
     head = b"HTTP/1.1 200 OK\r\n" + COPY_HEADERS
     wrong = {
         1: [b"nonsense\r\n\r\n"],
@@ -69,7 +72,11 @@
     assert "Traceback" not in capsys.readouterr().err
 
 
-def test_what_clients_get_wrong_ends_at_their_connection(world, trace, capsys):
+def test_malformed_records_end_at_their_connection(world, trace, capsys):
+    """Clients break FastCGI in many ways: it costs them their connection or their request, and nobody
+    else.
+    """
+
     async def scene(connect):
         for said in (
             b"\x02" + bytes(7),
@@ -104,6 +111,10 @@
 
 
 def test_clients_that_bring_nothing_usable_are_answered_or_closed_soon(world, trace):
+    """Clients send nothing, halves, or more than is allowed: each has its final response or its end in
+    time.
+    """
+
     async def stream(client, kind):
         with contextlib.suppress(anyio.BrokenResourceError):
             for _ in range(2_000):
@@ -190,7 +201,10 @@
     world.run_scene(scene)
 
 
-def test_aborts_before_and_during_an_answer(world, trace):
+def test_aborts_before_and_during_a_response(world, trace):
+    """A client aborts before its response has begun, and in the middle of it: the request ends, others go
+    on.
+    """
     world.responses = {1: [1.0, OK_RESPONSE], 2: [OK_RESPONSE[:-2], 1.0, b"de"]}
 
     async def scene(connect):
@@ -206,7 +220,8 @@
     world.run_scene(scene)
 
 
-def test_a_client_that_reads_nothing_holds_nobody_else(world, trace):
+def test_a_client_that_reads_nothing_blocks_nobody_else(world, trace):
+    """A client takes none of its large responses: another client's are not held up."""
     big = b"x" * 240_000
     world.responses = {
         n: [OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + big] for n in range(1, 31)
@@ -223,7 +238,8 @@
     world.run_scene(scene)
 
 
-def test_a_journal_that_fails_is_asked_anew_from_the_last_number(world, trace):
+def test_a_failed_discovery_service_is_resumed_from_the_last_event(world, trace):
+    """A discovery service sends noise, gaps and repeats: it is connected to anew from the last event held."""
     frames = [
         frame(1, 0) + frame(2, 3, bytes(16)) + b"\x00",
         b"\xff" * 20,
@@ -244,7 +260,9 @@
     trace += [line for line in world.requests if line.startswith("journal")]
 
 
-def test_a_reload_follows_the_journal_at_its_new_address(world, trace, capsys):
+def test_sighup_follows_discovery_at_its_new_address(world, trace, capsys):
+    """SIGHUP with broken configurations changes nothing; with a good one discovery is followed elsewhere."""
+
     async def scene(connect):
         client, stay = await connect(), world.config_path.read_text()
         async with anyio.create_task_group() as tasks:
@@ -266,7 +284,8 @@
     trace += [re.sub("[0-9]{4,}", "PORT", line.replace(str(world.config_path), "FILE")) for line in said]
 
 
-def test_at_the_bound_of_descriptors_reqs_are_denied(world, trace):
+def test_requests_are_rejected_when_descriptors_run_out(world, trace):
+    """All descriptors for caches are in use by responses that don't come: further requests are rejected."""
     world.responses = {n: [3.0] for n in range(1, 200)}
 
     async def scene(connect):
@@ -287,7 +306,8 @@
     world.run_scene(scene)
 
 
-def test_a_pooled_connection_that_has_ended_carries_no_req(world, trace):
+def test_a_pooled_connection_that_has_ended_carries_no_request(world, trace):
+    """Caches close pooled connections: requests that may not run twice go out on live ones only."""
     world.responses = {n: [OK_RESPONSE, None] for n in range(1, 9)}
 
     async def scene(connect):
@@ -303,7 +323,9 @@
     world.run_scene(scene)
 
 
-def test_a_fault_costs_one_req_its_answer_and_nothing_else(world, trace, capsys):
+def test_a_fault_in_a_decision_costs_one_request_only(world, trace, capsys):
+    """A decision raises an error of the program: that request fails, the process and others go on."""
+
     async def scene(connect):
         client, decisions = await connect(), world.router_process.state_machine.router
         for call in ("route", "attempt_finished", "cancel_request", "maintenance"):
@@ -320,7 +342,9 @@
     assert "ZeroDivisionError" in capsys.readouterr().err
 
 
-def test_bytes_of_reqs_are_bounded_and_given_back(world, trace):
+def test_request_memory_is_bounded_and_given_back(world, trace):
+    """Clients hold more bytes of requests than there is memory: one is rejected, and all is given back."""
+
     async def scene(connect):
         client, room = await connect(), world.router_process.client_connections.free_request_memory
         for id in range(1, 5):
@@ -339,7 +363,9 @@
     world.run_scene(scene, limits={"sockets": 128, "memory_mb": 1})
 
 
-def test_a_client_that_floods_and_reads_nothing_is_read_at_a_pace(trace):
+def test_a_client_that_floods_and_reads_nothing_is_read_slowly(trace):
+    """A client sends without end and takes nothing: what is queued for it stays bounded."""
+
     class Stuck:
         """A connection that takes nothing and has ever more to say."""
 
@@ -382,6 +408,8 @@
 
 
 def test_idle_clients_make_room_for_a_new_one(world, trace):
+    """All client connections are in use by idle clients: one of them is closed for a new one."""
+
     async def scene(connect):
         idle = [await connect() for _ in range(25)]
         client = await connect()
@@ -397,7 +425,8 @@
     return subprocess.Popen([sys.executable, "-m", "quartzrouter"], env=environ, stderr=subprocess.PIPE)
 
 
-def test_sigterm_finishes_what_is_in_hand(world, trace):
+def test_sigterm_finishes_in_flight_requests(world, trace):
+    """A process is told to stop with a request in flight, and a second one can't bind its address."""
     world.responses = {1: [0.3, OK_RESPONSE]}
     world.discovery_frames = []
 
@@ -436,8 +465,10 @@
     anyio.run(run, backend_options=process_module.BACKEND_OPTIONS)
 
 
-def test_load_told_in_answers_follows_from_the_settings_alone(world, trace):
-    """One build for both shapes: with reports in answers a req has its time, and the report is held."""
+def test_load_reports_in_responses_follow_from_the_settings_alone(world, trace):
+    """One program for both platforms: with load reports in responses a request is served, and the load
+    known.
+    """
     told = OK_RESPONSE.replace(
         b"X-Tag", b"X-Report: busy:0.61;x1:1.5\r\nX-Ttfb: 9.4\r\nX-Tell: cached\r\nX-Tag"
     )
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -14,7 +14,11 @@
 MOST, ALL = 10.0, 30.0  # s within which nine in ten, and all, have to be ready
 
 
-def test_routers_started_together_are_ready_by_what_they_know(world, capsys):
+def test_routers_started_together_are_ready_by_their_initial_snapshot(world, capsys):
+    """Twenty routers start at once while discovery is down: the endpoints in their configuration are
+    enough.
+    """
+
     async def first_answer(port, began):
         """s until /health is 200 for the first time, as a front asks it."""
         while True:
--- a/tests/test_turns.py
+++ b/tests/test_spin_guard.py
@@ -129,7 +129,12 @@
         (NOW, "timer ticks in a row without effect; due again: deferred request"),
     ],
 )
-def test_what_spins_is_named_and_braked_and_reqs_get_their_answers(tmp_path, fault, named):
+def test_a_spin_is_named_and_slowed_down_and_requests_are_answered(tmp_path, fault, named):
+    """Something in the event loop repeats without progress: a timer, a descriptor, a task or a decision.
+
+    A router that spins burns the CPU that its requests need, and nothing else shows it.
+    """
+
     async def scene(router):
         async with anyio.create_task_group() as askers:
             for id in range(1, 25):
@@ -152,8 +157,11 @@
     assert max(late for _, late in router.answers.values()) < SLACK
 
 
-def test_the_time_that_a_req_lay_unread_counts(tmp_path):
-    """Read 0.8 s late, its first-byte target is over: it was dispatched as if it had just come."""
+def test_the_time_that_a_request_lay_unread_counts(tmp_path):
+    """A router gets no CPU, and reads a request 0.8 s late: its latency objective is over.
+
+    It was dispatched as if it had just come. Now it is rejected at once.
+    """
 
     async def scene(router):
         await router.ask(1, 3.0)
@@ -188,8 +196,8 @@
         ("socket.socket(socket.AF_UNIX).bind('\\0quartzrouter-test')", ["AUDIT socket.bind AF_UNIX"]),
     ],
 )
-def test_the_platforms_router_starts_no_process_and_meets_others_over_ipv4_only(tmp_path, more, heard):
-    """The platform refuses fork, and nobody comes to another kind of socket."""
+def test_the_platforms_router_starts_no_process_and_uses_ipv4_only(tmp_path, more, heard):
+    """The platform refuses fork, and nobody connects to another kind of socket."""
 
     async def scene(router):
         await router.ask(1, 1.0)
@@ -202,7 +210,9 @@
     assert [line for line in router.said.splitlines() if line.startswith("AUDIT")] == heard
 
 
-def test_a_router_that_works_is_not_taken_for_one_that_spins(tmp_path):
+def test_a_busy_router_is_not_taken_for_one_that_spins(tmp_path):
+    """Many requests at once keep the event loop busy: the guard says nothing."""
+
     async def scene(router):
         async with anyio.create_task_group() as askers:
             for id in range(1, 601):
@@ -217,7 +227,9 @@
 
 
 def test_a_deadline_that_runs_out_sets_its_timer_once():
-    """uvloop rounded it, and the scope set it anew hundreds of times until the millisecond had passed."""
+    """uvloop rounded a timer down, and its cancel scope set it anew hundreds of times within a
+    millisecond.
+    """
     set_for = []
 
     class Counting(EventLoop):
@@ -248,7 +260,8 @@
 
 
 @pytest.mark.parametrize("on, off, apart", [(0.01, 0.04, 0.02), (0.01, 0.09, 0.04), (0.5, 0.3, 0.02)])
-def test_every_req_has_its_final_answer_in_time_however_little_cpu_there_is(tmp_path, on, off, apart):
+def test_every_request_is_answered_in_time_with_little_cpu(tmp_path, on, off, apart):
+    """The process gets the CPU in slices only: each request has its final response in time all the same."""
     chance = random.Random(3)
 
     async def scene(router):
@@ -271,7 +284,12 @@
     assert max(late for _, late in router.answers.values()) < SLACK
 
 
-def test_after_a_stop_what_has_come_goes_ahead_of_its_time_out():
+def test_after_a_pause_what_has_arrived_goes_ahead_of_its_timeout():
+    """A process is stopped, its response arrives, and its timeout passes.
+
+    The loop ran timers before it read: the response was there and the request timed out.
+    """
+
     async def run():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             far = socket.create_connection(listener.getsockname())
@@ -288,7 +306,7 @@
 
 
 def test_a_half_made_environment_is_made_again(tmp_path):
-    """A build that was cut left a .venv that the next one passed over: every router ended at its start."""
+    """A build was cut off and left a .venv that the next one passed over: every router ended at its start."""
     deploy = tomllib.loads((Path(__file__).parents[1] / "deploy" / "balancer.toml").read_text())
     tools = tmp_path / "tools"
     tools.mkdir()
--- a/tests/test_site.py
+++ b/tests/test_standalone.py
@@ -115,7 +115,7 @@
     assert "X-Path: /m/rose/3.mp4" in site.heads[1]
 
 
-def test_what_a_limit_turns_away_never_reaches_a_cache(site):
+def test_a_request_over_a_limit_never_reaches_a_cache(site):
     site.delay = 0.3
 
     async def scene(connect):
@@ -135,7 +135,7 @@
     )
 
 
-def test_a_rate_names_a_time_to_come_back(site):
+def test_a_rate_limit_counts_each_client_apart(site):
     site.limits = 'few: { per: "client", rate: 5/s, burst: 2 }'
 
     async def scene(connect):
@@ -150,7 +150,8 @@
     site.play_site(scene)
 
 
-def test_a_reload_in_the_middle_answers_every_req_once(site, capsys):
+def test_a_reload_under_load_answers_every_request_once(site, capsys):
+    """The plan changes three times, once for the worse, while requests come: each has one response."""
     site.delay = 0.02
 
     async def scene(connect):
@@ -184,7 +185,8 @@
     assert "north" in site.where and site.where[-1] == "south"
 
 
-def test_a_plan_that_empties_a_pool_leaves_what_is_in_hand_alone(site):
+def test_a_plan_that_empties_a_pool_leaves_in_flight_requests_alone(site):
+    """A new plan leaves a pool without caches while a request is in flight there: it is finished."""
     site.delay = 0.3
 
     async def scene(connect):
@@ -204,6 +206,7 @@
 
 
 def test_the_fallback_serves_while_caches_are_gone(site):
+    """All caches of a pool are gone: its fallback serves after a while."""
     site.near = 'fallback: "far", at_least: 1, back_after: 200ms'
 
     async def scene(connect):
@@ -225,6 +228,7 @@
 
 
 def test_sigterm_and_a_reload_at_once_lose_nothing(site):
+    """A stop and a reload arrive together: requests in flight and those that come after are answered."""
     site.delay = 0.4
 
     async def scene(connect):
@@ -241,7 +245,7 @@
     site.play_site(scene)
 
 
-def test_a_plan_may_follow_a_journal(site):
+def test_a_plan_may_follow_a_discovery_service(site):
     async def scene(connect):
         await connect()
         with anyio.move_on_after(1):
@@ -284,7 +288,8 @@
     )
 
 
-def test_a_req_in_hand_outlives_its_vhost_and_route(site, capsys):
+def test_an_in_flight_request_outlives_its_class_and_route(site, capsys):
+    """A new plan drops the traffic class and the route of a request in flight: it is finished, no fault."""
     site.delay = 0.3
 
     async def scene(connect):
@@ -304,6 +309,10 @@
 
 
 def test_a_plan_without_the_home_store_changes_nothing(site, capsys):
+    """A new plan lacks the store that the router stands in: it is refused with a line, and the old one goes
+    on.
+    """
+
     async def scene(connect):
         client = await connect()
         text = (
@@ -320,7 +329,8 @@
     assert "nothing changes: the home store 'north' is gone" in capsys.readouterr().err
 
 
-def test_a_req_refused_behind_its_limits_leaves_nothing(site):
+def test_a_request_rejected_behind_its_limits_gives_them_back(site):
+    """A request passes its limits and is then rejected for its id: what it took of them is given back."""
     site.delay = 0.2
 
     async def scene(connect):
