--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -16,12 +16,13 @@
 
 import anyio
 
-from quartzrouter.configuration import Configuration, ConfigurationError, read
+from quartzrouter.configuration import Configuration, read_configuration
+from quartzrouter.configuration_section import ConfigurationError
 from quartzrouter.routing import LOGGER_NAME
 from quartzrouter.routing.model import Idempotency
 from quartzrouter.routing.retries import retry_after
 from quartzrouter.routing.router import Router
-from quartzrouter.server import endpoint_watch, responses
+from quartzrouter.server import discovery_protocol, endpoint_watch, responses
 from quartzrouter.server.attempt_task import AttemptTask
 from quartzrouter.server.cache_connections import CacheConnections
 from quartzrouter.server.cache_responses import CopyReader
@@ -85,7 +86,11 @@
         self.client_connections = self._create_client_connections()
         self.cache_connections = self._create_cache_connections()
         self.endpoint_watch = endpoint_watch.EndpointWatch(
-            configuration.journal, configuration.position, configuration.briefing, self.feed, self.log
+            configuration.discovery_address,
+            configuration.initial_sequence,
+            configuration.settings,
+            self.feed,
+            self.log,
         )
         self.listener = Listener(self.client_connections, self.log)
         self.attempts: dict[tuple[int, int], AttemptTask] = {}  # by request id and attempt number
@@ -105,13 +110,13 @@
         return RateLimitedLog(self.configuration.name, wall_clock)
 
     def _create_state_machine(self) -> RouterStateMachine:
-        return RouterStateMachine(Router(**self.configuration.briefing.arguments))
+        return RouterStateMachine(Router(**self.configuration.settings.router_arguments))
 
     def _create_params_parser(self) -> ParamsParser:
         """Makes the function that reads a request out of a client's parameters."""
         requires_key = {
             traffic_class.name: traffic_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
-            for traffic_class in self.configuration.briefing.vhosts
+            for traffic_class in self.configuration.settings.traffic_classes
         }
         return partial(parse_request, requires_key=requires_key.get)
 
@@ -132,27 +137,27 @@
         configuration = self.configuration
         return ClientConnections(
             self.feed,
-            configuration.sockets // CLIENT_DESCRIPTORS_DIVISOR,
-            configuration.memory // REQUEST_MEMORY_DIVISOR,
+            configuration.max_descriptors // CLIENT_DESCRIPTORS_DIVISOR,
+            configuration.memory_limit // REQUEST_MEMORY_DIVISOR,
             self._create_params_parser(),
             self.log,
-            retry_after(configuration.briefing.arguments["capabilities"]),
+            retry_after(configuration.settings.capabilities),
         )
 
     def _create_cache_connections(self) -> CacheConnections:
         configuration = self.configuration
-        client_descriptors = configuration.sockets // CLIENT_DESCRIPTORS_DIVISOR
+        client_descriptors = configuration.max_descriptors // CLIENT_DESCRIPTORS_DIVISOR
         pool = ConnectionPool(
-            configuration.sockets - client_descriptors - RESERVED_DESCRIPTORS,
-            configuration.briefing.idle_most / 1e6,
-            configuration.briefing.connect_within / 1e6,
+            configuration.max_descriptors - client_descriptors - RESERVED_DESCRIPTORS,
+            configuration.settings.connection_idle_timeout / 1e6,
+            configuration.settings.connect_timeout / 1e6,
         )
         return CacheConnections(
             self.feed,
             pool,
-            configuration.memory // RESPONSE_MEMORY_DIVISOR,
+            configuration.memory_limit // RESPONSE_MEMORY_DIVISOR,
             self._create_copy_reader(),
-            configuration.briefing.arguments["capabilities"].load_in_responses,
+            configuration.settings.capabilities.load_in_responses,
         )
 
     # -- events and effects --------------------------------------------------------------------------
@@ -281,11 +286,15 @@
         except ConfigurationError as error:
             self.log.say("process", f"SIGHUP: nothing changes: {error}")
             return
-        kept = [key for key, value in self.configuration.fixed.items() if configuration.fixed[key] != value]
+        kept = [
+            key
+            for key, value in self.configuration.restart_only.items()
+            if configuration.restart_only[key] != value
+        ]
         change = f"{', '.join(kept)} kept until the next start" if kept else "read anew"
-        host, port = configuration.journal
+        host, port = configuration.discovery_address
         self.log.say("process", f"SIGHUP: journal at {host}:{port}; {change}")
-        self.feed(ConfigurationReloaded(configuration.journal))
+        self.feed(ConfigurationReloaded(configuration.discovery_address))
 
     async def _exit(self) -> None:
         """Ends the process once nobody waits for it any more."""
@@ -294,7 +303,9 @@
             self.client_connections,
             lambda: bool(self.state_machine.in_flight),
             self._read_clock,
-            max(traffic_class.client_timeout for traffic_class in self.configuration.briefing.vhosts),
+            max(
+                traffic_class.client_timeout for traffic_class in self.configuration.settings.traffic_classes
+            ),
         )
         self.tasks.cancel_scope.cancel()
 
@@ -322,7 +333,7 @@
             self._spin_guard.start()
             self.tasks.start_soon(self.cache_connections.pool.sweep)
             self.tasks.start_soon(self.client_connections.sweep)
-            if self.configuration.journal:
+            if self.configuration.discovery_address:
                 self.tasks.start_soon(self.endpoint_watch.follow)
             self.tasks.start_soon(self.listener.run, self.tasks)
             self._start_background_tasks()
@@ -332,12 +343,12 @@
         """Plays the endpoints that the configuration lists."""
         now = self._read_clock()
         self.state_machine.step(TimerFired(), now)
-        known = self.configuration.known
-        for event in endpoint_watch.initial_snapshot(known, self.configuration.briefing):
+        known = self.configuration.initial_entries
+        for event in discovery_protocol.initial_events(known, self.configuration.settings):
             self.state_machine.step(event, now)
 
     async def _listen(self) -> None:
-        host, port = self.configuration.listen
+        host, port = self.configuration.listen_address
         try:
             await self.listener.open(host, port)
         except OSError as error:
@@ -362,7 +373,9 @@
     """
     try:
         router_process = RouterProcess(
-            Configuration(read(environ), environ), lambda: Configuration(read(environ), environ), signals
+            Configuration(read_configuration(environ), environ),
+            lambda: Configuration(read_configuration(environ), environ),
+            signals,
         )
         anyio.run(router_process.run, backend_options=BACKEND_OPTIONS)
     except ConfigurationError as error:
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -5,7 +5,7 @@
 import anyio
 from conftest import SETUP
 
-from quartzrouter.configuration import Configuration, read
+from quartzrouter.configuration import Configuration, read_configuration
 from quartzrouter.fakes.loopback import (
     COPY_HEADERS,
     COPY_TAG,
@@ -142,7 +142,8 @@
     def create_router(self, environ):
         """Makes the router, which reads its configuration anew at SIGHUP."""
         return process.RouterProcess(
-            Configuration(read(environ), environ), lambda: Configuration(read(environ), environ)
+            Configuration(read_configuration(environ), environ),
+            lambda: Configuration(read_configuration(environ), environ),
         )
 
     async def connect(self, port):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -22,8 +22,8 @@
     attempt_failure,
     byte_budget,
     cache_responses,
-    connection_pool,
     client_connection,
+    connection_pool,
     endpoint_watch,
     events,
     fastcgi,
@@ -451,7 +451,7 @@
     It was taken for one that has nothing to tell, and the endpoint list grew old. Now silence counts from
     the last whole frame, and the service is connected to anew.
     """
-    monkeypatch.setattr(endpoint_watch, "SILENT_AFTER", 0.2)
+    monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", 0.2)
 
     async def trickle(connection):
         async with connection:
@@ -936,7 +936,7 @@
             await follow(world.serve_discovery)
             await wait_until(lambda: purged)
             assert purged == [events.PurgeNotice(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
-            assert service.endpoint_watch.held == 2
+            assert service.endpoint_watch.last_sequence == 2
             tasks.cancel_scope.cancel()
 
     world.run_scene(scene)
--- a/tests/test_purge_book.py
+++ b/tests/test_purge_book.py
@@ -17,11 +17,11 @@
     Welcome,
     encode_line,
 )
-from quartzrouter.purges.validation import MAX_VALUES, rejection_of
 from quartzrouter.purges.purge_index import PurgeLookup
-from quartzrouter.purges.reconnect_backoff import FIRST_DELAY, MAX_DELAY, ReconnectBackoff, PrimaryWatch
+from quartzrouter.purges.reconnect_backoff import FIRST_DELAY, MAX_DELAY, PrimaryWatch, ReconnectBackoff
 from quartzrouter.purges.registry import AdmittedPurge, PurgeRegistry
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
+from quartzrouter.purges.validation import MAX_VALUES, rejection_of
 
 MS = 1_000
 GRACE = 300 * MS
--- a/tests/test_purge_courier.py
+++ b/tests/test_purge_courier.py
@@ -6,13 +6,13 @@
 from hypothesis import strategies as st
 
 from quartzrouter.purges.delivery_plan import (
+    MAX_BACKOFF,
+    MAX_IN_FLIGHT,
     MAX_LAG_CAUGHT_UP,
     MAX_PENDING,
-    SLOW_START_TIME,
-    SLOW_START_SHARE,
-    MAX_BACKOFF,
     RATE,
-    MAX_IN_FLIGHT,
+    SLOW_START_SHARE,
+    SLOW_START_TIME,
     DeliveryQueue,
 )
 from quartzrouter.purges.messages import Purge
