--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -12,8 +12,13 @@
 from quartzrouter.server.attempt_failure import CONNECTION_LOST, Cause, Failure, Stage
 from quartzrouter.server.byte_budget import ByteBudget
 from quartzrouter.server.cache_connection import CacheConnection
-from quartzrouter.server.cache_responses import MAX_BODY_SIZE, CopyIdentity, CopyReader, MalformedResponse
-from quartzrouter.server.connection_pool import ConnectionPool, ConnectionUnavailable
+from quartzrouter.server.cache_responses import (
+    MAX_BODY_SIZE,
+    CopyIdentity,
+    CopyReader,
+    MalformedResponseError,
+)
+from quartzrouter.server.connection_pool import ConnectionPool, ConnectionUnavailableError
 from quartzrouter.server.effects import OpenConnection, SendRequest, StartHealthCheck
 from quartzrouter.server.events import AttemptEnded, ConnectionReady, Event, HealthCheckDone
 
@@ -83,7 +88,7 @@
                 self.pool.release(endpoint, healthy_connection, HEALTH_CHECK_TARGET, None)
             if scope.cancelled_caught:
                 status = AttemptStatus.TIMED_OUT
-        except ConnectionUnavailable as error:
+        except ConnectionUnavailableError as error:
             status = error.failure.ending()
         except CONNECTION_LOST:
             status = AttemptStatus.CONNECTION_LOST
@@ -131,9 +136,9 @@
         try:
             await self._connect()
             await self._exchange()
-        except ConnectionUnavailable as error:
+        except ConnectionUnavailableError as error:
             self._end(error.cause, error)
-        except (h11.RemoteProtocolError, MalformedResponse) as error:
+        except (h11.RemoteProtocolError, MalformedResponseError) as error:
             self._end(Cause.MALFORMED, error)
         except CONNECTION_LOST as error:
             self._end(Cause.RESET, error)
@@ -153,7 +158,7 @@
         run twice could not be tried again. The connection is looked at once more after the client's bytes
         are read, and a pooled one that has ended is replaced.
 
-        :raises ConnectionUnavailable: none could be had, or a new one ended, or spoke, at once.
+        :raises ConnectionUnavailableError: none could be had, or a new one ended, or spoke, at once.
         """
         while True:
             self._connection = await self._pool.acquire(self._endpoint, self._address)
@@ -162,7 +167,7 @@
             if self._connection.is_quiet():
                 return
             if self._connection.last_exchange is None:
-                raise ConnectionUnavailable(Cause.RESET, "ended, or spoke, before it was asked")
+                raise ConnectionUnavailableError(Cause.RESET, "ended, or spoke, before it was asked")
             self._pool.discard(self._connection)
             self._connection = None
 
@@ -183,7 +188,7 @@
             else:
                 interim_responses += 1
                 if interim_responses > MAX_INTERIM_RESPONSES:
-                    raise MalformedResponse("1xx without end")
+                    raise MalformedResponseError("1xx without end")
         self._succeed(request)
 
     async def _handle_head(self, response: h11.Response, request: SendRequest, sent_at: float) -> None:
@@ -192,7 +197,7 @@
         fields = cache_responses.header_fields(response)
         self._copy = cache_responses.copy_identity(fields)
         if self._connection.repeats_last_response(request, sent_at, self._copy):
-            raise MalformedResponse("the answer before it, once more")
+            raise MalformedResponseError("the answer before it, once more")
         head = cache_responses.parse_head(
             self._request_id,
             self._number,
@@ -208,7 +213,7 @@
 
     def _handle_data(self, data: bytes) -> None:
         if len(self._body) + len(data) > self._reserved:
-            raise MalformedResponse(f"an answer of more than {self._reserved} bytes")
+            raise MalformedResponseError(f"an answer of more than {self._reserved} bytes")
         self._body += data
 
     def _succeed(self, request: SendRequest) -> None:
--- a/quartzrouter/server/cache_responses.py
+++ b/quartzrouter/server/cache_responses.py
@@ -36,7 +36,7 @@
 CopyReader = Callable[[HeaderFields], Any]
 
 
-class MalformedResponse(ServerError):
+class MalformedResponseError(ServerError):
     """A response that HTTP allows and the platform's protocol doesn't; ends the connection."""
 
 
@@ -84,14 +84,14 @@
     :param read_copy: makes more of the fields than the platform's protocol does, where the response
         names its copy.
     :param with_load_report: whether caches report their load in responses.
-    :raises MalformedResponse: it has no length, one that is too long, or an unknown fill status.
+    :raises MalformedResponseError: it has no length, one that is too long, or an unknown fill status.
     """
     length = fields.get("content-length")
     is_chunked = "chunked" in fields.get("transfer-encoding", "")
     if status == 200 and length is None and not is_chunked:
-        raise MalformedResponse("an answer without a length")
+        raise MalformedResponseError("an answer without a length")
     if length is not None and int(length) > MAX_BODY_SIZE:
-        raise MalformedResponse(f"an answer of {length} bytes")
+        raise MalformedResponseError(f"an answer of {length} bytes")
     names_copy = bool(fields.get("x-tag")) and fields.get("x-minted", "").isdecimal()
     return ResponseHead(
         request_id,
@@ -109,13 +109,13 @@
 def parse_fill_status(fields: HeaderFields) -> FillStatus:
     """Reads how a cache got the copy; UNKNOWN where it doesn't say.
 
-    :raises MalformedResponse: it says what isn't known here.
+    :raises MalformedResponseError: it says what isn't known here.
     """
     text = fields.get("x-tell")
     if text is None:
         return FillStatus.UNKNOWN
     if text not in FILL_STATUSES:
-        raise MalformedResponse(f"X-Tell is {text!r:.40}")
+        raise MalformedResponseError(f"X-Tell is {text!r:.40}")
     return FILL_STATUSES[text]
 
 
--- a/quartzrouter/server/client_connection.py
+++ b/quartzrouter/server/client_connection.py
@@ -12,7 +12,7 @@
 from quartzrouter.server.errors import ServerError
 from quartzrouter.server.events import ClientGone, RequestReceived, StatusQueried
 from quartzrouter.server.fastcgi import ProtocolStatus, RecordType
-from quartzrouter.server.request_reader import IncomingRequest, InvalidRequest, RequestMemoryExhausted
+from quartzrouter.server.request_reader import IncomingRequest, InvalidRequestError, RequestMemoryError
 from quartzrouter.server.response_writer import NO_REQUEST, ResponseWriter
 from quartzrouter.server.ring_buffer import RingBuffer
 from quartzrouter.server.stream import Pending, Stream
@@ -228,9 +228,9 @@
                 incoming.end_params(self._connections.parse_params)
             else:
                 incoming.end_body()
-        except (InvalidRequest, fastcgi.ProtocolError) as error:
+        except (InvalidRequestError, fastcgi.ProtocolError) as error:
             self.reject_invalid(fastcgi_id, error)
-        except RequestMemoryExhausted:
+        except RequestMemoryError:
             self._connections.log.say("client", "request memory exhausted: a request is rejected with 503")
             self._reject(fastcgi_id, responses.overloaded(self._connections.retry_after))
         else:
@@ -257,7 +257,7 @@
     def reject_invalid(self, fastcgi_id: int, error: ServerError) -> None:
         """Responds to an incoming request that can't be used."""
         self._connections.log.say("client", f"invalid request: {error}")
-        status = error.status if isinstance(error, InvalidRequest) else 400
+        status = error.status if isinstance(error, InvalidRequestError) else 400
         self._reject(fastcgi_id, responses.invalid(status, str(error)))
 
     def _reject(self, fastcgi_id: int, response: bytes) -> None:
--- a/quartzrouter/server/client_connections.py
+++ b/quartzrouter/server/client_connections.py
@@ -10,7 +10,7 @@
 from quartzrouter.server.events import Event
 from quartzrouter.server.fastcgi import ProtocolError
 from quartzrouter.server.rate_limited_log import RateLimitedLog
-from quartzrouter.server.request_reader import InvalidRequest, ParamsParser
+from quartzrouter.server.request_reader import InvalidRequestError, ParamsParser
 from quartzrouter.server.stream import Pending, Stream
 
 SWEEP_INTERVAL = 0.25  # s between looks for connections whose time is over
@@ -162,7 +162,7 @@
             if now - incoming.started_at > REQUEST_TIMEOUT
         ]
         for fastcgi_id in overdue:
-            client.reject_invalid(fastcgi_id, InvalidRequest("still not whole", 408))
+            client.reject_invalid(fastcgi_id, InvalidRequestError("still not whole", 408))
 
     def _close_overdue(self, client: ClientConnection, now: float) -> None:
         """Closes a connection whose time is over."""
--- a/quartzrouter/server/connection_pool.py
+++ b/quartzrouter/server/connection_pool.py
@@ -25,7 +25,7 @@
 by_ready_at = attrgetter("ready_at")
 
 
-class ConnectionUnavailable(ServerError):
+class ConnectionUnavailableError(ServerError):
     """No connection to a cache could be had; nothing was sent.
 
     :param cause: why.
@@ -59,13 +59,13 @@
     async def acquire(self, endpoint: str, address: tuple[str, int]) -> CacheConnection:
         """Takes a pooled connection, or opens one.
 
-        :raises ConnectionUnavailable: none could be had.
+        :raises ConnectionUnavailableError: none could be had.
         """
         pooled = self._take_idle(endpoint, address)
         if pooled is not None:
             return pooled
         if self.open >= self.max_connections and not self._close_longest_idle():
-            raise ConnectionUnavailable(Cause.NO_ROOM)
+            raise ConnectionUnavailableError(Cause.NO_ROOM)
         return await self._open(address)
 
     def _take_idle(self, endpoint: str, address: tuple[str, int]) -> CacheConnection | None:
@@ -91,9 +91,9 @@
             connection = CacheConnection(stream, address, anyio.current_time())
             return connection
         except TimeoutError:
-            raise ConnectionUnavailable(Cause.REFUSED, "no connection in time") from None
+            raise ConnectionUnavailableError(Cause.REFUSED, "no connection in time") from None
         except OSError as error:
-            raise ConnectionUnavailable(_connect_failure_cause(error), str(error)) from None
+            raise ConnectionUnavailableError(_connect_failure_cause(error), str(error)) from None
         finally:
             if connection is None:
                 self.open -= 1
--- a/quartzrouter/server/request_reader.py
+++ b/quartzrouter/server/request_reader.py
@@ -20,15 +20,15 @@
 KEY_PATTERN = re.compile(r"[0-9a-f]{32}", re.ASCII | re.IGNORECASE)
 NUMBER_PATTERN = re.compile(r"[0-9]{1,9}", re.ASCII)
 
-# Makes a request of a client's parameters; raises InvalidRequest.
+# Makes a request of a client's parameters; raises InvalidRequestError.
 ParamsParser = Callable[[dict[str, str]], ClientRequest]
 
 
-class RequestMemoryExhausted(ServerError):
+class RequestMemoryError(ServerError):
     """Requests of all clients hold as many bytes as they may; this one is rejected with 503."""
 
 
-class InvalidRequest(ServerError):
+class InvalidRequestError(ServerError):
     """A request that gets its final response at once.
 
     :param reason: what is wrong with it, for whoever wrote the client.
@@ -70,8 +70,8 @@
         """Takes in a piece of its parameters or of its body.
 
         :param free_memory: bytes that requests may still hold.
-        :raises InvalidRequest: it is longer than a request may be.
-        :raises RequestMemoryExhausted: there is no room for the piece.
+        :raises InvalidRequestError: it is longer than a request may be.
+        :raises RequestMemoryError: there is no room for the piece.
         """
         if record_type == fastcgi.RecordType.PARAMS:
             buffer = self._params
@@ -80,15 +80,15 @@
             buffer = self._body
             max_size = MAX_BODY_SIZE
         if len(buffer) + len(content) > max_size:
-            raise InvalidRequest("too long", 413)
+            raise InvalidRequestError("too long", 413)
         if len(content) > free_memory:
-            raise RequestMemoryExhausted
+            raise RequestMemoryError
         buffer += content
 
     def end_params(self, parse: ParamsParser) -> None:
         """Reads the parameters, which are all there; a health query is complete with them.
 
-        :raises InvalidRequest: a field is missing or can't be used.
+        :raises InvalidRequestError: a field is missing or can't be used.
         :raises fastcgi.ProtocolError: they are no name-value pairs.
         """
         params = fastcgi.decode_pairs(bytes(self._params))
@@ -101,12 +101,14 @@
     def end_body(self) -> None:
         """Notes that the body is all there; the request is complete with it.
 
-        :raises InvalidRequest: its length isn't the announced one, or the parameters have no end.
+        :raises InvalidRequestError: its length isn't the announced one, or the parameters have no end.
         """
         if self.request is None:
-            raise InvalidRequest("parameters without an end")
+            raise InvalidRequestError("parameters without an end")
         if self._content_length not in (None, len(self._body)):
-            raise InvalidRequest(f"{len(self._body)} bytes where CONTENT_LENGTH is {self._content_length}")
+            raise InvalidRequestError(
+                f"{len(self._body)} bytes where CONTENT_LENGTH is {self._content_length}"
+            )
         self.is_complete = True
 
 
@@ -114,16 +116,16 @@
     """Reads the announced length of the body, in bytes.
 
     :returns: None where it isn't announced.
-    :raises InvalidRequest: it is no number, or more than a body may have; so a long body is refused
+    :raises InvalidRequestError: it is no number, or more than a body may have; so a long body is refused
         before any of it has come.
     """
     text = params.get("CONTENT_LENGTH", "")
     if not text:
         return None
     if not NUMBER_PATTERN.fullmatch(text):
-        raise InvalidRequest(f"CONTENT_LENGTH is {text!r:.40}")
+        raise InvalidRequestError(f"CONTENT_LENGTH is {text!r:.40}")
     if int(text) > MAX_BODY_SIZE:
-        raise InvalidRequest(f"CONTENT_LENGTH is {text}", 413)
+        raise InvalidRequestError(f"CONTENT_LENGTH is {text}", 413)
     return int(text)
 
 
@@ -133,18 +135,18 @@
     :param params: CGI parameters by name.
     :param requires_key: whether requests of a traffic class must carry a key; None where there is no
         such class.
-    :raises InvalidRequest: a field is missing or can't be used.
+    :raises InvalidRequestError: a field is missing or can't be used.
     """
     path, _, traffic_class = params.get("SCRIPT_NAME", "").rpartition("/")
     key_required = requires_key(traffic_class) if path == "/rpc" else None
     if key_required is None:
-        raise InvalidRequest("no such vhost", 404)
+        raise InvalidRequestError("no such vhost", 404)
     deadline_ms = int(_header(params, "X-Deadline-Ms", NUMBER_PATTERN))
     tag = int(_header(params, "X-Tag", NUMBER_PATTERN))
     if not 0 < deadline_ms <= MAX_DEADLINE_MS:
-        raise InvalidRequest(f"X-Deadline-Ms is {deadline_ms}")
+        raise InvalidRequestError(f"X-Deadline-Ms is {deadline_ms}")
     if tag > MAX_TAG:
-        raise InvalidRequest(f"X-Tag is {tag}")
+        raise InvalidRequestError(f"X-Tag is {tag}")
     read_key = _header if key_required else _optional_header
     return ClientRequest(
         correlation_id=_header(params, "X-Correlation-Id", TOKEN_PATTERN),
@@ -162,7 +164,7 @@
     """The value of a header field, which must be there and match the pattern whole."""
     value = params.get(_cgi_name(name), "")
     if not pattern.fullmatch(value):
-        raise InvalidRequest(f"{name} is {value!r:.40}")
+        raise InvalidRequestError(f"{name} is {value!r:.40}")
     return value
 
 
--- /dev/null
+++ b/quartzrouter/standalone/fleet_tasks.py
@@ -0,0 +1,124 @@
+"""Background tasks of a standalone router that belongs to a fleet: what it asks, reports, stores and logs."""
+
+from collections.abc import Callable
+
+import anyio
+
+from quartzrouter.fleet_health.aggregator import NEWS_EVERY, TELL_EVERY
+from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
+from quartzrouter.purges.fleet_purges import FleetPurges
+from quartzrouter.quota.client import NOTHING, QuotaCounters, shown
+from quartzrouter.server.rate_limited_log import RateLimitedLog
+from quartzrouter.standalone import purge_membership
+from quartzrouter.standalone.state_machine import (
+    ReportHealth,
+    RequestQuota,
+    StandaloneEvent,
+    StandaloneStateMachine,
+)
+
+MICROSECONDS = 1e6  # in a second
+
+
+class FleetTasks:
+    """The tasks; each runs until it is cancelled.
+
+    :param fleet: the fleet's purges at this router.
+    :param pool_router: holds this router's part of shared limits.
+    :param state_machine: holds what was refused, and which purges were applied.
+    :param feed: takes events.
+    :param log: is told what the fleet costs here.
+    """
+
+    def __init__(
+        self,
+        fleet: FleetPurges,
+        pool_router: MultiPoolRouter,
+        state_machine: StandaloneStateMachine,
+        feed: Callable[[StandaloneEvent], None],
+        log: RateLimitedLog,
+    ):
+        self._fleet = fleet
+        self._pool_router = pool_router
+        self._state_machine = state_machine
+        self._feed = feed
+        self._log = log
+
+    def start(self, tasks: anyio.abc.TaskGroup, reports_health: bool, purges_file: str) -> None:
+        """Starts the tasks.
+
+        :param reports_health: whether routers tell each other which endpoints fail.
+        :param purges_file: where purges in force are stored; empty: nowhere.
+        """
+        tasks.start_soon(self._log_purge_costs)
+        tasks.start_soon(self._request_quota)
+        tasks.start_soon(self._log_quota)
+        if reports_health:
+            tasks.start_soon(self._report_health)
+        if purges_file:
+            tasks.start_soon(self._store_purges, purges_file)
+
+    async def _log_purge_costs(self) -> None:
+        """Logs responses that were too old and index entries that were merged, where there were any."""
+        stale_copies = 0
+        merged = 0
+        while True:
+            await anyio.sleep(purge_membership.REPORT_INTERVAL)
+            new_stale_copies = self._fleet.stale_copies - stale_copies
+            if new_stale_copies > 0:
+                self._log.say("purges", f"{new_stale_copies} responses were older than a purge, and retried")
+            new_merged = self._fleet.index.merged - merged
+            if new_merged > 0:
+                self._log.say("purges", f"{new_merged} purges were widened to their scope: too many to keep")
+            stale_copies = self._fleet.stale_copies
+            merged = self._fleet.index.merged
+
+    async def _request_quota(self) -> None:
+        """Requests shares of limits and of slow starts when they are due."""
+        while True:
+            wait = self._pool_router.shares.wait()
+            if slow_start_wait := self._pool_router.parts.wait():
+                wait = min(wait, slow_start_wait)
+            await anyio.sleep(wait / MICROSECONDS)
+            self._feed(RequestQuota())
+
+    async def _report_health(self) -> None:
+        """Reports failures at each short interval, and all that was seen at each long one."""
+        reports_per_round = TELL_EVERY // NEWS_EVERY
+        while True:
+            for number in range(reports_per_round):
+                await anyio.sleep(NEWS_EVERY / MICROSECONDS)
+                self._feed(ReportHealth(only_failures=number < reports_per_round - 1))
+
+    async def _log_quota(self) -> None:
+        """Logs when this router begins and ends to act on its safe capacity, and what was refused."""
+        counters_before: dict[str, QuotaCounters] = {}
+        while True:
+            await anyio.sleep(purge_membership.REPORT_INTERVAL)
+            counters_by_limit = self._pool_router.shares.told()
+            for limit, counters in counters_by_limit.items():
+                if changes := shown(counters, counters_before.get(limit, NOTHING)):
+                    self._log.say("shares", f"limit {limit}: {changes}")
+            counters_before = counters_by_limit
+            for budget, (place, reason, remedy) in self._state_machine.quota_refusals.items():
+                self._log.say("shares", f"limit {budget}: the ledger refuses {place}: {reason}; {remedy}")
+            self._state_machine.quota_refusals.clear()
+
+    async def _store_purges(self, path: str) -> None:
+        """Stores the purges in force where there are new ones.
+
+        In a thread: encoding and writing 100,000 of them takes a tenth of a second, for which the event
+        loop would stand still.
+        """
+        stored_up_to = self._state_machine.replica.applied_up_to
+        while True:
+            await anyio.sleep(purge_membership.SAVE_INTERVAL)
+            applied_up_to = self._state_machine.replica.applied_up_to
+            if applied_up_to == stored_up_to:
+                continue
+            stored = purge_membership.stored_purges(self._fleet, applied_up_to)
+            try:
+                await anyio.to_thread.run_sync(purge_membership.save, path, stored)
+                stored_up_to = applied_up_to
+            except OSError as error:
+                self._log.say("ledger", f"{path}: {error.strerror or error}; it is written again later")
--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -13,7 +13,7 @@
     MAX_DEADLINE_MS,
     NUMBER_PATTERN,
     TOKEN_PATTERN,
-    InvalidRequest,
+    InvalidRequestError,
 )
 
 PATH_MOST = 2_048  # characters: longer paths name nothing
@@ -35,16 +35,16 @@
         client = params.get("HTTP_X_CLIENT") or params.get("REMOTE_ADDR", "")
         ruling = self.force.rule(asked, client)
         if ruling is None:
-            raise InvalidRequest("no route takes it", 404)
+            raise InvalidRequestError("no route takes it", 404)
         vhost = ruling.vhost
         key = params.get("HTTP_X_OPERATION_KEY")
         if key is None and vhost.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-            raise InvalidRequest("X-Operation-Key is missing")
+            raise InvalidRequestError("X-Operation-Key is missing")
         if key is not None and not KEY_PATTERN.fullmatch(key):
-            raise InvalidRequest(f"X-Operation-Key is {key!r:.40}")
+            raise InvalidRequestError(f"X-Operation-Key is {key!r:.40}")
         told = params.get("HTTP_X_DEADLINE_MS")
         if told is not None and not (NUMBER_PATTERN.fullmatch(told) and 0 < int(told) <= MAX_DEADLINE_MS):
-            raise InvalidRequest(f"X-Deadline-Ms is {told!r:.40}")
+            raise InvalidRequestError(f"X-Deadline-Ms is {told!r:.40}")
         return ClientRequest(
             correlation_id=_token(params, "HTTP_X_CORRELATION_ID") or secrets.token_hex(8),
             traffic_class=vhost.name,
@@ -61,12 +61,12 @@
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
         method = params.get("REQUEST_METHOD", "GET")
         if not path.startswith("/") or len(path) > PATH_MOST:
-            raise InvalidRequest("no path, or one that is too long")
+            raise InvalidRequestError("no path, or one that is too long")
         if method not in METHODS:
-            raise InvalidRequest(f"the method is {method!r:.40}")
+            raise InvalidRequestError(f"the method is {method!r:.40}")
         store = params.get("HTTP_X_STORE", self.home)
         if store not in self.force.plan.stores:
-            raise InvalidRequest(f"X-Store is {store!r:.40}")
+            raise InvalidRequestError(f"X-Store is {store!r:.40}")
         headers = {
             name.removeprefix("HTTP_").replace("_", "-").lower(): value
             for name, value in params.items()
@@ -75,7 +75,7 @@
         try:
             query = dict(parse_qsl(params.get("QUERY_STRING", ""), True, max_num_fields=PARAMS_MOST))
         except ValueError:
-            raise InvalidRequest(f"more than {PARAMS_MOST} parameters") from None
+            raise InvalidRequestError(f"more than {PARAMS_MOST} parameters") from None
         host = headers.get("host", "").lower().partition(":")[0]
         return Asked(store, host, path, method, headers, query)
 
@@ -83,5 +83,5 @@
 def _token(params: dict[str, str], name: str) -> str | None:
     value = params.get(name)
     if value is not None and not TOKEN_PATTERN.fullmatch(value):
-        raise InvalidRequest(f"{name.removeprefix('HTTP_').replace('_', '-').title()} is {value!r:.40}")
+        raise InvalidRequestError(f"{name.removeprefix('HTTP_').replace('_', '-').title()} is {value!r:.40}")
     return value
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -105,7 +105,7 @@
         params = {name: value for name, value in (whole | change).items() if value is not None}
         try:
             said = request_reader.parse_request(params, {"page": False, "hold": True}.get)
-        except request_reader.InvalidRequest as error:
+        except request_reader.InvalidRequestError as error:
             said = f"{error.status} {error}"
         trace.append(f"{change}: {said}")
 
@@ -128,7 +128,7 @@
         try:
             told = cache_responses.header_fields(response)
             said = cache_responses.parse_head(1, 0, response.status_code, told, with_load_report=True)
-        except cache_responses.MalformedResponse as error:
+        except cache_responses.MalformedResponseError as error:
             said = f"Unreadable {error}"
         trace.append(f"{status} {fields}: {said}")
 
