--- a/quartzrouter/fault_scenarios/purge_fleet.py
+++ b/quartzrouter/fault_scenarios/purge_fleet.py
@@ -186,9 +186,9 @@
         sent_at = process.wall_clock()
         fields = {"HTTP_X_SUBJECT": None, "HTTP_X_CHUNK": None, "HTTP_X_DEADLINE_MS": "3000"}
         fields["HTTP_X_CORRELATION_ID"] = f"{request_id:016x}"
-        await client.begin(1, path=path, **fields)
+        await client.send_request(1, path=path, **fields)
         with anyio.fail_after(REQUEST_TIMEOUT):
-            text = await client.end()
+            text = await client.receive_response()
         found = DONE.match(text) or WITHOUT_BODY.match(text)
         if not found:
             self.checker.outcomes[CUT_SHORT] += 1
