--- a/quartzrouter/cli/ledger.py
+++ b/quartzrouter/cli/ledger.py
@@ -1,11 +1,17 @@
 """`quartzrouter ledger ...`: run the ledger of purges, and look after its folder."""
 
 import sys
+from typing import TYPE_CHECKING, NoReturn
 
 import click
 
 from quartzrouter.cli.parameter_types import ADDRESS, TIME
 
+if TYPE_CHECKING:
+    from quartzrouter.purge_log.disk import RealDisk
+    from quartzrouter.purge_log.process import ReadBudgets
+
+EXIT_FAILED = 1
 FOLDER = click.argument("folder", metavar="FOLDER")
 
 
@@ -51,41 +57,59 @@
     from quartzrouter.server.event_loop import BACKEND_OPTIONS
     from quartzrouter.standalone.structured_log import StructuredLog, logger
 
-    report, budgets = StructuredLog("ledger", wall_clock, logger()), budgets_of(plan) if plan else None
+    report = StructuredLog("ledger", wall_clock, logger())
+    read_budgets = budget_reader(plan) if plan else None
     try:
-        claims = None
-        if task and not plan:
-            raise click.UsageError("--task needs --plan, which names the keepers")
-        if task:
-            from quartzrouter.cli.plan import checked
-            from quartzrouter.cli.purge import claims_of
-
-            claims = claims_of(checked(plan), plan, task, name, report)
-        told = (folder, listen, grace, report, standby, wall_clock, budgets, steady_clock, claims, task or "")
-        sys.exit(anyio.run(process.serve, *told, backend_options=BACKEND_OPTIONS))
-    except Faulty as error:
-        click.echo(f"quartzrouter: {error}", err=True)
-        sys.exit(1)
+        lease_client = _lease_client(plan, task, name, report)
+        arguments = (
+            folder,
+            listen,
+            grace,
+            report,
+            standby,
+            wall_clock,
+            read_budgets,
+            steady_clock,
+            lease_client,
+            task or "",
+        )
+        sys.exit(anyio.run(process.serve, *arguments, backend_options=BACKEND_OPTIONS))
+    except PlanUnusableError as error:
+        _exit_with(f"quartzrouter: {error}")
     except process.START_ERRORS as error:
-        click.echo(f"quartzrouter: {folder}: {error}", err=True)
-        sys.exit(1)
+        _exit_with(f"quartzrouter: {folder}: {error}")
+
+
+def _lease_client(plan_path: str | None, task: str | None, name: str | None, report):
+    """The client that claims the task of granting, where one is named."""
+    if not task:
+        return None
+    if not plan_path:
+        raise click.UsageError("--task needs --plan, which names the keepers")
+    from quartzrouter.cli.plan import checked
+    from quartzrouter.cli.purge import lease_client_of
 
+    return lease_client_of(checked(plan_path), plan_path, task, name, report)
 
-class Faulty(ValueError):
-    """A plan that can't be used."""
 
+class PlanUnusableError(ValueError):
+    """A plan that can't be used; the message names the place, the reason and the remedy."""
 
-def budgets_of(path: str):
-    """Reads a plan's budgets and the terms of cold servers, each time it is called.  Raises Faulty."""
+
+def budget_reader(path: str) -> "ReadBudgets":
+    """Returns a function that reads a plan's budgets and slow-start terms anew each time it is called.
+
+    That function raises PlanUnusableError.
+    """
     from quartzrouter.config.loader import load
     from quartzrouter.pool_routing.shared_limits import budgets, terms
 
     def read():
         loaded = load(path)
         if loaded.plan is None:
-            faults = loaded.faults.errors
-            more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
-            raise Faulty(f"{faults[0].head}{more}; 'quartzrouter plan check {path}' shows all")
+            errors = loaded.faults.errors
+            more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
+            raise PlanUnusableError(f"{errors[0].head}{more}; 'quartzrouter plan check {path}' shows all")
         return budgets(loaded.plan, loaded.plan.stores), terms(loaded.plan)
 
     return read
@@ -98,15 +122,14 @@
     from quartzrouter.purge_log.errors import LogDamagedError
     from quartzrouter.purge_log.segments import highest_epoch, read_log
 
-    disk = _disk(folder)
+    disk = _existing_folder(folder)
     try:
-        found = read_log(disk)
+        contents = read_log(disk)
     except LogDamagedError as damage:
-        click.echo(f"{folder}: {damage}", err=True)
-        sys.exit(1)
+        _exit_with(f"{folder}: {damage}")
     click.echo(
-        f"{folder}: epoch {highest_epoch(disk)}, purges {found.trimmed_up_to + 1} to {found.head}, "
-        f"{found.torn_bytes} bytes of a write that was cut short"
+        f"{folder}: epoch {highest_epoch(disk)}, purges {contents.trimmed_up_to + 1} to {contents.head}, "
+        f"{contents.torn_bytes} bytes of a write that was cut short"
     )
 
 
@@ -114,17 +137,16 @@
 @FOLDER
 def repair(folder: str) -> None:
     """Give up what follows the first damage.  It may have been promised, so purge all afterwards."""
+    from quartzrouter.purge_log import segments
     from quartzrouter.purge_log.errors import LogDamagedError
-    from quartzrouter.purge_log.segments import repair as mend
 
     try:
-        click.echo(f"{folder}: {mend(_disk(folder))}")
+        click.echo(f"{folder}: {segments.repair(_existing_folder(folder))}")
     except LogDamagedError as damage:
-        click.echo(f"{folder}: {damage}", err=True)
-        sys.exit(1)
+        _exit_with(f"{folder}: {damage}")
 
 
-def _disk(folder: str):
+def _existing_folder(folder: str) -> "RealDisk":
     from pathlib import Path
 
     from quartzrouter.purge_log.disk import RealDisk
@@ -132,3 +154,8 @@
     if not Path(folder).is_dir():
         raise click.UsageError(f"there is no folder {folder!r}")
     return RealDisk(folder)
+
+
+def _exit_with(message: str) -> NoReturn:
+    click.echo(message, err=True)
+    sys.exit(EXIT_FAILED)
--- a/quartzrouter/cli/purge.py
+++ b/quartzrouter/cli/purge.py
@@ -2,17 +2,30 @@
 
 import json
 import sys
-from typing import TYPE_CHECKING
+from collections.abc import Awaitable, Callable, Iterable, Sequence
+from typing import TYPE_CHECKING, Any, NoReturn
 
 import click
 
 from quartzrouter.cli.parameter_types import ADDRESS, TIME
 
 if TYPE_CHECKING:
+    from quartzrouter.config.model import Plan
+    from quartzrouter.lease_service.client import ClusterLeaseClient
     from quartzrouter.purges import messages
+    from quartzrouter.server.rate_limited_log import RateLimitedLog
+
+SHOW_PROGRESS_FROM = 100  # purges sent
+COMPLETION_POLL_INTERVAL = 0.02  # s
+FOLLOW_SILENCE_TIMEOUT = 10_000_000  # us without a message after which `follow` connects anew
+KINDS_WITH_VALUES = ("object", "tag", "pattern")
+EXIT_SUCCESS = 0
+EXIT_REJECTED = 1  # also where a purge is not complete, or no purge log answers
+EXIT_NOT_COMPLETE = 2  # within --wait
+MICROSECONDS_PER_SECOND = 1e6
+MICROSECONDS_PER_MILLISECOND = 1000
+Addresses = Sequence[tuple[str, int]]
 
-MANY = 100  # purges sent, from which progress is shown
-LOOK_EVERY = 0.02  # s between questions whether a purge is complete
 LEDGERS = click.option(
     "--ledger",
     "ledgers",
@@ -52,155 +65,207 @@
     """Send purges; exit with 1 if one is refused, with 2 if --wait runs out."""
     import secrets
 
-    from quartzrouter.purges.messages import PurgeRequest, RequestRejected
+    from quartzrouter.purges.messages import RequestRejected
 
-    sends = [
+    values_by_kind = {"object": objects, "tag": tags, "pattern": patterns}
+    requests = _requests_of_options(values_by_kind, whole, vhost, store, key)
+    requests += _requests_of_file(file, vhost, store, key) if file else []
+    if not requests:
+        raise click.UsageError("nothing to purge: give --object, --tag, --pattern, --all or --from")
+    for request in requests:
+        request.key = request.key or secrets.token_hex(8)  # sent again, it is still one purge
+    answers = ran(_send, ledgers, requests)
+    rejections = [answer for answer in answers if isinstance(answer, RequestRejected)]
+    accepted = [answer for answer in answers if not isinstance(answer, RequestRejected)]
+    for rejection in rejections:
+        _print_rejection(rejection)
+    _print_accepted(accepted, as_json)
+    is_complete = True
+    if wait and accepted:
+        status = ran(_wait_until_complete, ledgers, accepted[-1].sequence_number, wait)
+        _print_status(status, as_json)
+        is_complete = status.is_complete
+    if rejections:
+        sys.exit(EXIT_REJECTED)
+    sys.exit(EXIT_SUCCESS if is_complete else EXIT_NOT_COMPLETE)
+
+
+def _requests_of_options(
+    values_by_kind: "dict[messages.PurgeKind, Sequence[str]]",
+    everything: bool,
+    vhost: str,
+    store: str,
+    key: str,
+) -> "list[messages.PurgeRequest]":
+    """One purge for each kind; a key is made one for each kind as well."""
+    from quartzrouter.purges.messages import PurgeRequest
+
+    requests = [
         PurgeRequest(kind, tuple(values), vhost, store, key and f"{key}-{kind}")
-        for kind, values in (("object", objects), ("tag", tags), ("pattern", patterns))
+        for kind, values in values_by_kind.items()
         if values
     ]
-    sends += [PurgeRequest("all", (), vhost, store, key and f"{key}-all")] if whole else []
-    for at, line in enumerate(file or (), 1):
-        kind, _, value = line.strip().partition(" ")
-        if kind not in ("object", "tag", "pattern") or not value.strip():
-            raise click.UsageError(f"{file.name}:{at}: no purge: write object, tag or pattern, and its value")
-        sends.append(PurgeRequest(kind, tuple(value.split()), vhost, store, key and f"{key}-{at}"))
-    if not sends:
-        raise click.UsageError("nothing to purge: give --object, --tag, --pattern, --all or --from")
-    for each in sends:
-        each.key = each.key or secrets.token_hex(8)  # asked again, it is still one purge
-    answers = ran(_send, ledgers, sends)
-    refused = [answer for answer in answers if isinstance(answer, RequestRejected)]
-    for answer in refused:
-        click.echo(f"refused: {answer.place}: {answer.reason}; {answer.remedy}", err=True)
-    taken = [answer for answer in answers if not isinstance(answer, RequestRejected)]
-    if as_json:
-        click.echo(
-            json.dumps(
-                [
-                    {"number": t.sequence_number, "promise_us": t.promised_within, "again": t.is_duplicate}
-                    for t in taken
-                ]
-            )
-        )
-    elif len(taken) > MANY:
-        click.echo(f"purges {taken[0].sequence_number} to {taken[-1].sequence_number} are taken")
-    else:
-        for answer in taken:
-            again = ", as it had been before" if answer.is_duplicate else ""
-            click.echo(
-                f"purge {answer.sequence_number} is taken{again}; "
-                f"promised within {answer.promised_within / 1000:.0f} ms"
-            )
-    complete = ran(_complete, ledgers, taken[-1].sequence_number, wait) if wait and taken else None
-    if complete is not None:
-        _show(complete, as_json)
-    sys.exit(1 if refused else 2 if complete is not None and not complete.is_complete else 0)
-
-
-async def _send(ledgers, sends: "list[messages.PurgeRequest]") -> list:
+    if everything:
+        requests.append(PurgeRequest("all", (), vhost, store, key and f"{key}-all"))
+    return requests
+
+
+def _requests_of_file(file: Iterable[str], vhost: str, store: str, key: str) -> "list[messages.PurgeRequest]":
+    """One purge for each line: a kind, a blank, and values."""
+    from quartzrouter.purges.messages import PurgeRequest
+
+    requests = []
+    for line_number, line in enumerate(file, 1):
+        kind, _, values = line.strip().partition(" ")
+        if kind not in KINDS_WITH_VALUES or not values.strip():
+            place = f"{getattr(file, 'name', '')}:{line_number}"
+            raise click.UsageError(f"{place}: no purge: write object, tag or pattern, and its value")
+        line_key = key and f"{key}-{line_number}"
+        requests.append(PurgeRequest(kind, tuple(values.split()), vhost, store, line_key))
+    return requests
+
+
+async def _send(ledgers: Addresses, requests: "list[messages.PurgeRequest]") -> "list[messages.FromPurgeLog]":
     from quartzrouter.purge_log.query_client import QueryClient
 
-    with click.progressbar(
-        length=len(sends), label="sending", file=sys.stderr, hidden=len(sends) < MANY
-    ) as bar:
-        return await QueryClient(ledgers).ask_all(sends, bar.update)
+    is_quiet = len(requests) < SHOW_PROGRESS_FROM
+    with click.progressbar(length=len(requests), label="sending", file=sys.stderr, hidden=is_quiet) as bar:
+        return await QueryClient(ledgers).ask_all(requests, bar.update)
+
+
+def _print_accepted(accepted: "list[messages.PurgeAccepted]", as_json: bool) -> None:
+    if as_json:
+        answers = [
+            {
+                "number": answer.sequence_number,
+                "promise_us": answer.promised_within,
+                "again": answer.is_duplicate,
+            }
+            for answer in accepted
+        ]
+        click.echo(json.dumps(answers))
+        return
+    if len(accepted) > SHOW_PROGRESS_FROM:
+        click.echo(f"purges {accepted[0].sequence_number} to {accepted[-1].sequence_number} are taken")
+        return
+    for answer in accepted:
+        again = ", as it had been before" if answer.is_duplicate else ""
+        promised = f"promised within {_milliseconds(answer.promised_within)}"
+        click.echo(f"purge {answer.sequence_number} is taken{again}; {promised}")
+
 
+def _print_rejection(rejection: "messages.RequestRejected") -> None:
+    click.echo(f"refused: {rejection.place}: {rejection.reason}; {rejection.remedy}", err=True)
 
-async def _complete(ledgers, number: int, wait: int) -> "messages.PurgeStatus":
+
+async def _wait_until_complete(
+    ledgers: Addresses, sequence_number: int, wait: int
+) -> "messages.PurgeStatus | messages.RequestRejected":
+    """Polls until a purge is complete.
+
+    :param wait: microseconds after which the last status is returned anyway.
+    """
     import anyio
 
     from quartzrouter.purge_log.query_client import QueryClient
     from quartzrouter.purges.messages import StatusQuery
 
-    client, until = QueryClient(ledgers), anyio.current_time() + wait / 1e6
+    client = QueryClient(ledgers)
+    give_up_at = anyio.current_time() + wait / MICROSECONDS_PER_SECOND
     while True:
-        told = await client.ask(StatusQuery(number))
-        if getattr(told, "is_complete", True) or anyio.current_time() >= until:
-            return told
-        await anyio.sleep(LOOK_EVERY)
+        status = await client.ask(StatusQuery(sequence_number))
+        if getattr(status, "is_complete", True) or anyio.current_time() >= give_up_at:
+            return status
+        await anyio.sleep(COMPLETION_POLL_INTERVAL)
 
 
 @purge.command(epilog="Example: quartzrouter purge status 42")
 @click.argument("number", type=int, default=0)
 @LEDGERS
 @AS_JSON
-def status(number: int, ledgers, as_json: bool) -> None:
+def status(number: int, ledgers: Addresses, as_json: bool) -> None:
     """Say how far a purge has come, the last where none is named; exit with 1 if it isn't complete."""
     from quartzrouter.purges.messages import StatusQuery
 
-    told = ran(ask, ledgers, StatusQuery(number))
-    _show(told, as_json)
-    sys.exit(0 if told.is_complete else 1)
+    purge_status = ran(ask, ledgers, StatusQuery(number))
+    _print_status(purge_status, as_json)
+    sys.exit(EXIT_SUCCESS if purge_status.is_complete else EXIT_REJECTED)
 
 
-def _show(told: "messages.PurgeStatus", as_json: bool) -> None:
+def _print_status(status: "messages.PurgeStatus | messages.RequestRejected", as_json: bool) -> None:
     import msgspec
 
     from quartzrouter.purges.messages import RequestRejected
 
-    if isinstance(told, RequestRejected):
-        click.echo(f"refused: {told.place}: {told.reason}; {told.remedy}", err=True)
-        sys.exit(1)
+    if isinstance(status, RequestRejected):
+        _print_rejection(status)
+        sys.exit(EXIT_REJECTED)
     if as_json:
-        click.echo(json.dumps(msgspec.to_builtins(told)))
+        click.echo(json.dumps(msgspec.to_builtins(status)))
         return
-    if not told.sequence_number:
+    if not status.sequence_number:
         click.echo("no purge has been taken yet")
         return
-    promised = f"{told.promised_within / 1000:.0f} ms promised"
-    if told.is_complete:
-        took = (
-            f"after {told.completed_after / 1000:.0f} ms, {promised}"
-            if told.completed_after
-            else "before the ledger's last start"
-        )
-        click.echo(f"purge {told.sequence_number}, {told.description}: complete {took}")
+    purge_name = f"purge {status.sequence_number}, {status.description}"
+    promised = f"{_milliseconds(status.promised_within)} promised"
+    if not status.is_complete:
+        waiting_for = ", ".join(status.waiting_for) or "the ledger's own first lease"
+        click.echo(f"{purge_name}: waits for {waiting_for}; {promised}")
+    elif status.completed_after:
+        click.echo(f"{purge_name}: complete after {_milliseconds(status.completed_after)}, {promised}")
     else:
-        missing = ", ".join(told.waiting_for) or "the ledger's own first lease"
-        click.echo(f"purge {told.sequence_number}, {told.description}: waits for {missing}; {promised}")
-    if told.delays.get("purges"):
-        figures = ", ".join(f"{k} {told.delays[k] / 1000:.1f} ms" for k in ("p50", "p99", "highest"))
-        click.echo(f"{told.delays['purges']} purges since its start: {figures}; {told.delays['missed']} late")
+        click.echo(f"{purge_name}: complete before the ledger's last start")
+    _print_delays(status.delays)
+
+
+def _print_delays(delays: dict[str, int]) -> None:
+    if not delays.get("purges"):
+        return
+    percentiles = ", ".join(
+        f"{name} {delays[name] / MICROSECONDS_PER_MILLISECOND:.1f} ms" for name in ("p50", "p99", "highest")
+    )
+    click.echo(f"{delays['purges']} purges since its start: {percentiles}; {delays['missed']} late")
+
+
+def _milliseconds(microseconds: int) -> str:
+    return f"{microseconds / MICROSECONDS_PER_MILLISECOND:.0f} ms"
 
 
 @purge.command(epilog="Example: quartzrouter purge members")
 @LEDGERS
 @AS_JSON
-def members(ledgers, as_json: bool) -> None:
+def members(ledgers: Addresses, as_json: bool) -> None:
     """List routers and caches, and how far each has come."""
     import msgspec
 
     from quartzrouter.purges.messages import MembersQuery
 
-    told = ran(ask, ledgers, MembersQuery())
+    reply = ran(ask, ledgers, MembersQuery())
     if as_json:
-        click.echo(json.dumps(msgspec.to_builtins(told)))
+        click.echo(json.dumps(msgspec.to_builtins(reply)))
         return
-    click.echo(f"epoch {told.epoch}, {told.head} purges")
-    for member in told.members:
+    click.echo(f"epoch {reply.epoch}, {reply.head} purges")
+    for member in reply.members:
         state = "away" if member.is_unreachable else "live" if member.is_live else "silent"
-        behind = told.head - member.applied_up_to
+        lag = reply.head - member.applied_up_to
+        progress = f"{lag} behind" if lag else "caught up"
         click.echo(
             f"{member.name:24} {member.kind:8} {state:7} at {member.applied_up_to:<10} "
-            f"{f'{behind} behind' if behind else 'caught up':14} heard {member.silent_for / 1000:.0f} ms ago"
+            f"{progress:14} heard {_milliseconds(member.silent_for)} ago"
         )
 
 
 @purge.command(epilog="Example: quartzrouter purge follow --after 0 | head")
 @LEDGERS
 @click.option("--after", type=int, help="From behind this number; from now on, if not given.")
-def follow(ledgers, after: int | None) -> None:
+def follow(ledgers: Addresses, after: int | None) -> None:
     """Print purges as they are taken, one JSON object a line, until interrupted."""
     ran(_follow, ledgers, after)
 
 
-async def _follow(ledgers, after: int | None) -> None:
+async def _follow(ledgers: Addresses, after: int | None) -> None:
     import secrets
 
-    import anyio
-    import msgspec
-
     from quartzrouter.purge_log.member_client import ConnectionOpened, MemberClient, MessageReceived
     from quartzrouter.purges.freshness_lease import FreshnessLease
     from quartzrouter.purges.messages import StatusQuery
@@ -208,30 +273,33 @@
     from quartzrouter.server.clock import wall_clock
     from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-    held = after
-    if held is None:
-        held = (await ask(ledgers, StatusQuery())).head
+    applied_up_to = (await ask(ledgers, StatusQuery())).head if after is None else after
     token = secrets.token_hex(4)
-    follower = PurgeReplica(f"watcher-{token}", "watcher", token, FreshnessLease(1), held)
+    replica = PurgeReplica(f"watcher-{token}", "watcher", token, FreshnessLease(1), applied_up_to)
 
-    def feed(event: ConnectionOpened | MessageReceived) -> None:
+    def on_event(event: ConnectionOpened | MessageReceived) -> None:
         if isinstance(event, ConnectionOpened):
-            link.send(follower.start_connection())
+            client.send(replica.start_connection())
             return
-        for given in follower.receive(event.message, wall_clock()):
-            match given:
+        for effect in replica.receive(event.message, wall_clock()):
+            match effect:
                 case ApplyPurges(purges):
-                    for each in purges:
-                        click.echo(msgspec.json.encode(each).decode())
-                    sys.stdout.flush()
-                case SendMessage(said):
-                    link.send(said)
-                case EndConnection(reason, come_back):
-                    link.reconnect(reason, come_back)
+                    _print_purges(purges)
+                case SendMessage(message):
+                    client.send(message)
+                case EndConnection(reason, reconnect_after):
+                    client.reconnect(reason, reconnect_after)
+
+    client = MemberClient(ledgers, FOLLOW_SILENCE_TIMEOUT, on_event, RateLimitedLog("follow", wall_clock))
+    await client.run()
+
+
+def _print_purges(purges: "Iterable[messages.Purge]") -> None:
+    import msgspec
 
-    link = MemberClient(ledgers, 10_000_000, feed, RateLimitedLog("follow", wall_clock))
-    async with anyio.create_task_group() as tasks:
-        tasks.start_soon(link.run)
+    for each in purges:
+        click.echo(msgspec.json.encode(each).decode())
+    sys.stdout.flush()
 
 
 @purge.command(epilog="Example: quartzrouter purge deliver main.plan")
@@ -246,65 +314,85 @@
 
     from quartzrouter.cli.plan import checked
     from quartzrouter.configuration import address
-    from quartzrouter.purge_log.delivery import deliver as run
+    from quartzrouter.purge_log.delivery import deliver as run_courier
     from quartzrouter.server.clock import wall_clock
     from quartzrouter.server.event_loop import BACKEND_OPTIONS
     from quartzrouter.standalone.structured_log import StructuredLog, logger
 
-    made = checked(path)
-    if not made.purges:
+    plan = checked(path)
+    if not plan.purges:
         raise click.UsageError(f"{path} names no ledger: give it `purges`")
-    caches = {
-        name: address(told["address"], f"caches.{name}")
-        for name, told in made.caches.items()
-        if told["tier"] != "origin"
-    }
+    caches = _cache_addresses(plan)
     if unknown := set(only) - set(caches):
         raise click.UsageError(f"there is no cache {sorted(unknown)[0]!r} in {path}")
-    caches = {name: at for name, at in caches.items() if not only or name in only}
-    ledgers = [address(at, "purges.ledgers") for at in made.purges["ledgers"]]
+    if only:
+        caches = {cache: caches[cache] for cache in caches if cache in only}
+    purge_logs = [address(text, "purges.ledgers") for text in plan.purges["ledgers"]]
     report = StructuredLog(name or "courier", wall_clock, logger())
-    claims = claims_of(made, path, task, name, report) if task else None
-    told = (caches, ledgers, made.purges["grace"], report, rate, claims, task)
-    anyio.run(run, *told, backend_options=BACKEND_OPTIONS)
+    lease_client = lease_client_of(plan, path, task, name, report) if task else None
+    arguments = (caches, purge_logs, plan.purges["grace"], report, rate, lease_client, task)
+    anyio.run(run_courier, *arguments, backend_options=BACKEND_OPTIONS)
+
+
+def _cache_addresses(plan: "Plan") -> dict[str, tuple[str, int]]:
+    """The caches and parents of a plan; origins keep no copies."""
+    from quartzrouter.configuration import address
+
+    return {
+        name: address(settings["address"], f"caches.{name}")
+        for name, settings in plan.caches.items()
+        if settings["tier"] != "origin"
+    }
 
 
-def claims_of(plan, path: str, task: str, name: str | None, report):
-    """What a process claims; refuses a task that the plan doesn't name, with its place."""
+def lease_client_of(
+    plan: "Plan", path: str, task: str, name: str | None, report: "RateLimitedLog"
+) -> "ClusterLeaseClient":
+    """Returns the client that claims a task of a plan's lease service; exits where the plan has no such task.
+
+    :param path: of the plan, for messages.
+    :param name: of the claimant.
+    """
     from quartzrouter.lease_service.client import ClusterLeaseClient
     from quartzrouter.lease_service.plan_terms import LeasesNotConfigured, terms
 
     if not name:
         raise click.UsageError("--task needs --name: claimants are told apart by it")
     try:
-        told, addresses = terms(plan)
+        lease_terms, addresses = terms(plan)
     except LeasesNotConfigured as error:
-        click.echo(f"quartzrouter: {path}: {error}", err=True)
-        sys.exit(1)
-    if task not in dict(told.tasks):
-        place = plan.places.get(("leases", "tasks")) or plan.places.get(("leases",))
-        known = ", ".join(each for each, _ in told.tasks)
-        where = place or path
-        click.echo(f"quartzrouter: {where}: there is no task {task!r}; there are {known}", err=True)
-        sys.exit(1)
-    return ClusterLeaseClient(told, addresses, name, report)
-
-
-async def ask(ledgers, said):
+        _exit_with(f"quartzrouter: {path}: {error}")
+    tasks = dict(lease_terms.tasks)
+    if task not in tasks:
+        place = plan.places.get(("leases", "tasks")) or plan.places.get(("leases",)) or path
+        _exit_with(f"quartzrouter: {place}: there is no task {task!r}; there are {', '.join(tasks)}")
+    return ClusterLeaseClient(lease_terms, addresses, name, report)
+
+
+def _exit_with(message: str) -> NoReturn:
+    click.echo(message, err=True)
+    sys.exit(EXIT_REJECTED)
+
+
+async def ask(ledgers: Addresses, message: "messages.ToPurgeLog") -> "messages.FromPurgeLog":
+    """Sends one request to the first purge log that answers; returns the answer."""
     from quartzrouter.purge_log.query_client import QueryClient
 
-    return await QueryClient(ledgers).ask(said)
+    return await QueryClient(ledgers).ask(message)
+
 
+def ran(function: Callable[..., Awaitable[Any]], *arguments: Any) -> Any:
+    """Runs a function to its end; exits with one line where no purge log answers.
 
-def ran(what, *arguments):
+    :returns: what it returns.
+    """
     import anyio
 
     from quartzrouter.purge_log.errors import UnreachableError
 
     try:
-        return anyio.run(what, *arguments)
+        return anyio.run(function, *arguments)
     except UnreachableError as error:
-        click.echo(f"no ledger answers: {error}; see that it runs, or name another with --ledger", err=True)
-        sys.exit(1)
+        _exit_with(f"no ledger answers: {error}; see that it runs, or name another with --ledger")
     except KeyboardInterrupt:
-        sys.exit(0)
+        sys.exit(EXIT_SUCCESS)
--- a/quartzrouter/fault_harness/child_process.py
+++ b/quartzrouter/fault_harness/child_process.py
@@ -28,12 +28,15 @@
     from quartzrouter.standalone.structured_log import StructuredLog, logger
 
     if what == "ledger":
-        from quartzrouter.cli.ledger import budgets_of
+        from quartzrouter.cli.ledger import budget_reader
         from quartzrouter.purge_log import process
 
         folder, listen, grace, plan, standby, *guards = told
         _take_out(guards, wall)
-        report, granted = StructuredLog("ledger", wall, logger()), budgets_of(plan) if plan != "-" else None
+        report, granted = (
+            StructuredLog("ledger", wall, logger()),
+            budget_reader(plan) if plan != "-" else None,
+        )
         beside = address(standby, "standby") if standby != "-" else None
         told = (folder, address(listen, "listen"), int(grace), report, beside, wall, granted, even)
         return anyio.run(process.serve, *told, backend_options=BACKEND_OPTIONS)
--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -9,9 +9,9 @@
 from quartzrouter.leases.handle import LeaseClient, LeaseHandle
 from quartzrouter.purge_log.cache_connection import (
     CacheConnection,
+    CourierFencedError,
     DeliveryError,
     DeliveryRefusedError,
-    CourierFencedError,
 )
 from quartzrouter.purge_log.member_client import ConnectionOpened, MemberClient, MessageReceived
 from quartzrouter.purges.delivery_plan import POLL_INTERVAL, Delivery, DeliveryQueue
