--- a/tests/test_ledger_log.py
+++ b/tests/test_ledger_log.py
@@ -1,4 +1,4 @@
-"""The ledger's log: nothing promised is lost at any point of a crash, and damage is named."""
+"""The purge log's files: nothing promised is lost at any point of a crash, and damage is named."""
 
 import random
 
@@ -17,75 +17,78 @@
     return Purge(number, 1_000 * number, "object", (f"obj-{number}",), key=f"k{number}")
 
 
-def write(disk, log, count, each=2, compact_every=0):
-    """Appends purges in batches; gives the numbers that were promised."""
-    promised = log.head
-    for _ in range(count):
-        batch = [purge(log.head + n) for n in range(1, each + 1)]
-        log.append(batch)
-        promised = log.head
-        if compact_every and promised % compact_every == 0:
-            kept = [purge(n) for n in range(promised // 2 + 1, promised + 1)]
-            log.compact(kept, promised // 2, 1_000 * (promised // 2))
-    return promised
+def write(log, batches, batch_size=1, compact_every=0):
+    """Appends purges in batches; now and then the older half is trimmed and the log compacted."""
+    for _ in range(batches):
+        log.append([purge(log.head + n) for n in range(1, batch_size + 1)])
+        if compact_every and log.head % compact_every == 0:
+            trimmed_up_to = log.head // 2
+            retained = [purge(n) for n in range(trimmed_up_to + 1, log.head + 1)]
+            log.compact(retained, trimmed_up_to, purge(trimmed_up_to).purged_at)
 
 
-def numbers(found):
-    return [each.sequence_number for each in found.purges]
+def numbers(contents):
+    return [purge.sequence_number for purge in contents.purges]
 
 
 def test_a_crash_at_every_operation_loses_nothing_that_was_promised():
-    """Lives that end by a crash: the next finds all that was promised, in order, without a gap."""
+    """A machine loses its power at each operation on the disk in turn, and again while it recovers.
+
+    Each life reads what the last has left: all that was promised, in order, without a gap. What a life has
+    read counts as promised from then on, as it may have been sent to members.
+    """
     chance, crashes = random.Random(5), 0
-    for first in range(1, 60):
-        disk, promised = FaultyDisk(first, chance), 0
+    for first_crash in range(1, 60):
+        disk, promised = FaultyDisk(first_crash, chance), 0
 
         def live(disk):
+            nonlocal promised
             log = PurgeLog(disk, max_segment_bytes=400)
             for _ in range(6):
-                write(disk, log, 1, 3, 9)
-                nonlocal promised
+                write(log, 1, 3, 9)
                 promised = log.head
 
-        for second in (0, 1, 4, 9, 17):
+        for next_crash in (0, 1, 4, 9, 17):
             try:
                 live(disk)
             except Crashed:
                 crashes += 1
             disk.dead = True
-            after = disk.after_crash()
-            found = read_log(after)
-            assert found.head >= promised
-            assert numbers(found) == list(range(found.trimmed_up_to + 1, found.head + 1))
-            assert found.purges == [purge(n) for n in numbers(found)]
-            promised = found.head  # from now on: whoever read it may have been told
-            after.crash_at = second and second + 2
-            disk = after
+            after_crash = disk.after_crash()
+            contents = read_log(after_crash)
+            assert contents.head >= promised
+            assert numbers(contents) == list(range(contents.trimmed_up_to + 1, contents.head + 1))
+            assert contents.purges == [purge(number) for number in numbers(contents)]
+            promised = contents.head
+            after_crash.crash_at = next_crash and next_crash + 2
+            disk = after_crash
     assert crashes > 150
 
 
 def test_a_cut_write_is_cut_at_every_byte():
+    """A write is cut short at each of its bytes, with or without zeros behind: it was not promised."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
-    write(disk, log, 2, 1)
+    write(log, 2)
     whole = len(disk.read(log.segment_name))
-    write(disk, log, 1, 1)
+    write(log, 1)
     data = disk.read(log.segment_name)
     for end in range(whole, len(data) + 1):
-        for rest in (b"", bytes(37)):
-            disk.names_seen[log.segment_name].data = bytearray(data[:end] + rest)
+        for zeros in (b"", bytes(37)):
+            disk.names_seen[log.segment_name].data = bytearray(data[:end] + zeros)
             found = read_log(disk)
             assert found.head == (3 if end == len(data) else 2)
 
 
 def test_a_flipped_bit_is_named_wherever_it_stands():
+    """One bit of a segment flips, at each byte in turn, also in a length: no purge is dropped silently."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
-    write(disk, log, 3, 1)
+    write(log, 3)
     data = disk.read(log.segment_name)
-    for at in range(len(data)):
+    for position in range(len(data)):
         spoilt = bytearray(data)
-        spoilt[at] ^= 0x10
+        spoilt[position] ^= 0x10
         disk.names_seen[log.segment_name].data = spoilt
         with pytest.raises(LogDamagedError) as raised:
             read_log(disk)
@@ -93,9 +96,10 @@
 
 
 def test_a_missing_middle_file_is_missed():
+    """Somebody deletes a segment between two others: the header of the next one names it."""
     disk = FaultyDisk()
     log = PurgeLog(disk, max_segment_bytes=200)
-    write(disk, log, 12, 1)
+    write(log, 12)
     names = [name for name in disk.names() if name.endswith(".log")]
     assert len(names) >= 4
     del disk.names_seen[names[1]]
@@ -104,9 +108,10 @@
 
 
 def test_a_file_that_ends_too_soon_is_named():
+    """A segment that another one follows has lost its end: that was promised, so it is no torn write."""
     disk = FaultyDisk()
     log = PurgeLog(disk, max_segment_bytes=200)
-    write(disk, log, 12, 1)
+    write(log, 12)
     first = next(name for name in disk.names() if name.endswith(".log"))
     del disk.names_seen[first].data[-5:]
     with pytest.raises(LogDamagedError, match=f"{first}: it ends at byte"):
@@ -114,9 +119,10 @@
 
 
 def test_repair_keeps_what_stands_before_the_damage():
+    """A record is damaged and the start refuses the folder: repair keeps what stands before it."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
-    write(disk, log, 8, 1)
+    write(log, 8)
     data = disk.names_seen[log.segment_name].data
     data[data.index(b"obj-6")] ^= 1
     with pytest.raises(LogDamagedError, match="checksum"):
@@ -124,28 +130,30 @@
     assert "purges up to 5 are kept" in repair(disk)
     log = PurgeLog(disk)
     assert log.head == 5
-    write(disk, log, 1, 1)
+    write(log, 1)
     assert read_log(disk).head == 6 and "nothing to mend" in repair(disk)
 
 
 def test_a_full_disk_refuses_and_takes_again_once_there_is_room():
+    """The disk is full in the middle of a write: the torn write is removed, and purges go on later."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
-    write(disk, log, 2, 1)
+    write(log, 2)
     disk.room = disk.used + 10
     for _ in range(3):
         with pytest.raises(DiskUnavailableError, match="No space left"):
             log.append([purge(3)])
     assert read_log(disk).head == 2
     disk.room = 1 << 20
-    write(disk, log, 2, 1)
+    write(log, 2)
     assert read_log(disk).head == 4 and PurgeLog(disk).head == 4
 
 
 def test_after_a_sync_that_failed_nothing_more_goes_to_that_file():
+    """A sync fails: nobody knows what is on the disk, so the log goes on in a new segment."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
-    write(disk, log, 1, 1)
+    write(log, 1)
     before = log.segment_name
     disk.fail_sync = disk.syncs + 1
     with pytest.raises(DiskUnavailableError, match="Input/output"):
@@ -155,9 +163,10 @@
 
 
 def test_a_writer_that_was_taken_over_from_promises_nothing_more(tmp_path):
+    """An old writer wakes after a takeover and appends: that stands in its file, and counts for nobody."""
     disk = RealDisk(str(tmp_path))
     old = PurgeLog(disk)
-    write(disk, old, 3, 1)
+    write(old, 3)
     new = PurgeLog(disk)
     assert (new.epoch, new.head) == (old.epoch + 1, 3)
     with pytest.raises(FencedError):
@@ -171,12 +180,13 @@
 
 
 def test_a_snapshot_takes_the_place_of_files(tmp_path):
+    """The log is compacted: one snapshot takes the place of all files but the segment that is written."""
     disk = RealDisk(str(tmp_path))
     log = PurgeLog(disk, max_segment_bytes=200)
-    write(disk, log, 20, 1)
+    write(log, 20)
     log.compact([purge(n) for n in range(11, 21)], 10, 10_000)
     names = [name for name in disk.names() if not name.startswith("epoch")]
     assert names == [f"{20:016d}.snapshot", log.segment_name] or len(names) == 2
-    write(disk, log, 2, 1)
+    write(log, 2)
     found = read_log(disk)
     assert (found.trimmed_up_to, found.low_watermark, found.head) == (10, 10_000, 22)
--- a/tests/test_purge_book.py
+++ b/tests/test_purge_book.py
@@ -1,4 +1,4 @@
-"""The ledger's decisions and a member's, by hand: order, keys, leases, what is complete, what is refused."""
+"""Decisions of the purge log, its members and a router, without I/O: order, leases, completeness, copies."""
 
 import pytest
 
@@ -17,152 +17,180 @@
     Welcome,
     encode_line,
 )
-from quartzrouter.purges.validation import MAX_VALUES, rejection_of
 from quartzrouter.purges.purge_index import PurgeLookup
-from quartzrouter.purges.reconnect_backoff import FIRST_DELAY, MAX_DELAY, ReconnectBackoff, PrimaryWatch
+from quartzrouter.purges.reconnect_backoff import FIRST_DELAY, MAX_DELAY, PrimaryWatch, ReconnectBackoff
 from quartzrouter.purges.registry import AdmittedPurge, PurgeRegistry
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
+from quartzrouter.purges.validation import MAX_VALUES, rejection_of
 
-MS = 1_000
-GRACE = 300 * MS
+MILLISECOND = 1_000  # us
+SECOND = 1_000_000  # us
+GRACE = 300 * MILLISECOND
 LEASE = lease_length(GRACE)
+NOW = 10 * LEASE  # leases of an earlier process are over
+
+# -- the registry --------------------------------------------------------------------------------------------
+
 
+def new_registry(**options):
+    return PurgeRegistry(1, GRACE, 0, **options)
 
-def book(**other):
-    return PurgeRegistry(1, GRACE, 0, **other)
 
+def join(registry, name, now, kind="router"):
+    """A member that has acknowledged what there is."""
+    member = registry.join(MemberHello(name, kind, f"t-{name}"), now)
+    acknowledge(registry, member, 0, 1, now)
+    return member
 
-def member(book, name, now, kind="router", held=0):
-    found = book.join(MemberHello(name, kind, f"t-{name}"), now)
-    book.acknowledge(found, held, 1, False, now)
-    return found
 
+def acknowledge(registry, member, applied_up_to, ack_id, now, is_unreachable=False):
+    registry.acknowledge(member, applied_up_to, ack_id, is_unreachable, now)
 
-def send(book, now, *values, key="", durable=True):
-    given = book.admit(PurgeRequest("tag", values or ("a",), key=key), now)
-    if durable and isinstance(given, AdmittedPurge):
-        book.mark_durable(given.purge.sequence_number, now)
-    return given
+
+def admit(registry, now, *values, key="", durable=True):
+    """A purge by tags, which is durable at once."""
+    admitted = registry.admit(PurgeRequest("tag", values or ("a",), key=key), now)
+    if durable and isinstance(admitted, AdmittedPurge):
+        registry.mark_durable(admitted.purge.sequence_number, now)
+    return admitted
 
 
 def test_the_same_purge_sent_twice_is_one_and_another_under_its_key_is_refused():
-    b = book()
-    first = send(b, 1_000, key="k")
-    again = send(b, 9_000, key="k")
-    assert again == (first.purge, True) and b.last_admitted == 1
-    other = send(b, 9_000, "b", key="k")
+    """A client didn't see the answer and sends its purge again: under the key it counts once."""
+    registry = new_registry()
+    first = admit(registry, 1_000, key="k")
+    repeated = admit(registry, 9_000, key="k")
+    assert repeated == (first.purge, True) and registry.last_admitted == 1
+    other = admit(registry, 9_000, "b", key="k")
     assert isinstance(other, RequestRejected) and "purge 1" in other.reason and other.remedy
-    assert send(b, 9_000).purge.sequence_number == 2
+    assert admit(registry, 9_000).purge.sequence_number == 2
 
 
 def test_a_key_counts_through_a_restart_and_not_for_what_was_lost():
-    b = book()
-    kept = send(b, 1_000, key="k").purge
-    send(b, 2_000, key="gone", durable=False)
-    assert [purge.key for purge in b.discard_pending()] == ["gone"]
-    after = book()
-    after.recover([kept], 0, 0)
-    assert send(after, 9_000, key="k").is_duplicate and not send(after, 9_000, key="gone").is_duplicate
+    """The disk didn't take a purge, and then the process restarts: the lost purge may be sent again."""
+    registry = new_registry()
+    kept = admit(registry, 1_000, key="k").purge
+    admit(registry, 2_000, key="gone", durable=False)
+    assert [purge.key for purge in registry.discard_pending()] == ["gone"]
+    restarted = new_registry()
+    restarted.recover([kept], 0, 0)
+    assert admit(restarted, 9_000, key="k").is_duplicate
+    assert not admit(restarted, 9_000, key="gone").is_duplicate
 
 
 def test_times_only_grow_also_where_the_clock_is_set_back():
-    b = book()
-    whens = [send(b, now).purge.purged_at for now in (5_000, 5_000, 1_000, 9_000)]
-    assert whens == [5_000, 5_001, 5_002, 9_000]
+    """The clock stands still and is set back: members bound copies by times, so times only grow."""
+    registry = new_registry()
+    times = [admit(registry, now).purge.purged_at for now in (5_000, 5_000, 1_000, 9_000)]
+    assert times == [5_000, 5_001, 5_002, 9_000]
 
 
 def test_a_purge_is_complete_once_every_live_member_has_it():
-    b, now = book(), 10 * LEASE
-    one, two = member(b, "r1", now), member(b, "r2", now)
-    send(b, now)
-    b.acknowledge(one, 1, 2, False, now + 1 * MS)
-    told = b.status(1, now + 2 * MS)
-    assert (told.is_complete, told.waiting_for) == (False, ("r2",))
-    b.acknowledge(two, 1, 2, False, now + 3 * MS)
-    told = b.status(1, now + 4 * MS)
-    assert (told.is_complete, told.completed_after, told.waiting_for) == (True, 3 * MS, ())
-    assert told.promised_within >= LEASE and told.delays["highest"] >= 2 * MS
+    """Two routers acknowledge one after the other; the status names the one that is waited for."""
+    registry = new_registry()
+    first, second = join(registry, "r1", NOW), join(registry, "r2", NOW)
+    admit(registry, NOW)
+    acknowledge(registry, first, 1, 2, NOW + 1 * MILLISECOND)
+    status = registry.status(1, NOW + 2 * MILLISECOND)
+    assert (status.is_complete, status.waiting_for) == (False, ("r2",))
+    acknowledge(registry, second, 1, 2, NOW + 3 * MILLISECOND)
+    status = registry.status(1, NOW + 4 * MILLISECOND)
+    assert (status.is_complete, status.completed_after, status.waiting_for) == (True, 3 * MILLISECOND, ())
+    assert status.promised_within >= LEASE and status.delays["highest"] >= 2 * MILLISECOND
 
 
 def test_a_member_that_vanishes_is_waited_for_its_lease_and_no_longer():
-    b, now = book(), 10 * LEASE
-    one, _ = member(b, "r1", now), member(b, "gone", now)
-    send(b, now + MS)
-    b.acknowledge(one, 1, 2, False, now + LEASE)
-    assert b.complete_up_to == 0  # the other may still serve by its lease
-    b.acknowledge(one, 1, 3, False, now + LEASE + MS)
-    assert b.complete_up_to == 1 and b.missed_promises == 0
+    """A router vanishes before a purge: until its lease is over it may serve, so the purge isn't complete."""
+    registry = new_registry()
+    staying, _ = join(registry, "r1", NOW), join(registry, "gone", NOW)
+    admit(registry, NOW + MILLISECOND)
+    acknowledge(registry, staying, 1, 2, NOW + LEASE)
+    assert registry.complete_up_to == 0
+    acknowledge(registry, staying, 1, 3, NOW + LEASE + MILLISECOND)
+    assert registry.complete_up_to == 1 and registry.missed_promises == 0
 
 
 def test_who_leaves_or_is_away_is_not_waited_for():
-    b, now = book(), 10 * LEASE
-    one, two = member(b, "r1", now), member(b, "c1", now, "cache")
-    assert b.caches_caught_up(now) == {"c1": 0}
-    b.acknowledge(two, 0, 2, True, now)
-    send(b, now)
-    assert b.complete_up_to == 0 and b.caches_caught_up(now) == {}
-    b.leave(one, now)
-    assert b.complete_up_to == 1
+    """A cache can't be reached and a router stops on purpose: no purge waits for either."""
+    registry = new_registry()
+    router, cache = join(registry, "r1", NOW), join(registry, "c1", NOW, "cache")
+    assert registry.caches_caught_up(NOW) == {"c1": 0}
+    acknowledge(registry, cache, 0, 2, NOW, is_unreachable=True)
+    admit(registry, NOW)
+    assert registry.complete_up_to == 0 and registry.caches_caught_up(NOW) == {}
+    registry.leave(router, NOW)
+    assert registry.complete_up_to == 1
 
 
 def test_after_a_restart_nothing_is_complete_until_older_leases_are_over():
-    b = PurgeRegistry(2, GRACE, 1_000_000)
-    send(b, 1_000_001)
-    b.update_completeness(1_000_000 + LEASE)
-    assert b.complete_up_to == 0
-    b.update_completeness(1_000_001 + LEASE)
-    assert b.complete_up_to == 1
+    """A process starts: members of the one before it may hold leases, and are not connected yet."""
+    registry = PurgeRegistry(2, GRACE, 1_000_000)
+    admit(registry, 1_000_001)
+    registry.update_completeness(1_000_000 + LEASE)
+    assert registry.complete_up_to == 0
+    registry.update_completeness(1_000_001 + LEASE)
+    assert registry.complete_up_to == 1
 
 
 def test_what_the_log_held_is_complete_only_then_as_well():
-    b = PurgeRegistry(2, GRACE, 1_000_000)
-    b.recover([Purge(1, 999_999, "all")], 0, 0)
-    assert not b.status(1, 1_000_001).is_complete
-    b.update_completeness(1_000_001 + LEASE)
-    told = b.status(1, 1_000_001 + LEASE)
-    assert (told.is_complete, told.completed_after, told.delays["purges"]) == (True, 0, 0)
+    """A purge stood in the log at the start: nobody knows who has applied it, or how long that took."""
+    registry = PurgeRegistry(2, GRACE, 1_000_000)
+    registry.recover([Purge(1, 999_999, "all")], 0, 0)
+    assert not registry.status(1, 1_000_001).is_complete
+    registry.update_completeness(1_000_001 + LEASE)
+    status = registry.status(1, 1_000_001 + LEASE)
+    assert (status.is_complete, status.completed_after, status.delays["purges"]) == (True, 0, 0)
 
 
 def test_a_name_that_is_in_use_is_refused_until_its_lease_is_over():
-    b, now = book(), 10 * LEASE
-    first = member(b, "r1", now)
-    refused = b.join(MemberHello("r1", "router", "other"), now + LEASE)
-    assert isinstance(refused, RequestRejected) and refused.retry_after == LEASE and "'r1'" in refused.reason
-    assert b.join(MemberHello("r1", "router", "t-r1"), now) is first  # the same process, anew
-    assert not isinstance(b.join(MemberHello("r1", "router", "other"), now + LEASE + 1), RequestRejected)
-    refused = b.join(MemberHello("r9", "router", "t", epoch=5), now)
-    assert refused.place == "epoch"
+    """Two processes have one name: the second waits until the first one's lease is over."""
+    registry = new_registry()
+    first = join(registry, "r1", NOW)
+    other_process = MemberHello("r1", "router", "other")
+    rejection = registry.join(other_process, NOW + LEASE)
+    assert isinstance(rejection, RequestRejected) and rejection.retry_after == LEASE
+    assert "'r1'" in rejection.reason
+    assert registry.join(MemberHello("r1", "router", "t-r1"), NOW) is first  # the same process, reconnected
+    assert not isinstance(registry.join(other_process, NOW + LEASE + 1), RequestRejected)
+    rejection = registry.join(MemberHello("r9", "router", "t", epoch=5), NOW)
+    assert rejection.place == "epoch"
 
 
 def test_no_echo_vouches_for_what_is_not_durable():
-    b = book()
-    one = member(b, "r1", 1_000)
-    b.acknowledge(one, 0, 2, False, 2_000)
-    send(b, 2_500, durable=False)
-    b.acknowledge(one, 0, 3, False, 3_000)
-    assert b.ack_to_echo(one) == 2
-    b.mark_durable(1, 4_000)
-    assert b.ack_to_echo(one) == 3
+    """An acknowledgement comes while a purge waits for the disk.
+
+    The purge holds from its acceptance on and hasn't been sent, so an echo of that acknowledgement would
+    start a lease under which the purge is missing.
+    """
+    registry = new_registry()
+    member = join(registry, "r1", 1_000)
+    acknowledge(registry, member, 0, 2, 2_000)
+    admit(registry, 2_500, durable=False)
+    acknowledge(registry, member, 0, 3, 3_000)
+    assert registry.ack_to_echo(member) == 2
+    registry.mark_durable(1, 4_000)
+    assert registry.ack_to_echo(member) == 3
 
 
 def test_what_is_too_many_or_too_old_is_let_go_and_leaves_a_floor():
-    b = book(max_retained=10)
+    """More purges come than are retained: the time of the last one dropped stays as the low watermark."""
+    registry = new_registry(max_retained=10)
     for n in range(30):
-        send(b, 10 * LEASE + n)
-    b.trim(10 * LEASE + 40)
-    assert (b.trimmed_up_to, b.last_admitted, b.low_watermark) == (20, 30, 10 * LEASE + 19)
-    assert b.needs_snapshot(19, 0, 0) and not b.needs_snapshot(20, 0, 0)
-    pages = b.snapshot_pages(0, 0)
-    assert pages[-1] == Snapshot(30, b.low_watermark, tuple(b.purges), True)
-    life = 10 * MS
-    assert (
-        b.needs_snapshot(25, life, 10 * LEASE + 28 + life) and b.snapshot_pages(life, 1 << 50)[0].purges == ()
-    )
-    assert b.status(3, 0).remedy == "numbers go from 21 to 30"
+        admit(registry, NOW + n)
+    registry.trim(NOW + 40)
+    found = (registry.trimmed_up_to, registry.last_admitted, registry.low_watermark)
+    assert found == (20, 30, NOW + 19)
+    assert registry.needs_snapshot(19, 0, 0) and not registry.needs_snapshot(20, 0, 0)
+    pages = registry.snapshot_pages(0, 0)
+    assert pages[-1] == Snapshot(30, registry.low_watermark, tuple(registry.purges), True)
+    lifetime = 10 * MILLISECOND
+    assert registry.needs_snapshot(25, lifetime, NOW + 28 + lifetime)
+    assert registry.snapshot_pages(lifetime, 1 << 50)[0].purges == ()
+    assert registry.status(3, 0).remedy == "numbers go from 21 to 30"
 
 
 @pytest.mark.parametrize(
-    ("send", "place", "reason"),
+    ("request_", "place", "reason"),
     [
         (PurgeRequest("tag"), "values", "no tag is named"),
         (PurgeRequest("all", ("x",)), "values", "names no values"),
@@ -178,198 +206,234 @@
         (PurgeRequest("tag", ("a",), key="k k"), "key", "is no key"),
     ],
 )
-def test_what_cannot_be_purged_is_refused_with_place_reason_and_remedy(send, place, reason):
-    found = rejection_of(send)
-    assert found.place == place and reason in found.reason and found.remedy and not found.retry_after
+def test_what_cannot_be_purged_is_refused_with_place_reason_and_remedy(request_, place, reason):
+    rejection = rejection_of(request_)
+    assert rejection.place == place and reason in rejection.reason
+    assert rejection.remedy and not rejection.retry_after
 
 
-# -- a member ------------------------------------------------------------------------------------------------
+def test_the_largest_purges_fit_into_lines():
+    """Six hundred purges of the greatest size, of characters that JSON escapes: batches and pages fit."""
+    registry = new_registry()
+    for n in range(600):
+        largest = PurgeRequest("tag", ('"' * 512,) * 8, key=f"k{n}")
+        assert not isinstance(registry.admit(largest, n), RequestRejected)
+    registry.mark_durable(600, 600)
+    sent_up_to = 0
+    while sent_up_to < 600:
+        batch = registry.next_batch(sent_up_to)
+        assert batch and len(encode_line(PurgeBatch(tuple(batch)))) <= MAX_LINE_BYTES
+        sent_up_to += len(batch)
+    pages = registry.snapshot_pages(0, 600)
+    assert sum(len(page.purges) for page in pages) == 600
+    assert [page.is_last_page for page in pages[-2:]] == [False, True]
+    assert all(len(encode_line(page)) <= MAX_LINE_BYTES for page in pages)
 
 
-def follower(held=0):
-    found = PurgeReplica("r1", "router", "t", FreshnessLease(LEASE), held)
-    found.start_connection()
-    found.receive(Welcome(1, held, 1_000, LEASE), 3_000)  # its clock is ahead by less than 2 ms
-    return found
+def test_a_name_that_is_none_is_refused():
+    for name, token in (("", "t"), ("a b", "t"), ("n" * 64, "t"), ("r1", "x" * 1_000)):
+        assert new_registry().join(MemberHello(name, "router", token), 0).place == "name"
 
 
-def purges(*numbers):
-    return PurgeBatch(tuple(Purge(n, n * MS, "tag", ("a",)) for n in numbers))
+# -- a member ------------------------------------------------------------------------------------------------
 
 
-def test_purges_come_in_order_and_once_whatever_the_line_does():
-    f = follower()
-    applied, said = f.receive(purges(1, 2), 4_000)
-    assert [p.sequence_number for p in applied.purges] == [1, 2] and applied.clock_offset == 2_000
-    assert said == SendMessage(MemberAck(2, 2))
-    assert f.receive(purges(1, 2), 5_000) == []  # doubled
-    assert [p.sequence_number for p in f.receive(purges(2, 3), 5_000)[0].purges] == [3]
-    (end,) = f.receive(purges(5), 6_000)  # one was lost
-    assert isinstance(end, EndConnection) and "5 came after 3" in end.reason and f.applied_up_to == 3
+def welcomed_replica(applied_up_to=0):
+    """A replica whose clock is ahead by less than 2 ms."""
+    replica = PurgeReplica("r1", "router", "t", FreshnessLease(LEASE), applied_up_to)
+    replica.start_connection()
+    replica.receive(Welcome(1, applied_up_to, 1_000, LEASE), 3_000)
+    return replica
 
 
-def test_a_lease_starts_when_the_echoed_word_was_sent():
-    f = follower()
-    f.receive(Heartbeat(1, 0, 0, 2_000), 10_000)  # sends mark 2 at 10 ms
-    assert f.lease.started_at is None
-    f.receive(Heartbeat(1, 0, 2, 9_000), 90_000)
-    assert f.lease.started_at == 10_000
-    f.receive(Heartbeat(1, 0, 1, 9_500), 95_000)  # a late echo
-    assert f.lease.started_at == 10_000
+def batch_of(*sequence_numbers):
+    return PurgeBatch(tuple(Purge(n, n * MILLISECOND, "tag", ("a",)) for n in sequence_numbers))
 
 
-def test_a_beat_that_names_more_than_came_renews_nothing():
-    f = follower()
-    (end,) = f.receive(Heartbeat(1, 3, 1, 2_000), 10_000)
-    assert isinstance(end, EndConnection) and f.lease.started_at is None
+def numbers(purges):
+    return [purge.sequence_number for purge in purges]
 
 
-def test_the_largest_purges_fit_into_lines():
-    b = book()
-    for n in range(600):
-        assert not isinstance(b.admit(PurgeRequest("tag", ('"' * 512,) * 8, key=f"k{n}"), n), RequestRejected)
-    b.mark_durable(600, 600)
-    held = 0
-    while held < 600:
-        news = b.next_batch(held)
-        assert news and len(encode_line(PurgeBatch(tuple(news)))) <= MAX_LINE_BYTES
-        held += len(news)
-    pages = b.snapshot_pages(0, 600)
-    assert sum(len(page.purges) for page in pages) == 600 and [p.is_last_page for p in pages[-2:]] == [
-        False,
-        True,
-    ]
-    assert all(len(encode_line(page)) <= MAX_LINE_BYTES for page in pages)
+def test_purges_come_in_order_and_once_whatever_the_line_does():
+    """A line is doubled, one overlaps the last, and one is lost: only the loss ends the connection."""
+    replica = welcomed_replica()
+    applied, ack = replica.receive(batch_of(1, 2), 4_000)
+    assert numbers(applied.purges) == [1, 2] and applied.clock_offset == 2_000
+    assert ack == SendMessage(MemberAck(2, 2))
+    assert replica.receive(batch_of(1, 2), 5_000) == []
+    assert numbers(replica.receive(batch_of(2, 3), 5_000)[0].purges) == [3]
+    (end,) = replica.receive(batch_of(5), 6_000)
+    assert isinstance(end, EndConnection) and "5 came after 3" in end.reason and replica.applied_up_to == 3
 
 
-def test_a_name_that_is_none_is_refused():
-    for name, token in (("", "t"), ("a b", "t"), ("n" * 64, "t"), ("r1", "x" * 1_000)):
-        assert book().join(MemberHello(name, "router", token), 0).place == "name"
+def test_a_lease_starts_when_the_echoed_word_was_sent():
+    """Echoes come late and out of order: a lease counts from the sending of the newest echoed one."""
+    replica = welcomed_replica()
+    replica.receive(Heartbeat(1, 0, 0, 2_000), 10_000)  # answered by acknowledgement 2 at 10 ms
+    assert replica.lease.started_at is None
+    replica.receive(Heartbeat(1, 0, 2, 9_000), 90_000)
+    assert replica.lease.started_at == 10_000
+    replica.receive(Heartbeat(1, 0, 1, 9_500), 95_000)
+    assert replica.lease.started_at == 10_000
+
+
+def test_a_beat_that_names_more_than_came_renews_nothing():
+    """Purges were lost on the way: the heartbeat's head shows it, and the connection ends."""
+    replica = welcomed_replica()
+    (end,) = replica.receive(Heartbeat(1, 3, 1, 2_000), 10_000)
+    assert isinstance(end, EndConnection) and replica.lease.started_at is None
 
 
 def test_connections_are_tried_in_turn_and_less_and_less_often():
-    attempts, waits, asked = ReconnectBackoff(["a", "b"], "r1"), [], []
+    """No purge log answers for a dozen attempts; then one does, and asks to wait before the next."""
+    backoff, delays, addresses = ReconnectBackoff(["a", "b"], "r1"), [], []
     for _ in range(12):
-        asked.append(attempts.address)
-        waits.append(attempts.next_delay())
-    assert asked[:4] == ["a", "b", "a", "b"] and waits[0] <= FIRST_DELAY and max(waits) <= MAX_DELAY
-    assert min(waits[-4:]) >= MAX_DELAY // 2
-    attempts.succeeded()
-    attempts.wait_at_least(3_000_000)
-    assert attempts.next_delay() == 3_000_000 and attempts.next_delay() < FIRST_DELAY * 2
-    assert waits != [ReconnectBackoff(["a"], "r2").next_delay() for _ in waits]
+        addresses.append(backoff.address)
+        delays.append(backoff.next_delay())
+    assert addresses[:4] == ["a", "b", "a", "b"]
+    assert delays[0] <= FIRST_DELAY and max(delays) <= MAX_DELAY
+    assert min(delays[-4:]) >= MAX_DELAY // 2
+    backoff.succeeded()
+    backoff.wait_at_least(3_000_000)
+    assert backoff.next_delay() == 3_000_000 and backoff.next_delay() < FIRST_DELAY * 2
+    assert delays != [ReconnectBackoff(["a"], "r2").next_delay() for _ in delays]
 
 
 def test_a_standby_takes_over_after_misses_in_a_row():
+    """The primary misses two queries, answers one, and then misses three: only then is it gone."""
     watch = PrimaryWatch()
-    assert [watch.record(answered) for answered in (False, False, True, False, False, False)] == [
-        False
-    ] * 5 + [True]
+    outcomes = [watch.record(answered) for answered in (False, False, True, False, False, False)]
+    assert outcomes == [False] * 5 + [True]
 
 
 def test_an_older_epoch_and_a_ledger_that_lost_something_are_left():
-    f = follower(held=4)
-    f.lease.renew(1)
-    f.start_connection()
-    (end,) = f.receive(Welcome(1, 2, 0, LEASE), 0)
-    assert (
-        "lacks what was in force here up to 4" in end.reason
-        and not f.lease.is_held(1)
-        and f.applied_up_to == 0
-    )
-    f = follower()
-    f.epoch = 3
-    f.start_connection()
-    assert "epoch 2 is over" in f.receive(Welcome(2, 9, 0, LEASE), 0)[0].reason
+    """A purge log starts with an older folder; later one answers that was taken over from.
+
+    The first lacks what is in force here, so the lease ends and everything is asked for anew. The second
+    lacks what its successor has accepted, so the connection ends.
+    """
+    replica = welcomed_replica(applied_up_to=4)
+    replica.lease.renew(1)
+    replica.start_connection()
+    (end,) = replica.receive(Welcome(1, 2, 0, LEASE), 0)
+    assert "lacks what was in force here up to 4" in end.reason
+    assert not replica.lease.is_held(1) and replica.applied_up_to == 0
+    replica = welcomed_replica()
+    replica.epoch = 3
+    replica.start_connection()
+    assert "epoch 2 is over" in replica.receive(Welcome(2, 9, 0, LEASE), 0)[0].reason
 
 
 def test_a_snapshot_counts_once_its_last_page_is_there():
-    f = follower()
-    pages = [Snapshot(40, 7, purges(30).purges, False), Snapshot(40, 7, purges(39).purges, True)]
-    assert f.receive(pages[0], 0) == [] and f.applied_up_to == 0
-    applied, _ = f.receive(pages[1], 0)
-    assert (applied.is_snapshot, applied.low_watermark, len(applied.purges), f.applied_up_to) == (
-        True,
-        7,
-        2,
-        40,
-    )
-    f.receive(pages[0], 0)
-    f.start_connection()
-    assert f.partial_snapshot == []  # half a snapshot is none
+    """A connection ends in the middle of a snapshot: half of one is none."""
+    replica = welcomed_replica()
+    first_page = Snapshot(40, 7, batch_of(30).purges, False)
+    last_page = Snapshot(40, 7, batch_of(39).purges, True)
+    assert replica.receive(first_page, 0) == [] and replica.applied_up_to == 0
+    applied, _ = replica.receive(last_page, 0)
+    assert (applied.is_snapshot, applied.low_watermark, len(applied.purges)) == (True, 7, 2)
+    assert replica.applied_up_to == 40
+    replica.receive(first_page, 0)
+    replica.start_connection()
+    assert replica.partial_snapshot == []
 
 
 # -- a router ------------------------------------------------------------------------------------------------
 
 ROSE = PurgeLookup("page", "rose", "x", "/rose")
-S = 1_000_000
+START = 100 * SECOND
 
 
-def fleet(now=100 * S):
-    found = FleetPurges(GRACE, 60 * S, 1_000, 100, max_clock_skew=S, keeps_recent=True)
-    found.lease.renew(now)
-    return found
+def new_fleet_purges():
+    """With a lease from START on."""
+    fleet_purges = FleetPurges(GRACE, 60 * SECOND, 1_000, 100, max_clock_skew=SECOND, keeps_recent=True)
+    fleet_purges.lease.renew(START)
+    return fleet_purges
 
 
-def apply(fleet, now, *told, number=1, whole=False, floor=0):
-    made = tuple(Purge(number + n, when, "tag", tags) for n, (when, tags) in enumerate(told))
-    fleet.apply(ApplyPurges(made, 0, floor, whole), number + len(told) - 1, now)
+def apply(fleet_purges, *tagged, first_number=1, is_snapshot=False, low_watermark=0):
+    """Puts purges by tags in force at START, given as their times and tags."""
+    purges = tuple(Purge(first_number + n, time, "tag", tags) for n, (time, tags) in enumerate(tagged))
+    applied_up_to = first_number + len(tagged) - 1
+    fleet_purges.apply(ApplyPurges(purges, 0, low_watermark, is_snapshot), applied_up_to, START)
 
 
 def test_a_copy_with_tags_that_nobody_knew_is_judged_when_it_comes():
-    f, now = fleet(), 100 * S
-    apply(f, now, (now, ("care",)))
-    assert f.max_age(ROSE, "north", (), 8 * S, now + MS) == 8 * S  # never seen: judged by its answer
-    late = now + GRACE
-    f.lease.renew(late)
-    old, new = CachedCopy(0, 2 * S, ("care",)), CachedCopy(0, 100 * MS, ("care",))
-    assert not f.accepts(ROSE, "north", old, late, 0) and f.stale_copies == 1
-    assert f.max_age(ROSE, "north", (), 8 * S, late) == GRACE  # and now its tags are known
-    assert f.accepts(ROSE, "north", new, late, 0)
-    assert f.accepts(ROSE, "north", CachedCopy(0, 2 * S, ("other",)), late, 0)
-    assert not f.accepts(ROSE, "north", CachedCopy(0, 2 * S, None), late, 0)  # may carry any
-    assert not f.accepts(ROSE, "north", new, late, 99 * MS)  # older than was asked for: it joined a fill
+    """A purge by tag names an object that this router has never seen, so no age is asked for.
+
+    The copy that comes is older than the purge and carries the tag: it is not passed on, and now the tags
+    are known. A copy without tags may carry any. One that is older than was asked for came by a joined fill.
+    """
+    fleet_purges = new_fleet_purges()
+    apply(fleet_purges, (START, ("care",)))
+    usual = 8 * SECOND
+    assert fleet_purges.max_age(ROSE, "north", (), usual, START + MILLISECOND) == usual
+    late = START + GRACE
+    fleet_purges.lease.renew(late)
+    old_copy = CachedCopy(0, 2 * SECOND, ("care",))
+    new_copy = CachedCopy(0, 100 * MILLISECOND, ("care",))
+    assert not fleet_purges.accepts(ROSE, "north", old_copy, late, 0) and fleet_purges.stale_copies == 1
+    assert fleet_purges.max_age(ROSE, "north", (), usual, late) == GRACE
+    assert fleet_purges.accepts(ROSE, "north", new_copy, late, 0)
+    assert fleet_purges.accepts(ROSE, "north", CachedCopy(0, 2 * SECOND, ("other",)), late, 0)
+    assert not fleet_purges.accepts(ROSE, "north", CachedCopy(0, 2 * SECOND, None), late, 0)
+    assert not fleet_purges.accepts(ROSE, "north", new_copy, late, 99 * MILLISECOND)
 
 
 def test_without_an_age_the_clocks_may_differ_by_what_is_told():
-    f, now = fleet(), 100 * S
-    apply(f, now, (now, ("care",)))
-    late = now + 5 * S
-    assert not f.accepts(ROSE, "north", CachedCopy(now + 900 * MS, None, ("care",)), late, 0)
-    assert f.accepts(ROSE, "north", CachedCopy(now + 1_001 * MS, None, ("care",)), late, 0)
+    """A cache doesn't tell a copy's age: the origin's time counts, less what its clock may be ahead."""
+    fleet_purges = new_fleet_purges()
+    apply(fleet_purges, (START, ("care",)))
+    late = START + 5 * SECOND
+    before_skew = CachedCopy(START + 900 * MILLISECOND, None, ("care",))
+    behind_skew = CachedCopy(START + 1_001 * MILLISECOND, None, ("care",))
+    assert not fleet_purges.accepts(ROSE, "north", before_skew, late, 0)
+    assert fleet_purges.accepts(ROSE, "north", behind_skew, late, 0)
 
 
 def test_cut_off_a_router_takes_copies_of_a_lease_at_most():
-    f, now = fleet(), 100 * S
-    assert f.max_age(ROSE, "north", (), 0, now + LEASE) == 0
-    assert f.max_age(ROSE, "north", (), 0, now + LEASE + 1) == LEASE
-    f.lease.renew(now + LEASE)
-    assert f.max_age(ROSE, "north", (), 0, now + LEASE + 1) == 0
+    """A router hears nothing for longer than a lease: a purge may have come that it can't know of."""
+    fleet_purges = new_fleet_purges()
+    assert fleet_purges.max_age(ROSE, "north", (), 0, START + LEASE) == 0
+    assert fleet_purges.max_age(ROSE, "north", (), 0, START + LEASE + 1) == LEASE
+    fleet_purges.lease.renew(START + LEASE)
+    assert fleet_purges.max_age(ROSE, "north", (), 0, START + LEASE + 1) == 0
 
 
 def test_a_cache_that_has_not_purged_what_no_mark_tells_of_is_bounded_by_the_life_of_marks():
-    f, now = fleet(), 100 * S
-    apply(f, now, (now, ("care",)), (now, ("x",)))
-    later = now + 70 * S
-    f.lease.renew(later)
-    f.caches_caught_up = {"c1": 2, "c2": 1}
-    assert f.max_age(ROSE, "north", ("c1", "c1"), 0, later) == 0
+    """A cache was away for longer than the index holds purges: its copies must be younger than that."""
+    fleet_purges = new_fleet_purges()
+    apply(fleet_purges, (START, ("care",)), (START, ("x",)))
+    later = START + 70 * SECOND
+    fleet_purges.lease.renew(later)
+    fleet_purges.caches_caught_up = {"c1": 2, "c2": 1}
+    assert fleet_purges.max_age(ROSE, "north", ("c1", "c1"), 0, later) == 0
     for held_by in (("c1", "c2"), ("c3", "c1")):
-        assert f.max_age(ROSE, "north", held_by, 0, later) == 60 * S
-    assert f.max_age(ROSE, "north", ("c2", "c2"), 8 * S, later) == 8 * S
+        assert fleet_purges.max_age(ROSE, "north", held_by, 0, later) == 60 * SECOND
+    assert fleet_purges.max_age(ROSE, "north", ("c2", "c2"), 8 * SECOND, later) == 8 * SECOND
 
 
 def test_a_snapshot_with_a_floor_bounds_all_copies():
-    f, now = fleet(), 100 * S
-    apply(f, now, (now - S, ("x",)), number=50, whole=True, floor=now - 2 * S)
-    assert f.max_age(ROSE, "north", (), 0, now) == 2 * S and f.index.expired_up_to == 49
-    assert not f.accepts(ROSE, "north", CachedCopy(0, 3 * S, ()), now, 0)
+    """The purge log could no longer send every purge: every copy must be younger than the low watermark."""
+    fleet_purges = new_fleet_purges()
+    apply(
+        fleet_purges,
+        (START - SECOND, ("x",)),
+        first_number=50,
+        is_snapshot=True,
+        low_watermark=START - 2 * SECOND,
+    )
+    assert fleet_purges.max_age(ROSE, "north", (), 0, START) == 2 * SECOND
+    assert fleet_purges.index.expired_up_to == 49
+    assert not fleet_purges.accepts(ROSE, "north", CachedCopy(0, 3 * SECOND, ()), START, 0)
 
 
 def test_what_is_kept_in_a_file_holds_after_a_restart():
-    f, now = fleet(), 100 * S
-    apply(f, now, (now, ("care",)), (now, ("x",)))
-    after = FleetPurges(GRACE, 60 * S, 1_000, 100)
-    after.restore(f.recent, 2, f.recent_low_watermark, now + S)
-    assert after.index.expired_up_to == 0 and after.index.newest(ROSE, ("care",), "north") == now
-    assert after.max_age(ROSE, "north", (), 0, now + S) == LEASE  # until the ledger is heard
+    """A router restarts with its stored purges: they hold, and until it has a lease it counts as cut off."""
+    fleet_purges = new_fleet_purges()
+    apply(fleet_purges, (START, ("care",)), (START, ("x",)))
+    restarted = FleetPurges(GRACE, 60 * SECOND, 1_000, 100)
+    restarted.restore(fleet_purges.recent, 2, fleet_purges.recent_low_watermark, START + SECOND)
+    assert restarted.index.expired_up_to == 0
+    assert restarted.index.newest(ROSE, ("care",), "north") == START
+    assert restarted.max_age(ROSE, "north", (), 0, START + SECOND) == LEASE
