--- a/quartzrouter/cli/purge.py
+++ b/quartzrouter/cli/purge.py
@@ -313,7 +313,7 @@
     import anyio
 
     from quartzrouter.cli.plan import checked
-    from quartzrouter.configuration import address
+    from quartzrouter.configuration_section import parse_address
     from quartzrouter.purge_log.delivery import deliver as run_courier
     from quartzrouter.server.clock import wall_clock
     from quartzrouter.server.event_loop import BACKEND_OPTIONS
@@ -327,7 +327,7 @@
         raise click.UsageError(f"there is no cache {sorted(unknown)[0]!r} in {path}")
     if only:
         caches = {cache: caches[cache] for cache in caches if cache in only}
-    purge_logs = [address(text, "purges.ledgers") for text in plan.purges["ledgers"]]
+    purge_logs = [parse_address(text, "purges.ledgers") for text in plan.purges["ledgers"]]
     report = StructuredLog(name or "courier", wall_clock, logger())
     lease_client = lease_client_of(plan, path, task, name, report) if task else None
     arguments = (caches, purge_logs, plan.purges["grace"], report, rate, lease_client, task)
@@ -336,10 +336,10 @@
 
 def _cache_addresses(plan: "Plan") -> dict[str, tuple[str, int]]:
     """The caches and parents of a plan; origins keep no copies."""
-    from quartzrouter.configuration import address
+    from quartzrouter.configuration_section import parse_address
 
     return {
-        name: address(settings["address"], f"caches.{name}")
+        name: parse_address(settings["address"], f"caches.{name}")
         for name, settings in plan.caches.items()
         if settings["tier"] != "origin"
     }
