--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -1,4 +1,4 @@
-"""A router under a plan that follows a ledger, over loopback: what its answers may bring."""
+"""A standalone router as a member of a purge log, over loopback: which copies its responses may bring."""
 
 import random
 from dataclasses import replace
@@ -16,7 +16,7 @@
 from quartzrouter.fault_scenarios import ScenarioReport
 from quartzrouter.fault_scenarios.purges import rehearse
 from quartzrouter.purge_log.delivery import DeliveryWorker
-from quartzrouter.purge_log.query_client import QueryClient as LedgerClient
+from quartzrouter.purge_log.query_client import QueryClient
 from quartzrouter.purge_log.server import PurgeLogServer
 from quartzrouter.purges.messages import MemberLeave, MembersQuery, PurgeRequest, StatusQuery
 from quartzrouter.routing.model import Forward
@@ -25,6 +25,9 @@
 from quartzrouter.standalone.process import StandaloneProcess
 from quartzrouter.standalone.structured_log import logger
 
+SECOND = 1_000_000  # us
+GRACE = 300_000  # us
+
 PLAN = """{
   deployment: { name: "t", home: "north", listen: "127.0.0.1:%(port)d", descriptors: 256 },
   stores: { north: { hub: "h" } }, hubs: { h: {} },
@@ -34,94 +37,129 @@
     o: { address: "%(o)s", at: "h", tier: "origin", weight: 40 },
   },
   vhosts: { page: { effect: "replayable", client_timeout: 3s } },
-  purges: { ledgers: "127.0.0.1:%(link)d", %(more)s },
+  purges: { ledgers: "127.0.0.1:%(proxy)d", %(purge_settings)s },
   pools: { near: {} }, routes: { all: { match: {}, vhost: "page", pool: "near" } },
 }"""
 
 
 class Site:
-    """One router, one cache, a hub, an origin and a ledger."""
+    """One router, one cache, a parent, an origin and a purge log, with a proxied link between the two.
 
-    def __init__(self, tmp_path, tasks):
-        self.path, self.tasks, self.told, self.id = tmp_path / "main.plan", tasks, {}, 0
-        self.file, self.disk = tmp_path / "marks", FaultyDisk()
+    :param tasks: a task group for all of them.
+    """
 
-    async def start(self, more="", delay=lambda: 0.0):
-        above, chance = {}, random.Random(1)
-        self.boxes = {}
+    def __init__(self, tmp_path, tasks):
+        self.plan_path = tmp_path / "main.plan"
+        self.stored_purges_path = tmp_path / "marks"
+        self.tasks = tasks
+        self.ports = {}  # of the parties that listen here, by name
+        self.request_id = 0
+        self.disk = FaultyDisk()  # of the purge log
+        self.caches = {}
+        self.purge_settings = ""
+
+    async def start(self, purge_settings="", making_time=lambda: 0.0):
+        """Starts all parties.
+
+        :param purge_settings: text for the plan.
+        :param making_time: the seconds that the origin takes for a copy.
+        """
+        self.purge_settings = purge_settings
+        addresses, chance = {}, random.Random(1)
         for name in ("n1", "p", "o"):
-            box = PurgeableCache(
-                name, above, chance, name == "o", 5_000_000, lambda path: "rose, " + path[1:], fill_source="o"
+            is_origin = name == "o"
+            cache = PurgeableCache(
+                name,
+                addresses,
+                chance,
+                is_origin,
+                5 * SECOND,
+                tags_of=lambda path: "rose, " + path[1:],
+                fill_source="o",
             )
-            box.delay = delay if name == "o" else box.delay
-            await box.start(self.tasks)
-            above[name] = self.told[name] = box.address
-            self.boxes[name] = box
-        self.told |= {"port": await free_port(), "more": more}
-        await self.start_ledger()
+            if is_origin:
+                cache.delay = making_time
+            await cache.start(self.tasks)
+            addresses[name] = cache.address
+            self.caches[name] = cache
+        self.ports["router"] = await free_port()
+        self.ports["purge log"] = await free_port()
+        self.proxy = ProxiedLink(("127.0.0.1", self.ports["purge log"]), random.Random(1))
+        await self.proxy.start(self.tasks)
+        await self.start_purge_log()
         await self.start_router()
-        return self
 
-    async def start_ledger(self):
-        port = self.told.get("ledger") or await free_port()
+    async def start_purge_log(self):
+        port = self.ports["purge log"]
         self.listeners = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
-        if "link" not in self.told:
-            self.proxy = ProxiedLink(("127.0.0.1", port), random.Random(1))
-            await self.proxy.start(self.tasks)
-            self.told["link"] = self.proxy.port
-        self.told["ledger"], self.ledger = (
-            port,
-            PurgeLogServer(self.disk, 300_000, RateLimitedLog("l", process.wall_clock)),
-        )
-        self.tasks.start_soon(self.ledger.run, list(self.listeners.listeners))
-
-    async def stop_ledger(self):
-        self.ledger.scope.cancel()
+        self.purge_log = PurgeLogServer(self.disk, GRACE, RateLimitedLog("l", process.wall_clock))
+        self.tasks.start_soon(self.purge_log.run, list(self.listeners.listeners))
+
+    async def stop_purge_log(self):
+        self.purge_log.scope.cancel()
         for listener in self.listeners.listeners:
             listener.extra(anyio.abc.SocketAttribute.raw_socket).close()
         await anyio.sleep(0.05)
 
     async def start_router(self):
-        self.path.write_text(PLAN % self.told)
-        loaded = load(str(self.path))
+        settings = {name: cache.address for name, cache in self.caches.items()}
+        settings["port"] = self.ports["router"]
+        settings["proxy"] = self.proxy.port
+        settings["purge_settings"] = self.purge_settings
+        self.plan_path.write_text(PLAN % settings)
+        loaded = load(str(self.plan_path))
         assert loaded.plan, [fault.shown() for fault in loaded.faults.errors]
-        self.router, self.scope = (
-            StandaloneProcess(str(self.path), loaded.plan, logger("error", "json")),
-            anyio.CancelScope(),
-        )
+        self.router = StandaloneProcess(str(self.plan_path), loaded.plan, logger("error", "json"))
+        self.router_scope = anyio.CancelScope()
 
         async def run():
-            with self.scope:
+            with self.router_scope:
                 await self.router.run()
 
         self.tasks.start_soon(run)
         while not self.router.listener.is_open:
             await anyio.sleep(0.01)
-        self.client = Client(await anyio.connect_tcp("127.0.0.1", self.told["port"]))
+        self.client = Client(await anyio.connect_tcp("127.0.0.1", self.ports["router"]))
 
     async def stop_router(self):
         """As if it were killed; what it listened at is free again."""
-        self.scope.cancel()
-        for raw in self.router.listener.sockets:
-            raw.close()
+        self.router_scope.cancel()
+        for raw_socket in self.router.listener.sockets:
+            raw_socket.close()
         await anyio.sleep(0.05)
-        self.told["port"] = await free_port()
+        self.ports["router"] = await free_port()
+
+    @property
+    def fleet_purges(self):
+        return self.router.fleet
+
+    @property
+    def purge_log_address(self):
+        return ("127.0.0.1", self.ports["purge log"])
 
-    async def joined(self):
-        """Until the router holds a lease."""
-        while not self.router.fleet.lease.is_held(process.wall_clock()):
+    async def holds_lease(self):
+        """Waits until the router holds a lease."""
+        while not self.fleet_purges.lease.is_held(process.wall_clock()):
             await anyio.sleep(0.005)
 
+    async def ask(self, message):
+        return await QueryClient([self.purge_log_address]).ask(message)
+
     async def purge(self, kind, *values):
-        return await LedgerClient([("127.0.0.1", self.told["ledger"])]).ask(PurgeRequest(kind, values))
+        return await self.ask(PurgeRequest(kind, values))
 
     async def get(self, path="/a"):
-        """When the copy was made that the router answers with, in us."""
-        self.id += 1
+        """When the copy was made that the router responds with, in us; its response where it has none."""
+        self.request_id += 1
         fields = {"HTTP_X_SUBJECT": None, "HTTP_X_CHUNK": None, "HTTP_X_DEADLINE_MS": "3000"}
-        await self.client.begin(1, path=path, HTTP_X_CORRELATION_ID=f"{self.id:016x}", **fields)
-        said = await self.client.end()
-        return int(said.split(" ")[-4].strip("'")) if " 200 OK" in said else said
+        await self.client.begin(1, path=path, HTTP_X_CORRELATION_ID=f"{self.request_id:016x}", **fields)
+        response = await self.client.end()
+        return int(response.split(" ")[-4].strip("'")) if " 200 OK" in response else response
+
+    async def cached(self, path="/a"):
+        """As get(), right after the router held a lease: without one it would renew copies."""
+        await self.holds_lease()
+        return await self.get(path)
 
 
 @pytest.fixture
@@ -142,136 +180,146 @@
     ("kind", "value"), [("object", "/a"), ("tag", "rose"), ("tag", "a"), ("pattern", "/a*"), ("all", None)]
 )
 def test_a_purge_holds_though_the_cache_was_told_nothing(play, kind, value):
+    """No courier runs, so the cache keeps its old copy: the router must not pass it on after the grace."""
+
     async def scene(site):
         await site.start()
-        await site.joined()
-        first = await site.get()
-        assert await site.get() == first  # kept
-        taken = await site.purge(kind, *([value] if value else []))
+        first = await site.cached()
+        assert await site.cached() == first
+        accepted = await site.purge(kind, *([value] if value else []))
         await anyio.sleep(0.3)
-        assert await site.get() >= taken.purged_at > first
-        other = await site.get("/b")
+        assert await site.get() >= accepted.purged_at > first
+        other = await site.cached("/b")
         await site.purge("tag", "other")
         await anyio.sleep(0.3)
-        assert await site.get("/b") == other
+        assert await site.cached("/b") == other
 
     play(scene)
 
 
 def test_tags_that_the_router_never_saw_are_judged_by_the_answer(play):
+    """The router knows no tags of the object, so it asks for any copy; the stale one is asked for again."""
+
     async def scene(site):
         await site.start()
-        await site.joined()
-        await site.get()
-        site.router.fleet.object_tags.by_object.clear()
-        taken = await site.purge("tag", "rose")
+        await site.cached()
+        site.fleet_purges.object_tags.by_object.clear()
+        accepted = await site.purge("tag", "rose")
         await anyio.sleep(0.3)
-        assert await site.get() >= taken.purged_at and site.router.fleet.stale_copies == 1
+        assert await site.get() >= accepted.purged_at and site.fleet_purges.stale_copies == 1
 
     play(scene)
 
 
 def test_a_fill_that_a_purge_overtakes_is_asked_for_again_and_kept_nowhere(play):
-    """The purge comes while the origin makes the copy: before that is answered, the grace is over."""
+    """A purge comes while the origin makes the copy; before that is answered, the grace is over."""
 
     async def scene(site):
-        delays = [0.7, 0.0, 0.0, 0.0]
-        await site.start(delay=lambda: delays.pop(0) if delays else 0.0)
-        await site.joined()
-        made = []
+        making_times = [0.7, 0.0, 0.0, 0.0]
+        await site.start(making_time=lambda: making_times.pop(0) if making_times else 0.0)
+        await site.holds_lease()
+        made_at = []
 
-        async def ask():
-            made.append(await site.get())
+        async def request():
+            made_at.append(await site.get())
 
-        async with anyio.create_task_group() as asking:
-            asking.start_soon(ask)
+        async with anyio.create_task_group() as requests:
+            requests.start_soon(request)
             await anyio.sleep(0.1)
-            taken = await site.purge("object", "/a")
-        assert made[0] >= taken.purged_at and site.boxes["o"].requests == 2
-        assert await site.get() == made[0]
+            accepted = await site.purge("object", "/a")
+        assert made_at[0] >= accepted.purged_at and site.caches["o"].requests == 2
+        assert await site.cached() == made_at[0]
 
     play(scene)
 
 
 def test_cut_off_a_router_renews_and_returns_once_it_has_caught_up(play):
+    """The purge log is gone for a while: the router takes copies no older than a lease until it is back."""
+
     async def scene(site):
         await site.start()
-        await site.joined()
-        first = await site.get()
-        await site.stop_ledger()
+        first = await site.cached()
+        await site.stop_purge_log()
         await anyio.sleep(0.4)
         renewed = await site.get()
         assert renewed > first
-        assert await site.get() - renewed < 200_000  # copies of a lease will do
-        await site.start_ledger()
-        await site.joined()
+        assert await site.get() - renewed < 200_000
+        await site.start_purge_log()
+        await site.holds_lease()
         await anyio.sleep(0.4)
-        kept = await site.get()
+        kept = await site.cached()
         await anyio.sleep(0.4)
-        assert await site.get() == kept
+        assert await site.cached() == kept
 
     play(scene)
 
 
-@pytest.mark.parametrize("kept", [True, False])
-def test_a_router_that_restarts_knows_what_was_purged(play, kept):
+@pytest.mark.parametrize("is_stored", [True, False])
+def test_a_router_that_restarts_knows_what_was_purged(play, is_stored):
+    """A router restarts right after a purge, with and without stored purges; the cache has the old copy."""
+
     async def scene(site):
-        await site.start(f'file: "{site.file}"' if kept else "")
-        await site.joined()
-        first = await site.get()
-        taken = await site.purge("object", "/a")
-        if kept:
-            while not site.file.exists():
+        await site.start(f'file: "{site.stored_purges_path}"' if is_stored else "")
+        first = await site.cached()
+        accepted = await site.purge("object", "/a")
+        if is_stored:
+            while not site.stored_purges_path.exists():
                 await anyio.sleep(0.02)
         await site.stop_router()
         await site.start_router()
-        assert site.router.state_machine.replica.applied_up_to == (1 if kept else 0)
-        await site.joined()
-        assert await site.get() >= taken.purged_at > first
-        members = (await LedgerClient([("127.0.0.1", site.told["ledger"])]).ask(MembersQuery())).members
-        assert [(m.name, m.applied_up_to) for m in members] == [("t-0", 1)]
+        assert site.router.state_machine.replica.applied_up_to == (1 if is_stored else 0)
+        await site.holds_lease()
+        assert await site.get() >= accepted.purged_at > first
+        members = (await site.ask(MembersQuery())).members
+        assert [(member.name, member.applied_up_to) for member in members] == [("t-0", 1)]
 
     play(scene)
 
 
 def test_old_copies_of_a_cache_that_missed_purges_are_not_trusted_once_marks_have_gone(play):
+    """A purge has left the router's index, and the cache that never heard of it still has its old copy."""
+
     async def scene(site):
         await site.start("life: 1s")
-        await site.joined()
-        first = await site.get()
-        taken = await site.purge("object", "/a")
-        while not site.router.fleet.index.expired_up_to:
-            await anyio.sleep(0.05)
-            site.router.fleet.expire(process.wall_clock())
-        assert len(site.router.fleet.index) == 0
-        assert await site.get() >= taken.purged_at > first
+        first = await site.cached()
+        accepted = await site.purge("object", "/a")
+        await index_expired(site)
+        assert len(site.fleet_purges.index) == 0
+        assert await site.get() >= accepted.purged_at > first
 
     play(scene)
 
 
+async def index_expired(site):
+    """Waits until the router's index no longer holds the purge."""
+    while not site.fleet_purges.index.expired_up_to:
+        await anyio.sleep(0.05)
+        site.fleet_purges.expire(process.wall_clock())
+
+
 @pytest.mark.parametrize(
     ("kind", "value"), [("object", "/a"), ("tag", "rose"), ("pattern", "/*"), ("all", None)]
 )
 def test_couriers_bring_a_purge_to_the_caches_that_it_names(play, kind, value):
+    """Couriers deliver: caches drop their copies, the router hears that they have, and it is complete."""
+
     async def scene(site):
         await site.start()
-        await site.joined()
-        at, report = [("127.0.0.1", site.told["ledger"])], RateLimitedLog("courier", process.wall_clock)
+        await site.holds_lease()
+        report = RateLimitedLog("courier", process.wall_clock)
         for name in ("n1", "p"):
-            box = ("127.0.0.1", site.boxes[name].port)
-            site.tasks.start_soon(DeliveryWorker(name, box, at, 300_000, report, 500.0).run)
-        while site.router.fleet.caches_caught_up != {"n1": 0, "p": 0}:
+            address = ("127.0.0.1", site.caches[name].port)
+            worker = DeliveryWorker(name, address, [site.purge_log_address], GRACE, report, 500.0)
+            site.tasks.start_soon(worker.run)
+        while site.fleet_purges.caches_caught_up != {"n1": 0, "p": 0}:
             await anyio.sleep(0.01)
         await site.get()
-        assert site.boxes["n1"].copies and site.boxes["p"].copies
+        assert site.caches["n1"].copies and site.caches["p"].copies
         await site.purge(kind, *([value] if value else []))
-        while site.router.fleet.caches_caught_up != {"n1": 1, "p": 1}:
+        while site.fleet_purges.caches_caught_up != {"n1": 1, "p": 1}:
             await anyio.sleep(0.01)
-        assert not site.boxes["n1"].copies and not site.boxes["p"].copies
-        client = LedgerClient(at)
-        while not (
-            status := await client.ask(StatusQuery())
-        ).is_complete:  # the ledger's first lease may still run
+        assert not site.caches["n1"].copies and not site.caches["p"].copies
+        while not (status := await site.ask(StatusQuery())).is_complete:  # after the first lease
             await anyio.sleep(0.01)
         assert status.delays["purges"] == 1
 
@@ -279,79 +327,101 @@
 
 
 def test_the_origin_is_trusted_and_a_link_without_connection_keeps_nothing(play):
-    """The origin is no member: a copy straight from it needs no word that it has purged."""
+    """The origin is no member: a copy straight from it needs no word that it has purged.
+
+    And what is sent to the purge log without a connection is dropped, not kept for the next one.
+    """
 
     async def scene(site):
         await site.start("life: 1s")
-        await site.joined()
-        fleet, force = site.router.fleet, site.router.force
-        fleet.index.expired_up_to, fleet.caches_caught_up = 1, {"n1": 1}
-        ruling = force.rule(Asked("north", "", "/a", "GET", {}, {}), "")
-        given = Forward(0, "n1", "o", 1, 0, True, False, 1_000_000, 1 << 62)
-        fleet.caches_caught_up = {"n1": 1}
-        assert force._oldest(ruling, given, fleet.lease.started_at) == 0
-        assert force._oldest(ruling, replace(given, fill_source="p"), fleet.lease.started_at) == 1_000_000
+        await site.holds_lease()
+        fleet_purges, pool_router = site.fleet_purges, site.router.force
+        fleet_purges.index.expired_up_to = 1
+        fleet_purges.caches_caught_up = {"n1": 1}
+        route = pool_router.rule(Asked("north", "", "/a", "GET", {}, {}), "")
+        from_origin = Forward(0, "n1", "o", 1, 0, True, False, 1_000_000, 1 << 62)
+        from_parent = replace(from_origin, fill_source="p")
+        now = fleet_purges.lease.started_at
+        assert pool_router._oldest(route, from_origin, now) == 0
+        assert pool_router._oldest(route, from_parent, now) == 1_000_000
         site.proxy.hold()
-        await site.stop_ledger()
-        while site.router.link.outgoing.lines is not None:
+        await site.stop_purge_log()
+        client = site.router.link
+        while client.is_connected:
             await anyio.sleep(0.02)
-        site.router.link.send(MemberLeave())
-        assert site.router.link.outgoing.lines is None
+        client.send(MemberLeave())
+        assert client.outgoing.lines is None
 
     play(scene)
 
 
-async def cut_off(site):
-    """Purged while the router hears nothing: when the copy was made, and the purge taken."""
+async def purge_while_cut_off(site):
     site.proxy.hold()
-    taken = await site.purge("object", "/a")
+    accepted = await site.purge("object", "/a")
     await anyio.sleep(0.35)
-    return taken
+    return accepted
 
 
-async def unseen(site):
-    taken = await site.purge("tag", "rose")
+async def purge_by_unseen_tag(site):
+    accepted = await site.purge("tag", "rose")
     await anyio.sleep(0.35)
-    site.router.fleet.object_tags.by_object.clear()
-    return taken
+    site.fleet_purges.object_tags.by_object.clear()
+    return accepted
 
 
-async def forgotten(site):
-    taken = await site.purge("object", "/a")
-    while not site.router.fleet.index.expired_up_to:
-        await anyio.sleep(0.05)
-        site.router.fleet.expire(process.wall_clock())
-    return taken
+async def purge_until_expired(site):
+    accepted = await site.purge("object", "/a")
+    await index_expired(site)
+    return accepted
 
 
-@pytest.mark.parametrize("out", [False, True])
+@pytest.mark.parametrize("is_taken_out", [False, True])
 @pytest.mark.parametrize(
-    ("guard", "case"), [("lease", cut_off), ("judge", unseen), ("trust", forgotten), ("bound", unseen)]
+    ("guard", "purge_in_case"),
+    [
+        ("lease", purge_while_cut_off),
+        ("judge", purge_by_unseen_tag),
+        ("trust", purge_until_expired),
+        ("bound", purge_by_unseen_tag),
+    ],
 )
-def test_each_guard_is_what_keeps_a_purge(play, monkeypatch, guard, case, out):
-    if out:
+def test_each_guard_is_what_keeps_a_purge(play, monkeypatch, guard, purge_in_case, is_taken_out):
+    """One failure for each guard: with it the old copy is not passed on, without it the old copy is.
+
+    Without the bound on ages no cache is asked for a younger copy, so the router has none to respond with.
+    """
+    if is_taken_out:
         monkeypatch.setattr(*MUTATIONS[guard])
 
     async def scene(site):
         await site.start("life: 1s")
-        await site.joined()
-        first = await site.get()
-        taken = await case(site)
-        said = await site.get()
-        if out and guard == "bound":
-            assert " 503 " in said  # every answer is an old one, and none is passed on
+        first = await site.cached()
+        accepted = await purge_in_case(site)
+        response = await site.get()
+        if not is_taken_out:
+            assert response >= accepted.purged_at
+        elif guard == "bound":
+            assert " 503 " in response
         else:
-            assert said == first < taken.purged_at if out else said >= taken.purged_at
+            assert response == first < accepted.purged_at
 
     play(scene)
 
 
+MIN_STALE_COPIES = 21  # that the checker must find where the purge index is taken out
+
+
 @pytest.mark.parametrize("guard", [(), ("marks",)])
 def test_a_fleet_under_load_keeps_all_purges_and_the_checker_sees_when_not(guard):
-    tally = ScenarioReport()
-    rehearse(3, tally, guard, 6.0, min_stale_copies=21 if guard else 0)
-    old = [broken for broken in tally.broken if "with a copy" in broken]
+    """Partitions, kills, a storm of purges, a cache that was away: no response brings a stale copy.
+
+    With the purge index taken out of the routers the checker must find many, or it would prove nothing. How
+    much is done in a time is the machine's matter, so the load goes on until as many are found.
+    """
+    report = ScenarioReport()
+    rehearse(3, report, guard, 6.0, min_stale_copies=MIN_STALE_COPIES if guard else 0)
+    stale_copies = [line for line in report.broken if "with a copy" in line]
     if guard:
-        assert len(old) > 20, tally.figures
+        assert len(stale_copies) >= MIN_STALE_COPIES, report.figures
     else:
-        assert not tally.broken, tally.broken[:3]
+        assert not report.broken, report.broken[:3]
