--- a/quartzrouter/configuration.py
+++ b/quartzrouter/configuration.py
@@ -77,7 +77,7 @@
     # the pace of transfers between real machines; that of the settings is the simulator's
     bytes_per_second = section.number("flow_bytes_per_s")
     if bytes_per_second:
-        settings.router_arguments["pace"] = bytes_per_second / BYTES_PER_KB
+        settings.router_arguments["transfer_rate"] = bytes_per_second / BYTES_PER_KB
     if not settings.traffic_classes:
         raise ConfigurationError("settings.categories is empty")
     return settings
--- a/quartzrouter/deployment_settings.py
+++ b/quartzrouter/deployment_settings.py
@@ -67,16 +67,16 @@
         ]
         self.capabilities = self._capabilities(settings, family, limits)
         self.router_arguments: dict[str, Any] = {
-            "me": settings.integer("me"),
+            "router_number": settings.integer("me"),
             "seed": seed,
-            "home": settings.text("zone"),
-            "vhosts": self.traffic_classes,
-            "permits": self.capabilities,
-            "cold_cache": self._cache_slow_start(settings, family, rules),
-            "cold_parent": _parent_slow_start(settings, family, rules),
-            "purge_life": family.integer("gone_everywhere_us"),
-            "pace": family.number("flow_kb_per_s"),
-            "rated": settings.text("weights", NOT_PROVIDED) != NOT_PROVIDED,
+            "home_location": settings.text("zone"),
+            "traffic_classes": self.traffic_classes,
+            "capabilities": self.capabilities,
+            "cache_slow_start": self._cache_slow_start(settings, family, rules),
+            "parent_slow_start": _parent_slow_start(settings, family, rules),
+            "purge_lifetime": family.integer("gone_everywhere_us"),
+            "transfer_rate": family.number("flow_kb_per_s"),
+            "has_capacity_ratings": settings.text("weights", NOT_PROVIDED) != NOT_PROVIDED,
         }
 
     def tier(self, machine_type: str) -> Tier:
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -99,7 +99,7 @@
             case ReportHealth(only_failures):
                 return self._report_health(only_failures, now)
             case ConnectionOpened():
-                return [QueueMessage(self.replica.begin(now))]
+                return [QueueMessage(self.replica.start_connection())]
             case MessageReceived(message):
                 return self._message_received(message, now)
             case ConfigurationReplaced(plan, endpoints):
@@ -119,12 +119,12 @@
         self, message: messages.FromPurgeLog, now: int
     ) -> list[QueueMessage | CloseConnection]:
         effects: list[QueueMessage | CloseConnection] = []
-        for effect in self.replica.take(message, now):
+        for effect in self.replica.receive(message, now):
             match effect:
                 case ApplyPurges():
                     self._apply_purges(effect, now)
                 case CaughtUp(caches):
-                    self.multi_pool_router.fleet.caught = caches
+                    self.multi_pool_router.fleet.caches_caught_up = caches
                 case QuotaGrants():
                     self._take_grants(effect)
                 case EjectionVerdicts(verdicts, loads):
@@ -142,7 +142,7 @@
         Attempts that are not sent yet, and whose decision allows a copy that is now too old, are decided
         anew.  Those that are sent are checked when their copy comes.
         """
-        self.multi_pool_router.fleet.apply(purges, self.replica.held, now)
+        self.multi_pool_router.fleet.apply(purges, self.replica.applied_up_to, now)
         if not purges.purges:
             return
         for pending in self.in_flight.values():
@@ -181,7 +181,7 @@
 
     def _request_quota(self, now: int) -> list[QueueMessage]:
         """Asks for shares of quota, where the purge log grants them and there is something to ask for."""
-        if not (self.replica and self.replica.grants):
+        if not (self.replica and self.replica.grants_quota):
             return []
         asks = self.multi_pool_router.shares.asks()
         slow_start_asks = ()
@@ -194,7 +194,7 @@
 
     def _report_health(self, only_failures: bool, now: int) -> list[QueueMessage]:
         """Tells other routers what this one has seen of endpoints since its last report."""
-        if not (self.replica and self.replica.judges):
+        if not (self.replica and self.replica.judges_health):
             return []
         observations = self.multi_pool_router.health_observations(now)
         if only_failures and not self._has_new_failure(observations):
@@ -206,7 +206,7 @@
             entry = _since(before.get(name), observation)
             if entry.out or entry.good or entry.bad or entry.in_hand:
                 entries.append(entry)
-        home = self.multi_pool_router.arguments["home"]
+        home = self.multi_pool_router.arguments["home_location"]
         wants_load = self.multi_pool_router.plan.deployment["counts"]
         report = HealthReport(home, tuple(entries[:SIGHTS_MOST]), len(observations), wants_load)
         return [QueueMessage(report)]
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -9,7 +9,7 @@
 from quartzrouter.configuration import Configuration, read_configuration
 from quartzrouter.configuration_section import ConfigurationError, ConfigurationSection
 from quartzrouter.deployment_settings import DeploymentSettings
-from quartzrouter.server import cache_connections, client_connections, discovery_protocol, fastcgi, responses
+from quartzrouter.server import cache_connections, discovery_protocol, fastcgi, request_reader, responses
 from quartzrouter.server.ring_buffer import RingBuffer
 
 
@@ -104,8 +104,8 @@
     ):
         params = {name: value for name, value in (whole | change).items() if value is not None}
         try:
-            said = client_connections.parse_request(params, {"page": False, "hold": True}.get)
-        except client_connections.InvalidRequest as error:
+            said = request_reader.parse_request(params, {"page": False, "hold": True}.get)
+        except request_reader.InvalidRequest as error:
             said = f"{error.status} {error}"
         trace.append(f"{change}: {said}")
 
