--- a/quartzrouter/server/discovery_protocol.py
+++ b/quartzrouter/server/discovery_protocol.py
@@ -13,6 +13,7 @@
 from quartzrouter.configuration_section import ConfigurationSection, parse_address
 from quartzrouter.deployment_settings import DeploymentSettings
 from quartzrouter.routing.model import Endpoint, EndpointState
+from quartzrouter.server.errors import ServerError
 from quartzrouter.server.events import EndpointUpdate, PurgeNotice
 from quartzrouter.server.ring_buffer import RingBuffer
 
@@ -48,7 +49,7 @@
 WatchEvent = EndpointUpdate | PurgeNotice
 
 
-class MalformedFrame(Exception):
+class MalformedFrame(ServerError):
     """Bytes that no discovery service sends; ends the connection."""
 
 
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -146,7 +146,7 @@
                 self.link.reconnect(reason, come_back)
 
     def _reader(self):
-        return RequestParser(self.force, self.plan.deployment["home"]).call
+        return RequestParser(self.force, self.plan.deployment["home"]).parse
 
     def _reload(self) -> None:
         """Reads the plan beside the loop, one reading at a time: thousands of routes take seconds."""
--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -1,4 +1,8 @@
-"""A client's parameters to a req under a plan: what routes see of it, and what the route makes of it."""
+"""Reads requests of a router under its own configuration: route by host, path, headers and query.
+
+On the platform a client names class, object and tag of its request in headers.  Here the route does, and a
+client may send any HTTP request; the headers of the platform's protocol that it sends all the same go ahead.
+"""
 
 import secrets
 from urllib.parse import parse_qsl
@@ -6,6 +10,7 @@
 from quartzrouter.config.patterns import METHODS
 from quartzrouter.config.request_sets import Asked
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
+from quartzrouter.pool_routing.route_selection import RouteSelection
 from quartzrouter.routing.model import Idempotency
 from quartzrouter.server.events import ClientRequest
 from quartzrouter.server.request_reader import (
@@ -16,72 +21,109 @@
     InvalidRequest,
 )
 
-PATH_MOST = 2_048  # characters: longer paths name nothing
-PARAMS_MOST = 64  # of a query
+MAX_PATH_LENGTH = 2_048  # characters; the configuration has no longer ones
+MAX_QUERY_PARAMETERS = 64
+GENERATED_ID_SIZE = 8  # bytes of a correlation id for a client that sends none
+MICROSECONDS_PER_MS = 1_000
+HEADER_PREFIX = "HTTP_"  # of the CGI parameters that are headers
 
 
 class RequestParser:
-    """Reads reqs under the plan in force.
+    """Reads requests under the configuration in force.
 
-    :param home: the store that reqs come to which name none in X-Store.
+    :param home: the store of requests that name none in ``X-Store``.
     """
 
-    def __init__(self, force: MultiPoolRouter, home: str):
-        self.force, self.home = force, home
+    def __init__(self, multi_pool_router: MultiPoolRouter, home: str):
+        self.multi_pool_router = multi_pool_router
+        self.home = home
+
+    def parse(self, params: dict[str, str]) -> ClientRequest:
+        """Reads one request.
 
-    def call(self, params: dict[str, str]) -> ClientRequest:
-        """The req; raises Unusable with its status where it can't be used."""
-        asked = self.asked(params)
+        :param params: CGI parameters by name.
+        :raises InvalidRequest: a field can't be used, or no route takes the request.
+        """
+        route_query = self.route_query(params)
         client = params.get("HTTP_X_CLIENT") or params.get("REMOTE_ADDR", "")
-        ruling = self.force.rule(asked, client)
-        if ruling is None:
+        selection = self.multi_pool_router.rule(route_query, client)
+        if selection is None:
             raise InvalidRequest("no route takes it", 404)
-        vhost = ruling.vhost
-        key = params.get("HTTP_X_OPERATION_KEY")
-        if key is None and vhost.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-            raise InvalidRequest("X-Operation-Key is missing")
-        if key is not None and not KEY_PATTERN.fullmatch(key):
-            raise InvalidRequest(f"X-Operation-Key is {key!r:.40}")
-        told = params.get("HTTP_X_DEADLINE_MS")
-        if told is not None and not (NUMBER_PATTERN.fullmatch(told) and 0 < int(told) <= MAX_DEADLINE_MS):
-            raise InvalidRequest(f"X-Deadline-Ms is {told!r:.40}")
+        idempotency_key = _idempotency_key(params, selection)
+        deadline_ms = _deadline_ms(params)
         return ClientRequest(
-            correlation_id=_token(params, "HTTP_X_CORRELATION_ID") or secrets.token_hex(8),
-            traffic_class=vhost.name,
-            object_key=_token(params, "HTTP_X_SUBJECT") or ruling.obj,
-            chunk=ruling.part,
-            tag=ruling.group,
-            timeout=self.force.timeout(ruling, int(told) * 1000 if told else 0),
-            idempotency_key=key,
+            correlation_id=_token(params, "HTTP_X_CORRELATION_ID") or secrets.token_hex(GENERATED_ID_SIZE),
+            traffic_class=selection.vhost.name,
+            object_key=_token(params, "HTTP_X_SUBJECT") or selection.obj,
+            chunk=selection.part,
+            tag=selection.group,
+            timeout=self.multi_pool_router.timeout(selection, deadline_ms * MICROSECONDS_PER_MS),
+            idempotency_key=idempotency_key,
             if_none_match=_token(params, "HTTP_X_KNOWN"),
-            route_selection=ruling,
+            route_selection=selection,
         )
 
-    def asked(self, params: dict[str, str]) -> Asked:
+    def route_query(self, params: dict[str, str]) -> Asked:
+        """What routes are selected by.
+
+        :raises InvalidRequest: path, method, store or query can't be used.
+        """
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
-        method = params.get("REQUEST_METHOD", "GET")
-        if not path.startswith("/") or len(path) > PATH_MOST:
+        if not path.startswith("/") or len(path) > MAX_PATH_LENGTH:
             raise InvalidRequest("no path, or one that is too long")
+        method = params.get("REQUEST_METHOD", "GET")
         if method not in METHODS:
             raise InvalidRequest(f"the method is {method!r:.40}")
         store = params.get("HTTP_X_STORE", self.home)
-        if store not in self.force.plan.stores:
+        if store not in self.multi_pool_router.plan.stores:
             raise InvalidRequest(f"X-Store is {store!r:.40}")
-        headers = {
-            name.removeprefix("HTTP_").replace("_", "-").lower(): value
-            for name, value in params.items()
-            if name.startswith("HTTP_")
-        }
-        try:
-            query = dict(parse_qsl(params.get("QUERY_STRING", ""), True, max_num_fields=PARAMS_MOST))
-        except ValueError:
-            raise InvalidRequest(f"more than {PARAMS_MOST} parameters") from None
+        headers = _headers(params)
         host = headers.get("host", "").lower().partition(":")[0]
-        return Asked(store, host, path, method, headers, query)
+        return Asked(store, host, path, method, headers, _query(params))
+
+
+def _headers(params: dict[str, str]) -> dict[str, str]:
+    """Headers by name, in lower case."""
+    return {
+        name.removeprefix(HEADER_PREFIX).replace("_", "-").lower(): value
+        for name, value in params.items()
+        if name.startswith(HEADER_PREFIX)
+    }
+
+
+def _query(params: dict[str, str]) -> dict[str, str]:
+    """Parameters of the query by name; of several with one name, the last."""
+    text = params.get("QUERY_STRING", "")
+    try:
+        return dict(parse_qsl(text, keep_blank_values=True, max_num_fields=MAX_QUERY_PARAMETERS))
+    except ValueError:
+        raise InvalidRequest(f"more than {MAX_QUERY_PARAMETERS} parameters") from None
+
+
+def _idempotency_key(params: dict[str, str], selection: RouteSelection) -> str | None:
+    """The key by which caches recognise a repeat; a class that goes by keys requires it."""
+    key = params.get("HTTP_X_OPERATION_KEY")
+    if key is None and selection.vhost.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+        raise InvalidRequest("X-Operation-Key is missing")
+    if key is not None and not KEY_PATTERN.fullmatch(key):
+        raise InvalidRequest(f"X-Operation-Key is {key!r:.40}")
+    return key
+
+
+def _deadline_ms(params: dict[str, str]) -> int:
+    """Milliseconds for which the client waits; 0 where it doesn't say."""
+    text = params.get("HTTP_X_DEADLINE_MS")
+    if text is None:
+        return 0
+    if not NUMBER_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_DEADLINE_MS:
+        raise InvalidRequest(f"X-Deadline-Ms is {text!r:.40}")
+    return int(text)
 
 
 def _token(params: dict[str, str], name: str) -> str | None:
+    """A header whose value is a token; None where the client doesn't send it."""
     value = params.get(name)
     if value is not None and not TOKEN_PATTERN.fullmatch(value):
-        raise InvalidRequest(f"{name.removeprefix('HTTP_').replace('_', '-').title()} is {value!r:.40}")
+        header = name.removeprefix(HEADER_PREFIX).replace("_", "-").title()
+        raise InvalidRequest(f"{header} is {value!r:.40}")
     return value
