--- a/quartzrouter/server/attempt_failure.py
+++ b/quartzrouter/server/attempt_failure.py
@@ -1,4 +1,8 @@
-"""Errors as values: how far a dispatch or a probe had come when it ended without an answer."""
+"""How an attempt or a health check failed, and what that proves about whether the request has run.
+
+Failures are values, not exceptions: they travel in events to the state machine, which asks one thing of
+them, whether the request may be sent again.
+"""
 
 from enum import IntEnum
 from typing import NamedTuple
@@ -11,29 +15,48 @@
 CONNECTION_LOST = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
-class Stage(IntEnum):
+class AttemptStage(IntEnum):
+    """How far an attempt had come; a later stage is a greater number."""
+
     CONNECTING = 0
-    CONNECTED = 1  # nothing has gone out
-    ASKING = 2  # some bytes have, perhaps all
-    ANSWERED = 3  # the head of an answer has come
+    CONNECTED = 1  # nothing of the request has gone out
+    SENDING = 2  # some bytes of the request have gone out, perhaps all
+    RECEIVING = 3  # the head of the response has come
+
+
+class FailureCause(IntEnum):
+    """What ended an attempt."""
 
+    REFUSED = 0  # connection refused, or not up within the connect timeout
+    OUT_OF_DESCRIPTORS = 1  # this process has no descriptor left for a connection
+    RESET = 2  # the connection ended
+    MALFORMED = 3  # the response breaks HTTP or the platform's protocol
+    INTERNAL_ERROR = 4  # a fault of this program
 
-class Cause(IntEnum):
-    REFUSED = 0  # or no connection within the told time
-    NO_ROOM = 1  # none of our own descriptors left
-    RESET = 2
-    MALFORMED = 3
-    DIED = 4  # the task that served it
 
+class AttemptFailure(NamedTuple):
+    """The end of an attempt without a complete response.
 
-class Failure(NamedTuple):
-    stage: Stage
-    cause: Cause
+    :param detail: for the log.
+    """
+
+    stage: AttemptStage
+    cause: FailureCause
     detail: str = ""
 
-    def ending(self) -> AttemptStatus:
-        if self.stage is Stage.CONNECTING and self.cause is Cause.RESET:
+    def attempt_status(self) -> AttemptStatus:
+        """What the failure says of the attempt.
+
+        Guards against effects that run twice: once a byte of the request may have reached the endpoint, only
+        ``CONNECTION_LOST`` is said, which proves nothing; the statuses before that prove that it never ran.
+
+        :returns: ``NOT_CONNECTED`` for a connection that broke off at once, which says less of the endpoint
+            than one that was refused; ``NOT_SENT`` where the cause is this process's own.
+        """
+        if self.stage >= AttemptStage.SENDING:
+            return AttemptStatus.CONNECTION_LOST
+        if self.stage is AttemptStage.CONNECTING and self.cause is FailureCause.RESET:
             return AttemptStatus.NOT_CONNECTED
-        if self.stage <= Stage.CONNECTED:
-            return AttemptStatus.CONNECTION_REFUSED if self.cause is Cause.REFUSED else AttemptStatus.NOT_SENT
-        return AttemptStatus.CONNECTION_LOST
+        if self.cause is FailureCause.REFUSED:
+            return AttemptStatus.CONNECTION_REFUSED
+        return AttemptStatus.NOT_SENT
--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -9,7 +9,7 @@
 
 from quartzrouter.routing.model import AttemptStatus
 from quartzrouter.server import cache_responses
-from quartzrouter.server.attempt_failure import CONNECTION_LOST, Cause, Failure, Stage
+from quartzrouter.server.attempt_failure import CONNECTION_LOST, AttemptFailure, AttemptStage, FailureCause
 from quartzrouter.server.byte_budget import ByteBudget
 from quartzrouter.server.cache_connection import CacheConnection
 from quartzrouter.server.cache_responses import MAX_BODY_SIZE, CopyIdentity, CopyReader, MalformedResponse
@@ -84,7 +84,7 @@
             if scope.cancelled_caught:
                 status = AttemptStatus.TIMED_OUT
         except ConnectionUnavailable as error:
-            status = error.failure.ending()
+            status = error.failure.attempt_status()
         except CONNECTION_LOST:
             status = AttemptStatus.CONNECTION_LOST
         except Exception:
@@ -119,7 +119,7 @@
         self._pool = connections.pool
         self._request_id, self._number, self._endpoint, self._address = order
         self._owner = owner
-        self._stage = Stage.CONNECTING
+        self._stage = AttemptStage.CONNECTING
         self._has_ended = False
         self._connection: CacheConnection | None = None
         self._reserved = 0  # bytes of response memory
@@ -134,12 +134,12 @@
         except ConnectionUnavailable as error:
             self._end(error.cause, error)
         except (h11.RemoteProtocolError, MalformedResponse) as error:
-            self._end(Cause.MALFORMED, error)
+            self._end(FailureCause.MALFORMED, error)
         except CONNECTION_LOST as error:
-            self._end(Cause.RESET, error)
+            self._end(FailureCause.RESET, error)
         except Exception as error:
             if not self._has_ended:
-                self._end(Cause.DIED, f"{type(error).__name__}: {error}")
+                self._end(FailureCause.INTERNAL_ERROR, f"{type(error).__name__}: {error}")
         finally:
             self._connections.in_use.pop((self._request_id, self._number), None)
             self._connections.response_memory.give(self._reserved)
@@ -162,16 +162,16 @@
             if self._connection.is_quiet():
                 return
             if self._connection.last_exchange is None:
-                raise ConnectionUnavailable(Cause.RESET, "ended, or spoke, before it was asked")
+                raise ConnectionUnavailable(FailureCause.RESET, "ended, or spoke, before it was asked")
             self._pool.discard(self._connection)
             self._connection = None
 
     async def _exchange(self) -> None:
         """Sends the request and reads the response."""
-        self._stage = Stage.CONNECTED
+        self._stage = AttemptStage.CONNECTED
         self._connections.feed(ConnectionReady(self._request_id, self._number))
         request = await self._owner.request_to_send()
-        self._stage = Stage.ASKING
+        self._stage = AttemptStage.SENDING
         sent_at = anyio.current_time()
         await self._connection.send_request(request.target, request.headers, request.body)
         interim_responses = 0
@@ -188,7 +188,7 @@
 
     async def _handle_head(self, response: h11.Response, request: SendRequest, sent_at: float) -> None:
         """Feeds the head, and waits for room for the body."""
-        self._stage = Stage.ANSWERED
+        self._stage = AttemptStage.RECEIVING
         fields = cache_responses.header_fields(response)
         self._copy = cache_responses.copy_identity(fields)
         if self._connection.repeats_last_response(request, sent_at, self._copy):
@@ -223,11 +223,11 @@
         self._reserved = 0
         self._pool.release(self._endpoint, connection, request.target, self._copy)
 
-    def _end(self, cause: Cause | None = None, detail: object = "") -> None:
+    def _end(self, cause: FailureCause | None = None, detail: object = "") -> None:
         """Feeds the end of the attempt.
 
         :param cause: of a failure; None where it has succeeded.
         """
         self._has_ended = True
-        failure = None if cause is None else Failure(self._stage, cause, f"{self._endpoint}: {detail}")
+        failure = None if cause is None else AttemptFailure(self._stage, cause, f"{self._endpoint}: {detail}")
         self._connections.feed(AttemptEnded(self._request_id, self._number, failure, bytes(self._body)))
--- a/quartzrouter/server/connection_pool.py
+++ b/quartzrouter/server/connection_pool.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from quartzrouter.server.attempt_failure import Cause, Failure, Stage
+from quartzrouter.server.attempt_failure import AttemptFailure, AttemptStage, FailureCause
 from quartzrouter.server.cache_connection import CacheConnection, LastExchange
 from quartzrouter.server.cache_responses import CopyIdentity
 from quartzrouter.server.errors import ServerError
@@ -31,14 +31,14 @@
     :param cause: why.
     """
 
-    def __init__(self, cause: Cause, detail: str = ""):
+    def __init__(self, cause: FailureCause, detail: str = ""):
         super().__init__(detail)
         self.cause = cause
 
     @property
-    def failure(self) -> Failure:
+    def failure(self) -> AttemptFailure:
         """The same, as a failure of whatever needed the connection."""
-        return Failure(Stage.CONNECTING, self.cause, str(self))
+        return AttemptFailure(AttemptStage.CONNECTING, self.cause, str(self))
 
 
 class ConnectionPool:
@@ -65,7 +65,7 @@
         if pooled is not None:
             return pooled
         if self.open >= self.max_connections and not self._close_longest_idle():
-            raise ConnectionUnavailable(Cause.NO_ROOM)
+            raise ConnectionUnavailable(FailureCause.OUT_OF_DESCRIPTORS)
         return await self._open(address)
 
     def _take_idle(self, endpoint: str, address: tuple[str, int]) -> CacheConnection | None:
@@ -91,7 +91,7 @@
             connection = CacheConnection(stream, address, anyio.current_time())
             return connection
         except TimeoutError:
-            raise ConnectionUnavailable(Cause.REFUSED, "no connection in time") from None
+            raise ConnectionUnavailable(FailureCause.REFUSED, "no connection in time") from None
         except OSError as error:
             raise ConnectionUnavailable(_connect_failure_cause(error), str(error)) from None
         finally:
@@ -150,9 +150,9 @@
                     del self.idle[endpoint]
 
 
-def _connect_failure_cause(error: OSError) -> Cause:
+def _connect_failure_cause(error: OSError) -> FailureCause:
     if error.errno in RESET_ERRORS:
-        return Cause.RESET
+        return FailureCause.RESET
     if error.errno in LOCAL_SHORTAGE_ERRORS:
-        return Cause.NO_ROOM
-    return Cause.REFUSED
+        return FailureCause.OUT_OF_DESCRIPTORS
+    return FailureCause.REFUSED
--- a/quartzrouter/server/events.py
+++ b/quartzrouter/server/events.py
@@ -11,7 +11,7 @@
 from typing import Any, NamedTuple
 
 from quartzrouter.routing.model import AttemptStatus, Endpoint, FillStatus, LoadReport
-from quartzrouter.server.attempt_failure import Failure
+from quartzrouter.server.attempt_failure import AttemptFailure
 
 
 class ClientRequest(NamedTuple):
@@ -92,7 +92,7 @@
 
     request_id: int
     attempt_number: int
-    failure: Failure | None = None
+    failure: AttemptFailure | None = None
     body: bytes = b""
 
 
--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -378,7 +378,7 @@
     def _attempt_ended(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded, now: int) -> None:
         """Passes a complete response on, and tells the router how the attempt has ended."""
         head = attempt.response_head
-        status = event.failure.ending() if event.failure else cache_protocol.attempt_status(head)
+        status = event.failure.attempt_status() if event.failure else cache_protocol.attempt_status(head)
         if status is AttemptStatus.SUCCEEDED:
             not_modified = head.status == HTTP_NOT_MODIFIED
             self._respond(request_id, responses.not_modified() if not_modified else responses.ok(event.body))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -227,7 +227,7 @@
         self.step(f"request {request_id} response complete", event)
 
     def attempt_failed(self, request_id, stage, cause, attempt=0):
-        event = events.AttemptEnded(request_id, attempt, attempt_failure.Failure(stage, cause))
+        event = events.AttemptEnded(request_id, attempt, attempt_failure.AttemptFailure(stage, cause))
         self.step(f"request {request_id} attempt failed: {cause.name.lower()}", event)
 
     def client_gone(self, request_id, when=""):
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -4,7 +4,7 @@
 
 from quartzrouter.routing.model import AttemptStatus, Defer
 from quartzrouter.server import events
-from quartzrouter.server.attempt_failure import Cause, Stage
+from quartzrouter.server.attempt_failure import AttemptStage, FailureCause
 
 
 def assert_idle(play):
@@ -84,7 +84,7 @@
     play.request_received(1)
     play.connection_ready(1)
     play.response_head(1, length=9)
-    play.attempt_failed(1, Stage.ANSWERED, Cause.RESET)
+    play.attempt_failed(1, AttemptStage.RECEIVING, FailureCause.RESET)
     play.connection_ready(1, attempt=1)
     play.response_head(1, length=9, attempt=1)
     play.response_complete(1, attempt=1, body=b"abcdefghi")
@@ -108,16 +108,16 @@
         (504, False),
         (500, False),
         (418, False),
-        Cause.REFUSED,
-        Cause.NO_ROOM,
-        Cause.RESET,
-        Cause.MALFORMED,
-        Cause.DIED,
+        FailureCause.REFUSED,
+        FailureCause.OUT_OF_DESCRIPTORS,
+        FailureCause.RESET,
+        FailureCause.MALFORMED,
+        FailureCause.INTERNAL_ERROR,
     ]
     for request_id, way in enumerate(ways, 1):
         play.request_received(request_id, traffic_class="sale")
-        if way in (Cause.REFUSED, Cause.NO_ROOM):
-            play.attempt_failed(request_id, Stage.CONNECTING, way)
+        if way in (FailureCause.REFUSED, FailureCause.OUT_OF_DESCRIPTORS):
+            play.attempt_failed(request_id, AttemptStage.CONNECTING, way)
         else:
             play.connection_ready(request_id)
             if isinstance(way, tuple):
@@ -125,7 +125,7 @@
                 play.response_head(request_id, status, never_ran=never_ran)
                 play.response_complete(request_id)
             else:
-                play.attempt_failed(request_id, Stage.ASKING, way)
+                play.attempt_failed(request_id, AttemptStage.SENDING, way)
         play.client_gone(request_id)
         play.advance_to(10_000 * request_id)
     assert_idle(play)
@@ -200,7 +200,7 @@
     """A cache refuses connections; it is checked until it answers, and is then taken out of the list."""
     for request_id in (1, 2, 3):
         play.request_received(request_id, object_key=f"{request_id:016x}")
-        play.attempt_failed(request_id, Stage.CONNECTING, Cause.REFUSED)
+        play.attempt_failed(request_id, AttemptStage.CONNECTING, FailureCause.REFUSED)
     play.advance_to(600)
     name = min(play.state_machine.health_checks)
     play.step(f"health check of {name} done", events.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
--- a/tests/test_reducer_machine.py
+++ b/tests/test_reducer_machine.py
@@ -14,20 +14,20 @@
 from quartzrouter.routing import router
 from quartzrouter.routing.model import FillStatus
 from quartzrouter.server import effects, events, state_machine
-from quartzrouter.server.attempt_failure import Cause, Failure, Stage
+from quartzrouter.server.attempt_failure import AttemptFailure, AttemptStage, FailureCause
 
 ENDPOINTS = ("c1", "c2", "p1", "o")
 ENDPOINTS_THAT_DRAIN = ENDPOINTS[:3]
 PURGE_LIFETIME = 6 * S
 IDEMPOTENT, NON_IDEMPOTENT, WITH_KEY = "page", "sale", "hold"
 TRAFFIC_CLASSES = IDEMPOTENT, NON_IDEMPOTENT, WITH_KEY
-RESET_WHILE_SENDING = Failure(Stage.ASKING, Cause.RESET)
+RESET_WHILE_SENDING = AttemptFailure(AttemptStage.SENDING, FailureCause.RESET)
 FAILURES = [
-    Failure(Stage.CONNECTING, Cause.REFUSED),
-    Failure(Stage.CONNECTING, Cause.NO_ROOM),
-    Failure(Stage.CONNECTING, Cause.RESET),
+    AttemptFailure(AttemptStage.CONNECTING, FailureCause.REFUSED),
+    AttemptFailure(AttemptStage.CONNECTING, FailureCause.OUT_OF_DESCRIPTORS),
+    AttemptFailure(AttemptStage.CONNECTING, FailureCause.RESET),
     RESET_WHILE_SENDING,
-    Failure(Stage.ANSWERED, Cause.MALFORMED),
+    AttemptFailure(AttemptStage.RECEIVING, FailureCause.MALFORMED),
 ]
 RESPONSES = [(200, False), (404, False), (503, True), (504, True), (500, False), (503, False)]
 
@@ -154,9 +154,9 @@
 
     @rule(data=st.data(), failure=st.sampled_from(FAILURES))
     def attempt_failed(self, data, failure):
-        attempt = self.draw_attempt(data, is_sent=failure.stage >= Stage.ASKING)
+        attempt = self.draw_attempt(data, is_sent=failure.stage >= AttemptStage.SENDING)
         if attempt:
-            self.attempt_over(*attempt, may_have_run=not failure.ending().never_ran)
+            self.attempt_over(*attempt, may_have_run=not failure.attempt_status().never_ran)
             self.step(events.AttemptEnded(*attempt, failure))
 
     @rule(data=st.data(), response=st.sampled_from(RESPONSES), has_copy_headers=st.booleans())
