--- a/tests/test_turns.py
+++ b/tests/test_spin_guard.py
@@ -14,7 +14,7 @@
 
 import anyio
 import pytest
-from standins import WHOLE, World, free_port
+from standins import OK_RESPONSE, World, free_port
 
 from quartzrouter.server import process
 from quartzrouter.server.event_loop import BACKEND_OPTIONS, EventLoop
@@ -71,15 +71,20 @@
     def __init__(self, tmp_path, program):
         self.world, self.program, self.answers = World(tmp_path), program, {}
 
-    def play(self, scene, **other):
+    def run_scene(self, scene, **other):
         async def run():
             with anyio.fail_after(25):
                 async with anyio.create_task_group() as tasks:
-                    cache, self.port = await self.world.listen(tasks, self.world.cache), await free_port()
-                    self.world.frames = []
-                    self.world.tell(cache, await self.world.listen(tasks, self.world.journal), **other)
+                    cache, self.port = (
+                        await self.world.start_server(tasks, self.world.serve_cache),
+                        await free_port(),
+                    )
+                    self.world.discovery_frames = []
+                    self.world.write_configuration(
+                        cache, await self.world.start_server(tasks, self.world.serve_discovery), **other
+                    )
                     environ = os.environ | {
-                        "NODE_CONFIG": str(self.world.path),
+                        "NODE_CONFIG": str(self.world.config_path),
                         "NODE_LISTEN": f"127.0.0.1:{self.port}",
                     }
                     self.process = subprocess.Popen(
@@ -106,9 +111,9 @@
         """One req on a connection of its own; how it ended and how late that was."""
         client = await self.world.connect(self.port)
         began = time.monotonic()
-        await client.begin(id, path=f"/rpc/{vhost}", HTTP_X_DEADLINE_MS=str(round(timeout * 1e3)))
+        await client.send_request(id, path=f"/rpc/{vhost}", HTTP_X_DEADLINE_MS=str(round(timeout * 1e3)))
         with anyio.move_on_after(timeout + 5):
-            said = await client.end()
+            said = await client.receive_response()
             self.answers[id] = said.split("\r\n")[0], time.monotonic() - began - timeout
         await client.stream.aclose()
 
@@ -124,7 +129,12 @@
         (NOW, "timer ticks in a row without effect; due again: deferred request"),
     ],
 )
-def test_what_spins_is_named_and_braked_and_reqs_get_their_answers(tmp_path, fault, named):
+def test_a_spin_is_named_and_slowed_down_and_requests_are_answered(tmp_path, fault, named):
+    """Something in the event loop repeats without progress: a timer, a descriptor, a task or a decision.
+
+    A router that spins burns the CPU that its requests need, and nothing else shows it.
+    """
+
     async def scene(router):
         async with anyio.create_task_group() as askers:
             for id in range(1, 25):
@@ -135,7 +145,7 @@
         await anyio.sleep(0.6)
 
     router = Process(tmp_path, PROCESS.format(fault))
-    router.play(scene)
+    router.run_scene(scene)
     lines = [line for line in router.said.splitlines() if ": event loop: " in line]
     print(router.share, router.answers, *lines, sep="\n")
     assert any(name in line for line in lines for name in named.split("|"))
@@ -147,8 +157,11 @@
     assert max(late for _, late in router.answers.values()) < SLACK
 
 
-def test_the_time_that_a_req_lay_unread_counts(tmp_path):
-    """Read 0.8 s late, its first-byte target is over: it was dispatched as if it had just come."""
+def test_the_time_that_a_request_lay_unread_counts(tmp_path):
+    """A router gets no CPU, and reads a request 0.8 s late: its latency objective is over.
+
+    It was dispatched as if it had just come. Now it is rejected at once.
+    """
 
     async def scene(router):
         await router.ask(1, 3.0)
@@ -160,7 +173,7 @@
         await router.ask(3, 3.0)
 
     router = Process(tmp_path, PROCESS.format(""))
-    router.play(scene)
+    router.run_scene(scene)
     assert [router.answers[id][0].split()[2] for id in (1, 2, 3)] == ["200", "503", "200"]
 
 
@@ -183,8 +196,8 @@
         ("socket.socket(socket.AF_UNIX).bind('\\0quartzrouter-test')", ["AUDIT socket.bind AF_UNIX"]),
     ],
 )
-def test_the_platforms_router_starts_no_process_and_meets_others_over_ipv4_only(tmp_path, more, heard):
-    """The platform refuses fork, and nobody comes to another kind of socket."""
+def test_the_platforms_router_starts_no_process_and_uses_ipv4_only(tmp_path, more, heard):
+    """The platform refuses fork, and nobody connects to another kind of socket."""
 
     async def scene(router):
         await router.ask(1, 1.0)
@@ -192,12 +205,14 @@
         assert not children.exists() or not children.read_text()
 
     router = Process(tmp_path, PROCESS.format(AUDIT + more))
-    router.play(scene)
+    router.run_scene(scene)
     assert "200" in router.answers[1][0]
     assert [line for line in router.said.splitlines() if line.startswith("AUDIT")] == heard
 
 
-def test_a_router_that_works_is_not_taken_for_one_that_spins(tmp_path):
+def test_a_busy_router_is_not_taken_for_one_that_spins(tmp_path):
+    """Many requests at once keep the event loop busy: the guard says nothing."""
+
     async def scene(router):
         async with anyio.create_task_group() as askers:
             for id in range(1, 601):
@@ -206,13 +221,15 @@
                     await anyio.sleep(0.01)
 
     router = Process(tmp_path, PROCESS.format(""))
-    router.play(scene, limits={"sockets": 1024})
+    router.run_scene(scene, limits={"sockets": 1024})
     assert len(router.answers) == 600 and all("200" in said for said, _ in router.answers.values())
     assert ": event loop: " not in router.said
 
 
 def test_a_deadline_that_runs_out_sets_its_timer_once():
-    """uvloop rounded it, and the scope set it anew hundreds of times until the millisecond had passed."""
+    """uvloop rounded a timer down, and its cancel scope set it anew hundreds of times within a
+    millisecond.
+    """
     set_for = []
 
     class Counting(EventLoop):
@@ -243,7 +260,8 @@
 
 
 @pytest.mark.parametrize("on, off, apart", [(0.01, 0.04, 0.02), (0.01, 0.09, 0.04), (0.5, 0.3, 0.02)])
-def test_every_req_has_its_final_answer_in_time_however_little_cpu_there_is(tmp_path, on, off, apart):
+def test_every_request_is_answered_in_time_with_little_cpu(tmp_path, on, off, apart):
+    """The process gets the CPU in slices only: each request has its final response in time all the same."""
     chance = random.Random(3)
 
     async def scene(router):
@@ -257,8 +275,8 @@
             tasks.cancel_scope.cancel()
 
     router = Process(tmp_path, PROCESS.format(""))
-    router.world.answers = {n: [0.02, WHOLE] for n in range(1, 251)}
-    router.play(scene, limits={"sockets": 1024})
+    router.world.responses = {n: [0.02, OK_RESPONSE] for n in range(1, 251)}
+    router.run_scene(scene, limits={"sockets": 1024})
     ends = Counter(said.split(": ")[-1].split(" b'")[0] for said, _ in router.answers.values())
     print(ends, max(late for _, late in router.answers.values()))
     print(router.said[-2000:])
@@ -266,7 +284,12 @@
     assert max(late for _, late in router.answers.values()) < SLACK
 
 
-def test_after_a_stop_what_has_come_goes_ahead_of_its_time_out():
+def test_after_a_pause_what_has_arrived_goes_ahead_of_its_timeout():
+    """A process is stopped, its response arrives, and its timeout passes.
+
+    The loop ran timers before it read: the response was there and the request timed out.
+    """
+
     async def run():
         with socket.create_server(("127.0.0.1", 0)) as listener:
             far = socket.create_connection(listener.getsockname())
@@ -283,7 +306,7 @@
 
 
 def test_a_half_made_environment_is_made_again(tmp_path):
-    """A build that was cut left a .venv that the next one passed over: every router ended at its start."""
+    """A build was cut off and left a .venv that the next one passed over: every router ended at its start."""
     deploy = tomllib.loads((Path(__file__).parents[1] / "deploy" / "balancer.toml").read_text())
     tools = tmp_path / "tools"
     tools.mkdir()
