--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -175,7 +175,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await hup()
         assert len(said) == 240 and set(said) <= {"200", "503"} and said.count("200") > 150
-        assert not site.router_process.force.where and not site.router_process.force.limits.held
+        assert not site.router_process.force.router_of and not site.router_process.force.limits.held
 
     site.play_site(scene)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
@@ -338,9 +338,9 @@
         await client.send_request(1, path="/a")
         await client.send_request(2, path="/b", HTTP_X_CORRELATION_ID=f"{1:016x}")
         assert status(await client.receive_response()) == "409"
-        assert len(site.router_process.force.where) == 1
+        assert len(site.router_process.force.router_of) == 1
         assert status(await client.receive_response()) == "200"
 
     site.play_site(scene)
     force = site.router_process.force
-    assert not force.where and not force.rulings and not force.limits.held
+    assert not force.router_of and not force.selections and not force.limits.held
