--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -15,7 +15,7 @@
 
 from quartzrouter.server import client_connections, process, stream
 
-CROSSES = 0.05  # s: a front sends a req again that was written so shortly before a close
+CROSSING_TIME = 0.05  # s: a front server sends a request again that was written so shortly before a close
 # the router, with a task that keeps it from everything else for 20 to 200 ms at a time
 STALLED = """
 import os, random, sys, time, anyio
@@ -35,40 +35,52 @@
 
 
 class Crowd:
-    """Clients that open a connection for nearly every req and close the longest idle of their own."""
-
-    def __init__(self, world, port, most):
-        self.world, self.port, self.most = world, port, most
-        self.idle, self.open, self.ids = [], 0, 0
-        self.ends = dict.fromkeys(("answered", "crossed", "first", "lost"), 0)
-
-    async def req(self, chance):
-        self.ids += 1
-        id = self.ids
-        used = bool(self.idle) and chance.random() < 0.3
-        if used:
+    """Clients that open a connection for nearly every request and close the longest idle of their own."""
+
+    def __init__(self, world, port, max_connections):
+        self.world = world
+        self.port = port
+        self.max_connections = max_connections
+        self.idle = []
+        self.open_connections = 0
+        self.last_id = 0
+        # Requests by what became of them: a response; no response, but written so shortly before the close
+        # that a front server sends it again; lost as the first of its connection, or as a later one.
+        self.outcomes = dict.fromkeys(("answered", "crossed", "first", "lost"), 0)
+
+    async def send_one(self, chance):
+        """Sends one request, mostly on a new connection, and counts what becomes of it."""
+        self.last_id += 1
+        id = self.last_id
+        is_reused = bool(self.idle) and chance.random() < 0.3
+        if is_reused:
             client = self.idle.pop(chance.randrange(len(self.idle)))
         else:
-            if self.open >= self.most and self.idle:
-                await self.end(self.idle.pop(0))
-            self.open += 1
-            client = await self.world.connect(self.port)
+            client = await self.open()
         try:
             await client.send_request(id, HTTP_X_DEADLINE_MS="3000")
-            written = time.monotonic()
-            said = await client.receive_response()
+            written_at = time.monotonic()
+            response = await client.receive_response()
         except anyio.BrokenResourceError:  # closed before a byte of it was taken
-            written, said = time.monotonic(), "closed"
-        if said != "closed":
-            self.ends["answered"] += 1
+            written_at = time.monotonic()
+            response = "closed"
+        if response != "closed":
+            self.outcomes["answered"] += 1
             self.idle.append(client)
             return
-        late = time.monotonic() - written > CROSSES
-        self.ends["crossed" if not late else "lost" if used else "first"] += 1
-        await self.end(client)
-
-    async def end(self, client):
-        self.open -= 1
+        has_crossed = time.monotonic() - written_at <= CROSSING_TIME
+        self.outcomes["crossed" if has_crossed else "lost" if is_reused else "first"] += 1
+        await self.close(client)
+
+    async def open(self):
+        """Opens a connection; the longest idle one is closed for it where there are too many."""
+        if self.open_connections >= self.max_connections and self.idle:
+            await self.close(self.idle.pop(0))
+        self.open_connections += 1
+        return await self.world.connect(self.port)
+
+    async def close(self, client):
+        self.open_connections -= 1
         await client.stream.aclose()
 
 
@@ -99,7 +111,7 @@
                     nonlocal left
                     while left:
                         left -= 1
-                        await crowd.req(chance)
+                        await crowd.send_one(chance)
                         await anyio.sleep(chance.uniform(0, 0.05))
 
                 await (await world.connect(port)).stream.aclose()
@@ -109,31 +121,31 @@
                 router.send_signal(signal.SIGTERM)
                 await anyio.to_thread.run_sync(router.wait)
                 tasks.cancel_scope.cancel()
-        return crowd.ends
+        return crowd.outcomes
 
-    ends = anyio.run(run, backend_options=process.BACKEND_OPTIONS)
-    print(ends)
-    assert sum(ends.values()) == 3_000 and ends["answered"] > 2_700
-    assert ends["lost"] == 0
+    outcomes = anyio.run(run, backend_options=process.BACKEND_OPTIONS)
+    print(outcomes)
+    assert sum(outcomes.values()) == 3_000 and outcomes["answered"] > 2_700
+    assert outcomes["lost"] == 0
 
 
 def test_an_unread_request_keeps_its_connection(world, trace, monkeypatch):
     """A request reaches the kernel after the router last read, and before it looks for one to close."""
-    make_room, behind = client_connections.ClientConnections._close_one_idle, []
+    close_one_idle, unread = client_connections.ClientConnections._close_one_idle, []
 
     def late(self):
-        for client, id in behind:
+        for client, id in unread:
             raw = client.stream.extra(anyio.abc.SocketAttribute.raw_socket)
             os.write(raw.fileno(), client.encode_request(id))
-        time.sleep(2 * CROSSES)
-        return make_room(self)
+        time.sleep(2 * CROSSING_TIME)
+        return close_one_idle(self)
 
     async def scene(connect):
         idle = [await connect() for _ in range(21)]
         for id, client in enumerate(idle, 1):
             await client.send_request(id)
             await client.receive_response()
-        behind.extend((client, 100 + n) for n, client in enumerate(idle[:12]))
+        unread.extend((client, 100 + n) for n, client in enumerate(idle[:12]))
         monkeypatch.setattr(client_connections.ClientConnections, "_close_one_idle", late)
         new = await connect()
         await new.send_request(50)
--- a/tests/test_spin_guard.py
+++ b/tests/test_spin_guard.py
@@ -11,6 +11,7 @@
 import tomllib
 from collections import Counter
 from pathlib import Path
+from typing import NamedTuple
 
 import anyio
 import pytest
@@ -20,10 +21,10 @@
 from quartzrouter.server.event_loop import BACKEND_OPTIONS, EventLoop
 
 # what is put into the process, ahead of main
-TIMER = """
+ALWAYS_DUE_TIMER = """
 state_machine.RouterStateMachine.due = property(lambda self: 0)
 """
-READABLE = """
+ALWAYS_READABLE_SOCKET = """
 async def more(self):
     ends = socket.socketpair()
     ends[1].send(b"x")
@@ -32,27 +33,27 @@
         await anyio.lowlevel.checkpoint()  # else a stop may never reach it
 RouterProcess._start_background_tasks = lambda self: self.tasks.start_soon(more, self)
 """
-READER = """
+READER_THAT_READS_NOTHING = """
 ends = socket.socketpair()
 ends[1].send(b"x")
 def nobody(): pass
 RouterProcess._start_background_tasks = lambda self: asyncio.get_running_loop().add_reader(ends[0], nobody)
 """
-SOON = """
+TASK_THAT_YIELDS_FOR_EVER = """
 async def more(self):
     while True:
         await anyio.lowlevel.checkpoint()
 RouterProcess._start_background_tasks = lambda self: self.tasks.start_soon(more, self)
 """
-NOW = """
+DECISION_THAT_DEFERS_BY_NOTHING = """
 route = Router.route
 Router.route = lambda self, req, now: Defer(0) if req.traffic_class == "sale" else route(self, req, now)
 """
-WAIT = """
+MAINTENANCE_ALWAYS_DUE = """
 maintenance = Router.maintenance
 Router.maintenance = lambda self, now: replace(maintenance(self, now), time=0)
 """
-PROCESS = """
+ROUTER_WITH_FAULT = """
 import asyncio, os, socket, sys, anyio
 from dataclasses import replace
 from quartzrouter.routing.model import Defer
@@ -62,71 +63,81 @@
 {}
 sys.exit(process.main(os.environ))
 """
-SLACK = 0.5  # s after its time by which a req must have had its final answer
+MAX_LATENESS = 0.5  # s after its time by which a req must have had its final answer
+
+
+class Outcome(NamedTuple):
+    """What a client got for a request."""
+
+    status: str  # the status line, behind the request's id
+    lateness: float  # s after the request's time; less than 0 where it was in time
 
 
 class Process:
-    """A router of its own process, its clients, and what each of them got when."""
+    """A router in a process of its own, its clients, and what each of them got when."""
 
     def __init__(self, tmp_path, program):
-        self.world, self.program, self.answers = World(tmp_path), program, {}
-
-    def run_scene(self, scene, **other):
-        async def run():
-            with anyio.fail_after(25):
-                async with anyio.create_task_group() as tasks:
-                    cache, self.port = (
-                        await self.world.start_server(tasks, self.world.serve_cache),
-                        await free_port(),
-                    )
-                    self.world.discovery_frames = []
-                    self.world.write_configuration(
-                        cache, await self.world.start_server(tasks, self.world.serve_discovery), **other
-                    )
-                    environ = os.environ | {
-                        "NODE_CONFIG": str(self.world.config_path),
-                        "NODE_LISTEN": f"127.0.0.1:{self.port}",
-                    }
-                    self.process = subprocess.Popen(
-                        [sys.executable, "-c", self.program], env=environ, stderr=subprocess.PIPE, text=True
-                    )
-                    try:
-                        await scene(self)
-                        self.process.send_signal(signal.SIGTERM)
-                        self.said = (
-                            await anyio.to_thread.run_sync(self.process.communicate, abandon_on_cancel=True)
-                        )[1]
-                    finally:
-                        self.process.kill()
-                    tasks.cancel_scope.cancel()
-
+        self.world = World(tmp_path)
+        self.program = program
+        self.outcomes = {}  # by request id
+        self.output = ""
+        self.cpu_share = 0.0  # of one core, over the process's life
+
+    def run_scene(self, scene, **settings):
+        """Runs a scene, an async function of this, and stops the router."""
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
-        began = time.monotonic()
-        anyio.run(run, backend_options=BACKEND_OPTIONS)
+        started_at = time.monotonic()
+        anyio.run(self._run, scene, settings, backend_options=BACKEND_OPTIONS)
         after = resource.getrusage(resource.RUSAGE_CHILDREN)
-        self.cpu = after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
-        self.share = self.cpu / (time.monotonic() - began)
+        cpu = after.ru_utime + after.ru_stime - before.ru_utime - before.ru_stime
+        self.cpu_share = cpu / (time.monotonic() - started_at)
+
+    async def _run(self, scene, settings):
+        with anyio.fail_after(25):
+            async with anyio.create_task_group() as tasks:
+                cache = await self.world.start_server(tasks, self.world.serve_cache)
+                self.port = await free_port()
+                discovery = await self.world.start_server(tasks, self.world.serve_discovery)
+                self.world.write_configuration(cache, discovery, **settings)
+                environ = os.environ | {
+                    "NODE_CONFIG": str(self.world.config_path),
+                    "NODE_LISTEN": f"127.0.0.1:{self.port}",
+                }
+                self.process = subprocess.Popen(
+                    [sys.executable, "-c", self.program], env=environ, stderr=subprocess.PIPE, text=True
+                )
+                try:
+                    await scene(self)
+                    self.process.send_signal(signal.SIGTERM)
+                    _, self.output = await anyio.to_thread.run_sync(
+                        self.process.communicate, abandon_on_cancel=True
+                    )
+                finally:
+                    self.process.kill()
+                tasks.cancel_scope.cancel()
 
-    async def ask(self, id, timeout, vhost="page"):
-        """One req on a connection of its own; how it ended and how late that was."""
+    async def send_and_record(self, id, timeout, traffic_class="page"):
+        """Sends one request on a connection of its own, and records its outcome."""
         client = await self.world.connect(self.port)
-        began = time.monotonic()
-        await client.send_request(id, path=f"/rpc/{vhost}", HTTP_X_DEADLINE_MS=str(round(timeout * 1e3)))
+        sent_at = time.monotonic()
+        deadline_ms = str(round(timeout * 1e3))
+        await client.send_request(id, path=f"/rpc/{traffic_class}", HTTP_X_DEADLINE_MS=deadline_ms)
         with anyio.move_on_after(timeout + 5):
-            said = await client.receive_response()
-            self.answers[id] = said.split("\r\n")[0], time.monotonic() - began - timeout
+            response = await client.receive_response()
+            lateness = time.monotonic() - sent_at - timeout
+            self.outcomes[id] = Outcome(response.split("\r\n")[0], lateness)
         await client.stream.aclose()
 
 
 @pytest.mark.parametrize(
     "fault, named",
     [
-        (TIMER, "timer ticks in a row without effect; due again"),
-        (WAIT, "timer ticks in a row without effect; due again: maintenance"),
-        (READABLE, "more"),
-        (READER, "nobody"),
-        (SOON, "more"),
-        (NOW, "timer ticks in a row without effect; due again: deferred request"),
+        (ALWAYS_DUE_TIMER, "timer ticks in a row without effect; due again"),
+        (MAINTENANCE_ALWAYS_DUE, "timer ticks in a row without effect; due again: maintenance"),
+        (ALWAYS_READABLE_SOCKET, "more"),
+        (READER_THAT_READS_NOTHING, "nobody"),
+        (TASK_THAT_YIELDS_FOR_EVER, "more"),
+        (DECISION_THAT_DEFERS_BY_NOTHING, "timer ticks in a row without effect; due again: deferred request"),
     ],
 )
 def test_a_spin_is_named_and_slowed_down_and_requests_are_answered(tmp_path, fault, named):
@@ -139,22 +150,24 @@
         async with anyio.create_task_group() as askers:
             for id in range(1, 25):
                 # held at once anew: for so long that 64 ticks in a row fit in, braked or not
-                held = id % 4 == 0 and fault is NOW
-                askers.start_soon(router.ask, id, 4.0 if held else 1.0, "sale" if id % 4 == 0 else "page")
+                held = id % 4 == 0 and fault is DECISION_THAT_DEFERS_BY_NOTHING
+                askers.start_soon(
+                    router.send_and_record, id, 4.0 if held else 1.0, "sale" if id % 4 == 0 else "page"
+                )
                 await anyio.sleep(0.05)
         await anyio.sleep(0.6)
 
-    router = Process(tmp_path, PROCESS.format(fault))
+    router = Process(tmp_path, ROUTER_WITH_FAULT.format(fault))
     router.run_scene(scene)
-    lines = [line for line in router.said.splitlines() if ": event loop: " in line]
-    print(router.share, router.answers, *lines, sep="\n")
+    lines = [line for line in router.output.splitlines() if ": event loop: " in line]
+    print(router.cpu_share, router.outcomes, *lines, sep="\n")
     assert any(name in line for line in lines for name in named.split("|"))
-    assert len(lines) < 60  # said, and not without end
-    assert router.share < 0.7  # it takes all of a core where nothing brakes it
-    held = {id for id in router.answers if id % 4 == 0 and fault is NOW}
-    assert len(router.answers) == 24
-    assert all("200" in said for id, (said, _) in router.answers.items() if id not in held)
-    assert max(late for _, late in router.answers.values()) < SLACK
+    assert len(lines) < 60  # logged, and not without end
+    assert router.cpu_share < 0.7  # it takes all of a core where nothing brakes it
+    held = {id for id in router.outcomes if id % 4 == 0 and fault is DECISION_THAT_DEFERS_BY_NOTHING}
+    assert len(router.outcomes) == 24
+    assert all("200" in outcome.status for id, outcome in router.outcomes.items() if id not in held)
+    assert max(outcome.lateness for outcome in router.outcomes.values()) < MAX_LATENESS
 
 
 def test_the_time_that_a_request_lay_unread_counts(tmp_path):
@@ -164,50 +177,50 @@
     """
 
     async def scene(router):
-        await router.ask(1, 3.0)
+        await router.send_and_record(1, 3.0)
         router.process.send_signal(signal.SIGSTOP)
         async with anyio.create_task_group() as askers:
-            askers.start_soon(router.ask, 2, 3.0)
+            askers.start_soon(router.send_and_record, 2, 3.0)
             await anyio.sleep(0.8)
             router.process.send_signal(signal.SIGCONT)
-        await router.ask(3, 3.0)
+        await router.send_and_record(3, 3.0)
 
-    router = Process(tmp_path, PROCESS.format(""))
+    router = Process(tmp_path, ROUTER_WITH_FAULT.format(""))
     router.run_scene(scene)
-    assert [router.answers[id][0].split()[2] for id in (1, 2, 3)] == ["200", "503", "200"]
+    assert [router.outcomes[id].status.split()[2] for id in (1, 2, 3)] == ["200", "503", "200"]
 
 
 AUDIT = """
-WRONG = ("subprocess.Popen", "os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.system")
-def heard(event, arguments):
-    if event in WRONG:
+FORBIDDEN = ("subprocess.Popen", "os.fork", "os.forkpty", "os.exec", "os.posix_spawn", "os.system")
+def audit(event, arguments):
+    if event in FORBIDDEN:
         print(f"AUDIT {event}", file=sys.stderr, flush=True)
     if event in ("socket.bind", "socket.connect") and arguments[0].family != socket.AF_INET:
         print(f"AUDIT {event} {arguments[0].family.name}", file=sys.stderr, flush=True)
-sys.addaudithook(heard)
+sys.addaudithook(audit)
 """
 
 
 @pytest.mark.parametrize(
-    "more, heard",
+    "extra_code, audited",
     [
         ("", []),
         ('os.system("true")', ["AUDIT os.system"]),
         ("socket.socket(socket.AF_UNIX).bind('\\0quartzrouter-test')", ["AUDIT socket.bind AF_UNIX"]),
     ],
 )
-def test_the_platforms_router_starts_no_process_and_uses_ipv4_only(tmp_path, more, heard):
+def test_the_platforms_router_starts_no_process_and_uses_ipv4_only(tmp_path, extra_code, audited):
     """The platform refuses fork, and nobody connects to another kind of socket."""
 
     async def scene(router):
-        await router.ask(1, 1.0)
+        await router.send_and_record(1, 1.0)
         children = Path(f"/proc/{router.process.pid}/task/{router.process.pid}/children")
         assert not children.exists() or not children.read_text()
 
-    router = Process(tmp_path, PROCESS.format(AUDIT + more))
+    router = Process(tmp_path, ROUTER_WITH_FAULT.format(AUDIT + extra_code))
     router.run_scene(scene)
-    assert "200" in router.answers[1][0]
-    assert [line for line in router.said.splitlines() if line.startswith("AUDIT")] == heard
+    assert "200" in router.outcomes[1].status
+    assert [line for line in router.output.splitlines() if line.startswith("AUDIT")] == audited
 
 
 def test_a_busy_router_is_not_taken_for_one_that_spins(tmp_path):
@@ -216,14 +229,16 @@
     async def scene(router):
         async with anyio.create_task_group() as askers:
             for id in range(1, 601):
-                askers.start_soon(router.ask, id, 3.0)
+                askers.start_soon(router.send_and_record, id, 3.0)
                 if id % 3 == 0:
                     await anyio.sleep(0.01)
 
-    router = Process(tmp_path, PROCESS.format(""))
+    router = Process(tmp_path, ROUTER_WITH_FAULT.format(""))
     router.run_scene(scene, limits={"sockets": 1024})
-    assert len(router.answers) == 600 and all("200" in said for said, _ in router.answers.values())
-    assert ": event loop: " not in router.said
+    assert len(router.outcomes) == 600 and all(
+        "200" in outcome.status for outcome in router.outcomes.values()
+    )
+    assert ": event loop: " not in router.output
 
 
 def test_a_deadline_that_runs_out_sets_its_timer_once():
@@ -270,18 +285,18 @@
             tasks.start_soon(slices, router, on, off)
             async with anyio.create_task_group() as askers:
                 for id in range(1, 251):
-                    askers.start_soon(router.ask, id, 1.0, "sale" if id % 7 == 0 else "page")
+                    askers.start_soon(router.send_and_record, id, 1.0, "sale" if id % 7 == 0 else "page")
                     await anyio.sleep(chance.uniform(0, apart))
             tasks.cancel_scope.cancel()
 
-    router = Process(tmp_path, PROCESS.format(""))
+    router = Process(tmp_path, ROUTER_WITH_FAULT.format(""))
     router.world.responses = {n: [0.02, OK_RESPONSE] for n in range(1, 251)}
     router.run_scene(scene, limits={"sockets": 1024})
-    ends = Counter(said.split(": ")[-1].split(" b'")[0] for said, _ in router.answers.values())
-    print(ends, max(late for _, late in router.answers.values()))
-    print(router.said[-2000:])
-    assert len(router.answers) == 250
-    assert max(late for _, late in router.answers.values()) < SLACK
+    ends = Counter(outcome.status.split(": ")[-1].split(" b'")[0] for outcome in router.outcomes.values())
+    print(ends, max(outcome.lateness for outcome in router.outcomes.values()))
+    print(router.output[-2000:])
+    assert len(router.outcomes) == 250
+    assert max(outcome.lateness for outcome in router.outcomes.values()) < MAX_LATENESS
 
 
 def test_after_a_pause_what_has_arrived_goes_ahead_of_its_timeout():
