--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -84,7 +84,7 @@
         return purge_membership.copy_from_headers if self.fleet else None
 
     def _create_params_parser(self) -> ParamsParser:
-        return RequestParser(self.force, self.plan.deployment["home"]).call
+        return RequestParser(self.force, self.plan.deployment["home"]).parse
 
     def _start_background_tasks(self) -> None:
         if self.fleet is None:
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -29,7 +29,7 @@
     return {"t": "ANSWER", "op_id": op_id, "how": how, "hop": 0, "time_taken_us": 9000} | other
 
 
-def play(drive, *batches, tail=()):
+def play(scenario, *batches, tail=()):
     lines = []
     for serial, events in enumerate(batches, 1):
         lines.append({"t": "CLOCK", "sim_time_us": serial * 1000000, "serial": serial})
@@ -37,12 +37,12 @@
     text = "".join(json.dumps(line) + "\n" for line in lines) + "".join(tail)
     out = io.BytesIO()
     status = main(io.BytesIO(text.encode()), out)
-    drive.lines += [*out.getvalue().decode().splitlines(), f"status {status}"]
+    scenario.lines += [*out.getvalue().decode().splitlines(), f"status {status}"]
 
 
-def test_a_req_is_routed_and_its_end_is_taken_in(drive):
+def test_a_req_is_routed_and_its_end_is_taken_in(scenario):
     play(
-        drive,
+        scenario,
         START + [demand(1), {"t": "NEWS", "what": "unknown"}],
         [answer(1, "success", ended=True), demand(2, band="sale")],
         [answer(2, "failure"), answer(9, "success"), demand(3, band="unknown")],
--- a/tests/test_spin_guard.py
+++ b/tests/test_spin_guard.py
@@ -51,7 +51,7 @@
 """
 MAINTENANCE_ALWAYS_DUE = """
 maintenance = Router.maintenance
-Router.maintenance = lambda self, now: replace(maintenance(self, now), time=0)
+Router.maintenance = lambda self, now: replace(maintenance(self, now), delay=0)
 """
 ROUTER_WITH_FAULT = """
 import asyncio, os, socket, sys, anyio
