--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -1,10 +1,10 @@
-"""Writes site files of other customers into deploy/sites/, out of a site file that an operator has.
+"""Writes site files of other customers into deploy/sites/, made from a site file that an operator has.
 
     python benchmarks/variants.py SITE.toml
 
-A variant has other classes, shares, deadlines, effects, limits and costs; the files that the site file is
-read with (real.json, wire.json, unlock.txt) are copied beside it.  Git ignores the folder, as nothing of a
-site enters the repo.
+A variant has other traffic classes, shares, deadlines, effects, limits and costs. The files that the site
+file is read with (real.json, wire.json, unlock.txt) are copied beside it. Git ignores the folder, as nothing
+of a site may enter the repository.
 """
 
 import re
@@ -13,9 +13,9 @@
 from pathlib import Path
 
 FOLDER = Path(__file__).parent.parent / "deploy" / "sites"
-BESIDE = "real.json", "wire.json", "unlock.txt"
-HEADING = re.compile(r"\[+([a-z.]+)\]+")
-BARE = re.compile(r"[0-9.]+|\[.*\]|true|false")  # values that stand without quotation marks
+COMPANION_FILES = "real.json", "wire.json", "unlock.txt"
+SECTION_PATTERN = re.compile(r"\[+([a-z.]+)\]+")
+UNQUOTED_PATTERN = re.compile(r"[0-9.]+|\[.*\]|true|false")  # values that stand without quotation marks
 # By variant, section, its place among those of that name, and key: what stands there instead.  The first
 # customer has what may never run twice, short deadlines and few attempts; the second a narrow window for
 # repeats, and neither cancels nor a time to come back.
@@ -51,34 +51,48 @@
 }
 
 
-class Unwritable(Exception):
+class VariantError(Exception):
     """A site file that a variant does not fit; says the place."""
 
 
-def variant(text: str, name: str, changes: dict[tuple[str, int], dict[str, str | None]]) -> str:
-    """The site file as this customer would have it; a value of None leaves the key out."""
-    left = {(*where, key): value for where, keys in changes.items() for key, value in keys.items()}
-    count: dict[str, int] = {}
-    at, lines = ("", 0), []
+Place = tuple[str, int]  # a section, and its number among those of that name
+TOP: Place = ("", 0)  # ahead of the first section
+
+
+def variant(text: str, name: str, changes: dict[Place, dict[str, str | None]]) -> str:
+    """Makes the site file as this customer would have it.
+
+    :param text: the operator's site file.
+    :param name: of the customer.
+    :param changes: values by place and key; None leaves the key out.
+    :raises VariantError: the site file lacks a key that is to change.
+    """
+    pending = {(*place, key): value for place, values in changes.items() for key, value in values.items()}
+    section_counts: dict[str, int] = {}
+    place = TOP
+    lines = []
     for line in text.splitlines():
-        if heading := HEADING.fullmatch(line.strip()):
-            at = (heading[1], count.get(heading[1], 0))
-            count[heading[1]] = at[1] + 1
+        if heading := SECTION_PATTERN.fullmatch(line.strip()):
+            section = heading[1]
+            place = (section, section_counts.get(section, 0))
+            section_counts[section] = place[1] + 1
         key = line.partition("=")[0].strip()
-        if at == ("", 0) and key == "name":
+        if place == TOP and key == "name":
             line = f'name = "{name}"'
-        if (*at, key) in left:
-            value = left.pop((*at, key))
+        if (*place, key) in pending:
+            value = pending.pop((*place, key))
             if value is None:
                 continue
-            line = f"{key} = {value}" if BARE.fullmatch(value) else f'{key} = "{value}"'
+            line = f"{key} = {value}" if UNQUOTED_PATTERN.fullmatch(value) else f'{key} = "{value}"'
         lines.append(line)
-    if left:
-        raise Unwritable(f"{name}: the site file has no {' '.join(map(str, next(iter(left))))}")
+    if pending:
+        missing = " ".join(map(str, next(iter(pending))))
+        raise VariantError(f"{name}: the site file has no {missing}")
     return "\n".join(lines) + "\n"
 
 
 def main(arguments: list[str]) -> int:
+    """Writes all variants; returns the exit status."""
     if len(arguments) != 1:
         print("usage: python benchmarks/variants.py SITE.toml", file=sys.stderr)
         return 2
@@ -88,10 +102,13 @@
         FOLDER.mkdir(exist_ok=True)
         for name, changes in VARIANTS.items():
             (FOLDER / f"{name}.toml").write_text(variant(text, name, changes))
-        for beside in BESIDE:
-            shutil.copyfile(site.parent / beside, FOLDER / beside)
-    except (OSError, Unwritable) as error:
-        print(f"variants: {error}; give the site file with {', '.join(BESIDE)} beside it", file=sys.stderr)
+        for file_name in COMPANION_FILES:
+            shutil.copyfile(site.parent / file_name, FOLDER / file_name)
+    except (OSError, VariantError) as error:
+        print(
+            f"variants: {error}; give the site file with {', '.join(COMPANION_FILES)} beside it",
+            file=sys.stderr,
+        )
         return 1
     print(f"written: {', '.join(f'deploy/sites/{name}.toml' for name in VARIANTS)}")
     return 0
