--- a/benchmarks/purges.py
+++ b/benchmarks/purges.py
@@ -1,4 +1,4 @@
-"""What purges cost: marks against plain dicts and lists, a req, the ledger, catching up, members.
+"""What purges cost: the index against plain dicts and lists, a request, the purge log, catching up, members.
 
 .venv/bin/python benchmarks/purges.py [marks|req|ledger|members]
 """
@@ -9,6 +9,7 @@
 import tempfile
 import time
 import tracemalloc
+from collections.abc import Callable
 
 import anyio
 
@@ -18,6 +19,7 @@
 from quartzrouter.purge_log.query_client import QueryClient
 from quartzrouter.purge_log.server import PurgeLogServer
 from quartzrouter.purges import messages
+from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
 from quartzrouter.purges.freshness_lease import FreshnessLease, lease_length
 from quartzrouter.purges.messages import Purge, PurgeRequest
 from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
@@ -26,182 +28,206 @@
 from quartzrouter.server.process import wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-GRACE = 300_000
-LIFE = 3_600_000_000
-LOOKS = 2_000
+GRACE = 300_000  # us
+LIFETIME = 3_600_000_000  # us, of index entries
+LOOKUPS = 2_000
+FEW_LOOKUPS = 50  # where one takes milliseconds
+NOW = 10**9  # us
+PIPELINED_PURGES = 10_000
+PURGES_WITH_MEMBERS = 500
 
 
-def made(count: int, chance: random.Random) -> list[Purge]:
+def random_purges(count: int, chance: random.Random) -> list[Purge]:
     """Half objects, three tenths tags, two tenths patterns."""
-    found = []
+    purges = []
     for n in range(1, count + 1):
-        what = chance.random()
-        kind = "object" if what < 0.5 else "tag" if what < 0.8 else "pattern"
-        value = {"object": f"o{n}", "tag": f"t{n}", "pattern": f"/p{n % 977}/*-{n}/**"}[kind]
-        found.append(Purge(n, n, kind, (value,)))
-    return found
+        draw = chance.random()
+        kind = "object" if draw < 0.5 else "tag" if draw < 0.8 else "pattern"
+        values = {"object": f"o{n}", "tag": f"t{n}", "pattern": f"/p{n % 977}/*-{n}/**"}
+        purges.append(Purge(n, n, kind, (values[kind],)))
+    return purges
 
 
-class Plain:
-    """The same in a dict each for objects and tags, and a list of expressions."""
+class PlainIndex:
+    """The same in a dict each for objects and tags, and a list of regular expressions."""
 
     def __init__(self):
         self.objects, self.tags, self.patterns = {}, {}, []
 
-    def add(self, purge: Purge, when: int) -> None:
+    def add(self, purge: Purge, purged_at: int) -> None:
+        """Adds a purge."""
         value = purge.values[0]
         if purge.kind == "pattern":
-            body = "/".join("[^/]*".join(map(re.escape, part.split("*"))) for part in value[:-3].split("/"))
-            self.patterns.append((re.compile(body + "(/.*)"), when))
+            parts = value.removesuffix("/**").split("/")
+            body = "/".join("[^/]*".join(map(re.escape, part.split("*"))) for part in parts)
+            self.patterns.append((re.compile(body + "(/.*)"), purged_at))
+        elif purge.kind == "object":
+            self.objects[value] = purged_at
         else:
-            (self.objects if purge.kind == "object" else self.tags)[value] = when
+            self.tags[value] = purged_at
 
-    def newest(self, asked: PurgeLookup, tags, store: str) -> int:
-        best = max([self.objects.get(asked.object_key, 0), *(self.tags.get(tag, 0) for tag in tags)])
-        for expression, when in self.patterns:
-            if when > best and expression.fullmatch(asked.path):
-                best = when
-        return best
+    def newest(self, lookup: PurgeLookup, tags: tuple[str, ...], store: str) -> int:
+        """Returns the time of the newest purge that matches."""
+        newest = max([self.objects.get(lookup.object_key, 0), *(self.tags.get(tag, 0) for tag in tags)])
+        for expression, purged_at in self.patterns:
+            if purged_at > newest and expression.fullmatch(lookup.path):
+                newest = purged_at
+        return newest
 
 
-def filled(name: str, purges: list[Purge]) -> "PurgeIndex | Plain":
-    held = PurgeIndex(LIFE, 10_000_000) if name == "own" else Plain()
+def filled(name: str, purges: list[Purge]) -> "PurgeIndex | PlainIndex":
+    """An index with purges."""
+    index = PurgeIndex(LIFETIME, 10_000_000) if name == "own" else PlainIndex()
     for purge in purges:
-        held.add(purge, purge.purged_at)
-    return held
+        index.add(purge, purge.purged_at)
+    return index
 
 
-def marks() -> None:
+def seconds(function: Callable[[], object]) -> float:
+    """Seconds that a call takes."""
+    began = time.perf_counter()
+    function()
+    return time.perf_counter() - began
+
+
+def measure_index() -> None:
+    """Prints what an added purge, a lookup and the memory of both indexes cost."""
     print(f"{'marks':>9} {'kind':6} {'add us':>8} {'look us':>9} {'MB':>7}")
     for count in (1_000, 10_000, 100_000, 1_000_000):
         for name in ("own", "plain"):
             if name == "plain" and count > 100_000:
-                continue  # a look takes a second
-            chance = random.Random(1)
-            purges = made(count, chance)
-            tracemalloc.start()
-            held = filled(name, purges)
-            size = tracemalloc.get_traced_memory()[0]
-            tracemalloc.stop()
-            began = time.perf_counter()
-            held = filled(name, purges)
-            added = time.perf_counter() - began
-            looks = LOOKS if count < 100_000 or name == "own" else 50
-            asked = [
-                PurgeLookup("page", f"o{chance.randrange(count)}", "x", f"/p{n % 977}/rose-{n}/1")
-                for n in range(looks)
-            ]
-            began = time.perf_counter()
-            for each in asked:
-                held.newest(each, ("t1", "t7"), "north")
-            looked = time.perf_counter() - began
-            print(
-                f"{count:9} {name:6} {added / count * 1e6:8.1f} {looked / looks * 1e6:9.1f} {size / 1e6:7.1f}"
-            )
-
-
-def req() -> None:
-    """Bound and judgement of one req under live marks, in us."""
-    from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
-
+                continue  # a lookup takes a second
+            measure_index_of(name, count)
+
+
+def measure_index_of(name: str, count: int) -> None:
+    """Prints the line of one index and size."""
+    chance = random.Random(1)
+    purges = random_purges(count, chance)
+    tracemalloc.start()
+    index = filled(name, purges)
+    megabytes = tracemalloc.get_traced_memory()[0] / 1e6
+    tracemalloc.stop()
+    add_us = seconds(lambda: filled(name, purges)) / count * 1e6
+    lookup_count = LOOKUPS if count < 100_000 or name == "own" else FEW_LOOKUPS
+    lookups = [
+        PurgeLookup("page", f"o{chance.randrange(count)}", "x", f"/p{n % 977}/rose-{n}/1")
+        for n in range(lookup_count)
+    ]
+    tags = ("t1", "t7")
+    lookup_us = seconds(lambda: [index.newest(each, tags, "north") for each in lookups]) / lookup_count * 1e6
+    print(f"{count:9} {name:6} {add_us:8.1f} {lookup_us:9.1f} {megabytes:7.1f}")
+
+
+def measure_request() -> None:
+    """Prints what bounding and judging the copy of one request costs."""
     for count in (0, 1_000, 100_000):
-        fleet, chance = FleetPurges(GRACE, LIFE, 1_000_000, 65_536), random.Random(1)
-        fleet.lease.renew(10**9)
-        fleet.apply(ApplyPurges(tuple(made(count, chance)), 0), count, 10**9)
-        asked = [PurgeLookup("page", f"x{n}", "x", f"/p{n % 977}/rose-{n}/1") for n in range(LOOKS)]
+        fleet_purges = FleetPurges(GRACE, LIFETIME, 1_000_000, 65_536)
+        fleet_purges.lease.renew(NOW)
+        update = ApplyPurges(tuple(random_purges(count, random.Random(1))), 0)
+        fleet_purges.apply(update, count, NOW)
+        lookups = [PurgeLookup("page", f"x{n}", "x", f"/p{n % 977}/rose-{n}/1") for n in range(LOOKUPS)]
         copy = CachedCopy(0, 5, ("t-a", "t-b"))
         began = time.perf_counter()
-        for each in asked:
-            fleet.max_age(each, "north", ("c", "p"), 8_000_000, 10**9)
-            fleet.accepts(each, "north", copy, 10**9, 0)
-        print(f"{count:7} marks: {(time.perf_counter() - began) / LOOKS * 1e6:6.1f} us a req")
+        for lookup in lookups:
+            fleet_purges.max_age(lookup, "north", ("c", "p"), 8_000_000, NOW)
+            fleet_purges.accepts(lookup, "north", copy, NOW, 0)
+        print(f"{count:7} marks: {(time.perf_counter() - began) / LOOKUPS * 1e6:6.1f} us a req")
 
 
-async def _ledger() -> None:
+def measure_log() -> None:
+    """Prints how many purges a second the log makes durable, by the size of batches."""
     with tempfile.TemporaryDirectory() as folder:
-        disk = RealDisk(folder)
-        log, n = PurgeLog(disk), 0
-        for each in (1, 16, 256, 4_096):
-            began, rounds = time.perf_counter(), 50 if each < 4_096 else 10
+        log = PurgeLog(RealDisk(folder))
+        for batch_size in (1, 16, 256, 4_096):
+            rounds = 50 if batch_size < 4_096 else 10
+            began = time.perf_counter()
             for _ in range(rounds):
+                first = log.head + 1
                 log.append(
-                    [Purge(n + k, n + k, "tag", ("rose",), key=f"k{n + k}") for k in range(1, each + 1)]
+                    [Purge(n, n, "tag", ("rose",), key=f"k{n}") for n in range(first, first + batch_size)]
                 )
-                n += each
             took = time.perf_counter() - began
-            print(
-                f"log: {each:5} at once: {rounds * each / took:9.0f} purges/s, "
-                f"{took / rounds * 1e3:.2f} ms a sync"
-            )
-    for many in (10_000,):
-        with tempfile.TemporaryDirectory() as folder:
-            async with anyio.create_task_group() as tasks:
-                ledger, at = await _start(tasks, folder)
-                began = time.perf_counter()
-                await QueryClient([at], 30).ask_all(
-                    [PurgeRequest("tag", (f"t{n}",), key=f"k{n}") for n in range(many)]
-                )
-                print(f"ledger: {many} purges at once: {many / (time.perf_counter() - began):.0f} purges/s")
-                for back in (100, 1_000, 10_000):
-                    follower = PurgeReplica(
-                        "r", "watcher", "t", FreshnessLease(lease_length(GRACE)), many - back
-                    )
-                    began = time.perf_counter()
-                    held, pieces = PurgeIndex(LIFE, 1 << 30), 0
-                    stream = await anyio.connect_tcp(*at)
-                    await stream.send(messages.encode_line(follower.start_connection()))
-                    async for data in read_lines(stream):
-                        for given in follower.receive(messages.decode_from_purge_log(data), wall_clock()):
-                            if isinstance(given, ApplyPurges):
-                                for purge in given.purges:
-                                    held.add(purge, purge.purged_at)
-                                    pieces += 1
-                        if follower.applied_up_to == many:
-                            break
-                    await stream.aclose()
-                    print(f"catching up: {back:6} missed: {(time.perf_counter() - began) * 1e3:7.1f} ms")
-                tasks.cancel_scope.cancel()
+            rate = rounds * batch_size / took
+            print(f"log: {batch_size:5} at once: {rate:9.0f} purges/s, {took / rounds * 1e3:.2f} ms a sync")
 
 
-async def _start(tasks, folder):
+async def start_server(tasks: anyio.abc.TaskGroup, folder: str) -> tuple[PurgeLogServer, tuple[str, int]]:
+    """A purge log in this process, and its address."""
     listeners = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
-    at = ("127.0.0.1", listeners.extra(anyio.abc.SocketAttribute.local_port))
-    ledger = PurgeLogServer(RealDisk(folder), GRACE, RateLimitedLog("ledger", wall_clock))
-    tasks.start_soon(ledger.run, list(listeners.listeners))
-    return ledger, at
+    address = ("127.0.0.1", listeners.extra(anyio.abc.SocketAttribute.local_port))
+    server = PurgeLogServer(RealDisk(folder), GRACE, RateLimitedLog("ledger", wall_clock))
+    tasks.start_soon(server.run, list(listeners.listeners))
+    return server, address
 
 
-async def _members() -> None:
-    """Members in this one process, which is slower than as many processes would be."""
+async def measure_server() -> None:
+    """Prints how fast the purge log accepts pipelined purges, and how fast a member catches up."""
+    with tempfile.TemporaryDirectory() as folder:
+        async with anyio.create_task_group() as tasks:
+            _, address = await start_server(tasks, folder)
+            requests = [PurgeRequest("tag", (f"t{n}",), key=f"k{n}") for n in range(PIPELINED_PURGES)]
+            began = time.perf_counter()
+            await QueryClient([address], 30).ask_all(requests)
+            rate = PIPELINED_PURGES / (time.perf_counter() - began)
+            print(f"ledger: {PIPELINED_PURGES} purges at once: {rate:.0f} purges/s")
+            for missed in (100, 1_000, 10_000):
+                took = await catch_up(address, PIPELINED_PURGES - missed, PIPELINED_PURGES)
+                print(f"catching up: {missed:6} missed: {took * 1e3:7.1f} ms")
+            tasks.cancel_scope.cancel()
+
+
+async def catch_up(address: tuple[str, int], applied_up_to: int, head: int) -> float:
+    """Seconds until a member that lacks purges has all up to the head in an index."""
+    replica = PurgeReplica("r", "watcher", "t", FreshnessLease(lease_length(GRACE)), applied_up_to)
+    index = PurgeIndex(LIFETIME, 1 << 30)
+    began = time.perf_counter()
+    async with await anyio.connect_tcp(*address) as stream:
+        await stream.send(messages.encode_line(replica.start_connection()))
+        async for line in read_lines(stream):
+            for effect in replica.receive(messages.decode_from_purge_log(line), wall_clock()):
+                if isinstance(effect, ApplyPurges):
+                    for purge in effect.purges:
+                        index.add(purge, purge.purged_at)
+            if replica.applied_up_to == head:
+                break
+    return time.perf_counter() - began
+
+
+async def run_member(address: tuple[str, int], name: str) -> None:
+    """A router that does nothing but acknowledge."""
+    replica = PurgeReplica(name, "router", "t", FreshnessLease(lease_length(GRACE)))
+    stream = await anyio.connect_tcp(*address)
+    await stream.send(messages.encode_line(replica.start_connection()))
+    async for line in read_lines(stream):
+        for effect in replica.receive(messages.decode_from_purge_log(line), wall_clock()):
+            if isinstance(effect, SendMessage):
+                await stream.send(messages.encode_line(effect.message))
+
+
+async def measure_members() -> None:
+    """Prints delays until all members have a purge; they share this process, and are slower for it."""
     for count in (1, 6, 24):
         with tempfile.TemporaryDirectory() as folder:
             async with anyio.create_task_group() as tasks:
-                ledger, at = await _start(tasks, folder)
-
-                async def member(n: int, at=at) -> None:
-                    follower = PurgeReplica(f"r{n}", "router", "t", FreshnessLease(lease_length(GRACE)))
-                    stream = await anyio.connect_tcp(*at)
-                    await stream.send(messages.encode_line(follower.start_connection()))
-                    async for data in read_lines(stream):
-                        for given in follower.receive(messages.decode_from_purge_log(data), wall_clock()):
-                            if isinstance(given, SendMessage):
-                                await stream.send(messages.encode_line(given.message))
-
+                server, address = await start_server(tasks, folder)
                 for n in range(count):
-                    tasks.start_soon(member, n)
+                    tasks.start_soon(run_member, address, f"r{n}")
                 await anyio.sleep(0.5)
-                client = QueryClient([at])
-                for n in range(500):
+                client = QueryClient([address])
+                for n in range(PURGES_WITH_MEMBERS):
                     await client.ask(PurgeRequest("tag", ("rose",), key=f"k{n}"))
                     await anyio.sleep(0.004)
                 await anyio.sleep(0.3)
-                told = {
-                    k: round(v / 1000, 1) for k, v in ledger.registry.delay_summary().items() if k[0] in "ph"
+                registry = server.registry
+                delays_ms = {
+                    name: round(delay / 1000, 1)
+                    for name, delay in registry.delay_summary().items()
+                    if name not in ("purges", "missed")
                 }
                 print(
-                    f"{count:3} routers: ms from taking to the last acknowledgement {told}, "
-                    f"promised {ledger.registry.current_promise / 1000:.0f}, "
-                    f"missed {ledger.registry.missed_promises}"
+                    f"{count:3} routers: ms from taking to the last acknowledgement {delays_ms}, "
+                    f"promised {registry.current_promise / 1000:.0f}, missed {registry.missed_promises}"
                 )
                 tasks.cancel_scope.cancel()
 
@@ -209,10 +235,11 @@
 if __name__ == "__main__":
     wanted = sys.argv[1:] or ["marks", "req", "ledger", "members"]
     if "marks" in wanted:
-        marks()
+        measure_index()
     if "req" in wanted:
-        req()
+        measure_request()
     if "ledger" in wanted:
-        anyio.run(_ledger, backend_options=BACKEND_OPTIONS)
+        measure_log()
+        anyio.run(measure_server, backend_options=BACKEND_OPTIONS)
     if "members" in wanted:
-        anyio.run(_members, backend_options=BACKEND_OPTIONS)
+        anyio.run(measure_members, backend_options=BACKEND_OPTIONS)
--- a/quartzrouter/purges/purge_index.py
+++ b/quartzrouter/purges/purge_index.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Iterable
+from functools import lru_cache
 from typing import NamedTuple
 
 from quartzrouter.purges.messages import Purge
@@ -28,6 +29,13 @@
 EVERYWHERE = ScopeKey("", "")
 
 
+@lru_cache(MAX_SCOPES)
+def _scopes_of(vhost: str, store: str) -> tuple[ScopeKey, ...]:
+    """The scopes that hold for a vhost and a store; cached, as every request asks for them twice."""
+    scopes = (ScopeKey(vhost, store), ScopeKey(vhost, ""), ScopeKey("", store), EVERYWHERE)
+    return tuple(dict.fromkeys(scopes))
+
+
 class PurgeLookup(NamedTuple):
     """What purges are matched against: one request, as the router sees it."""
 
@@ -150,12 +158,7 @@
                 if key.vhost in ("", lookup.vhost):
                     newest = scope.newest(lookup, tags, newest)
             return newest
-        for key in {
-            ScopeKey(lookup.vhost, store),
-            ScopeKey(lookup.vhost, ""),
-            ScopeKey("", store),
-            EVERYWHERE,
-        }:
+        for key in _scopes_of(lookup.vhost, store):
             scope_or_none = self.scopes.get(key)
             if scope_or_none:
                 newest = scope_or_none.newest(lookup, tags, newest)
