--- a/tests/test_site_purges.py
+++ b/tests/test_site_purges.py
@@ -152,8 +152,10 @@
         """When the copy was made that the router responds with, in us; its response where it has none."""
         self.request_id += 1
         fields = {"HTTP_X_SUBJECT": None, "HTTP_X_CHUNK": None, "HTTP_X_DEADLINE_MS": "3000"}
-        await self.client.begin(1, path=path, HTTP_X_CORRELATION_ID=f"{self.request_id:016x}", **fields)
-        response = await self.client.end()
+        await self.client.send_request(
+            1, path=path, HTTP_X_CORRELATION_ID=f"{self.request_id:016x}", **fields
+        )
+        response = await self.client.receive_response()
         return int(response.split(" ")[-4].strip("'")) if " 200 OK" in response else response
 
     async def cached(self, path="/a"):
@@ -338,12 +340,12 @@
         fleet_purges, pool_router = site.fleet_purges, site.router.force
         fleet_purges.index.expired_up_to = 1
         fleet_purges.caches_caught_up = {"n1": 1}
-        route = pool_router.rule(Asked("north", "", "/a", "GET", {}, {}), "")
+        route = pool_router.select_route(Asked("north", "", "/a", "GET", {}, {}), "")
         from_origin = Forward(0, "n1", "o", 1, 0, True, False, 1_000_000, 1 << 62)
         from_parent = replace(from_origin, fill_source="p")
         now = fleet_purges.lease.started_at
-        assert pool_router._oldest(route, from_origin, now) == 0
-        assert pool_router._oldest(route, from_parent, now) == 1_000_000
+        assert pool_router.purge_bounds.max_age(route, from_origin, now) == 0
+        assert pool_router.purge_bounds.max_age(route, from_parent, now) == 1_000_000
         site.proxy.hold()
         await site.stop_purge_log()
         client = site.router.link
