--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -132,7 +132,7 @@
             purged_up_to = await self.connections[0].request("GET", "/purged", ())
         except DeliveryError as error:
             if was_up:
-                self.report.say("cache", f"{self.name}: {error}; away until it answers")
+                self.report.say("cache", f"{self.name}: {error}; unreachable until it answers")
             self.queue.unreachable(wall_clock())
         else:
             if not was_up:
@@ -140,7 +140,9 @@
             lacks_nothing = self.queue.reported(purged_up_to, self.replica.applied_up_to, wall_clock())
             if not lacks_nothing:
                 self.replica.applied_up_to = purged_up_to
-                self.client.reconnect(f"{self.name}: heard anew from {purged_up_to}", 0)
+                self.client.reconnect(
+                    f"{self.name}: the cache has lost purges; receiving again from {purged_up_to}", 0
+                )
         self._acknowledge(wall_clock())
         self.queue_changed.set()
 
--- a/quartzrouter/purge_log/member_client.py
+++ b/quartzrouter/purge_log/member_client.py
@@ -89,7 +89,7 @@
                     await self._follow(host, port)
             except* Exception as group:  # what ends a connection ends nothing else
                 failure = describe(first_error(group))
-                self.report.say("ledger", f"{host}:{port}: {failure}; connecting anew")
+                self.report.say("ledger", f"{host}:{port}: {failure}; reconnecting")
             self.outgoing.close()
             await anyio.sleep(self.backoff.next_delay() / MICROSECONDS_PER_SECOND)
 
--- a/quartzrouter/purge_log/process.py
+++ b/quartzrouter/purge_log/process.py
@@ -11,6 +11,7 @@
 from quartzrouter.purge_log.leadership import wait_for_silent_primary
 from quartzrouter.purge_log.quota_service import NOT_HELD, WITHOUT_LEASE
 from quartzrouter.purge_log.server import PurgeLogServer
+from quartzrouter.purges.registry import PurgeRegistry
 from quartzrouter.quota.budget import Budget
 from quartzrouter.quota.slow_start import SlowStartTerms
 from quartzrouter.server.clock import steady_clock, wall_clock
@@ -55,12 +56,11 @@
     process = _Process(report, read_budgets, lease_client)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(process.handle_signals, tasks.cancel_scope)
-        listeners = await _listeners(address)
+        listeners = await _listen(address)
         if primary:
-            for listener in listeners:  # nobody is to connect to it meanwhile
-                await listener.aclose()
+            await _close(listeners)  # nobody is to connect to a standby
             await wait_for_silent_primary(primary, grace, report)
-            listeners = await _listeners(address)
+            listeners = await _listen(address)
         budgets, slow_start_terms = read_budgets() if read_budgets else (None, None)
         server = PurgeLogServer(
             RealDisk(folder),
@@ -75,8 +75,7 @@
         process.server = server
         if lease_client:
             tasks.start_soon(lease_client.run)
-        state = f"epoch {server.registry.epoch}, purges up to {server.registry.head}"
-        report.say("process", f"{state}, at {address[0]}:{address[1]}")
+        process.report_start(server.registry, address)
         has_led_until_stopped = await server.run(listeners)
         if not has_led_until_stopped:
             process.exit_status = EXIT_FENCED
@@ -102,6 +101,11 @@
         self.server: PurgeLogServer | None = None
         self.exit_status = EXIT_STOPPED
 
+    def report_start(self, registry: PurgeRegistry, address: tuple[str, int]) -> None:
+        """Writes the log line of a start."""
+        state = f"epoch {registry.epoch}, purges up to {registry.head}"
+        self.report.say("process", f"{state}, at {address[0]}:{address[1]}")
+
     async def handle_signals(self, running: anyio.CancelScope) -> None:
         """Reads the budgets again at SIGHUP; ends the process at SIGTERM and SIGINT."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
@@ -138,7 +142,12 @@
     return token
 
 
-async def _listeners(address: tuple[str, int]) -> list[anyio.abc.Listener]:
+async def _listen(address: tuple[str, int]) -> list[anyio.abc.Listener]:
     host, port = address
     listeners = await anyio.create_tcp_listener(local_host=host, local_port=port)
     return list(listeners.listeners)
+
+
+async def _close(listeners: list[anyio.abc.Listener]) -> None:
+    for listener in listeners:
+        await listener.aclose()
--- a/quartzrouter/purge_log/server.py
+++ b/quartzrouter/purge_log/server.py
@@ -18,7 +18,7 @@
 from quartzrouter.purge_log.quota_service import WITHOUT_LEASE, QuotaService
 from quartzrouter.purge_log.requests import RequestHandler
 from quartzrouter.purge_log.sessions import Sessions
-from quartzrouter.purges.messages import RequestRejected
+from quartzrouter.purges.messages import Purge, RequestRejected
 from quartzrouter.purges.registry import PurgeRegistry
 from quartzrouter.quota.budget import Budget
 from quartzrouter.quota.slow_start import SlowStartTerms
@@ -79,8 +79,8 @@
         registry = PurgeRegistry(self.log.epoch, grace, self.now())
         registry.recover(recovered.purges, recovered.trimmed_up_to, recovered.low_watermark)
         if recovered.torn_bytes:
-            torn = f"{recovered.torn_bytes} bytes of a write that was cut short"
-            self.report.say("log", f"{recovered.last_segment}: {torn} are passed over")
+            torn_write = f"a torn write of {recovered.torn_bytes} bytes"
+            self.report.say("log", f"{recovered.last_segment}: {torn_write} is ignored")
         return registry
 
     @property
@@ -131,7 +131,7 @@
             if self.log.purges_since_snapshot >= self.compact_after:
                 await self._compact()
 
-    def _mark_durable(self, batch) -> None:
+    def _mark_durable(self, batch: list[Purge]) -> None:
         self.registry.mark_durable(batch[-1].sequence_number, self.now())
         for purge in batch:
             self.requests.settle(purge.sequence_number, None)
--- a/quartzrouter/purges/replica.py
+++ b/quartzrouter/purges/replica.py
@@ -128,7 +128,7 @@
             reason = f"{message.place}: {message.reason}; {message.remedy}"
             return [EndConnection(reason, message.retry_after or RECONNECT_AFTER)]
         if not self.is_welcomed and not isinstance(message, Welcome):
-            return [EndConnection(f"a {type(message).__name__} before any welcome")]
+            return [EndConnection(f"a {type(message).__name__} before a Welcome")]
         match message:
             case Welcome():
                 return self._welcomed(message, now)
@@ -140,7 +140,7 @@
                 return self._received_heartbeat(message, now)
             case CaughtUp() | QuotaGrants() | EjectionVerdicts():
                 return [message]
-        return [EndConnection(f"a {type(message).__name__} that nobody asked for")]
+        return [EndConnection(f"an unexpected {type(message).__name__}")]
 
     def acknowledge(self, applied_up_to: int, now: int, is_unreachable: bool = False) -> SendMessage:
         """Acknowledges every purge up to a sequence number.
@@ -212,10 +212,10 @@
         purges are missing, and a renewed lease would vouch for them.
         """
         if heartbeat.epoch != self.epoch:
-            return [EndConnection(f"a beat of epoch {heartbeat.epoch} in {self.epoch}")]
+            return [EndConnection(f"a heartbeat of epoch {heartbeat.epoch} in epoch {self.epoch}")]
         if heartbeat.head > self.applied_up_to:
             return [
-                EndConnection(f"the head is {heartbeat.head} and {self.applied_up_to} was the last to come")
+                EndConnection(f"the head is {heartbeat.head}, and purges came up to {self.applied_up_to}")
             ]
         self.clock_offsets.append(now - heartbeat.server_time)
         ack_sent_at = self.unechoed_acks.get(heartbeat.echoed_ack)
