--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -61,17 +61,20 @@
 
 
 def test_without_the_lease_a_router_that_was_cut_off_answers_with_old_copies(monkeypatch):
+    """A router is cut off, and a purge comes that it never hears of."""
     monkeypatch.setattr(FreshnessLease, "max_age", lambda self, now: 0)
     assert "answers at" in missed(Bounds(steps=2, cuts=1)).broken
 
 
 def test_without_marks_purges_that_were_heard_do_not_hold(monkeypatch):
+    """A router receives a purge and forgets it: its cache still has the old copy."""
     monkeypatch.setattr(FleetPurges, "_add", lambda self, purge, purged_at: None)
     found = missed(Bounds(steps=2))
     assert "answers at" in found.broken and ("hear", 0) in found.trace
 
 
 def test_without_the_wait_for_older_leases_too_much_is_told_complete(monkeypatch):
+    """A purge log restarts and counts a purge as complete while a router serves under an older lease."""
     begin = PurgeRegistry.__init__
 
     def at_once(self, *arguments, **other):
@@ -83,6 +86,7 @@
 
 
 def test_an_echo_that_vouches_for_what_is_not_durable_is_missed(monkeypatch):
+    """A purge is admitted and not durable when the purge log crashes: no router may hold a lease past it."""
     monkeypatch.setattr(
         PurgeRegistry, "ack_to_echo", lambda self, member: member.acks[-1].ack_id if member.acks else 0
     )
@@ -90,6 +94,8 @@
 
 
 def test_a_ledger_that_does_not_look_for_others_is_missed():
+    """A purge log wakes after a takeover: its heartbeats renew leases without the new purges."""
+
     class Blind(PurgeModel):
         def _check(self, world, number):
             connection = world.routers[number].connection
