--- a/tests/test_purge_delivery.py
+++ b/tests/test_purge_delivery.py
@@ -55,7 +55,7 @@
     return sent
 
 
-def test_purges_of_one_object_go_one_after_the_other():
+def test_purges_of_one_object_are_delivered_one_after_the_other():
     """Two purges of one object: were both in flight, the older one's confirmation could come last."""
     queue = queue_of(1, 2, value="same")
     queue.add([purge(3)], 0)
@@ -68,7 +68,7 @@
     assert queue.purged_up_to == 3
 
 
-def test_a_cache_that_came_back_is_told_slowly_at_first():
+def test_a_cache_that_came_back_starts_slowly():
     """A cache comes back and lacks ten thousand purges: at full rate they would slow its requests down."""
     queue = queue_of(*range(1, 10_000))
     sent = deliver(queue, START, START + SECOND)
@@ -77,7 +77,7 @@
     assert RATE * 0.9 < len(later) <= RATE + MAX_IN_FLIGHT
 
 
-def test_what_is_refused_is_tried_again_and_the_others_go_on():
+def test_a_refused_purge_is_retried_and_does_not_hold_up_the_others():
     """A cache refuses two purges now and then: each is retried less often, and the others are not held."""
     refusals_left = {2: 3, 5: 1}
 
@@ -93,7 +93,7 @@
     assert len(times) == 4 and gaps == sorted(gaps) and gaps[0] >= 50_000
 
 
-def test_a_cache_that_does_not_answer_is_asked_less_and_less_often():
+def test_an_unreachable_cache_is_polled_with_backoff():
     """A cache is gone for long. Nothing goes out before it has told what it has purged."""
     queue, backoffs = queue_of(1), []
     for _ in range(12):
@@ -107,7 +107,7 @@
     assert numbers(queue.next_deliveries(now + 10 * SECOND)) == [1]
 
 
-def test_one_that_comes_back_with_an_older_disk_is_told_again():
+def test_a_cache_that_comes_back_with_an_older_disk_gets_its_purges_again():
     """A cache had confirmed three purges and returns with the first only: the others are received anew."""
     queue = queue_of(1, 2, 3)
     deliver(queue, START + 1 * SECOND, START + 2 * SECOND)
@@ -121,7 +121,7 @@
     assert numbers(queue.next_deliveries(START + 11 * SECOND)) == [2, 3]
 
 
-def test_it_is_trusted_once_it_lacks_little():
+def test_a_cache_counts_as_caught_up_once_it_lacks_little():
     queue = queue_of(*range(1, 1_001))
     queue.received_up_to(1_000)
     assert not queue.is_caught_up
@@ -130,7 +130,7 @@
     assert queue.is_caught_up
 
 
-def test_far_too_many_become_one_of_all_before_them():
+def test_too_many_pending_purges_become_one_of_everything():
     """A cache lacks more than can be delivered in time: the older half becomes one purge of everything."""
     queue = queue_of(*range(1, MAX_PENDING + 2))
     assert len(queue.pending) == MAX_PENDING // 2 + 1 and queue.widened == 1
@@ -145,7 +145,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 10_000))
-def test_whatever_fails_all_is_told_and_nothing_counts_that_was_not_taken(seed):
+def test_whatever_fails_all_purges_are_delivered_and_only_confirmed_ones_count(seed):
     """A cache refuses, loses answers, goes and comes back at random.
 
     At no time counts a purge as in force that the cache hasn't taken, and at the end all are delivered.
--- a/tests/test_purge_index.py
+++ b/tests/test_purge_index.py
@@ -45,7 +45,7 @@
     st.lists(hosts_and_paths, min_size=1, max_size=5),
     st.integers(0, 12),
 )
-def test_a_trie_finds_what_a_list_finds_before_and_after_the_oldest_go(purged, lookups, removed):
+def test_a_trie_finds_what_a_list_finds_before_and_after_the_oldest_expire(purged, lookups, removed):
     """Patterns are purged one after the other, and the oldest of them expire."""
     trie = PatternTrie()
     timed = list(enumerate(purged, 1))
@@ -62,12 +62,12 @@
 
 
 @given(st.text("ab*", max_size=8).filter(lambda text: "*" in text), st.text("ab", max_size=8))
-def test_a_glob_is_its_expression(pattern, text):
+def test_a_glob_matches_what_its_regular_expression_matches(pattern, text):
     expression = ".*".join(map(re.escape, pattern.split("*")))
     assert Glob(pattern).matches(text) == bool(re.fullmatch(expression, text))
 
 
-def test_patterns_made_to_be_slow_are_not():
+def test_hostile_patterns_are_not_slow():
     """Somebody purges patterns on which a regular expression would take for ever."""
     trie = PatternTrie()
     path = "/" + "a" * 2_000 + "/" + "a" * 2_000
@@ -80,7 +80,7 @@
     assert time.perf_counter() - began < 0.1
 
 
-def test_more_hosts_than_a_node_tries_purge_more_and_never_fewer():
+def test_too_many_globs_in_a_node_purge_more_and_never_less():
     trie = PatternTrie()
     for n in range(100):
         trie.add(f"*.h{n}/a", n + 1)
@@ -92,7 +92,7 @@
     assert not trie.newest("www.h99", "/a")
 
 
-def test_a_walk_is_bounded_and_then_takes_too_much():
+def test_a_lookup_is_bounded_and_then_matches_too_much():
     """Four thousand patterns share their parts, so that a lookup would visit most nodes: it is given up."""
     trie = PatternTrie()
     for a in range(16):
@@ -138,7 +138,7 @@
     st.sampled_from([None, frozenset(), frozenset(["/a"])]),
     st.sampled_from(["north", "south", "*"]),
 )
-def test_marks_find_what_a_list_of_all_purges_finds(all_purges, expired, tags, store):
+def test_the_index_finds_what_a_list_of_all_purges_finds(all_purges, expired, tags, store):
     index = PurgeIndex(64 * SECOND, 1_000)  # one slot of the timer wheel is a second
     for n, (kind, values, vhost, purged_store) in enumerate(all_purges, 1):
         index.add(Purge(n, n * SECOND, kind, values, vhost, purged_store), n * SECOND)
@@ -151,7 +151,7 @@
     assert not index.scopes and not len(index)
 
 
-def test_more_marks_than_may_be_held_take_more_and_never_fewer():
+def test_a_full_index_purges_more_and_never_less():
     """Five times more objects are purged than the index holds: the oldest become purges of their vhost."""
     index = PurgeIndex(3_600 * SECOND, 1_000)
     for n in range(1, 5_001):
@@ -165,7 +165,7 @@
     assert index.newest(PurgeLookup("clip", "other", "x", "/"), (), "north") == 0
 
 
-def test_a_purge_without_end_of_scopes_holds_for_all():
+def test_a_purge_beyond_the_limit_of_scopes_holds_for_all():
     """Purges name more vhosts than are kept apart: the rest count for every vhost."""
     index = PurgeIndex(3_600 * SECOND, 10_000)
     for n in range(1, 400):
@@ -174,7 +174,7 @@
     assert index.newest(PurgeLookup("other", "o", "x", "/"), (), "*") == 399
 
 
-def test_tags_are_read_as_caches_write_them():
+def test_tags_are_parsed_as_caches_write_them():
     assert parse_tags(None, None, None) is None
     assert parse_tags("rose, care , rose", None, None) == ("care", "rose")
     assert parse_tags(None, "rose  care", None) == ("care", "rose")
@@ -183,7 +183,7 @@
     assert parse_tags(",".join(f"t{n}" for n in range(40)), None, None) is None  # may carry any
 
 
-def test_tags_of_objects_are_bounded_and_the_least_lately_answered_go():
+def test_object_tags_are_bounded_and_the_least_recent_go():
     object_tags = ObjectTags(100)
     for n in range(1_000):
         object_tags.learn(f"o{n}", (f"t{n}",))
@@ -194,7 +194,7 @@
     assert object_tags.known("bare") is None
 
 
-def test_a_lease_holds_from_what_was_echoed():
+def test_a_lease_starts_at_the_newest_echoed_acknowledgement():
     lease = FreshnessLease(lease_length(300_000))
     assert lease.max_age(0) == 150_000  # nothing was echoed yet
     lease.renew(1_000_000)
--- a/tests/test_purge_log.py
+++ b/tests/test_purge_log.py
@@ -64,7 +64,7 @@
     assert crashes > 150
 
 
-def test_a_cut_write_is_cut_at_every_byte():
+def test_a_torn_write_is_ignored_at_every_byte():
     """A write is cut short at each of its bytes, with or without zeros behind: it was not promised."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
@@ -79,7 +79,7 @@
             assert found.head == (3 if end == len(data) else 2)
 
 
-def test_a_flipped_bit_is_named_wherever_it_stands():
+def test_a_flipped_bit_is_reported_wherever_it_is():
     """One bit of a segment flips, at each byte in turn, also in a length: no purge is dropped silently."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
@@ -94,7 +94,7 @@
         assert log.segment_name in raised.value.place and raised.value.reason and raised.value.remedy
 
 
-def test_a_missing_middle_file_is_missed():
+def test_a_missing_segment_is_reported():
     """Somebody deletes a segment between two others: the header of the next one names it."""
     disk = FaultyDisk()
     log = PurgeLog(disk, max_segment_bytes=200)
@@ -106,7 +106,7 @@
         read_log(disk)
 
 
-def test_a_file_that_ends_too_soon_is_named():
+def test_a_segment_that_ends_too_soon_is_reported():
     """A segment that another one follows has lost its end: that was promised, so it is no torn write."""
     disk = FaultyDisk()
     log = PurgeLog(disk, max_segment_bytes=200)
@@ -133,7 +133,7 @@
     assert read_log(disk).head == 6 and "nothing to mend" in repair(disk)
 
 
-def test_a_full_disk_refuses_and_takes_again_once_there_is_room():
+def test_a_full_disk_rejects_and_accepts_again_once_there_is_room():
     """The disk is full in the middle of a write: the torn write is removed, and purges go on later."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
@@ -148,7 +148,7 @@
     assert read_log(disk).head == 4 and PurgeLog(disk).head == 4
 
 
-def test_after_a_sync_that_failed_nothing_more_goes_to_that_file():
+def test_after_a_failed_sync_the_log_goes_on_in_a_new_segment():
     """A sync fails: nobody knows what is on the disk, so the log goes on in a new segment."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
@@ -161,7 +161,7 @@
     assert log.segment_name != before and numbers(read_log(disk)) == [1, 2]
 
 
-def test_a_writer_that_was_taken_over_from_promises_nothing_more(tmp_path):
+def test_a_fenced_writer_promises_nothing_more(tmp_path):
     """An old writer wakes after a takeover and appends: that stands in its file, and counts for nobody."""
     disk = RealDisk(str(tmp_path))
     old = PurgeLog(disk)
@@ -178,7 +178,7 @@
     assert PurgeLog(disk).head == 4
 
 
-def test_a_snapshot_takes_the_place_of_files(tmp_path):
+def test_a_snapshot_replaces_segments(tmp_path):
     """The log is compacted: one snapshot takes the place of all files but the segment that is written."""
     disk = RealDisk(str(tmp_path))
     log = PurgeLog(disk, max_segment_bytes=200)
--- a/tests/test_purge_log_server.py
+++ b/tests/test_purge_log_server.py
@@ -96,7 +96,7 @@
     await member.stream.send(encode_line(MemberAck(applied_up_to, ack_id)))
 
 
-def test_purges_go_to_members_in_their_order_once_they_are_durable():
+def test_members_get_purges_in_order_once_they_are_durable():
     """Purges come faster than the disk syncs.
 
     Many share one sync. A member that is there from the start gets each once and in order; one that joins
@@ -129,7 +129,7 @@
     play(scene)
 
 
-def test_a_member_is_waited_for_named_and_told_where_caches_stand():
+def test_a_purge_is_complete_once_router_and_cache_have_acknowledged_it():
     """A purge is complete once the router and the cache have acknowledged it; the status names who hasn't."""
 
     async def scene(tasks):
@@ -159,7 +159,7 @@
     play(scene)
 
 
-def test_one_name_is_one_process():
+def test_a_second_process_of_one_name_is_rejected():
     """Two processes have one name, as after a copied configuration.
 
     Each would acknowledge what the other lacks, so the second is rejected. The same process on a new
@@ -184,7 +184,7 @@
     play(scene)
 
 
-def test_a_full_disk_refuses_and_nothing_promised_is_lost():
+def test_a_full_disk_rejects_and_nothing_promised_is_lost():
     """The disk is full while a purge is written: the purge is rejected with a time to retry after.
 
     Once there is room it is accepted under the number that it would have had, and members get both.
@@ -212,7 +212,7 @@
     play(scene)
 
 
-def test_a_ledger_that_was_taken_over_from_ends_and_members_follow(tmp_path):
+def test_a_fenced_purge_log_ends_and_members_follow(tmp_path):
     """A second writer begins on the same folder while the first still serves.
 
     The first finds the higher epoch at its next heartbeat and ends. The second knows what the first had
@@ -237,7 +237,7 @@
     play(scene)
 
 
-def test_who_is_too_far_behind_gets_a_snapshot(tmp_path):
+def test_a_member_that_is_too_far_behind_gets_a_snapshot(tmp_path):
     """Purges are trimmed and the log is compacted: a member that lacks what was trimmed gets a snapshot.
 
     In the folder stay one snapshot and the segment that is written.
@@ -264,7 +264,7 @@
     play(scene)
 
 
-def test_lines_that_nobody_should_write_cost_their_connection_and_nothing_else():
+def test_a_malformed_line_costs_its_connection_and_nothing_else():
     """Somebody sends what is no message: an HTTP request, an unfinished one, no text, a line without end.
 
     Each is rejected or cut off, and the next client is served.
@@ -292,7 +292,7 @@
     play(scene)
 
 
-def test_connections_that_are_reset_at_once_cost_nobody_else(tmp_path):
+def test_connections_that_are_reset_at_once_disturb_nobody_else(tmp_path):
     """Three hundred clients reset their connections at once, half of them behind a purge."""
 
     async def scene(tasks):
--- a/tests/test_purge_registry.py
+++ b/tests/test_purge_registry.py
@@ -55,7 +55,7 @@
     return admitted
 
 
-def test_the_same_purge_sent_twice_is_one_and_another_under_its_key_is_refused():
+def test_a_purge_sent_twice_counts_once_and_another_under_its_key_is_rejected():
     """A client didn't see the answer and sends its purge again: under the key it counts once."""
     registry = new_registry()
     first = admit(registry, 1_000, key="k")
@@ -66,7 +66,7 @@
     assert admit(registry, 9_000).purge.sequence_number == 2
 
 
-def test_a_key_counts_through_a_restart_and_not_for_what_was_lost():
+def test_a_key_survives_a_restart_and_not_the_loss_of_its_purge():
     """The disk didn't take a purge, and then the process restarts: the lost purge may be sent again."""
     registry = new_registry()
     kept = admit(registry, 1_000, key="k").purge
@@ -78,7 +78,7 @@
     assert not admit(restarted, 9_000, key="gone").is_duplicate
 
 
-def test_times_only_grow_also_where_the_clock_is_set_back():
+def test_purge_times_only_grow_also_where_the_clock_is_set_back():
     """The clock stands still and is set back: members bound copies by times, so times only grow."""
     registry = new_registry()
     times = [admit(registry, now).purge.purged_at for now in (5_000, 5_000, 1_000, 9_000)]
@@ -110,7 +110,7 @@
     assert registry.complete_up_to == 1 and registry.missed_promises == 0
 
 
-def test_who_leaves_or_is_away_is_not_waited_for():
+def test_purges_do_not_wait_for_members_that_left_or_are_unreachable():
     """A cache can't be reached and a router stops on purpose: no purge waits for either."""
     registry = new_registry()
     router, cache = join(registry, "r1", NOW), join(registry, "c1", NOW, "cache")
@@ -132,7 +132,7 @@
     assert registry.complete_up_to == 1
 
 
-def test_what_the_log_held_is_complete_only_then_as_well():
+def test_recovered_purges_are_not_complete_before_older_leases_are_over():
     """A purge stood in the log at the start: nobody knows who has applied it, or how long that took."""
     registry = PurgeRegistry(2, GRACE, 1_000_000)
     registry.recover([Purge(1, 999_999, "all")], 0, 0)
@@ -142,7 +142,7 @@
     assert (status.is_complete, status.completed_after, status.delays["purges"]) == (True, 0, 0)
 
 
-def test_a_name_that_is_in_use_is_refused_until_its_lease_is_over():
+def test_a_name_in_use_is_rejected_until_its_lease_is_over():
     """Two processes have one name: the second waits until the first one's lease is over."""
     registry = new_registry()
     first = join(registry, "r1", NOW)
@@ -156,7 +156,7 @@
     assert rejection.place == "epoch"
 
 
-def test_no_echo_vouches_for_what_is_not_durable():
+def test_no_echo_vouches_for_a_purge_that_is_not_durable():
     """An acknowledgement comes while a purge waits for the disk.
 
     The purge holds from its acceptance on and hasn't been sent, so an echo of that acknowledgement would
@@ -172,7 +172,7 @@
     assert registry.ack_to_echo(member) == 3
 
 
-def test_what_is_too_many_or_too_old_is_let_go_and_leaves_a_floor():
+def test_trimmed_purges_leave_a_low_watermark():
     """More purges come than are retained: the time of the last one dropped stays as the low watermark."""
     registry = new_registry(max_retained=10)
     for n in range(30):
@@ -206,7 +206,7 @@
         (PurgeRequest("tag", ("a",), key="k k"), "key", "is no key"),
     ],
 )
-def test_what_cannot_be_purged_is_refused_with_place_reason_and_remedy(request_, place, reason):
+def test_an_invalid_purge_is_rejected_with_place_reason_and_remedy(request_, place, reason):
     rejection = rejection_of(request_)
     assert rejection.place == place and reason in rejection.reason
     assert rejection.remedy and not rejection.retry_after
@@ -230,7 +230,7 @@
     assert all(len(encode_line(page)) <= MAX_LINE_BYTES for page in pages)
 
 
-def test_a_name_that_is_none_is_refused():
+def test_an_invalid_member_name_is_rejected():
     for name, token in (("", "t"), ("a b", "t"), ("n" * 64, "t"), ("r1", "x" * 1_000)):
         assert new_registry().join(MemberHello(name, "router", token), 0).place == "name"
 
@@ -254,7 +254,7 @@
     return [purge.sequence_number for purge in purges]
 
 
-def test_purges_come_in_order_and_once_whatever_the_line_does():
+def test_purges_are_applied_in_order_and_once_whatever_the_connection_does():
     """A line is doubled, one overlaps the last, and one is lost: only the loss ends the connection."""
     replica = welcomed_replica()
     applied, ack = replica.receive(batch_of(1, 2), 4_000)
@@ -266,7 +266,7 @@
     assert isinstance(end, EndConnection) and "5 came after 3" in end.reason and replica.applied_up_to == 3
 
 
-def test_a_lease_starts_when_the_echoed_word_was_sent():
+def test_a_lease_starts_when_the_echoed_acknowledgement_was_sent():
     """Echoes come late and out of order: a lease counts from the sending of the newest echoed one."""
     replica = welcomed_replica()
     replica.receive(Heartbeat(1, 0, 0, 2_000), 10_000)  # answered by acknowledgement 2 at 10 ms
@@ -277,14 +277,14 @@
     assert replica.lease.started_at == 10_000
 
 
-def test_a_beat_that_names_more_than_came_renews_nothing():
+def test_a_heartbeat_with_a_later_head_renews_nothing():
     """Purges were lost on the way: the heartbeat's head shows it, and the connection ends."""
     replica = welcomed_replica()
     (end,) = replica.receive(Heartbeat(1, 3, 1, 2_000), 10_000)
     assert isinstance(end, EndConnection) and replica.lease.started_at is None
 
 
-def test_connections_are_tried_in_turn_and_less_and_less_often():
+def test_addresses_are_tried_in_turn_with_backoff():
     """No purge log answers for a dozen attempts; then one does, and asks to wait before the next."""
     backoff, delays, addresses = ReconnectBackoff(["a", "b"], "r1"), [], []
     for _ in range(12):
@@ -306,7 +306,7 @@
     assert outcomes == [False] * 5 + [True]
 
 
-def test_an_older_epoch_and_a_ledger_that_lost_something_are_left():
+def test_an_older_epoch_and_a_purge_log_that_lost_purges_are_left():
     """A purge log starts with an older folder; later one answers that was taken over from.
 
     The first lacks what is in force here, so the lease ends and everything is asked for anew. The second
@@ -358,7 +358,7 @@
     fleet_purges.apply(ApplyPurges(purges, 0, low_watermark, is_snapshot), applied_up_to, START)
 
 
-def test_a_copy_with_tags_that_nobody_knew_is_judged_when_it_comes():
+def test_a_copy_with_unknown_tags_is_judged_when_it_comes():
     """A purge by tag names an object that this router has never seen, so no age is asked for.
 
     The copy that comes is older than the purge and carries the tag: it is not passed on, and now the tags
@@ -380,7 +380,7 @@
     assert not fleet_purges.accepts(ROSE, "north", new_copy, late, 99 * MILLISECOND)
 
 
-def test_without_an_age_the_clocks_may_differ_by_what_is_told():
+def test_without_an_age_the_origins_time_counts_less_the_clock_skew():
     """A cache doesn't tell a copy's age: the origin's time counts, less what its clock may be ahead."""
     fleet_purges = new_fleet_purges()
     apply(fleet_purges, (START, ("care",)))
@@ -391,7 +391,7 @@
     assert fleet_purges.accepts(ROSE, "north", behind_skew, late, 0)
 
 
-def test_cut_off_a_router_takes_copies_of_a_lease_at_most():
+def test_a_router_that_is_cut_off_takes_copies_no_older_than_a_lease():
     """A router hears nothing for longer than a lease: a purge may have come that it can't know of."""
     fleet_purges = new_fleet_purges()
     assert fleet_purges.max_age(ROSE, "north", (), 0, START + LEASE) == 0
@@ -400,7 +400,7 @@
     assert fleet_purges.max_age(ROSE, "north", (), 0, START + LEASE + 1) == 0
 
 
-def test_a_cache_that_has_not_purged_what_no_mark_tells_of_is_bounded_by_the_life_of_marks():
+def test_copies_of_a_cache_that_lacks_expired_purges_are_bounded_by_the_index_lifetime():
     """A cache was away for longer than the index holds purges: its copies must be younger than that."""
     fleet_purges = new_fleet_purges()
     apply(fleet_purges, (START, ("care",)), (START, ("x",)))
@@ -413,7 +413,7 @@
     assert fleet_purges.max_age(ROSE, "north", ("c2", "c2"), 8 * SECOND, later) == 8 * SECOND
 
 
-def test_a_snapshot_with_a_floor_bounds_all_copies():
+def test_a_snapshot_with_a_low_watermark_bounds_all_copies():
     """The purge log could no longer send every purge: every copy must be younger than the low watermark."""
     fleet_purges = new_fleet_purges()
     apply(
@@ -428,7 +428,7 @@
     assert not fleet_purges.accepts(ROSE, "north", CachedCopy(0, 3 * SECOND, ()), START, 0)
 
 
-def test_what_is_kept_in_a_file_holds_after_a_restart():
+def test_stored_purges_hold_after_a_restart():
     """A router restarts with its stored purges: they hold, and until it has a lease it counts as cut off."""
     fleet_purges = new_fleet_purges()
     apply(fleet_purges, (START, ("care",)), (START, ("x",)))
--- a/tests/test_standalone_purges.py
+++ b/tests/test_standalone_purges.py
@@ -181,7 +181,7 @@
 @pytest.mark.parametrize(
     ("kind", "value"), [("object", "/a"), ("tag", "rose"), ("tag", "a"), ("pattern", "/a*"), ("all", None)]
 )
-def test_a_purge_holds_though_the_cache_was_told_nothing(play, kind, value):
+def test_a_purge_holds_though_it_was_not_delivered_to_the_cache(play, kind, value):
     """No courier runs, so the cache keeps its old copy: the router must not pass it on after the grace."""
 
     async def scene(site):
@@ -199,7 +199,7 @@
     play(scene)
 
 
-def test_tags_that_the_router_never_saw_are_judged_by_the_answer(play):
+def test_a_purge_by_an_unknown_tag_holds_by_the_tags_of_the_response(play):
     """The router knows no tags of the object, so it asks for any copy; the stale one is asked for again."""
 
     async def scene(site):
@@ -213,7 +213,7 @@
     play(scene)
 
 
-def test_a_fill_that_a_purge_overtakes_is_asked_for_again_and_kept_nowhere(play):
+def test_a_fill_that_a_purge_overtakes_is_repeated_and_kept_nowhere(play):
     """A purge comes while the origin makes the copy; before that is answered, the grace is over."""
 
     async def scene(site):
@@ -235,7 +235,7 @@
     play(scene)
 
 
-def test_cut_off_a_router_renews_and_returns_once_it_has_caught_up(play):
+def test_a_router_that_is_cut_off_renews_copies_until_it_has_caught_up(play):
     """The purge log is gone for a while: the router takes copies no older than a lease until it is back."""
 
     async def scene(site):
@@ -278,7 +278,7 @@
     play(scene)
 
 
-def test_old_copies_of_a_cache_that_missed_purges_are_not_trusted_once_marks_have_gone(play):
+def test_old_copies_of_a_cache_that_lacks_purges_are_not_trusted_once_those_have_expired(play):
     """A purge has left the router's index, and the cache that never heard of it still has its old copy."""
 
     async def scene(site):
@@ -302,7 +302,7 @@
 @pytest.mark.parametrize(
     ("kind", "value"), [("object", "/a"), ("tag", "rose"), ("pattern", "/*"), ("all", None)]
 )
-def test_couriers_bring_a_purge_to_the_caches_that_it_names(play, kind, value):
+def test_couriers_deliver_a_purge_to_the_caches_that_it_names(play, kind, value):
     """Couriers deliver: caches drop their copies, the router hears that they have, and it is complete."""
 
     async def scene(site):
@@ -328,7 +328,7 @@
     play(scene)
 
 
-def test_the_origin_is_trusted_and_a_link_without_connection_keeps_nothing(play):
+def test_the_origin_is_trusted_and_messages_without_a_connection_are_dropped(play):
     """The origin is no member: a copy straight from it needs no word that it has purged.
 
     And what is sent to the purge log without a connection is dropped, not kept for the next one.
@@ -387,7 +387,7 @@
         ("bound", purge_by_unseen_tag),
     ],
 )
-def test_each_guard_is_what_keeps_a_purge(play, monkeypatch, guard, purge_in_case, is_taken_out):
+def test_a_purge_does_not_hold_without_each_guard(play, monkeypatch, guard, purge_in_case, is_taken_out):
     """One failure for each guard: with it the old copy is not passed on, without it the old copy is.
 
     Without the bound on ages no cache is asked for a younger copy, so the router has none to respond with.
@@ -414,7 +414,7 @@
 
 
 @pytest.mark.parametrize("guard", [(), ("marks",)])
-def test_a_fleet_under_load_keeps_all_purges_and_the_checker_sees_when_not(guard):
+def test_a_fleet_under_load_serves_no_stale_copy_and_the_checker_finds_those_of_a_mutation(guard):
     """Partitions, kills, a storm of purges, a cache that was away: no response brings a stale copy.
 
     With the purge index taken out of the routers the checker must find many, or it would prove nothing. How
