--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -7,19 +7,9 @@
 Times are whole microseconds.
 """
 
-from dataclasses import dataclass
-
 from quartzrouter.deployment_settings import BYTES_PER_KB
 from quartzrouter.routing.driver import MAINTENANCE_TIMER, RouterDriver
-from quartzrouter.routing.model import (
-    AttemptResult,
-    AttemptStatus,
-    EndpointState,
-    FillStatus,
-    Forward,
-    LoadReport,
-    Request,
-)
+from quartzrouter.routing.model import AttemptStatus, EndpointState, Forward, Request
 from quartzrouter.routing.router import Router
 from quartzrouter.server import cache_protocol, responses
 from quartzrouter.server.cache_protocol import HTTP_NOT_MODIFIED, HTTP_OK
@@ -50,6 +40,7 @@
     StatusQueried,
     TimerFired,
 )
+from quartzrouter.server.pending_request import PendingAttempt, PendingRequest
 from quartzrouter.server.timers import (
     AttemptTimeout,
     ClientDeadline,
@@ -66,39 +57,6 @@
 EXIT_RETRY = 10 * MS  # between two looks whether the last request has its response
 
 
-@dataclass(slots=True)
-class PendingAttempt:
-    """The attempt of a request that is under way; a request has one at most.
-
-    :param decision: what the router decided.
-    :param started_at: when the connection for it was asked for.
-    :param times_out_at: grows once the response's head has told how long the body is.
-    :param is_sent: the connection was ready, and the request has been handed over to be written.
-    :param is_outdated: an endpoint of the decision has become unusable, or a purge has come, since it was
-        made.  Until it is sent it can be decided anew at no cost.
-    """
-
-    decision: Forward
-    started_at: int
-    times_out_at: int
-    is_sent: bool = False
-    is_outdated: bool = False
-    response_head: ResponseHead | None = None
-
-
-@dataclass(slots=True)
-class PendingRequest:
-    """A request in flight: its client is owed a response, or its attempt is still under way.
-
-    :param is_response_owed: False once the client has its response or has gone; the attempt may have to
-        run to its end all the same.
-    """
-
-    client_request: ClientRequest
-    is_response_owed: bool = True
-    attempt: PendingAttempt | None = None
-
-
 class RouterStateMachine(RouterDriver):
     """The router process without its I/O; see the module.
 
@@ -275,13 +233,13 @@
     # -- events of requests ------------------------------------------------------------------------
 
     def _request_received(self, request_id: int, client_request: ClientRequest, now: int) -> None:
-        correlation_id = client_request.correlation_id.lower()
-        if correlation_id in self.open_correlation_ids:
+        pending = PendingRequest(client_request)
+        if pending.correlation_id in self.open_correlation_ids:
             response = responses.invalid(409, "X-Correlation-Id is in use")
             self.effects.append(SendResponse(request_id, response))
             return
-        self.in_flight[request_id] = PendingRequest(client_request)
-        self.open_correlation_ids.add(correlation_id)
+        self.in_flight[request_id] = pending
+        self.open_correlation_ids.add(pending.correlation_id)
         if self.is_closed:
             self._respond(request_id, responses.overloaded(0))
             return
@@ -315,7 +273,7 @@
         if pending is None or not pending.is_response_owed:
             return
         pending.is_response_owed = False
-        self.open_correlation_ids.discard(pending.client_request.correlation_id.lower())
+        self.open_correlation_ids.discard(pending.correlation_id)
         self.cancel_request(request_id, now)
         if pending.attempt and not pending.attempt.is_sent:  # nothing of it has gone out, and nothing will
             self._abandon_attempt(request_id, pending.attempt, AttemptStatus.NOT_SENT, now)
@@ -327,7 +285,7 @@
         pending = self.in_flight[request_id]
         if pending.is_response_owed:
             self.effects.append(SendResponse(request_id, data))
-            self.open_correlation_ids.discard(pending.client_request.correlation_id.lower())
+            self.open_correlation_ids.discard(pending.correlation_id)
         pending.is_response_owed = False
         if not pending.attempt:
             del self.in_flight[request_id]
@@ -338,7 +296,7 @@
         """The attempt that an event or a timer is about; None if it has ended or was cancelled meanwhile."""
         pending = self.in_flight.get(request_id)
         attempt = pending.attempt if pending else None
-        return attempt if attempt and attempt.decision.attempt_number == attempt_number else None
+        return attempt if attempt and attempt.number == attempt_number else None
 
     def _connection_ready(self, request_id: int, attempt: PendingAttempt, now: int) -> None:
         """Sends the request, or ends the attempt unsent where its decision no longer holds."""
@@ -365,7 +323,7 @@
             deadline = self.router.response_deadline(request_id, head.content_length / BYTES_PER_KB)
             if deadline > attempt.times_out_at:
                 attempt.times_out_at = deadline
-                self._add_timer(deadline, AttemptTimeout(request_id, attempt.decision.attempt_number))
+                self._add_timer(deadline, AttemptTimeout(request_id, attempt.number))
 
     def _is_usable(self, client_request: ClientRequest, head: ResponseHead) -> bool:
         """Whether a response may be passed on: its copy is named, and a 304 was asked for."""
@@ -388,28 +346,19 @@
         self, request_id: int, attempt: PendingAttempt, status: AttemptStatus, now: int
     ) -> None:
         """Closes the attempt's connection, and ends the attempt."""
-        self.effects.append(CancelAttempt(request_id, attempt.decision.attempt_number))
+        self.effects.append(CancelAttempt(request_id, attempt.number))
         self._finish_attempt(request_id, attempt, status, now)
 
     def _finish_attempt(
         self, request_id: int, attempt: PendingAttempt, status: AttemptStatus, now: int
     ) -> None:
         """Ends an attempt of which nothing more is heard, and tells the router."""
-        head = attempt.response_head
         pending = self.in_flight[request_id]
         pending.attempt = None
         is_final = not pending.is_response_owed or status is AttemptStatus.SUCCEEDED
         if is_final:
             self.in_flight.pop(request_id, None)
-        result = AttemptResult(
-            attempt_number=attempt.decision.attempt_number,
-            status=status,
-            elapsed=now - attempt.started_at,
-            fill_status=head.fill_status if head else FillStatus.UNKNOWN,
-            final=is_final,
-            load_report=head.load_report if head else LoadReport(),
-        )
-        self.record_result(request_id, result, now)
+        self.record_result(request_id, attempt.result(status, is_final, now), now)
 
     # -- events of endpoints -----------------------------------------------------------------------
 
@@ -426,7 +375,9 @@
         for name, state in states.items():
             if state is EndpointState.GONE:
                 self.addresses.pop(name, None)
-        self._mark_outdated_by_endpoints(unusable)
+        for pending in self.in_flight.values():
+            if pending.attempt and pending.attempt.uses_any(unusable):
+                pending.attempt.is_outdated = True
 
     def _update_addresses(self, addresses: dict[str, tuple[str, int]]) -> None:
         """Takes in where endpoints are; connections to an endpoint's former address are closed."""
@@ -435,26 +386,14 @@
                 self.effects.append(CloseIdleConnections(name))
             self.addresses[name] = address
 
-    def _mark_outdated_by_endpoints(self, unusable: set[str]) -> None:
-        for pending in self.in_flight.values():
-            attempt = pending.attempt
-            if attempt and not unusable.isdisjoint((attempt.decision.endpoint, attempt.decision.fill_source)):
-                attempt.is_outdated = True
-
     def _purged(self, purge: PurgeNotice, now: int) -> None:
         age = max(0, now - purge.purged_at)
         self.router.record_purge(purge.tag, purge.object_key, age, now)
         for pending in self.in_flight.values():
-            if pending.attempt and _is_purged(pending.client_request, purge):
+            if pending.attempt and pending.is_purged_by(purge):
                 pending.attempt.is_outdated = True
 
     def _health_check_done(self, endpoint: str, status: AttemptStatus, now: int) -> None:
         self.health_checks.discard(endpoint)
         if status is not AttemptStatus.NOT_SENT:  # this process had no descriptor left: nothing was learnt
             self.router.record_health_check(endpoint, status, now)
-
-
-def _is_purged(client_request: ClientRequest, purge: PurgeNotice) -> bool:
-    if purge.object_key:
-        return client_request.object_key.lower() == purge.object_key
-    return client_request.tag == purge.tag
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -39,7 +39,8 @@
 from quartzrouter.server.cache_protocol import HTTP_NOT_MODIFIED, HTTP_OK
 from quartzrouter.server.effects import Effect, SendResponse
 from quartzrouter.server.events import AttemptEnded, ClientRequest, EndpointUpdate, Event
-from quartzrouter.server.state_machine import PendingAttempt, RouterStateMachine
+from quartzrouter.server.pending_request import PendingAttempt
+from quartzrouter.server.state_machine import RouterStateMachine
 
 log = logging.getLogger("quartzrouter.routing.router")  # what changes the decisions is logged with them
 
