--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -18,7 +18,7 @@
     MAX_DEADLINE_MS,
     NUMBER_PATTERN,
     TOKEN_PATTERN,
-    InvalidRequest,
+    InvalidRequestError,
 )
 
 MAX_PATH_LENGTH = 2_048  # characters; the configuration has no longer ones
@@ -42,13 +42,13 @@
         """Reads one request.
 
         :param params: CGI parameters by name.
-        :raises InvalidRequest: a field can't be used, or no route takes the request.
+        :raises InvalidRequestError: a field can't be used, or no route takes the request.
         """
         route_query = self.route_query(params)
         client = params.get("HTTP_X_CLIENT") or params.get("REMOTE_ADDR", "")
         selection = self.multi_pool_router.select_route(route_query, client)
         if selection is None:
-            raise InvalidRequest("no route takes it", 404)
+            raise InvalidRequestError("no route takes it", 404)
         idempotency_key = _idempotency_key(params, selection)
         deadline_ms = _deadline_ms(params)
         return ClientRequest(
@@ -66,17 +66,17 @@
     def route_query(self, params: dict[str, str]) -> Asked:
         """What routes are selected by.
 
-        :raises InvalidRequest: path, method, store or query can't be used.
+        :raises InvalidRequestError: path, method, store or query can't be used.
         """
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
         if not path.startswith("/") or len(path) > MAX_PATH_LENGTH:
-            raise InvalidRequest("no path, or one that is too long")
+            raise InvalidRequestError("no path, or one that is too long")
         method = params.get("REQUEST_METHOD", "GET")
         if method not in METHODS:
-            raise InvalidRequest(f"the method is {method!r:.40}")
+            raise InvalidRequestError(f"the method is {method!r:.40}")
         store = params.get("HTTP_X_STORE", self.home)
         if store not in self.multi_pool_router.plan.stores:
-            raise InvalidRequest(f"X-Store is {store!r:.40}")
+            raise InvalidRequestError(f"X-Store is {store!r:.40}")
         headers = _headers(params)
         host = headers.get("host", "").lower().partition(":")[0]
         return Asked(store, host, path, method, headers, _query(params))
@@ -97,16 +97,16 @@
     try:
         return dict(parse_qsl(text, keep_blank_values=True, max_num_fields=MAX_QUERY_PARAMETERS))
     except ValueError:
-        raise InvalidRequest(f"more than {MAX_QUERY_PARAMETERS} parameters") from None
+        raise InvalidRequestError(f"more than {MAX_QUERY_PARAMETERS} parameters") from None
 
 
 def _idempotency_key(params: dict[str, str], selection: RouteSelection) -> str | None:
     """The key by which caches recognise a repeat; a class that goes by keys requires it."""
     key = params.get("HTTP_X_OPERATION_KEY")
     if key is None and selection.vhost.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
-        raise InvalidRequest("X-Operation-Key is missing")
+        raise InvalidRequestError("X-Operation-Key is missing")
     if key is not None and not KEY_PATTERN.fullmatch(key):
-        raise InvalidRequest(f"X-Operation-Key is {key!r:.40}")
+        raise InvalidRequestError(f"X-Operation-Key is {key!r:.40}")
     return key
 
 
@@ -116,7 +116,7 @@
     if text is None:
         return 0
     if not NUMBER_PATTERN.fullmatch(text) or not 0 < int(text) <= MAX_DEADLINE_MS:
-        raise InvalidRequest(f"X-Deadline-Ms is {text!r:.40}")
+        raise InvalidRequestError(f"X-Deadline-Ms is {text!r:.40}")
     return int(text)
 
 
@@ -125,5 +125,5 @@
     value = params.get(name)
     if value is not None and not TOKEN_PATTERN.fullmatch(value):
         header = name.removeprefix(HEADER_PREFIX).replace("_", "-").title()
-        raise InvalidRequest(f"{header} is {value!r:.40}")
+        raise InvalidRequestError(f"{header} is {value!r:.40}")
     return value
