--- a/quartzrouter/standalone/fleet_tasks.py
+++ b/quartzrouter/standalone/fleet_tasks.py
@@ -76,8 +76,8 @@
     async def _request_quota(self) -> None:
         """Requests shares of limits and of slow starts when they are due."""
         while True:
-            wait = self._pool_router.shares.wait()
-            if slow_start_wait := self._pool_router.parts.wait():
+            wait = self._pool_router.quota_client.wait()
+            if slow_start_wait := self._pool_router.slow_start_client.wait():
                 wait = min(wait, slow_start_wait)
             await anyio.sleep(wait / MICROSECONDS)
             self._feed(RequestQuota())
@@ -95,7 +95,7 @@
         counters_before: dict[str, QuotaCounters] = {}
         while True:
             await anyio.sleep(purge_membership.REPORT_INTERVAL)
-            counters_by_limit = self._pool_router.shares.told()
+            counters_by_limit = self._pool_router.quota_client.told()
             for limit, counters in counters_by_limit.items():
                 if changes := shown(counters, counters_before.get(limit, NOTHING)):
                     self._log.say("shares", f"limit {limit}: {changes}")
