--- a/benchmarks/sharing.py
+++ b/benchmarks/sharing.py
@@ -12,16 +12,22 @@
 from quartzrouter.fault_harness import history_checks
 from quartzrouter.fault_harness.fault_schedule import Fault
 from quartzrouter.fault_scenarios.sharing import FEW, RATE, play
-from quartzrouter.fleet_health.aggregator import TELL_EVERY, CacheObservation, HealthAggregator
+from quartzrouter.fleet_health.aggregator import HealthAggregator
+from quartzrouter.fleet_health.messages import CacheObservation
+from quartzrouter.fleet_health.reports import REPORT_INTERVAL
 from quartzrouter.purges import messages as lines
 from quartzrouter.purges.messages import EjectionVerdicts, HealthReport, QuotaGrants, QuotaRequests
 from quartzrouter.quota.allocator import QuotaAllocator
-from quartzrouter.quota.budget import Budget, QuotaRequest
-from quartzrouter.quota.slow_start import SlowStartAllocator, SlowStartRequest, SlowStartTerms
+from quartzrouter.quota.budget import Budget
+from quartzrouter.quota.messages import QuotaRequest
+from quartzrouter.quota.slow_start_allocator import SlowStartAllocator
+from quartzrouter.quota.slow_start_messages import SlowStartRequest, SlowStartTerms
 
 S = 1_000_000
 SECONDS = 4
-BUDGETS = [Budget(f"b{n}", rate=100.0, burst=20.0, slots=40, hold=S, routers=200) for n in range(4)]
+BUDGETS = [
+    Budget(f"b{n}", rate=100.0, burst=20.0, slots=40, max_request_time=S, routers=200) for n in range(4)
+]
 TERMS = SlowStartTerms(S, 0.2, 200, 500_000)
 CACHES, BUSY, COLD = 40, 10, 2  # of a store, in use at one router, cold
 SHAPE = replace(FEW, rate=80, burst=16, demand=120.0, uneven=1 / 6, slots=4_000, slot_floors="100%", askers=0)
@@ -32,7 +38,7 @@
     print("members  lines/s in, out  ms of CPU a second: read, decide, write")
     for members in (12, 24, 200):
         granter, warming, council = (
-            QuotaAllocator(BUDGETS, 0, alone=True),
+            QuotaAllocator(BUDGETS, 0, first_allocator=True),
             SlowStartAllocator({"cache": TERMS}, 0),
             HealthAggregator(),
         )
@@ -64,7 +70,7 @@
                         parts = tuple(warming.ask(each, f"r{n}", "t", now) for each in heard.colds)
                         answer = QuotaGrants(given, {}, parts)
                     else:
-                        council.hear(f"r{n}", "t", heard.store, heard.sights, now, heard.caches)
+                        council.record_report(f"r{n}", "t", heard.store, heard.sights, now, heard.caches)
                     decided = time.process_time()
                     if answer:
                         counted[1] += 1
@@ -72,10 +78,10 @@
                     spent[0] += read - began
                     spent[1] += decided - read
                     spent[2] += time.process_time() - decided
-            if now % TELL_EVERY == 0:
+            if now % REPORT_INTERVAL == 0:
                 began = time.process_time()
-                judged = council.judged("north", now)
-                loads = {each.cache: each.in_hand for each in council.counts("north", now)}
+                judged = council.verdicts("north", now)
+                loads = {each.cache: each.in_flight for each in council.loads("north", now)}
                 decided = time.process_time()
                 for _ in range(members):
                     counted[1] += 1
--- a/quartzrouter/cli/explore.py
+++ b/quartzrouter/cli/explore.py
@@ -16,7 +16,7 @@
 
     model, played = {
         "purges": (purge_model.PurgeModel, purge_model.PLAYED),
-        "sharing": (quota_model.SharingModel, quota_model.PLAYED),
+        "sharing": (quota_model.QuotaModel, quota_model.PLAYED),
         "leases": (lease_model.LeaseModel, lease_model.PLAYED),
     }[name]
     broken = False
--- a/quartzrouter/cli/fleet.py
+++ b/quartzrouter/cli/fleet.py
@@ -1,11 +1,42 @@
-"""`quartzrouter fleet ...`: what routers share, as the ledger that grants it sees it."""
+"""`quartzrouter fleet ...`: what routers share, as the purge log's server sees it.
+
+The keys of ``--json`` are older than the names of the fields; they are mapped here and nowhere else.
+"""
 
 import json
+from collections.abc import Callable, Iterable, Mapping, Sequence
+from typing import Any, NamedTuple
 
 import click
 
 from quartzrouter.cli.purge import AS_JSON, LEDGERS, ask, ran
 
+# Keys of ``--json``, by the name of the field.
+BUDGET_KEYS = {
+    "budget": "budget",
+    "rate": "rate",
+    "slots": "slots",
+    "tokens": "tokens",
+    "tokens_granted": "granted",
+    "slots_wait": "waits",
+    "holders": "holders",
+}
+HOLDER_KEYS = {"router": "name", "wanted_rate": "want", "slots": "slots", "last_request_age": "heard"}
+VERDICT_KEYS = {
+    "cache": "cache",
+    "expires_in": "ends",
+    "reported_by": "by",
+    "contradicted_by": "against",
+    "failures": "failures",
+}
+LOAD_KEYS = {
+    "cache": "cache",
+    "in_flight": "in_hand",
+    "age": "age",
+    "error_bound": "error",
+    "routers": "routers",
+}
+
 
 @click.group()
 def fleet() -> None:
@@ -19,16 +50,23 @@
     """Tell who grants, which routers are there, and what was not obeyed; exit with 1 if no ledger answers."""
     from quartzrouter.purges.messages import MembersQuery, QuotaQuery
 
-    members, told = ran(ask, ledgers, MembersQuery()), ran(ask, ledgers, QuotaQuery())
-    routers = [each for each in members.members if each.kind == "router"]
-    silent = [each.name for each in routers if not each.live]
+    members = ran(ask, ledgers, MembersQuery()).members
+    quota = ran(ask, ledgers, QuotaQuery())
+    routers = [member for member in members if member.kind == "router"]
+    live = [router.name for router in routers if router.live]
+    silent = [router.name for router in routers if not router.live]
     if as_json:
-        live = [each.name for each in routers if each.live]
-        said = {"epoch": told.epoch, "live": live, "silent": silent, "budgets": len(told.budgets)}
-        click.echo(json.dumps(said | {"refused": told.refused}))
+        found = {
+            "epoch": quota.epoch,
+            "live": live,
+            "silent": silent,
+            "budgets": len(quota.budgets),
+            "refused": quota.refused,
+        }
+        click.echo(json.dumps(found))
         return
-    click.echo(f"epoch {told.epoch}, {len(told.budgets)} budgets, {told.refused} asks not obeyed")
-    click.echo(f"{len(routers) - len(silent)} routers live, {len(silent)} silent {' '.join(silent)}".strip())
+    click.echo(f"epoch {quota.epoch}, {len(quota.budgets)} budgets, {quota.refused} asks not obeyed")
+    click.echo(f"{len(live)} routers live, {len(silent)} silent {' '.join(silent)}".strip())
 
 
 @fleet.command(epilog="Example: quartzrouter fleet budgets --json")
@@ -38,21 +76,18 @@
     """List the shared limits: what is granted, to whom, and what each router would use."""
     from quartzrouter.purges.messages import QuotaQuery
 
-    told = ran(ask, ledgers, QuotaQuery())
+    states = ran(ask, ledgers, QuotaQuery()).budgets
     if as_json:
-        click.echo(json.dumps([_plain(each) for each in told.budgets]))
+        click.echo(json.dumps([_budget_as_json(state) for state in states]))
         return
-    if not told.budgets:
+    if not states:
         click.echo("no budgets: this ledger was started without --plan, or the plan shares no limit")
-    for each in told.budgets:
-        waits = f", slots in {each.waits / 1e6:.1f} s" if each.waits and each.slots else ""
-        rate = f"{each.rate:g}/s, {each.tokens:.0f} in the bucket, {each.granted:.0f} granted"
-        said = [rate] * bool(each.rate) + [f"{each.slots} in hand"] * bool(each.slots)
-        click.echo(f"{each.budget}: {'; '.join(said)}{waits}")
-        for holder in sorted(each.holders, key=lambda one: one.name):
+    for state in states:
+        click.echo(_budget_line(state))
+        for holder in sorted(state.holders, key=lambda holder: holder.router):
             click.echo(
-                f"  {holder.name:24} wants {holder.want:8.1f}/s  {holder.slots:5} in hand  "
-                f"heard {holder.heard / 1000:.0f} ms ago"
+                f"  {holder.router:24} wants {holder.wanted_rate:8.1f}/s  {holder.slots:5} in hand  "
+                f"heard {holder.last_request_age / 1000:.0f} ms ago"
             )
 
 
@@ -62,11 +97,17 @@
 def judgements(ledgers, as_json: bool) -> None:
     """List the caches that routers leave out by each other's word: who says so, who not, until when."""
 
-    def shown(each) -> str:
-        against = f", against {' '.join(each.against)}" if each.against else ""
-        return f"{each.cache} is out for {each.ends / 1e6:.1f} s by {' '.join(each.by)}{against}"
+    def line(verdict) -> str:
+        contradicted = verdict.contradicted_by
+        against = f", against {' '.join(contradicted)}" if contradicted else ""
+        reporters = " ".join(verdict.reported_by)
+        return f"{verdict.cache} is out for {verdict.expires_in / 1e6:.1f} s by {reporters}{against}"
 
-    _list(ledgers, as_json, "judgements", shown, "no cache is left out by others' word")
+    verdicts = [(view.store, verdict) for view in _views(ledgers) for verdict in view.judgements]
+    if as_json:
+        _echo_json(verdicts, VERDICT_KEYS)
+    else:
+        _echo_lines(verdicts, line, "no cache is left out by others' word")
 
 
 @fleet.command(epilog="Example: quartzrouter fleet counts --json")
@@ -75,28 +116,51 @@
 def counts(ledgers, as_json: bool) -> None:
     """List how many dispatches are out at each cache, by all routers of its store, with age and error."""
 
-    def shown(each) -> str:
-        in_hand = "unknown" if each.in_hand < 0 else f"{each.in_hand} out"
-        age = f"{each.age / 1000:.0f} ms old, from {each.routers} routers"
-        return f"{each.cache:16} {in_hand:>12}, {each.error} more or less, {age}"
+    def line(load) -> str:
+        in_flight = "unknown" if load.in_flight < 0 else f"{load.in_flight} out"
+        age = f"{load.age / 1000:.0f} ms old, from {load.routers} routers"
+        return f"{load.cache:16} {in_flight:>12}, {load.error_bound} more or less, {age}"
+
+    loads = [(view.store, load) for view in _views(ledgers) for load in view.counts]
+    if as_json:
+        _echo_json(loads, LOAD_KEYS)
+    else:
+        none = "no router tells of caches in use: give their plan `hearsay: true` in `deployment`"
+        _echo_lines(loads, line, none)
 
-    none = "no router tells of caches in use: give their plan `hearsay: true` in `deployment`"
-    _list(ledgers, as_json, "counts", shown, none)
 
+def _budget_line(state) -> str:
+    parts = []
+    if state.rate:
+        parts.append(
+            f"{state.rate:g}/s, {state.tokens:.0f} in the bucket, {state.tokens_granted:.0f} granted"
+        )
+    if state.slots:
+        parts.append(f"{state.slots} in hand")
+    waits = f", slots in {state.slots_wait / 1e6:.1f} s" if state.slots_wait and state.slots else ""
+    return f"{state.budget}: {'; '.join(parts)}{waits}"
 
-def _list(ledgers, as_json: bool, what: str, shown, none: str) -> None:
-    found = [(view.store, each) for view in _views(ledgers) for each in getattr(view, what)]
-    if as_json:
-        click.echo(json.dumps([{"store": store} | each._asdict() for store, each in found]))
-        return
-    click.echo("\n".join(f"{store}: {shown(each)}" for store, each in found) or none)
+
+def _budget_as_json(state) -> dict[str, Any]:
+    holders = [_with_keys(holder, HOLDER_KEYS) for holder in state.holders]
+    return _with_keys(state, BUDGET_KEYS) | {"holders": holders}
+
+
+def _with_keys(record: NamedTuple, keys: Mapping[str, str]) -> dict[str, Any]:
+    """A record as a JSON object, with the keys that operators know."""
+    return {key: getattr(record, field) for field, key in keys.items()}
+
+
+def _echo_json(found: Iterable[tuple[str, NamedTuple]], keys: Mapping[str, str]) -> None:
+    click.echo(json.dumps([{"store": store} | _with_keys(record, keys) for store, record in found]))
+
+
+def _echo_lines(found: Sequence[tuple[str, Any]], line: Callable[[Any], str], none: str) -> None:
+    """:param none: what to say where nothing was found."""
+    click.echo("\n".join(f"{store}: {line(record)}" for store, record in found) or none)
 
 
 def _views(ledgers):
     from quartzrouter.purges.messages import HealthQuery
 
     return ran(ask, ledgers, HealthQuery()).views
-
-
-def _plain(state) -> dict:
-    return state._asdict() | {"holders": [each._asdict() for each in state.holders]}
--- a/quartzrouter/fault_harness/child_process.py
+++ b/quartzrouter/fault_harness/child_process.py
@@ -67,9 +67,9 @@
 
 
 def _take_out(names: list[str], wall) -> None:
-    from quartzrouter.fault_harness import mutations
+    from quartzrouter.fault_harness import mutations, quota_mutations
 
-    mutations.clock_of_the_process = wall
+    quota_mutations.process_wall_clock = wall
     for name in names:
         setattr(*mutations.MUTATIONS[name])
 
--- a/quartzrouter/fault_harness/history_checks.py
+++ b/quartzrouter/fault_harness/history_checks.py
@@ -7,7 +7,7 @@
 from math import inf
 
 from quartzrouter.fault_harness.history import History, HistoryEvent
-from quartzrouter.quota.budget import Budget, S
+from quartzrouter.quota.budget import SECOND, Budget
 
 HALT = 50_000  # us by which an act may reach its witness after its process was stopped: it was on its way
 
@@ -47,8 +47,8 @@
 
     Counted in a window are those that were surely let through in it: sent and arrived within it.
     """
-    least = budget.most(0)
-    slope = (budget.most(S) - least) / S
+    least = budget.max_use(0)
+    slope = (budget.max_use(SECOND) - least) / SECOND
     worst, window = -least, (0, 0)
     later: list[int] = []  # arrivals of reqs that were sent at a window's start or after
     for sent, arrived in sorted(reqs, reverse=True):
@@ -174,4 +174,4 @@
 def rate(reqs: list[tuple[int, int]], since: int, until: int) -> float:
     """Reqs a second that arrived in that time."""
     times = sorted(at for _, at in reqs)
-    return (bisect_right(times, until) - bisect_right(times, since)) / ((until - since) / S)
+    return (bisect_right(times, until) - bisect_right(times, since)) / ((until - since) / SECOND)
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -273,7 +273,7 @@
                         await caches[name].start(tasks)
                     await anyio.sleep(0.3)
             changes = service.force.pools.standing["near"].changes
-            held, where = len(service.force.limits.held), len(service.force.where)
+            held, where = len(service.force.limits.held_keys), len(service.force.where)
             os.kill(os.getpid(), signal.SIGTERM)
             await put(SITE.format(**told | {"crowd": 1}))  # a plan replaced during SIGTERM
             last = Client(await _connect(told["port"]))
--- a/quartzrouter/fleet_health/aggregator.py
+++ b/quartzrouter/fleet_health/aggregator.py
@@ -1,265 +1,102 @@
-"""What routers of a store have seen of its caches, put together: how busy each is, and which are left out.
+"""Puts together the reports of all routers: which caches to eject, and how busy each is. No I/O."""
 
-A judgement needs several witnesses and more of them than of those who are served well.  A router for which
-most caches are lost is itself cut off, and is no witness.  Few caches of a store are ever left out by
-hearsay, and each judgement ends by itself.
-"""
-
-from dataclasses import dataclass, field
-from typing import NamedTuple
-
-from quartzrouter.quota.budget import S, clock_slack
-
-SIGHT_LIFE = 1 * S  # us for which what a router has said counts: five of its words
-TELL_EVERY = SIGHT_LIFE // 5  # us between two words of a router, and of the ledger
-NEWS_EVERY = TELL_EVERY // 5  # us between two words where something has failed
-HOLDS = 1 * S  # us of a judgement, after the last look that confirms it
-HOLDS_MOST = 8 * S  # us, of a cache that is judged again and again: twice as long each time
-QUIET = 30 * S  # us after the end of a judgement, from which the next is the first again
-WITNESSES = 2  # at least: one router takes no cache from the others
-FADES = 500_000  # us in which half of what a router has told of answers and failures is forgotten
-FAILS = 0.5  # share of failures above which a cache fails a router
-SHARE = 0.25  # of all routers' answers by a cache, and twice what its peers show, that must be failures ...
-ERRORS = 3  # ... and so many: fewer are chance
-FADED = 0.05  # answers and failures: less is forgotten
-LEAST = 0.3  # failures of one router, as far as they haven't faded: one in the last second
-CUT_OFF = 0.5  # share of the caches tried lately that fail, above which a router is no witness
-LEFT_OUT = 1 / 3  # share of a store's caches that are ever left out by hearsay
-SIGHTS_MOST = 1_024  # caches in one word
-ROUTERS_MOST = 4_096  # heard of: those unheard for longest go first
-FIGURE_MOST = 1_000_000  # of one figure in a sight
-
-
-class CacheObservation(NamedTuple):
-    """What one router knows of one cache, from its own reqs and probes; a cache without news isn't told of.
-
-    :param out: it has put the cache out.
-    :param good: answers that came well since the last word.
-    :param bad: failures since then.
-    :param in_hand: dispatches that are out.
-    :param begun: dispatches begun since the last word.
-    """
-
-    cache: str
-    out: bool
-    good: int = 0
-    bad: int = 0
-    in_hand: int = 0
-    begun: int = 0
-
-
-class EjectionVerdict(NamedTuple):
-    """A cache that is to be left out.
-
-    :param ends: us from the saying; the hearer counts them from when it hears of it.
-    :param by: who has put it out.
-    :param against: who is served well by it.
-    :param failures: that the witnesses have told of.
-    """
-
-    cache: str
-    ends: int
-    by: tuple[str, ...]
-    against: tuple[str, ...]
-    failures: int
-
-
-class CacheLoad(NamedTuple):
-    """How busy a cache is, by all routers of its store.
-
-    :param in_hand: dispatches that are out; -1: not known, as not all who may use it have told of it lately.
-    :param age: us of the oldest figure in it.
-    :param error: by how many it may be off: what was begun, at the last pace, since the figures.
-    :param routers: that tell of it.
-    """
-
-    cache: str
-    in_hand: int
-    age: int
-    error: int
-    routers: int
-
-
-@dataclass(slots=True)
-class RecentOutcomes:
-    """What a router has told of one cache, as far as it hasn't faded."""
-
-    out: bool = False
-    good: float = 0.0
-    bad: float = 0.0
-
-    @property
-    def hurt(self) -> bool:
-        return self.out or self.bad >= LEAST
-
-    @property
-    def fails(self) -> bool:
-        """For this router alone."""
-        return self.out or (self.bad >= LEAST and self.bad > FAILS * (self.good + self.bad))
-
-
-@dataclass(slots=True)
-class RouterObservations:
-    """The last word of one router, and what it told before."""
-
-    store: str
-    token: str
-    heard: int
-    sights: dict[str, CacheObservation] = field(default_factory=dict)
-    every: int = TELL_EVERY  # us between its last two words
-    tallies: dict[str, RecentOutcomes] = field(default_factory=dict)  # of what hasn't faded
-    caches: int = 0  # that it knows
-
-
-@dataclass(slots=True)
-class EjectionRecord:
-    """A cache that is or was judged."""
-
-    until: int = 0
-    span: int = HOLDS
-    failures: int = 0
+from quartzrouter.fleet_health.ejection import EjectionDecider
+from quartzrouter.fleet_health.messages import LOAD_UNKNOWN, CacheLoad, CacheObservation, EjectionVerdict
+from quartzrouter.fleet_health.reports import (
+    MAX_ROUTERS,
+    SILENCE_LIMIT,
+    RouterReport,
+    is_fresh,
+    is_valid_report,
+    next_report,
+)
 
 
 class HealthAggregator:
-    """All times are us of the ledger's steady clock."""
+    """The reports of all routers; all times are microseconds of the purge log's monotonic clock."""
 
     def __init__(self) -> None:
-        self.voices: dict[str, RouterObservations] = {}
-        self.cases: dict[tuple[str, str], EjectionRecord] = {}  # by store and cache
-        self.odd = 0  # words that were not obeyed
-
-    def hear(
-        self, name: str, token: str, store: str, sights: tuple[CacheObservation, ...], now: int, caches: int
+        self.reports: dict[str, RouterReport] = {}  # by router, the one silent for longest first
+        self.ejections = EjectionDecider()
+        self.invalid_reports = 0
+
+    def record_report(
+        self,
+        router: str,
+        process_token: str,
+        store: str,
+        observations: tuple[CacheObservation, ...],
+        now: int,
+        known_caches: int,
     ) -> bool:
-        """Takes a router's word in; one with odd figures is counted and passed over, as a whole.
+        """Takes in a router's report; an invalid one is counted and ignored as a whole.
 
-        Another token under the name is another process: what the first one told ends at once.
+        Of a cache that isn't mentioned the router has no news, and nothing in flight there.
 
-        :param caches: that it knows; what it doesn't tell of has nothing out, and no news.
+        :param router: its name, as its connection shows.
+        :param process_token: of its process, as its connection shows.
+        :param known_caches: how many caches the router knows.
+        :returns: whether the report is valid.
         """
-        odd = len(sights) > SIGHTS_MOST or not 0 <= caches <= FIGURE_MOST
-        if odd or any(not _well(each) for each in sights):
-            self.odd += 1
+        if not is_valid_report(observations, known_caches):
+            self.invalid_reports += 1
             return False
-        before = self.voices.pop(name, None)
-        same = (
-            before if before and before.token == token else RouterObservations(store, token, now - TELL_EVERY)
-        )
-        passed = max(1, now - same.heard)
-        fades, tallies = 0.5 ** (passed / FADES), {}
-        for cache, old in same.tallies.items():
-            if (old.good + old.bad) * fades > FADED:
-                tallies[cache] = RecentOutcomes(False, old.good * fades, old.bad * fades)
-        for sight in sights:
-            old = tallies.get(sight.cache, RecentOutcomes())
-            tallies[sight.cache] = RecentOutcomes(sight.out, old.good + sight.good, old.bad + sight.bad)
-        if len(self.voices) >= ROUTERS_MOST:
-            del self.voices[next(iter(self.voices))]
-        seen = {each.cache: each for each in sights}
-        self.voices[name] = RouterObservations(
-            store, token, now, seen, min(SIGHT_LIFE, passed), tallies, caches
-        )
+        previous = self.reports.pop(router, None)
+        report = next_report(previous, process_token, store, observations, now, known_caches)
+        if len(self.reports) >= MAX_ROUTERS:
+            del self.reports[next(iter(self.reports))]
+        self.reports[router] = report
         return True
 
-    def left(self, name: str) -> None:
-        """A router has ended."""
-        self.voices.pop(name, None)
-
-    def _fresh(self, store: str, now: int) -> dict[str, RouterObservations]:
-        live = now - SIGHT_LIFE - clock_slack(SIGHT_LIFE)
-        return {
-            name: voice for name, voice in self.voices.items() if voice.store == store and voice.heard >= live
-        }
-
-    def judged(self, store: str, now: int) -> tuple[EjectionVerdict, ...]:
-        """The caches of a store that are to be left out."""
-        voices = self._fresh(store, now)
-        witnesses = {name: voice for name, voice in sorted(voices.items()) if not _cut_off(voice)}
-        doubted = {
-            cache for voice in witnesses.values() for cache, each in voice.tallies.items() if each.hurt
-        }
-        doubted |= {cache for (at, cache), case in self.cases.items() if at == store and case.until > now}
-        found, tallies = [], [each for voice in witnesses.values() for each in voice.tallies.values()]
-        all_good, all_bad = sum(each.good for each in tallies), sum(each.bad for each in tallies)
-        for cache in doubted:
-            by, against, out = self._votes(witnesses, cache)
-            of = [voice.tallies[cache] for voice in witnesses.values() if cache in voice.tallies]
-            good, bad = sum(each.good for each in of), sum(each.bad for each in of)
-            theirs = (all_bad - bad) / max(1.0, all_good + all_bad - good - bad)
-            outlier = bad >= ERRORS and bad > max(SHARE, 2 * theirs) * (good + bad)
-            case, failures = self.cases.get((store, cache)), round(bad)
-            judgement = EjectionVerdict(cache, 0, tuple(by), tuple(against), failures)
-            if len(by) >= WITNESSES and len(by) > len(against) and (out >= WITNESSES or outlier):
-                found.append((len(by) - len(against), judgement))
-            elif case and case.until > now:
-                found.append((0, judgement._replace(failures=case.failures)))
-        caches = max((voice.caches for voice in voices.values()), default=0)
-        found.sort(key=lambda one: (-one[0], one[1].cache))
-        self._forget(now)
-        return tuple(self._held(store, *one, now) for one in found[: int(LEFT_OUT * caches)])
-
-    @staticmethod
-    def _votes(voices: dict[str, RouterObservations], cache: str) -> tuple[list[str], list[str], int]:
-        """Who is hurt by a cache, who is served well, and how many have put it out."""
-        by, against, out = [], [], 0
-        for name, voice in voices.items():
-            tally = voice.tallies.get(cache)
-            if tally is None:
-                continue
-            if tally.hurt:
-                by.append(name)
-                out += tally.out
-            elif tally.good >= LEAST:
-                against.append(name)
-        return by, against, out
+    def remove_router(self, router: str) -> None:
+        """A router has ended: nothing of it is in flight any more."""
+        self.reports.pop(router, None)
 
-    def _held(self, store: str, votes: int, judgement: EjectionVerdict, now: int) -> EjectionVerdict:
-        """Begins a judgement, or goes on with it while it is confirmed."""
-        case = self.cases.setdefault((store, judgement.cache), EjectionRecord())
-        if votes > 0:
-            if case.until <= now:  # anew: longer, where it was judged a while ago
-                again = case.until and now - case.until < QUIET
-                case.span = min(HOLDS_MOST, 2 * case.span) if again else HOLDS
-            case.until, case.failures = now + case.span, judgement.failures
-        return judgement._replace(ends=case.until - now, failures=case.failures)
+    def expire(self, now: int) -> None:
+        """Forgets routers that are silent for long: what they had in flight must be over."""
+        silent = [name for name, report in self.reports.items() if now - report.received_at > SILENCE_LIMIT]
+        for name in silent:
+            del self.reports[name]
 
-    def _forget(self, now: int) -> None:
-        for key in [key for key, case in self.cases.items() if case.until + QUIET < now]:
-            del self.cases[key]
+    def stores(self) -> list[str]:
+        """The stores whose routers report, sorted."""
+        return sorted({report.store for report in self.reports.values()})
 
-    def counts(self, store: str, now: int) -> tuple[CacheLoad, ...]:
-        """How busy the caches of a store are.  What is too old is unknown, and so is a sum that lacks it."""
-        voices = self._fresh(store, now)
-        silent = sum(voice.store == store for voice in self.voices.values()) - len(voices)
-        found = []
-        for cache in sorted({cache for voice in voices.values() for cache in voice.sights}):
-            of = [(voice, voice.sights[cache]) for voice in voices.values() if cache in voice.sights]
-            age = max(now - voice.heard for voice, _ in of)
-            error = sum(-(-sight.begun * (now - voice.heard) // voice.every) for voice, sight in of)
-            in_hand = -1 if silent else sum(sight.in_hand for _, sight in of)
-            found.append(CacheLoad(cache, in_hand, age, error, len(of)))
-        return tuple(found)
+    def verdicts(self, store: str, now: int) -> tuple[EjectionVerdict, ...]:
+        """The caches of a store that are to be ejected now."""
+        return self.ejections.verdicts(store, self._fresh_reports(store, now), now)
 
-    def trim(self, now: int) -> None:
-        """A router that is silent for long is taken for ended: what it had in hand must be over."""
-        for name in [name for name, voice in self.voices.items() if now - voice.heard > QUIET]:
-            del self.voices[name]
+    def loads(self, store: str, now: int) -> tuple[CacheLoad, ...]:
+        """How busy the caches of a store are.
 
+        Guards against a cache that looks idle because a router is silent: what is too old is unknown, and so
+        is each sum that lacks it.
+        """
+        reports = self._fresh_reports(store, now)
+        routers = sum(report.store == store for report in self.reports.values())
+        has_silent_router = routers > len(reports)
+        caches = sorted({cache for report in reports.values() for cache in report.observations})
+        return tuple(_load(cache, reports, has_silent_router, now) for cache in caches)
 
-def _cut_off(voice: RouterObservations) -> bool:
-    fails = sum(tally.fails for tally in voice.tallies.values())
-    return fails > CUT_OFF * len(voice.tallies) and fails > 1
-
+    def _fresh_reports(self, store: str, now: int) -> dict[str, RouterReport]:
+        return {
+            name: report
+            for name, report in self.reports.items()
+            if report.store == store and is_fresh(report, now)
+        }
 
-def _well(sight: CacheObservation) -> bool:
-    figures = (sight.good, sight.bad, sight.in_hand, sight.begun)
-    return bool(sight.cache) and len(sight.cache) <= 64 and all(0 <= each <= FIGURE_MOST for each in figures)
 
+def _load(cache: str, reports: dict[str, RouterReport], has_silent_router: bool, now: int) -> CacheLoad:
+    using = [report for report in reports.values() if cache in report.observations]
+    observations = [report.observations[cache] for report in using]
+    age = max(now - report.received_at for report in using)
+    error_bound = sum(
+        _attempts_since(report, seen, now) for report, seen in zip(using, observations, strict=True)
+    )
+    in_flight = LOAD_UNKNOWN if has_silent_router else sum(seen.in_flight for seen in observations)
+    return CacheLoad(cache, in_flight, age, error_bound, len(using))
 
-def accepted_ejections(judgements: tuple[EjectionVerdict, ...], caches: int, now: int) -> dict[str, int]:
-    """What a router makes of what it is told: which caches it leaves out, and until when (us, its own clock).
 
-    :param caches: that it knows; whatever is said, few of them are left out, and none for long.
-    """
-    told = judgements[: int(LEFT_OUT * caches)]
-    return {each.cache: now + min(each.ends, HOLDS_MOST) for each in told if each.ends > 0}
+def _attempts_since(report: RouterReport, seen: CacheObservation, now: int) -> int:
+    """Attempts that a router may have started since its report, at its last pace, rounded up."""
+    return -(-seen.started * (now - report.received_at) // report.interval)
--- a/quartzrouter/model_checking/quota_model.py
+++ b/quartzrouter/model_checking/quota_model.py
@@ -1,7 +1,9 @@
-"""Shares of a fleet's slots as a model: the real granter and shares; lines, processes and wakes misbehave.
+"""A model of shared slots for the model checker: the real allocator and local quotas, between faulty parts.
 
-A budget of three slots: a floor of one at each of two routers, and one that is granted.  A req is in hand for
-as long as it may be.  Time goes in steps of half a share's life.
+Messages are lost, doubled and reordered, processes restart, allocators take over, and routers are stopped.
+
+The budget has three slots: a guaranteed one at each of two routers, and one that is granted.  A request is in
+flight for as long as it may be.  Time goes in steps of half a grant's time to live.
 """
 
 from collections.abc import Iterable
@@ -9,250 +11,344 @@
 from typing import NamedTuple
 
 from quartzrouter.quota.allocator import QuotaAllocator, QuotaHolder
-from quartzrouter.quota.budget import Budget, QuotaGrant, QuotaRequest
+from quartzrouter.quota.budget import Budget
 from quartzrouter.quota.local_quota import LocalQuota
+from quartzrouter.quota.messages import QuotaGrant, QuotaRequest
 
-BUDGET = Budget("slots", slots=3, hold=500_000, floors=2 / 3, routers=2, life=1_000_000)
-STEP = BUDGET.life // 2
-START = 10 * BUDGET.life  # by then the floors are open, and no granter was there before
+BUDGET = Budget(
+    "slots", slots=3, max_request_time=500_000, guaranteed_share=2 / 3, routers=2, grant_ttl=1_000_000
+)
+STEP = BUDGET.grant_ttl // 2  # microseconds
+START = 10 * BUDGET.grant_ttl  # guaranteed slots are open by then, and no allocator was there before
+RUNNING = -1  # in place of the time at which a stopped router has read its clock
+DIRECTIONS = ("to_allocator", "to_router")
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """How often each thing may happen."""
+    """How often each thing may happen in one history.
+
+    :param steps: of time.
+    :param turns: a router without demand gets as much as it may begin; one with demand has its requests end.
+    :param asks: requests for quota.
+    :param late: requests for quota that stay on their way.
+    :param faults: messages lost, doubled or reordered.
+    :param restarts: of routers.
+    :param falls: restarts of the allocator, which forgets everything.
+    :param takeovers: by another allocator, while the first one goes on.
+    :param stops: of a router, between its reading of the clock and what it does then.
+    """
 
     steps: int = 4
-    turns: int = 2  # a router that rests has as many reqs as it may begin; one that has them rests: they end
+    turns: int = 2
     asks: int = 3
-    late: int = 0  # asks that stay on their way
-    faults: int = 0  # words lost, doubled or swapped
-    restarts: int = 0  # of routers
-    falls: int = 0  # of the granter, with all it knew
-    takeovers: int = 0  # by another granter, while the first goes on
-    stops: int = 0  # of a router between its look at the clock and its act
+    late: int = 0
+    faults: int = 0
+    restarts: int = 0
+    falls: int = 0
+    takeovers: int = 0
+    stops: int = 0
+
+
+class RequestInFlight(NamedTuple):
+    """A request that holds a slot.
 
+    :param router: index of the router.
+    :param process_token: of the process that began it.
+    :param began_at: microseconds.
+    """
 
-class Req(NamedTuple):
     router: int
-    token: str
-    began: int
+    process_token: str
+    began_at: int
 
 
 @dataclass
 class Router:
-    share: LocalQuota
-    up: list[QuotaRequest] = field(default_factory=list)  # on their way to the granter
-    down: list[QuotaGrant] = field(default_factory=list)
-    asked: bool = False  # in this step of time
-    busy: bool = False
-    looked: int = -1  # what the clock said when it was stopped; -1: it runs
+    """A router, and the messages between it and the allocator.
+
+    :param quota: its part in the budget.
+    :param to_allocator: messages on their way, the next to arrive first.
+    :param to_router: likewise.
+    :param has_asked: in this step of time.
+    :param has_demand: it begins each request that it may.
+    :param clock_reading: microseconds, what it read before it was stopped; ``RUNNING``: it isn't stopped.
+    """
+
+    quota: LocalQuota
+    to_allocator: list[QuotaRequest] = field(default_factory=list)
+    to_router: list[QuotaGrant] = field(default_factory=list)
+    has_asked: bool = False
+    has_demand: bool = False
+    clock_reading: int = RUNNING
+
+    def messages(self, direction: str) -> list:
+        """Those on their way in one of ``DIRECTIONS``."""
+        return self.to_allocator if direction == "to_allocator" else self.to_router
 
 
 @dataclass
 class World:
+    """One state of the model.
+
+    :param now: microseconds; all clocks agree.
+    :param allocators: the last one is the current one; earlier ones go on unaware.
+    :param routers: of the fleet.
+    :param requests: in flight, whatever became of the process that began them.
+    :param left: of each of the bounds, by its name.
+    """
+
     now: int
-    granters: list[QuotaAllocator]
+    allocators: list[QuotaAllocator]
     routers: list[Router]
-    reqs: list[Req] = field(default_factory=list)
+    requests: list[RequestInFlight] = field(default_factory=list)
     left: dict[str, int] = field(default_factory=dict)
 
 
-class SharingModel:
-    """:param bounds: of what happens.
-    :param looks: a granter looks whether another has begun before each grant.
-    :param clock: a router reads the clock again when it wakes.
+class QuotaModel:
+    """What can happen, and what must hold.
+
+    :param bounds: of what happens.
+    :param checks_takeover: an allocator checks before each grant whether another one has begun.
+    :param rereads_clock: a router reads its clock again when it goes on after a stop.
     """
 
-    def __init__(self, bounds: Bounds, looks: bool = True, clock: bool = True):
-        self.bounds, self.looks, self.clock = bounds, looks, clock
+    def __init__(self, bounds: Bounds, checks_takeover: bool = True, rereads_clock: bool = True):
+        self.bounds = bounds
+        self.checks_takeover = checks_takeover
+        self.rereads_clock = rereads_clock
 
     def start(self) -> World:
-        routers = [Router(LocalQuota(BUDGET, f"r{n}", "t1", 0)) for n in range(2)]
-        return World(START, [QuotaAllocator([BUDGET], 0, alone=True)], routers, left=dict(vars(self.bounds)))
+        """The state that all histories begin with."""
+        routers = [Router(LocalQuota(BUDGET, f"r{index}", "t1", 0)) for index in range(2)]
+        allocator = QuotaAllocator([BUDGET], 0, first_allocator=True)
+        return World(START, [allocator], routers, left=dict(vars(self.bounds)))
 
     def actions(self, world: World) -> Iterable[tuple]:
-        left = world.left
-        if left["steps"]:
+        """What can happen next: the name of an action, and its arguments."""
+        if world.left["steps"]:
             yield ("time",)
-        if left["falls"]:
+        if world.left["falls"]:
             yield ("fall",)
-        if left["takeovers"]:
+        if world.left["takeovers"]:
             yield ("takeover",)
-        for n, router in enumerate(world.routers):
-            if left["restarts"]:
-                yield "restart", n
-            granters = range(len(world.granters))
-            yield from (("arrive", n, at) for at in granters if router.up)
-            if router.looked >= 0:
-                yield "wake", n
-                continue
-            if left["turns"]:
-                yield "turn", n
-            if left["asks"] and not router.asked:
-                yield from (("ask", n, at) for at in granters)
-                if left["late"]:
-                    yield "send", n
-            if left["stops"] and router.busy:
-                yield "stop", n
-            if router.down:
-                yield "hear", n
-            if left["faults"]:
-                for way in ("up", "down"):
-                    words = getattr(router, way)
-                    yield from (("lose", n, way), ("double", n, way)) if words else ()
-                    yield from (("swap", n, way),) if len(words) > 1 else ()
+        for index in range(len(world.routers)):
+            yield from self._router_actions(world, index)
+
+    def _router_actions(self, world: World, index: int) -> Iterable[tuple]:
+        left = world.left
+        router = world.routers[index]
+        allocators = range(len(world.allocators))
+        if left["restarts"]:
+            yield "restart", index
+        if router.to_allocator:
+            yield from (("arrive", index, allocator) for allocator in allocators)
+        if router.clock_reading != RUNNING:
+            yield "wake", index
+            return
+        if left["turns"]:
+            yield "turn", index
+        if left["asks"] and not router.has_asked:
+            yield from (("ask", index, allocator) for allocator in allocators)
+            if left["late"]:
+                yield "send", index
+        if left["stops"] and router.has_demand:
+            yield "stop", index
+        if router.to_router:
+            yield "hear", index
+        if left["faults"]:
+            yield from self._message_faults(router, index)
+
+    @staticmethod
+    def _message_faults(router: Router, index: int) -> Iterable[tuple]:
+        for direction in DIRECTIONS:
+            messages = router.messages(direction)
+            if messages:
+                yield "lose", index, direction
+                yield "double", index, direction
+            if len(messages) > 1:
+                yield "swap", index, direction
 
     def act(self, world: World, action: tuple) -> None:
-        name, *rest = action
-        getattr(self, f"_{name}")(world, *rest)
+        """Carries out one of ``actions``."""
+        name, *arguments = action
+        getattr(self, f"_{name}")(world, *arguments)
 
     def _time(self, world: World) -> None:
+        """A step of time passes, and requests end whose time is over."""
         world.left["steps"] -= 1
         world.now += STEP
-        over = [req for req in world.reqs if world.now - req.began >= BUDGET.hold]
-        world.reqs = [req for req in world.reqs if world.now - req.began < BUDGET.hold]
-        for req in over:
-            if world.routers[req.router].share.token == req.token:
-                world.routers[req.router].share.ended()
-        for n, router in enumerate(world.routers):
-            router.asked = False
-            self._begin(world, n, world.now)
-
-    def _turn(self, world: World, n: int) -> None:
+        over = [each for each in world.requests if world.now - each.began_at >= BUDGET.max_request_time]
+        world.requests = [each for each in world.requests if each not in over]
+        for request in over:
+            quota = world.routers[request.router].quota
+            if quota.process_token == request.process_token:
+                quota.release()
+        for index, router in enumerate(world.routers):
+            router.has_asked = False
+            self._begin(world, index, world.now)
+
+    def _turn(self, world: World, index: int) -> None:
+        """A router's demand begins, or ends with all its requests."""
         world.left["turns"] -= 1
-        router = world.routers[n]
-        router.busy = not router.busy
-        if router.busy:
-            self._begin(world, n, world.now)
+        router = world.routers[index]
+        router.has_demand = not router.has_demand
+        if router.has_demand:
+            self._begin(world, index, world.now)
             return
-        share = router.share
-        for req in [req for req in world.reqs if req.token == share.token and req.router == n]:
-            world.reqs.remove(req)
-            share.ended()
+        quota = router.quota
+        for request in list(world.requests):
+            if request.process_token == quota.process_token and request.router == index:
+                world.requests.remove(request)
+                quota.release()
 
     @staticmethod
-    def _begin(world: World, n: int, looked: int) -> None:
-        """A busy router begins all the reqs that it may."""
-        router = world.routers[n]
-        while router.busy and router.looked < 0 and not router.share.take(looked):
-            world.reqs.append(Req(n, router.share.token, world.now))
-
-    def _stop(self, world: World, n: int) -> None:
+    def _begin(world: World, index: int, clock_reading: int) -> None:
+        """A router with demand begins all the requests that it may."""
+        router = world.routers[index]
+        is_active = router.has_demand and router.clock_reading == RUNNING
+        while is_active and not router.quota.try_use(clock_reading):
+            world.requests.append(RequestInFlight(index, router.quota.process_token, world.now))
+
+    def _stop(self, world: World, index: int) -> None:
         world.left["stops"] -= 1
-        world.routers[n].looked = world.now
+        world.routers[index].clock_reading = world.now
 
-    def _wake(self, world: World, n: int) -> None:
-        looked, world.routers[n].looked = world.routers[n].looked, -1
-        self._begin(world, n, world.now if self.clock else looked)
+    def _wake(self, world: World, index: int) -> None:
+        router = world.routers[index]
+        clock_reading = world.now if self.rereads_clock else router.clock_reading
+        router.clock_reading = RUNNING
+        self._begin(world, index, clock_reading)
 
-    def _ask(self, world: World, n: int, at: int) -> None:
-        self._send(world, n)
-        if len(world.routers[n].up) == 1:
-            self._arrive(world, n, at)
+    def _ask(self, world: World, index: int, allocator: int) -> None:
+        """A router asks for quota, and the request arrives at once where no other is on its way."""
+        self._send(world, index)
+        if len(world.routers[index].to_allocator) == 1:
+            self._arrive(world, index, allocator)
 
-    def _send(self, world: World, n: int) -> None:
+    def _send(self, world: World, index: int) -> None:
         world.left["asks"] -= 1
         world.left["late"] -= bool(world.left["late"])
-        router = world.routers[n]
-        router.asked = self.bounds.steps > 1
-        router.up.append(router.share.ask(world.now))
-
-    def _arrive(self, world: World, n: int, at: int) -> None:
-        """The granter reads a word; one that finds another begun is asked no more."""
-        said = world.routers[n].up.pop(0)
-        if self.looks and at < len(world.granters) - 1:
+        router = world.routers[index]
+        router.has_asked = self.bounds.steps > 1
+        router.to_allocator.append(router.quota.next_request(world.now))
+
+    def _arrive(self, world: World, index: int, allocator: int) -> None:
+        """An allocator reads a request; one that knows of its successor grants nothing."""
+        router = world.routers[index]
+        request = router.to_allocator.pop(0)
+        has_successor = allocator < len(world.allocators) - 1
+        if self.checks_takeover and has_successor:
             return
-        given = world.granters[at].ask(said, world.now)
-        if isinstance(given, QuotaGrant):
-            world.routers[n].down.append(given)
+        answer = world.allocators[allocator].ask(request, world.now)
+        if isinstance(answer, QuotaGrant):
+            router.to_router.append(answer)
 
-    def _hear(self, world: World, n: int) -> None:
-        router = world.routers[n]
-        router.share.take_grant(router.down.pop(0), world.now)
-        self._begin(world, n, world.now)
+    def _hear(self, world: World, index: int) -> None:
+        router = world.routers[index]
+        router.quota.apply_grant(router.to_router.pop(0), world.now)
+        self._begin(world, index, world.now)
 
-    def _restart(self, world: World, n: int) -> None:
-        """Another process under its name; what the first had sent may still arrive, and its reqs run on."""
+    def _restart(self, world: World, index: int) -> None:
+        """Another process under the name: messages of the first may still arrive, and its requests go on."""
         world.left["restarts"] -= 1
-        router = world.routers[n]
-        router.share = LocalQuota(BUDGET, f"r{n}", f"{router.share.token}'", world.now)
-        router.looked, router.asked, router.busy = -1, False, False
+        router = world.routers[index]
+        process_token = f"{router.quota.process_token}'"
+        router.quota = LocalQuota(BUDGET, f"r{index}", process_token, world.now)
+        router.clock_reading = RUNNING
+        router.has_asked = False
+        router.has_demand = False
 
     def _fall(self, world: World) -> None:
         world.left["falls"] -= 1
-        world.granters[-1] = QuotaAllocator([BUDGET], world.now)
+        world.allocators[-1] = QuotaAllocator([BUDGET], world.now)
 
     def _takeover(self, world: World) -> None:
         world.left["takeovers"] -= 1
-        world.granters.append(QuotaAllocator([BUDGET], world.now))
+        world.allocators.append(QuotaAllocator([BUDGET], world.now))
 
-    def _lose(self, world: World, n: int, way: str) -> None:
+    def _lose(self, world: World, index: int, direction: str) -> None:
         world.left["faults"] -= 1
-        getattr(world.routers[n], way).pop(0)
+        world.routers[index].messages(direction).pop(0)
 
-    def _double(self, world: World, n: int, way: str) -> None:
+    def _double(self, world: World, index: int, direction: str) -> None:
         world.left["faults"] -= 1
-        words = getattr(world.routers[n], way)
-        words.insert(0, words[0])
+        messages = world.routers[index].messages(direction)
+        messages.insert(0, messages[0])
 
-    def _swap(self, world: World, n: int, way: str) -> None:
+    def _swap(self, world: World, index: int, direction: str) -> None:
         world.left["faults"] -= 1
-        words = getattr(world.routers[n], way)
-        words[0], words[1] = words[1], words[0]
+        messages = world.routers[index].messages(direction)
+        messages[0], messages[1] = messages[1], messages[0]
 
     def broken(self, world: World) -> str:
-        if len(world.reqs) > BUDGET.slots:
-            return f"{len(world.reqs)} reqs in hand, and the fleet's budget is {BUDGET.slots}"
+        """What doesn't hold in a state; empty where all is well."""
+        if len(world.requests) > BUDGET.slots:
+            return f"{len(world.requests)} reqs in hand, and the fleet's budget is {BUDGET.slots}"
         return ""
 
     # -- what tells states apart ---------------------------------------------------------------------------
 
     def key(self, world: World) -> tuple:
-        def ahead(when: int) -> int:
-            return max(0, when - world.now)
-
-        def share(router: Router) -> tuple:
-            it = router.share
-            asked = tuple((it.numbers - number, world.now - when) for number, when in it.asked.items())
-            held = (it.slots, ahead(it.slots_until) if it.slots else 0, it.in_use, it.most_in_use)
-            up = tuple((said.token, it.numbers - said.number, said.keep, said.slots) for said in router.up)
-            down = tuple((said.token, it.numbers - said.number, said.slots) for said in router.down)
-            return (
-                it.token,
-                asked,
-                held,
-                ahead(it.floor_from),
-                up,
-                down,
-                router.asked,
-                router.busy,
-                router.looked,
-            )
-
-        def granter(it: QuotaAllocator) -> tuple:
-            pot = it.pots[BUDGET.name]
-            holders = tuple(
-                (name, *self._known(world, name, pot.holders[name])) for name in sorted(pot.holders)
-            )
-            return (ahead(pot.wait_until), holders)
-
+        """Equal for two states from which the same can follow; times are relative to now."""
         return (
             tuple(world.left.values()),
-            tuple(share(router) for router in world.routers),
-            tuple(granter(each) for each in world.granters),
-            tuple((req.router, req.token, world.now - req.began) for req in world.reqs),
+            tuple(self._router_key(world, router) for router in world.routers),
+            tuple(self._allocator_key(world, allocator) for allocator in world.allocators),
+            tuple((each.router, each.process_token, world.now - each.began_at) for each in world.requests),
         )
 
     @staticmethod
-    def _known(world: World, name: str, it: QuotaHolder) -> tuple:
-        share = world.routers[int(name[1])].share
-        behind = share.numbers - it.number if share.token == it.token else 0
-        ends = max(0, it.gone - world.now)
-        heard = min(world.now - it.heard, 2 * BUDGET.life)
-        return (it.token, behind, heard, it.slots_wanted, it.slots if ends else 0, ends)
+    def _router_key(world: World, router: Router) -> tuple:
+        quota = router.quota
+        last = quota.last_sequence_number
+        pending = tuple((last - number, world.now - at) for number, at in quota.pending_requests.items())
+        slots_end_in = max(0, quota.granted_slots_expire_at - world.now) if quota.granted_slots else 0
+        requests = tuple(
+            (each.process_token, last - each.sequence_number, each.slots_kept, each.slots_wanted)
+            for each in router.to_allocator
+        )
+        grants = tuple(
+            (each.process_token, last - each.sequence_number, each.slots) for each in router.to_router
+        )
+        return (
+            quota.process_token,
+            pending,
+            (quota.granted_slots, slots_end_in, quota.in_use, quota.peak_in_use),
+            max(0, quota.guaranteed_slots_from - world.now),
+            requests,
+            grants,
+            router.has_asked,
+            router.has_demand,
+            router.clock_reading,
+        )
+
+    def _allocator_key(self, world: World, allocator: QuotaAllocator) -> tuple:
+        account = allocator.accounts[BUDGET.name]
+        holders = tuple(
+            (name, *self._holder_key(world, name, account.holders[name])) for name in sorted(account.holders)
+        )
+        return (max(0, account.slots_blocked_until - world.now), holders)
+
+    @staticmethod
+    def _holder_key(world: World, name: str, holder: QuotaHolder) -> tuple:
+        quota = world.routers[int(name[1])].quota
+        is_current = quota.process_token == holder.process_token
+        requests_behind = quota.last_sequence_number - holder.sequence_number if is_current else 0
+        slots_free_in = max(0, holder.slots_free_at - world.now)
+        last_request_age = min(world.now - holder.last_request_at, 2 * BUDGET.grant_ttl)
+        return (
+            holder.process_token,
+            requests_behind,
+            last_request_age,
+            holder.slots_wanted,
+            holder.slots if slots_free_in else 0,
+            slots_free_in,
+        )
 
 
-# what is played: what breaks without a guard does so within these bounds; few are seen whole in a minute
+# What is explored: what breaks without a guard does so within these bounds.
+# Few of them are explored whole in a minute.
 PLAYED = {
     "a share that ends, and is given to another": Bounds(steps=4, turns=2, asks=2),
     "words late, lost, doubled and swapped": Bounds(steps=0, turns=2, asks=3, late=1, faults=1),
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -24,7 +24,7 @@
 from quartzrouter.pool_routing.shared_limits import budgets, holds
 from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
 from quartzrouter.quota.client import QuotaClient
-from quartzrouter.quota.slow_start import SlowStartClient
+from quartzrouter.quota.slow_start_client import SlowStartClient
 from quartzrouter.routing.model import (
     AttemptResult,
     AttemptStatus,
@@ -176,7 +176,7 @@
             warm = pool_router.router.warm[tier]
             warm.cold = replace(cold, routers=reach * pools)
             shared = self.parts.terms.get(tier.value) if self.parts else None
-            warm.own = shared.floors if shared else 1.0
+            warm.own = shared.guaranteed_share if shared else 1.0
         pool_router.router.fills.routers = everyone * pools
 
     @staticmethod
@@ -302,7 +302,7 @@
         """Asks a req's Router, with what others leave to this one as it stands right now."""
         router, ruling = self.where[req_id].router, self.rulings[req_id]
         if self.parts:
-            self.parts.look()
+            self.parts.refresh()
         counted = self.repeats.get(ruling.route.name) if further else None
         if counted:
             keys_ = keys(self.plan, ruling, self.where[req_id].pool.name, counted)
--- a/quartzrouter/pool_routing/rate_limits.py
+++ b/quartzrouter/pool_routing/rate_limits.py
@@ -1,7 +1,7 @@
-"""What is turned away before a dispatch: rates with bursts, reqs in hand, a share kept free for more value.
+"""Limits on requests before their first attempt: rates with bursts, concurrency, shares kept free. No I/O.
 
-A rate is held by one figure a key, the time at which the next req would be due if all came evenly (the
-generic cell rate algorithm, ITU-T I.371): nothing has to be topped up, and a key at rest says nothing.
+A rate is kept by one figure per key, the theoretical arrival time of the next request if all came evenly
+(generic cell rate algorithm, ITU-T I.371): nothing has to be refilled, and a key at rest needs no state.
 """
 
 from collections import OrderedDict
@@ -13,147 +13,203 @@
 from quartzrouter.quota.client import QuotaClient
 from quartzrouter.quota.local_quota import LocalQuota
 
-KEYS_MOST = 4_096  # kept of one limit: tenants or clients seen lately, 0.7 MB each limit
-NS = 1_000  # in a us: intervals of high rates need the places
+MAX_KEYS = 4_096  # counters per limit (tenants or clients seen lately): 0.7 MB, which bounds memory
+NANOSECONDS = 1_000  # per microsecond: intervals of high rates need the digits
+COUNTS_REQUESTS = "reqs"  # values of a limit's key `counts` in the plan
+COUNTS_RETRIES = "repeats"
 
 
 class LimitExceeded(NamedTuple):
+    """A request is not admitted.
+
+    :param limit: its name.
+    :param come_back: microseconds after which to retry; 0: no time can be named.
+    """
+
     limit: str
-    come_back: int  # us; 0: no time can be named
+    come_back: int
 
 
 class LimitKey(NamedTuple):
+    """A counter of a limit.
+
+    :param limit: its name.
+    :param counted: the tenant, client, route or pool that it counts apart; empty where it counts all.
+    """
+
     limit: str
-    of: str
+    counted: str
+
+
+class SharedLimitKey(NamedTuple):
+    """A limit that routers share.
+
+    :param limit: of the plan.
+    :param budget: the name of the budget's part, as of ``QuotaClient.key``.
+    """
+
+    limit: Limit
+    budget: str
 
 
 @dataclass(slots=True)
 class LimitCounter:
-    due: int = 0  # ns: when a req would be due if all came evenly
-    in_hand: int = 0
+    """What one key of a limit has used.
+
+    :param next_arrival: nanoseconds, when the next request would come if all came evenly.
+    :param in_flight: requests.
+    """
+
+    next_arrival: int = 0
+    in_flight: int = 0
 
 
 class RateLimiter:
-    """:param shares: what limits that routers share leave to this one; None: each router has all of each.
-    :param home: its store.
+    """The limits at one router.
+
+    :param limits: of the plan, by name.
+    :param shares: this router's parts in limits that routers share; None: each router has all of each limit.
+    :param home: this router's store.
     """
 
     def __init__(self, limits: dict[str, Limit], shares: QuotaClient | None = None, home: str = ""):
-        self.limits, self.shares, self.home = limits, shares, home
-        self.counts: dict[str, OrderedDict[str, LimitCounter]] = {}
-        self.held: dict[int, list[LimitKey]] = {}  # by req: what it counts in
-        self.taken: dict[int, list[LocalQuota]] = {}  # by req: the shares it counts in
+        self.limits = limits
+        self.quotas = shares
+        self.home = home
+        self.counters: dict[str, OrderedDict[str, LimitCounter]] = {}  # by limit and counted, last used last
+        self.held_keys: dict[int, list[LimitKey]] = {}  # by request, what it counts in
+        self.held_quotas: dict[int, list[LocalQuota]] = {}  # by request, the shared parts that it counts in
 
     def replace(self, limits: dict[str, Limit]) -> None:
-        """Counts stay where the name stays; reqs in hand are given back wherever they count."""
+        """Takes the limits of a new plan; counters stay with the name, and while requests hold them."""
         self.limits = limits
-        in_use = {key.limit for keys in self.held.values() for key in keys}
-        for name in [name for name in self.counts if name not in limits and name not in in_use]:
-            del self.counts[name]
+        in_use = {key.limit for keys in self.held_keys.values() for key in keys}
+        for name in [name for name in self.counters if name not in limits and name not in in_use]:
+            del self.counters[name]
 
     def admit(self, req: int, keys: list[LimitKey], value: float, now: int) -> LimitExceeded | None:
-        """Takes the req into all its limits, or into none and says which turned it away.
+        """Counts a request in all its limits, or in none of them.
 
-        :param keys: a limit's name and whom it counts, for each limit of the req's route.
-        :param now: us.
+        :param req: its number.
+        :param keys: one for each limit of the request's route.
+        :param value: the priority weight of the request.
+        :param now: microseconds.
+        :returns: the limit that is exceeded; None where the request is admitted.
         """
-        keys = [key for key in keys if self.limits[key.limit].counts == "reqs"]
-        if denied := self._look(keys, value, now):
-            return denied
-        keys, shared = self._parted(keys)
-        for key in keys:
-            self._take(key, now).in_hand += 1
-        if keys:
-            self.held[req] = keys
+        keys = self._counting(keys, COUNTS_REQUESTS)
+        exceeded = self._first_exceeded(keys, value, now)
+        if exceeded:
+            return exceeded
+        own, shared = self._split_shared(keys)
+        for key in own:
+            self._use(key, now).in_flight += 1
+        if own:
+            self.held_keys[req] = own
         if shared:
-            self.taken[req] = [self.shares.take(name) for _, name in shared]
+            self.held_quotas[req] = [self.quotas.use(budget) for _, budget in shared]
         return None
 
     def may_repeat(self, keys: list[LimitKey], now: int) -> bool:
-        """Whether a further dispatch may go by the limits that count them; look right before it."""
-        keys = [key for key in keys if self.limits[key.limit].counts == "repeats"]
-        return not self._look(keys, 0.0, now)
+        """Whether the limits on retries admit one now; to be asked right before it."""
+        return not self._first_exceeded(self._counting(keys, COUNTS_RETRIES), 0.0, now)
 
     def repeated(self, keys: list[LimitKey], now: int) -> None:
-        """Counts a further dispatch in that was found free."""
-        own, shared = self._parted([key for key in keys if self.limits[key.limit].counts == "repeats"])
+        """Counts a retry that ``may_repeat`` has just admitted."""
+        own, shared = self._split_shared(self._counting(keys, COUNTS_RETRIES))
         for key in own:
-            self._take(key, now)
-        for _, name in shared:
-            self.shares.take(name).ended()  # a repeat is over time: nothing of it stays in hand
+            self._use(key, now)
+        for _, budget in shared:
+            self.quotas.use(budget).release()  # limits on retries are rates: nothing stays in flight
+
+    def release(self, req: int) -> None:
+        """A request has had its final answer; a second call changes nothing."""
+        for key in self.held_keys.pop(req, ()):
+            counter = self.counters.get(key.limit, {}).get(key.counted)
+            if counter is not None:
+                counter.in_flight -= 1
+        for quota in self.held_quotas.pop(req, ()):
+            quota.release()
 
-    def _look(self, keys: list[LimitKey], value: float, now: int) -> LimitExceeded | None:
-        own, shared = self._parted(keys)
+    def _counting(self, keys: list[LimitKey], what: str) -> list[LimitKey]:
+        return [key for key in keys if self.limits[key.limit].counts == what]
+
+    def _first_exceeded(self, keys: list[LimitKey], value: float, now: int) -> LimitExceeded | None:
+        """The first limit that doesn't admit a request.
+
+        The shared limits come last: a request that other limits deny is no demand for quota.
+        """
+        own, shared = self._split_shared(keys)
         for key in own:
-            if denied := self._full(self.limits[key.limit], self._count(key, now), value, now):
-                return denied
-        for limit, name in shared:  # last: what others turn away is no demand for a share
-            if come_back := self.shares.may(name, limit.keep_free if value < limit.below else 0.0):
-                return LimitExceeded(limit.name, come_back)
+            exceeded = _exceeded(self.limits[key.limit], self._counter(key, now), value, now)
+            if exceeded:
+                return exceeded
+        for limit, budget in shared:
+            kept_free = limit.keep_free if value < limit.below else 0.0
+            retry_after = self.quotas.time_until_admitted(budget, kept_free)
+            if retry_after:
+                return LimitExceeded(limit.name, retry_after)
         return None
 
-    def _take(self, key: LimitKey, now: int) -> LimitCounter:
-        limit, count = self.limits[key.limit], self._count(key, now)
-        if limit.rate:
-            count.due = max(count.due, now * NS) + interval(limit)
-        return count
-
-    def _parted(self, keys: list[LimitKey]) -> tuple[list[LimitKey], list[tuple[Limit, str]]]:
-        """Those that this router counts by itself, and those it shares, with the names of their budgets."""
-        if self.shares is None:
+    def _split_shared(self, keys: list[LimitKey]) -> tuple[list[LimitKey], list[SharedLimitKey]]:
+        """The keys that this router counts by itself, and those that it shares."""
+        if self.quotas is None:
             return keys, []
         own, shared = [], []
         for key in keys:
             limit = self.limits[key.limit]
-            if budget := budget_of(limit, self.home):
-                shared.append((limit, self.shares.key(budget, key.of)))
+            budget = budget_of(limit, self.home)
+            if budget:
+                shared.append(SharedLimitKey(limit, self.quotas.key(budget, key.counted)))
             else:
                 own.append(key)
         return own, shared
 
-    def release(self, req: int) -> None:
-        """The req has had its final answer; a second call changes nothing."""
-        for key in self.held.pop(req, ()):
-            if (count := self.counts.get(key.limit, {}).get(key.of)) is not None:
-                count.in_hand -= 1
-        for share in self.taken.pop(req, ()):
-            share.ended()
-
-    def _full(self, limit: Limit, count: LimitCounter, value: float, now: int) -> LimitExceeded | None:
-        room = limit.concurrent
-        if limit.keep_free and value < limit.below:
-            room = int(room * (1 - limit.keep_free))
-        if limit.concurrent and count.in_hand >= room:
-            return LimitExceeded(limit.name, 0)
+    def _use(self, key: LimitKey, now: int) -> LimitCounter:
+        limit = self.limits[key.limit]
+        counter = self._counter(key, now)
         if limit.rate:
-            early = count.due - (limit.burst - 1) * interval(limit) - now * NS
-            if early > 0:
-                return LimitExceeded(limit.name, -(-early // NS))
-        return None
-
-    def _count(self, key: LimitKey, now: int) -> LimitCounter:
-        known = self.counts.setdefault(key.limit, OrderedDict())
-        count = known.get(key.of)
-        if count is None:
-            if len(known) >= KEYS_MOST:
-                self._forget(known, now)
-            count = known[key.of] = LimitCounter()
-        known.move_to_end(key.of)
+            counter.next_arrival = max(counter.next_arrival, now * NANOSECONDS) + interval(limit)
+        return counter
+
+    def _counter(self, key: LimitKey, now: int) -> LimitCounter:
+        counters = self.counters.setdefault(key.limit, OrderedDict())
+        counter = counters.get(key.counted)
+        if counter is None:
+            if len(counters) >= MAX_KEYS:
+                _evict(counters, now)
+            counter = counters[key.counted] = LimitCounter()
+        counters.move_to_end(key.counted)
         limit = self.limits[key.limit]
-        if limit.rate:  # a plan may have made it shorter
-            count.due = min(count.due, now * NS + limit.burst * interval(limit))
-        return count
-
-    @staticmethod
-    def _forget(known: OrderedDict[str, LimitCounter], now: int) -> None:
-        """The least lately used at rest, else that with nothing in hand: it gains a burst."""
-        idle = [of for of, count in known.items() if not count.in_hand]
-        rest = next((of for of in idle if known[of].due <= now * NS), None)
-        gone = rest if rest is not None else (idle[0] if idle else None)
-        if gone is not None:
-            del known[gone]
+        if limit.rate:  # a new plan may have a smaller burst
+            latest = now * NANOSECONDS + limit.burst * interval(limit)
+            counter.next_arrival = min(counter.next_arrival, latest)
+        return counter
 
 
 def interval(limit: Limit) -> int:
-    """ns between two reqs that come evenly."""
+    """Nanoseconds between two requests that come evenly."""
     return round(1e9 / limit.rate)
+
+
+def _exceeded(limit: Limit, counter: LimitCounter, value: float, now: int) -> LimitExceeded | None:
+    """Whether a limit that this router counts by itself denies a request."""
+    usable = limit.concurrent
+    if limit.keep_free and value < limit.below:
+        usable = int(usable * (1 - limit.keep_free))
+    if limit.concurrent and counter.in_flight >= usable:
+        return LimitExceeded(limit.name, 0)
+    if limit.rate:
+        burst_tolerance = (limit.burst - 1) * interval(limit)
+        too_early = counter.next_arrival - burst_tolerance - now * NANOSECONDS
+        if too_early > 0:
+            return LimitExceeded(limit.name, -(-too_early // NANOSECONDS))
+    return None
+
+
+def _evict(counters: OrderedDict[str, LimitCounter], now: int) -> None:
+    """Forgets the least recently used counter at rest, else one with nothing in flight: it gains a burst."""
+    idle = [counted for counted, counter in counters.items() if not counter.in_flight]
+    at_rest = [counted for counted in idle if counters[counted].next_arrival <= now * NANOSECONDS]
+    candidates = at_rest or idle
+    if candidates:
+        del counters[candidates[0]]
--- a/quartzrouter/pool_routing/route_selection.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -1,4 +1,4 @@
-"""What a plan says of one req: its route, vhost, policy and limits, and by what names it is known."""
+"""What a plan says of one request: route, traffic class, policy, limits, and the object's key. No I/O."""
 
 from typing import NamedTuple
 
@@ -6,69 +6,89 @@
 from quartzrouter.config.model import Plan, Policy, Route
 from quartzrouter.config.patterns import TOKEN
 from quartzrouter.config.request_sets import Asked
-from quartzrouter.pool_routing.rate_limits import LimitKey
+from quartzrouter.pool_routing.rate_limits import COUNTS_RETRIES, LimitKey
 from quartzrouter.purges import purge_index
 from quartzrouter.purges.object_names import digits
 from quartzrouter.routing.model import TrafficClass
 
-GROUPS = 256
-NOTHING = Policy()
+TAGS = 256  # numbers of tags that a request may have: the platform's field is one byte
+MAX_CHUNK_DIGITS = 6  # of a chunk's number in a path; what is longer is no chunk
+NO_POLICY = Policy()
 
 
 class RouteSelection(NamedTuple):
+    """What a plan says of one request.
+
+    :param route: that takes it.
+    :param policy: of the route.
+    :param vhost: its traffic class, as the plan has it, whatever the policy changes.
+    :param obj: the object's key, 16 hexadecimal digits.
+    :param part: the chunk of the object; 0 where the path names none.
+    :param group: the number of its tag.
+    :param tenant: empty where the route names none.
+    :param client: who asks.
+    :param path: host and path, as asked for.
+    """
+
     route: Route
     policy: Policy
-    vhost: TrafficClass  # as the plan has it, whatever the policy changes
-    obj: str  # 16 hex digits
+    vhost: TrafficClass
+    obj: str
     part: int
     group: int | None
     tenant: str
     client: str
-    path: str  # as it was asked for
+    path: str
 
 
 def select_route(plan: Plan, matcher: Matcher, asked: Asked, client: str) -> RouteSelection | None:
-    """The ruling on a req, or None where no route takes it.
+    """What the plan says of a request, or None where no route takes it.
 
-    :param client: who asks, as its front tells.
+    :param client: who asks, as the router's front tells.
     """
     found = matcher.find(asked)
     if found is None:
         return None
     route = found.route
-    said = found.captures.get("part", "")
-    part = int(said) if said.isdecimal() and len(said) <= 6 else 0
-    obj = (
-        _filled(route.object, found, asked)
-        if route.object
-        else _whole(found, asked, bool(part or said == "0"))
-    )
-    group = _filled(route.group, found, asked) if route.group else None
+    chunk_text = found.captures.get("part", "")
+    has_chunk = chunk_text.isdecimal() and len(chunk_text) <= MAX_CHUNK_DIGITS
+    chunk = int(chunk_text) if has_chunk else 0
+    if route.object:
+        object_name = _filled(route.object, found, asked)
+    else:
+        object_name = _path_without_chunk(found, asked, bool(chunk or chunk_text == "0"))
+    tag_name = _filled(route.group, found, asked) if route.group else None
     return RouteSelection(
-        route,
-        plan.policies[route.policy] if route.policy else NOTHING,
-        plan.vhosts[route.vhost],
-        digits(obj),
-        part,
-        None if group is None else int(digits(group), 16) % GROUPS,
-        _tenant(route, found, asked),
-        client,
-        f"{asked.host}{asked.path}",
+        route=route,
+        policy=plan.policies[route.policy] if route.policy else NO_POLICY,
+        vhost=plan.vhosts[route.vhost],
+        obj=digits(object_name),
+        part=chunk,
+        group=None if tag_name is None else int(digits(tag_name), 16) % TAGS,
+        tenant=_tenant(route, found, asked),
+        client=client,
+        path=f"{asked.host}{asked.path}",
     )
 
 
 def repeats(plan: Plan) -> dict[str, tuple[str, ...]]:
-    """By route, its limits that count further dispatches; routes without any lack."""
-    counted = {name for name, limit in plan.limits.items() if limit.counts == "repeats"}
-    found = {each.name: tuple(n for n in each.limits if n in counted) for each in plan.routes}
-    return {name: limits for name, limits in found.items() if limits}
+    """The names of the limits on retries, by route; routes without any are left out."""
+    retry_limits = {name for name, limit in plan.limits.items() if limit.counts == COUNTS_RETRIES}
+    by_route = {
+        route.name: tuple(name for name in route.limits if name in retry_limits) for route in plan.routes
+    }
+    return {name: limits for name, limits in by_route.items() if limits}
 
 
 def keys(
     plan: Plan, ruling: RouteSelection, pool: str, limits: tuple[str, ...] | None = None
 ) -> list[LimitKey]:
-    """Whom each limit of the req's route counts it for; those named only, if any are."""
-    of = {
+    """The counters of a request, one for each limit of its route.
+
+    :param pool: the name of the pool that serves it.
+    :param limits: the limits to look at; None: all of the route.
+    """
+    counted = {
         "route": ruling.route.name,
         "pool": pool,
         "tenant": ruling.tenant,
@@ -76,35 +96,37 @@
         "all": "",
     }
     names = ruling.route.limits if limits is None else limits
-    return [LimitKey(name, of[plan.limits[name].per]) for name in names]
+    return [LimitKey(name, counted[plan.limits[name].per]) for name in names]
 
 
 def marked(ruling: RouteSelection) -> purge_index.PurgeLookup:
-    """What marks of purges look at."""
+    """By what the purges that concern a request are looked up."""
     host, slash, path = ruling.path.partition("/")
     return purge_index.PurgeLookup(ruling.vhost.name, ruling.obj.lower(), host, slash + path)
 
 
 def vhost_name(route: Route) -> str:
-    """By which the decisions know a vhost as a policy changes it."""
+    """The name by which the routing decisions know a traffic class as a policy changes it."""
     return f"{route.vhost}@{route.policy}" if route.policy else route.vhost
 
 
 def _tenant(route: Route, found: Found, asked: Asked) -> str:
+    """From the path where the route captures it, else from the header of that name."""
     if not route.tenant:
         return ""
     return found.captures.get(route.tenant) or asked.headers.get(route.tenant.lower(), "")
 
 
 def _filled(template: str, found: Found, asked: Asked) -> str:
+    """A template of the plan with its names replaced by what the path captures."""
     known = found.captures | {"host": asked.host, "path": asked.path}
     return TOKEN.sub(lambda token: known[token[1]] if token[1] is not None else token[0], template)
 
 
-def _whole(found: Found, asked: Asked, parted: bool) -> str:
-    """Host and path, without the number of the part where the path names one."""
+def _path_without_chunk(found: Found, asked: Asked, has_chunk: bool) -> str:
+    """Host and path, with the chunk's number left out where the path names one."""
     path = asked.path
-    if parted:
+    if has_chunk:
         pattern = found.route.boxes[0].path.yes[0]
         match = pattern.expression.fullmatch(path)
         start, end = match.span(pattern.captures.index("part") + 1)
--- a/quartzrouter/pool_routing/shared_limits.py
+++ b/quartzrouter/pool_routing/shared_limits.py
@@ -1,68 +1,87 @@
-"""The budgets that a plan's limits name: one for the fleet, or one for each store."""
+"""The budgets that a plan's shared limits stand for: one for the fleet, or one for each store. No I/O."""
 
 from collections.abc import Iterable
 
 from quartzrouter.config.model import Limit, Plan
 from quartzrouter.quota.budget import Budget
-from quartzrouter.quota.slow_start import SlowStartTerms
+from quartzrouter.quota.slow_start_messages import SlowStartTerms
 
-COLD = {"cache": "cold", "parent": "cold_parent"}  # keys of `deployment`, by tier
-AT = "@"  # between a limit's name and the store's: in no name
+SLOW_START_KEYS = {"cache": "cold", "parent": "cold_parent"}  # of the plan's `deployment`, by tier
+STORE_SEPARATOR = "@"  # between a limit's name and the store's; in no name
 
 
 def budgets(plan: Plan, stores: Iterable[str]) -> list[Budget]:
-    """What routers of those stores share; whoever grants names all stores, a router its own."""
+    """The budgets that routers of some stores share.
+
+    :param stores: all of the plan at an allocator, its own at a router.
+    """
     found = []
     for limit in plan.limits.values():
         if limit.across == "fleet":
             found.append(_budget(plan, limit, limit.name, plan.deployment["routers"]))
         elif limit.across == "store":
-            here = plan.deployment["routers_here"] or plan.deployment["routers"]
-            found += [_budget(plan, limit, f"{limit.name}{AT}{store}", here) for store in stores]
+            routers = plan.deployment["routers_here"] or plan.deployment["routers"]
+            found += [_budget(plan, limit, _store_budget_name(limit, store), routers) for store in stores]
     return found
 
 
 def terms(plan: Plan) -> dict[str, SlowStartTerms]:
-    """By tier, how routers share what a cold server may be sent, where they do."""
-    told, found = plan.deployment, {}
-    for tier, key in COLD.items():
-        cold = told[key]
-        here = told["routers_here"] if tier == "cache" else None
-        if cold["across"] == "all":
-            routers = here or told["routers"]
-            found[tier] = SlowStartTerms(cold["window"], cold["floors"], routers, cold["share_life"])
+    """Terms of slow start by tier, of those tiers whose routers share it."""
+    deployment = plan.deployment
+    found = {}
+    for tier, key in SLOW_START_KEYS.items():
+        slow_start = deployment[key]
+        if slow_start["across"] != "all":
+            continue
+        routers_here = deployment["routers_here"] if tier == "cache" else None
+        found[tier] = SlowStartTerms(
+            window=slow_start["window"],
+            guaranteed_share=slow_start["floors"],
+            routers=routers_here or deployment["routers"],
+            grant_ttl=slow_start["share_life"],
+        )
     return found
 
 
 def budget_of(limit: Limit, home: str) -> str:
-    """The name of the budget in which a router of that store counts; nothing: it counts by itself."""
+    """The name of the budget in which a router counts; empty where it counts by itself.
+
+    :param home: the router's store.
+    """
     if limit.across == "router":
         return ""
-    return limit.name if limit.across == "fleet" else f"{limit.name}{AT}{home}"
+    return limit.name if limit.across == "fleet" else _store_budget_name(limit, home)
 
 
 def holds(plan: Plan) -> dict[str, int]:
-    """By limit on reqs in hand that is shared: us for which a req may be in hand in it."""
-    shared = (each for each in plan.limits.values() if each.concurrent and each.across != "router")
-    return {each.name: _hold(plan, each) for each in shared}
+    """Microseconds for which a request may be in flight, by the shared limits on concurrency."""
+    return {
+        limit.name: _max_request_time(plan, limit)
+        for limit in plan.limits.values()
+        if limit.concurrent and limit.across != "router"
+    }
+
+
+def _store_budget_name(limit: Limit, store: str) -> str:
+    return f"{limit.name}{STORE_SEPARATOR}{store}"
 
 
-def _hold(plan: Plan, limit: Limit) -> int:
-    """The longest client timeout of its routes."""
+def _max_request_time(plan: Plan, limit: Limit) -> int:
+    """The longest client timeout of the routes that the limit applies to, microseconds."""
     return max(
-        (plan.vhosts[each.vhost].client_timeout for each in plan.routes if limit.name in each.limits),
+        (plan.vhosts[route.vhost].client_timeout for route in plan.routes if limit.name in route.limits),
         default=0,
     )
 
 
 def _budget(plan: Plan, limit: Limit, name: str, routers: int) -> Budget:
     return Budget(
-        name,
-        limit.rate,
-        float(limit.burst),
-        limit.concurrent,
-        _hold(plan, limit) if limit.concurrent else 0,
-        limit.floors,
-        routers,
-        limit.life,
+        name=name,
+        rate=limit.rate,
+        burst=float(limit.burst),
+        slots=limit.concurrent,
+        max_request_time=_max_request_time(plan, limit) if limit.concurrent else 0,
+        guaranteed_share=limit.floors,
+        routers=routers,
+        grant_ttl=limit.life,
     )
--- a/quartzrouter/purge_log/server.py
+++ b/quartzrouter/purge_log/server.py
@@ -6,7 +6,8 @@
 
 import anyio
 
-from quartzrouter.fleet_health.aggregator import NEWS_EVERY, TELL_EVERY, HealthAggregator
+from quartzrouter.fleet_health.aggregator import HealthAggregator
+from quartzrouter.fleet_health.reports import REPORT_INTERVAL, URGENT_REPORT_INTERVAL
 from quartzrouter.leases.handle import LeaseClient
 from quartzrouter.purge_log.disk import Disk, RealDisk
 from quartzrouter.purge_log.line_connection import QueryClient, Unreachable, lines
@@ -36,8 +37,10 @@
 from quartzrouter.purges.reconnect_backoff import Watch
 from quartzrouter.purges.registry import AdmittedPurge, Member, PurgeRegistry
 from quartzrouter.quota.allocator import QuotaAllocator
-from quartzrouter.quota.budget import Budget, QuotaRefusal, QuotaRequest
-from quartzrouter.quota.slow_start import COLDS_MOST, SlowStartAllocator, SlowStartTerms
+from quartzrouter.quota.budget import Budget
+from quartzrouter.quota.messages import QuotaRefusal, QuotaRequest
+from quartzrouter.quota.slow_start_allocator import SlowStartAllocator
+from quartzrouter.quota.slow_start_messages import MAX_REQUESTS_PER_MESSAGE, SlowStartTerms
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 from quartzrouter.server.clock import steady_clock, wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
@@ -209,20 +212,22 @@
         beat_at, before = 0, {}
         while True:
             self.failed = anyio.Event()
-            await anyio.sleep(NEWS_EVERY / 1e6)
+            await anyio.sleep(URGENT_REPORT_INTERVAL / 1e6)
             with anyio.move_on_after(max(0, beat_at - self.steady()) / 1e6):
                 await self.failed.wait()
             now = self.steady()
             beat = now >= beat_at
-            self.council.trim(now)
+            self.council.expire(now)
             told = [session for session in self.sessions.values() if session.store]
-            found = {store: self.council.judged(store, now) for store in {each.store for each in told}}
+            found = {store: self.council.verdicts(store, now) for store in {each.store for each in told}}
             names = {store: {each.cache for each in judged} for store, judged in found.items()}
             news = {store for store in found if beat or names[store] != before.get(store)}
             before = names
-            beat_at = now + TELL_EVERY - NEWS_EVERY if beat else beat_at
+            beat_at = now + REPORT_INTERVAL - URGENT_REPORT_INTERVAL if beat else beat_at
             stores = {each.store for each in told if each.loads and each.store in news}
-            loads = {at: {each.cache: each.in_hand for each in self.council.counts(at, now)} for at in stores}
+            loads = {
+                at: {each.cache: each.in_flight for each in self.council.loads(at, now)} for at in stores
+            }
             for session in (each for each in told if each.store in news):
                 if found[session.store] or session.judged or session.loads:
                     session.judged = bool(found[session.store])
@@ -350,11 +355,13 @@
             self.book.ack(session.member, said.held, said.mark, said.away, now)
         elif isinstance(said, messages.MemberLeave):
             self.book.leave(session.member, now)
-            self.council.left(session.member.name)
+            self.council.remove_router(session.member.name)
         elif isinstance(said, HealthReport):
             member, session.store, session.loads = session.member, said.store, said.loads
-            self.council.hear(member.name, member.token, said.store, said.sights, self.steady(), said.caches)
-            if any(each.bad for each in said.sights):
+            self.council.record_report(
+                member.name, member.token, said.store, said.sights, self.steady(), said.caches
+            )
+            if any(each.failed for each in said.sights):
                 self.failed.set()
         elif isinstance(said, QuotaRequests) and self.granter:
             self._grant(session, said)
@@ -383,13 +390,13 @@
             else:
                 grants.append(given)
         colds = []
-        for ask in said.colds[:COLDS_MOST]:
+        for ask in said.colds[:MAX_REQUESTS_PER_MESSAGE]:
             given = self.warming.ask(ask, member.name, member.token, self.steady())
             if not isinstance(given, QuotaRefusal):
                 colds.append(given)
             elif given.place != "number":
-                refused[ask.server[:60]] = given
-                self.report.say("shares", f"{member.name}: {ask.server:.60}: {given.place}: {given.reason}")
+                refused[ask.endpoint[:60]] = given
+                self.report.say("shares", f"{member.name}: {ask.endpoint:.60}: {given.place}: {given.reason}")
         session.said.append(QuotaGrants(tuple(grants), refused, tuple(colds)))
         session.wake()
 
@@ -407,7 +414,7 @@
         return bool(number)
 
     def _granted(self, ask: QuotaRequest, member: Member):
-        if (ask.name, ask.token) != (member.name, member.token):
+        if (ask.name, ask.process_token) != (member.name, member.token):
             self.strangers += 1
             return QuotaRefusal("name", f"{ask.name!r:.40} asks on another's line", "mend the sender")
         return self.granter.ask(ask, self.steady())
@@ -415,15 +422,15 @@
     def _budgets(self) -> QuotaStatus:
         if self.granter is None:
             return QuotaStatus(self.book.epoch, (), 0)
-        states = self.granter.told(self.steady())[-messages.PAGE :]
-        colds = self.warming.told(self.steady())[-messages.PAGE :]
+        states = self.granter.states(self.steady())[-messages.PAGE :]
+        colds = self.warming.states(self.steady())[-messages.PAGE :]
         refused = self.granter.refused + self.warming.refused + self.strangers
         return QuotaStatus(self.book.epoch, tuple(states), refused, tuple(colds))
 
     def _views(self) -> HealthReply:
         now, council = self.steady(), self.council
-        stores = sorted({voice.store for voice in council.voices.values()})
-        views = (StoreHealth(each, council.judged(each, now), council.counts(each, now)) for each in stores)
+        stores = council.stores()
+        views = (StoreHealth(each, council.verdicts(each, now), council.loads(each, now)) for each in stores)
         return HealthReply(self.book.epoch, tuple(views))
 
     def replace(self, budgets: list[Budget], terms: dict[str, SlowStartTerms]) -> None:
--- a/quartzrouter/purges/messages.py
+++ b/quartzrouter/purges/messages.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from quartzrouter.fleet_health.aggregator import CacheLoad, CacheObservation, EjectionVerdict
-from quartzrouter.quota.budget import BudgetState, QuotaGrant, QuotaRefusal, QuotaRequest
-from quartzrouter.quota.slow_start import SlowStartGrant, SlowStartRequest, SlowStartState
+from quartzrouter.fleet_health.messages import CacheLoad, CacheObservation, EjectionVerdict
+from quartzrouter.quota.messages import BudgetState, QuotaGrant, QuotaRefusal, QuotaRequest
+from quartzrouter.quota.slow_start_messages import SlowStartGrant, SlowStartRequest, SlowStartState
 
 LINE_MOST = 1 << 18  # bytes of one line: a page of 512 purges, each of a few hundred; see page()
 VALUES_MOST = 64  # of one purge: more are several purges
--- a/quartzrouter/quota/allocator.py
+++ b/quartzrouter/quota/allocator.py
@@ -1,252 +1,389 @@
-"""Who grants: one bucket a budget, and how it is divided among those who ask.
+"""Grants quota to routers: one token bucket and one count of slots per budget. No I/O.
 
-The bucket bounds what is granted, whatever the dividing does.  It starts empty, so that a granter that
-restarts, or takes over from one that has stopped, grants nothing that the other may have granted too.
+The bucket bounds what is granted, however it is divided.  It starts empty, so that an allocator that
+restarts, or takes over from another one, grants nothing that the other may have granted too.
 """
 
 from collections import OrderedDict
 from dataclasses import dataclass, field, replace
 
-from quartzrouter.quota.budget import (
-    ASKS,
-    OF,
-    Budget,
+from quartzrouter.quota.budget import REQUESTS_PER_TTL, SECOND, Budget, base_name
+from quartzrouter.quota.fairness import max_min_fair_share
+from quartzrouter.quota.messages import (
     BudgetState,
+    HolderState,
     QuotaGrant,
-    QuotaHolding,
     QuotaRefusal,
     QuotaRequest,
-    S,
+    RefusedField,
 )
 
-HEARD_LIVES = 1  # lives since a router's last ask for which its wants still count
-HOLDERS_MOST = 4_096  # names a budget: those unheard for longest go first
-POTS_MOST = 4_096  # budgets, each tenant's counted: those unasked for longest go first
-NAME_MOST = 256  # characters of a budget's name
-POTS_LOOKED_AT = 16  # for one whose slots are all over
-ASIDE = "\n"  # between a name and the token of a process that another has followed: in no name
-WANT_MOST = 1e9  # tokens a second: what is more is no figure
+DEMAND_TTLS = 1  # times to live since a router's last request for which its demand counts
+MAX_HOLDERS = (
+    4_096  # routers per budget: beyond it the one silent for longest is forgotten, which bounds memory
+)
+MAX_ACCOUNTS = 4_096  # budgets with their partitions: beyond it one that is unused is forgotten
+EVICTION_CANDIDATES = 16  # accounts, the least recently used, among which an unused one is looked for
+MAX_NAME_LENGTH = 256  # characters of a budget's name with its partition
+FORMER_PROCESS = "\n"  # between a router's name and the token of its former process; in no name
+MAX_AMOUNT = 1e9  # tokens per second, tokens or slots in a request: more can't be meant
 
 
 @dataclass(slots=True)
 class QuotaHolder:
-    """What the granter knows of one router."""
+    """What the allocator knows of one process of a router.
+
+    :param process_token: of the process.
+    :param sequence_number: of its last request.
+    :param last_request_at: microseconds; 0 before the first.
+    :param wanted_rate: tokens per second.
+    :param token_debt: fractions of a token due to it and not granted yet: less than one admits no request.
+    :param slots_wanted: that it would use.
+    :param slots: that it may have in use, until ``slots_free_at``.
+    :param slots_free_at: microseconds, from which none of them is in use.
+    """
 
-    token: str
-    number: int = 0  # of its last ask
-    heard: int = 0
-    want: float = 0.0
-    owed: float = 0.0  # parts of a token that it hasn't been granted: less than one lets no req through
+    process_token: str
+    sequence_number: int = 0
+    last_request_at: int = 0
+    wanted_rate: float = 0.0
+    token_debt: float = 0.0
     slots_wanted: int = 0
-    slots: int = 0  # that it may have in use, until `gone`
-    gone: int = 0
+    slots: int = 0
+    slots_free_at: int = 0
 
 
 @dataclass(slots=True)
 class BudgetAccount:
-    """One budget's bucket and holders."""
+    """One budget's token bucket and its holders.
+
+    :param budget: named with its partition.
+    :param refilled_at: when the bucket was last refilled, microseconds.
+    :param slots_blocked_until: microseconds; slots that an earlier allocator granted may be in use until
+        then.
+    :param tokens: in the bucket.
+    :param tokens_granted: in all.
+    :param holders: by the router's name, former processes by ``former_process_key``.
+    """
 
     budget: Budget
-    since: int  # when the bucket was last filled
-    wait_until: int  # slots that an earlier granter gave may be in use until then
+    refilled_at: int
+    slots_blocked_until: int
     tokens: float = 0.0
-    granted: float = 0.0  # in all
+    tokens_granted: float = 0.0
     holders: dict[str, QuotaHolder] = field(default_factory=dict)
 
-    def known(self, said: QuotaRequest) -> QuotaHolder | None:
-        """What is known of the process that says it."""
-        now = self.holders.get(said.name)
-        return now if now and now.token == said.token else self.holders.get(said.name + ASIDE + said.token)
+    def find_holder(self, request: QuotaRequest) -> QuotaHolder | None:
+        """The process that sent a request, also where another one has followed it under its name."""
+        current = self.holders.get(request.name)
+        if current and current.process_token == request.process_token:
+            return current
+        return self.holders.get(former_process_key(request.name, request.process_token))
 
-    def heard(self, now: int) -> list[QuotaHolder]:
-        """Those whose wants count."""
-        return [each for each in self.holders.values() if now - each.heard <= HEARD_LIVES * self.budget.life]
+    def recent_holders(self, now: int) -> list[QuotaHolder]:
+        """Those whose demand counts."""
+        max_age = DEMAND_TTLS * self.budget.grant_ttl
+        return [holder for holder in self.holders.values() if now - holder.last_request_at <= max_age]
 
-    def fill(self, now: int) -> None:
-        if now > self.since:  # a clock that was set back fills nothing
-            more = self.budget.shared_rate * (now - self.since) / S
-            self.tokens, self.since = min(self.budget.shared_burst, self.tokens + more), now
+    def refill(self, now: int) -> None:
+        """Adds the tokens that are due since the last refill; a clock that was set back adds none."""
+        if now <= self.refilled_at:
+            return
+        due = self.budget.shared_rate * (now - self.refilled_at) / SECOND
+        self.tokens = min(self.budget.shared_burst, self.tokens + due)
+        self.refilled_at = now
+
+    def is_unused(self, now: int) -> bool:
+        """Whether no slot of it can be in use, so that it can be forgotten."""
+        return now >= self.slots_blocked_until and all(
+            holder.slots_free_at <= now for holder in self.holders.values()
+        )
 
 
 class QuotaAllocator:
-    """:param budgets: in force.  One that counts many by themselves has a pot for each, made when asked for.
-    :param now: us, of its monotonic clock.
-    :param alone: no granter was there before; else what it may have granted is waited for.
+    """Grants out of a set of budgets.
+
+    A partitioned budget has an account per partition, made at the first request for it.
+
+    :param budgets: of the plan.
+    :param now: microseconds of the allocator's monotonic clock; so are all times.
+    :param first_allocator: none was there before; else what it may have granted is waited for.
     """
 
-    def __init__(self, budgets: list[Budget], now: int, alone: bool = False):
-        self.budgets = {each.name: each for each in budgets}
-        self.pots: OrderedDict[str, BudgetAccount] = OrderedDict()  # the one asked for last at the end
-        self.empty_at = dict.fromkeys(self.budgets, now)  # pots that are not there yet fill from then on
-        self.free_at = {each.name: now if alone else each.gone(now) for each in budgets}
-        self.refused = 0  # asks that were not obeyed
+    def __init__(self, budgets: list[Budget], now: int, first_allocator: bool = False):
+        self.budgets = {budget.name: budget for budget in budgets}
+        self.accounts: OrderedDict[str, BudgetAccount] = OrderedDict()  # least recently requested first
+        self.bucket_empty_at = dict.fromkeys(self.budgets, now)  # new accounts fill from then on
+        self.slots_blocked_until = {
+            budget.name: now if first_allocator else budget.slots_free_at(now) for budget in budgets
+        }
+        self.refused = 0  # requests
         for name in self.budgets:
-            self._pot(name, now)
+            self._account(name, now)
 
     def replace(self, budgets: list[Budget], now: int) -> None:
-        """A new plan: shares that are out run on, so a smaller budget is kept once they have ended."""
-        before, self.budgets = self.budgets, {each.name: each for each in budgets}
-        empty, self.empty_at = self.empty_at, dict.fromkeys(self.budgets, now)
-        free, self.free_at = self.free_at, {}
+        """Takes the budgets of a new plan.
+
+        Grants that are out keep their terms, so a budget made smaller is kept once they have expired.
+        """
+        previous = self.budgets
+        self.budgets = {budget.name: budget for budget in budgets}
+        self._block_changed_budgets(previous, now)
+        for name, account in list(self.accounts.items()):
+            budget = self.budgets.get(base_name(name))
+            if budget is None:
+                del self.accounts[name]
+            else:
+                self._change_terms(account, replace(budget, name=name), now)
+        for name in self.budgets:
+            self._account(name, now)
+
+    def _block_changed_budgets(self, previous: dict[str, Budget], now: int) -> None:
+        """New accounts of a changed budget start empty, and without slots until the old grants are over."""
+        empty_before, blocked_before = self.bucket_empty_at, self.slots_blocked_until
+        self.bucket_empty_at, self.slots_blocked_until = {}, {}
         for name, budget in self.budgets.items():
-            old = before.get(name)
-            self.empty_at[name] = empty[name] if old == budget else now
-            self.free_at[name] = max(free[name], old.gone(now)) if old else budget.gone(now)
+            old = previous.get(name)
             if old == budget:
-                self.free_at[name] = free[name]
-        for name, pot in list(self.pots.items()):
-            budget = self.budgets.get(name.partition(OF)[0])
-            if budget is None:
-                del self.pots[name]
+                self.bucket_empty_at[name] = empty_before[name]
+                self.slots_blocked_until[name] = blocked_before[name]
                 continue
-            pot.fill(now)
-            if budget.hold < pot.budget.hold or budget.life < pot.budget.life:
-                pot.wait_until = max(pot.wait_until, pot.budget.gone(now))
-            pot.budget = replace(budget, name=name)
-            pot.tokens = min(pot.tokens, budget.shared_burst)
-        for name in self.budgets:
-            self._pot(name, now)
-
-    def _pot(self, name: str, now: int) -> BudgetAccount | None:
-        """The pot of that name; a new one is as if it had been there all the time, unasked."""
-        if (pot := self.pots.get(name)) is not None:
-            self.pots.move_to_end(name)
-            return pot
-        base = name.partition(OF)[0]
-        if base not in self.budgets or not self._room(now):
+            self.bucket_empty_at[name] = now
+            self.slots_blocked_until[name] = (
+                max(blocked_before[name], old.slots_free_at(now)) if old else budget.slots_free_at(now)
+            )
+
+    @staticmethod
+    def _change_terms(account: BudgetAccount, budget: Budget, now: int) -> None:
+        account.refill(now)
+        old = account.budget
+        frees_slots_sooner = (
+            budget.max_request_time < old.max_request_time or budget.grant_ttl < old.grant_ttl
+        )
+        if frees_slots_sooner:
+            account.slots_blocked_until = max(account.slots_blocked_until, old.slots_free_at(now))
+        account.budget = budget
+        account.tokens = min(account.tokens, budget.shared_burst)
+
+    def _account(self, name: str, now: int) -> BudgetAccount | None:
+        """The account of a budget or partition; a new one is as if nobody had asked for it so far.
+
+        :returns: None where there is no such budget, or no room for an account.
+        """
+        account = self.accounts.get(name)
+        if account is not None:
+            self.accounts.move_to_end(name)
+            return account
+        base = base_name(name)
+        if base not in self.budgets or not self._make_room(now):
             return None
-        made = BudgetAccount(replace(self.budgets[base], name=name), self.empty_at[base], self.free_at[base])
-        self.pots[name] = made
-        return made
+        budget = replace(self.budgets[base], name=name)
+        account = BudgetAccount(budget, self.bucket_empty_at[base], self.slots_blocked_until[base])
+        self.accounts[name] = account
+        return account
+
+    def _make_room(self, now: int) -> bool:
+        """Evicts an unused account where there are too many.
 
-    def _room(self, now: int) -> bool:
-        """Makes room for a pot, where there is none: one with nothing in use goes, forgotten as empty."""
-        if len(self.pots) < POTS_MOST:
+        Its bucket counts as empty from now on, or a partition that is evicted and made anew would have its
+        burst again.
+        """
+        if len(self.accounts) < MAX_ACCOUNTS:
             return True
-        for name in list(self.pots)[:POTS_LOOKED_AT]:
-            pot = self.pots[name]
-            if now >= pot.wait_until and all(each.gone <= now for each in pot.holders.values()):
-                del self.pots[name]
-                self.empty_at[name.partition(OF)[0]] = now
+        for name in list(self.accounts)[:EVICTION_CANDIDATES]:
+            if self.accounts[name].is_unused(now):
+                del self.accounts[name]
+                self.bucket_empty_at[base_name(name)] = now
                 return True
         return False
 
-    def told(self, now: int) -> list[BudgetState]:
-        """Each budget as it stands."""
+    def states(self, now: int) -> list[BudgetState]:
+        """Each account as it stands, for operators' commands."""
         states = []
-        for name, pot in self.pots.items():
-            pot.fill(now)
-            held = [
-                QuotaHolding(who, each.want, each.slots if each.gone > now else 0, now - each.heard)
-                for who, each in pot.holders.items()
-                if ASIDE not in who
-            ]
-            budget, waits = pot.budget, max(0, pot.wait_until - now)
+        for name, account in self.accounts.items():
+            account.refill(now)
+            holders = tuple(
+                HolderState(
+                    router,
+                    holder.wanted_rate,
+                    holder.slots if holder.slots_free_at > now else 0,
+                    now - holder.last_request_at,
+                )
+                for router, holder in account.holders.items()
+                if FORMER_PROCESS not in router
+            )
+            budget = account.budget
+            slots_wait = max(0, account.slots_blocked_until - now)
             states.append(
-                BudgetState(name, budget.rate, budget.slots, pot.tokens, pot.granted, waits, tuple(held))
+                BudgetState(
+                    name,
+                    budget.rate,
+                    budget.slots,
+                    account.tokens,
+                    account.tokens_granted,
+                    slots_wait,
+                    holders,
+                )
             )
         return states
 
-    def ask(self, said: QuotaRequest, now: int) -> QuotaGrant | QuotaRefusal:
-        """Grants what the budget has for one ask.
+    def ask(self, request: QuotaRequest, now: int) -> QuotaGrant | QuotaRefusal:
+        """Grants what the budget has for one request.
 
-        :param now: us; the caller has just made sure that no other granter has begun.
+        :param now: microseconds; the caller has just made sure that no other allocator has begun.
         """
-        found = self._refusal(said, now)
-        if found:
+        refusal = self._refusal(request, now)
+        if refusal:
             self.refused += 1
-            return found
-        pot = self.pots[said.budget]
-        holder = self._holder(pot, said, now)
-        pot.fill(now)
-        due = now - holder.heard if holder.heard else pot.budget.life // ASKS
-        holder.number, holder.heard = said.number, now
-        holder.want, holder.slots_wanted = said.want, said.slots
-        tokens = self._tokens(pot, holder, said, min(due, pot.budget.life), now)
-        pot.tokens -= tokens
-        pot.granted += tokens
-        return QuotaGrant(said.budget, said.token, said.number, tokens, self._slots(pot, holder, said, now))
-
-    def _refusal(self, said: QuotaRequest, now: int) -> QuotaRefusal | None:
-        base = self.budgets.get(said.budget.partition(OF)[0])
-        if base is None or len(said.budget) > NAME_MOST:
-            return QuotaRefusal("budget", f"there is no budget {said.budget!r:.60}", "read the plan anew")
-        if said.figures != base.figures:
-            return QuotaRefusal("figures", f"{base.name} has other figures here", "give both the same plan")
-        for place, figure in (("want", said.want), ("left", said.left)):
-            if not 0 <= figure <= WANT_MOST:  # what is no number is refused too
-                return QuotaRefusal(place, f"{figure} is no figure of tokens", "mend the sender")
-        for place, figure in (("keep", said.keep), ("slots", said.slots)):
-            if not 0 <= figure <= WANT_MOST:
-                return QuotaRefusal(place, f"{figure} is no number of slots", "mend the sender")
-        pot = self._pot(said.budget, now)
-        if pot is None:
-            return QuotaRefusal("budget", f"{POTS_MOST} budgets are in use", "count fewer by themselves")
-        known = pot.known(said)
-        if known and said.number <= known.number:
-            return QuotaRefusal("number", f"ask {said.number} after {known.number}", "nothing: a late word")
+            return refusal
+        account = self.accounts[request.budget]
+        holder = self._holder(account, request, now)
+        account.refill(now)
+        budget = account.budget
+        is_first_request = not holder.last_request_at
+        since_last = (
+            budget.grant_ttl // REQUESTS_PER_TTL if is_first_request else now - holder.last_request_at
+        )
+        holder.sequence_number = request.sequence_number
+        holder.last_request_at = now
+        holder.wanted_rate = request.wanted_rate
+        holder.slots_wanted = request.slots_wanted
+        tokens = self._tokens(account, holder, request, min(since_last, budget.grant_ttl), now)
+        account.tokens -= tokens
+        account.tokens_granted += tokens
+        slots = self._slots(account, holder, request, now)
+        return QuotaGrant(request.budget, request.process_token, request.sequence_number, tokens, slots)
+
+    def _refusal(self, request: QuotaRequest, now: int) -> QuotaRefusal | None:
+        """Why a request can't be granted, if it can't.
+
+        Guards against requests that are late or doubled on their way: an old request would take back what a
+        newer one said of the slots in use.
+        """
+        budget = self.budgets.get(base_name(request.budget))
+        if budget is None or len(request.budget) > MAX_NAME_LENGTH:
+            reason = f"there is no budget {request.budget!r:.60}"
+            return QuotaRefusal(RefusedField.BUDGET, reason, "read the plan anew")
+        if request.figures != budget.figures:
+            reason = f"{budget.name} has other figures here"
+            return QuotaRefusal(RefusedField.FIGURES, reason, "give both the same plan")
+        if refusal := _amount_refusal(request):
+            return refusal
+        account = self._account(request.budget, now)
+        if account is None:
+            reason = f"{MAX_ACCOUNTS} budgets are in use"
+            return QuotaRefusal(RefusedField.BUDGET, reason, "count fewer by themselves")
+        known = account.find_holder(request)
+        if known and request.sequence_number <= known.sequence_number:
+            reason = f"ask {request.sequence_number} after {known.sequence_number}"
+            return QuotaRefusal(RefusedField.SEQUENCE_NUMBER, reason, "nothing: a late word")
         return None
 
-    def _holder(self, pot: BudgetAccount, said: QuotaRequest, now: int) -> QuotaHolder:
-        known = pot.holders.get(said.name)
-        if known and known.token == said.token:
-            return known
-        made = pot.known(said) or QuotaHolder(said.token)  # a late word of a process before this one, say
-        pot.holders.pop(said.name + ASIDE + said.token, None)
-        if known is None and len(pot.holders) >= HOLDERS_MOST:
-            rest = {name: each.heard for name, each in pot.holders.items() if each.gone <= now}
-            if rest:
-                del pot.holders[min(rest, key=rest.get)]
-        if known:  # another process under its name: what the first may have in use is still out
-            pot.holders[said.name + ASIDE + known.token] = known
-        pot.holders[said.name] = made
-        return made
+    def _holder(self, account: BudgetAccount, request: QuotaRequest, now: int) -> QuotaHolder:
+        """The record of the process that asks, under its router's name.
+
+        Guards against slots granted twice after a router's restart: requests of the former process may still
+        be in flight, so its record is kept under another key until its slots are free.
+        """
+        current = account.holders.get(request.name)
+        if current and current.process_token == request.process_token:
+            return current
+        holder = account.find_holder(request) or QuotaHolder(request.process_token)
+        account.holders.pop(former_process_key(request.name, request.process_token), None)
+        if current is None and len(account.holders) >= MAX_HOLDERS:
+            self._evict_holder(account, now)
+        if current:
+            account.holders[former_process_key(request.name, current.process_token)] = current
+        account.holders[request.name] = holder
+        return holder
+
+    @staticmethod
+    def _evict_holder(account: BudgetAccount, now: int) -> None:
+        """Forgets the holder without slots that has been silent for longest, if there is one."""
+        last_requests = {
+            name: holder.last_request_at
+            for name, holder in account.holders.items()
+            if holder.slots_free_at <= now
+        }
+        if last_requests:
+            del account.holders[min(last_requests, key=last_requests.__getitem__)]
 
     def _tokens(
-        self, pot: BudgetAccount, holder: QuotaHolder, said: QuotaRequest, due: int, now: int
+        self, account: BudgetAccount, holder: QuotaHolder, request: QuotaRequest, since_last: int, now: int
     ) -> float:
-        """Its part of the rate for as long as it hasn't been granted, out of what the bucket has."""
-        wants = [each.want for each in pot.heard(now)]
-        soon = pot.tokens * S / pot.budget.life  # what lies in the bucket is handed out within a life
-        part = min(holder.want, level(wants, pot.budget.shared_rate + soon))
-        spare = max(0.0, pot.budget.shared_rate - sum(wants)) / len(wants)
-        ahead = (part + spare) * (due + pot.budget.life // ASKS) / S  # until its next ask is answered
-        if ahead < 1:
-            holder.owed += (part + spare) * due / S
-            if holder.owed < 1 or said.left >= 1:
-                holder.owed = min(1.0, holder.owed)
+        """Tokens for one holder: its share of the rate until its next request is answered.
+
+        :param since_last: microseconds since its last request, the time for which it is due its share.
+        """
+        budget = account.budget
+        demands = [each.wanted_rate for each in account.recent_holders(now)]
+        bucket_rate = account.tokens * SECOND / budget.grant_ttl  # the bucket is handed out within a TTL
+        fair_rate = min(holder.wanted_rate, max_min_fair_share(demands, budget.shared_rate + bucket_rate))
+        spare_rate = max(0.0, budget.shared_rate - sum(demands)) / len(demands)
+        rate = fair_rate + spare_rate
+        needed = rate * (since_last + budget.grant_ttl // REQUESTS_PER_TTL) / SECOND
+        if needed < 1:  # less than a token admits no request: it is saved up until it is one
+            holder.token_debt += rate * since_last / SECOND
+            if holder.token_debt < 1 or request.tokens_left >= 1:
+                holder.token_debt = min(1.0, holder.token_debt)
                 return 0.0
-            ahead, holder.owed = 1 + said.left, 0.0
-        return max(0.0, min(pot.tokens, ahead - said.left))
+            holder.token_debt = 0.0
+            needed = 1 + request.tokens_left
+        return max(0.0, min(account.tokens, needed - request.tokens_left))
 
-    def _slots(self, pot: BudgetAccount, holder: QuotaHolder, said: QuotaRequest, now: int) -> int:
-        """Slots in all: its part, of those that nobody else may have in use.
+    def _slots(self, account: BudgetAccount, holder: QuotaHolder, request: QuotaRequest, now: int) -> int:
+        """Slots in all for one holder: its share, of those that nobody else may have in use.
 
-        Where it gets fewer than it has, they still count as its own until a later ask says that they are not
-        in use; so a router that holds all makes room for others, and nobody has them twice.
+        Guards against one slot in use at two routers: where a holder is granted fewer than it has, they count
+        as its own until a later request says that they are not in use.  So a router that holds all of them
+        makes room for others.
         """
-        budget = pot.budget
-        if holder.gone <= now:
+        budget = account.budget
+        if holder.slots_free_at <= now:
             holder.slots = 0
-        holder.slots = min(holder.slots, said.keep)  # it has said so: no more can be in use
-        if now < pot.wait_until or not budget.slots:
+        holder.slots = min(holder.slots, request.slots_kept)
+        if now < account.slots_blocked_until or not budget.slots:
             return holder.slots
-        for name in [name for name, each in pot.holders.items() if ASIDE in name and each.gone <= now]:
-            del pot.holders[name]
-        out = sum(each.slots for each in pot.holders.values() if each is not holder and each.gone > now)
-        wants = [float(each.slots_wanted) for each in pot.heard(now)]
-        part = min(said.slots, max(1, int(level(wants, float(budget.shared_slots)))))
-        given = max(0, min(part, budget.shared_slots - out))
-        holder.slots, holder.gone = max(holder.slots, given), budget.gone(now)
-        return given
-
-
-def level(wants: list[float], whole: float) -> float:
-    """The part up to which each want is met, so that all together get the whole (max-min fairness)."""
-    left = whole
-    for n, want in enumerate(sorted(wants)):
-        part = left / (len(wants) - n)
-        if want > part:
-            return part
-        left -= want
-    return max(wants, default=0.0)
+        self._forget_former_processes(account, now)
+        used_by_others = sum(
+            other.slots
+            for other in account.holders.values()
+            if other is not holder and other.slots_free_at > now
+        )
+        demands = [float(each.slots_wanted) for each in account.recent_holders(now)]
+        fair_slots = max(1, int(max_min_fair_share(demands, float(budget.shared_slots))))
+        granted = max(0, min(request.slots_wanted, fair_slots, budget.shared_slots - used_by_others))
+        holder.slots = max(holder.slots, granted)
+        holder.slots_free_at = budget.slots_free_at(now)
+        return granted
+
+    @staticmethod
+    def _forget_former_processes(account: BudgetAccount, now: int) -> None:
+        """Drops the records of former processes whose requests are over."""
+        over = [
+            name
+            for name, holder in account.holders.items()
+            if FORMER_PROCESS in name and holder.slots_free_at <= now
+        ]
+        for name in over:
+            del account.holders[name]
+
+
+def former_process_key(router: str, process_token: str) -> str:
+    """The key of a process that another one has followed under its name."""
+    return router + FORMER_PROCESS + process_token
+
+
+def _amount_refusal(request: QuotaRequest) -> QuotaRefusal | None:
+    """Refuses an amount that is negative, too large or not a number."""
+    amounts = (
+        (RefusedField.WANTED_RATE, request.wanted_rate, "figure of tokens"),
+        (RefusedField.TOKENS_LEFT, request.tokens_left, "figure of tokens"),
+        (RefusedField.SLOTS_KEPT, request.slots_kept, "number of slots"),
+        (RefusedField.SLOTS_WANTED, request.slots_wanted, "number of slots"),
+    )
+    for place, amount, kind in amounts:
+        is_valid = 0 <= amount <= MAX_AMOUNT  # false for NaN too
+        if not is_valid:
+            return QuotaRefusal(place, f"{amount} is no {kind}", "mend the sender")
+    return None
--- a/quartzrouter/quota/budget.py
+++ b/quartzrouter/quota/budget.py
@@ -1,181 +1,145 @@
-"""A budget of a whole fleet or store, what is said of its shares, and how much may be used in any window.
+"""A budget that routers share, and the bounds that follow from its terms. No I/O.
 
-Two ways to spend.  *Tokens*: one for each req (dispatch, fill, repeat), at a rate with a burst; a share is
-a number of tokens that are worth nothing after its end.  *Slots*: reqs in hand at a time; a share is a
-number of slots in which nothing may begin after its end.  Part of each budget is never granted: the floors,
-which every router has whoever hears nothing.
+A budget limits one or both of:
+
+- *tokens*, one for each request, attempt, fill or retry, at a rate with a burst (a token bucket).  A grant
+  is a number of tokens that expire with the grant.
+- *slots*, requests in flight at a time.  A grant is a number of slots in which no request may begin after the
+  grant has expired.
+
+Part of each budget, the guaranteed minimum, is never granted: each router has an equal part of it without
+asking, so a router that reaches no allocator goes on at that rate.
 """
 
 from dataclasses import astuple, dataclass
-from typing import NamedTuple
 from zlib import crc32
 
-S = 1_000_000  # us
-DRIFT = 200  # parts in a million by which a clock may be fast or slow: crystals stay under 100
-LIFE = 1 * S  # us of a share, from when it was asked for: a cut-off router is on its floor after that
-ASKS = 4  # in a life: two may be lost or late
-ASKS_MOST = 32  # in a life, of a budget with a small burst
-OF = "/"  # between a budget's name and whom it counts by itself, a tenant say: in no name
+SECOND = 1_000_000  # microseconds, the unit of all times here
+MAX_CLOCK_DRIFT = 200  # parts per million by which a clock may be fast or slow; crystals stay under 100
+DEFAULT_GRANT_TTL = 1 * SECOND  # a router that is cut off is at its guaranteed minimum after that
+REQUESTS_PER_TTL = 4  # requests for quota within a grant's time to live: two of them may be lost or late
+MAX_REQUESTS_PER_TTL = 32  # the same of a budget whose bucket overflows sooner because its burst is small
+PARTITION_SEPARATOR = "/"  # between a budget's name and whom it counts apart, a tenant say; in no name
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
     """What all routers together may use.
 
-    :param rate: tokens a second; 0: no tokens.
+    The order of the fields counts: ``figures`` is computed from their values.
+
+    :param name: of the budget; with ``PARTITION_SEPARATOR`` and a tenant, route or pool where it is
+        partitioned.
+    :param rate: tokens per second; 0: no limit by tokens.
     :param burst: tokens at once.
-    :param slots: reqs in hand at a time; 0: no slots.
-    :param hold: us for which a req may be in hand, so a slot taken at a share's end is still in use.
-    :param floors: the share of it, from 0 to 1, that routers have without asking, each the same part.
-    :param routers: how many there may be.
-    :param life: us of a share.
+    :param slots: requests in flight at a time; 0: no limit by slots.
+    :param max_request_time: microseconds that a request may be in flight, so a slot that was taken right
+        before its grant expired is in use for as long after.
+    :param guaranteed_share: from 0 to 1, of the budget, which routers have without asking, in equal parts.
+    :param routers: the most that there may be.
+    :param grant_ttl: time to live of a grant, microseconds.
     """
 
     name: str
     rate: float = 0.0
     burst: float = 0.0
     slots: int = 0
-    hold: int = 0
-    floors: float = 0.2
+    max_request_time: int = 0
+    guaranteed_share: float = 0.2
     routers: int = 1
-    life: int = LIFE
+    grant_ttl: int = DEFAULT_GRANT_TTL
+
+    @property
+    def base_name(self) -> str:
+        """The budget's name in the plan, without the partition."""
+        return base_name(self.name)
 
     @property
     def shared_rate(self) -> float:
-        return (1 - self.floors) * self.rate
+        """Tokens per second that the allocator grants."""
+        return (1 - self.guaranteed_share) * self.rate
 
     @property
     def shared_burst(self) -> float:
-        return (1 - self.floors) * self.burst
+        """Tokens that the allocator's bucket holds."""
+        return (1 - self.guaranteed_share) * self.burst
 
     @property
-    def floor_rate(self) -> float:
-        """Of one router."""
-        return self.floors * self.rate / self.routers
+    def guaranteed_rate(self) -> float:
+        """Tokens per second of one router."""
+        return self.guaranteed_share * self.rate / self.routers
 
     @property
-    def floor_burst(self) -> float:
-        """Of one router: at least one token, or a floor would never let a req through."""
-        return max(1.0, self.floors * self.burst / self.routers)
+    def guaranteed_burst(self) -> float:
+        """Tokens of one router: at least one, or the guaranteed minimum would never admit a request."""
+        return max(1.0, self.guaranteed_share * self.burst / self.routers)
 
     @property
-    def floor_slots(self) -> int:
-        """Of one router, rounded down: where there are more routers than slots in the floors, none."""
-        return int(self.floors * self.slots / self.routers)
+    def guaranteed_slots(self) -> int:
+        """Slots of one router, rounded down: none where there are more routers than guaranteed slots."""
+        return int(self.guaranteed_share * self.slots / self.routers)
 
     @property
     def shared_slots(self) -> int:
-        return self.slots - self.routers * self.floor_slots
+        """Slots that the allocator grants."""
+        return self.slots - self.routers * self.guaranteed_slots
 
     @property
-    def every(self) -> int:
-        """us between two asks of a router: often enough that the bucket doesn't run over meanwhile."""
-        usual = self.life // ASKS
-        full = int(self.shared_burst / self.shared_rate * S / 2) if self.shared_rate else usual
-        return max(self.life // ASKS_MOST, min(usual, full))
+    def request_interval(self) -> int:
+        """Microseconds between two requests of a router: the bucket must not overflow in the meantime."""
+        usual = self.grant_ttl // REQUESTS_PER_TTL
+        half_full = int(self.shared_burst / self.shared_rate * SECOND / 2) if self.shared_rate else usual
+        return max(self.grant_ttl // MAX_REQUESTS_PER_TTL, min(usual, half_full))
 
     @property
     def figures(self) -> int:
-        """By which two parties see that they speak of the same terms, whatever they call them."""
-        return crc32(repr(astuple(self)[1:]).encode())
-
-    def ends(self, asked: int) -> int:
-        """us of the holder's clock at which a share ends that it asked for then."""
-        return asked + self.life - clock_slack(self.life)
-
-    def gone(self, granted: int) -> int:
-        """us of the granter's clock from which nothing of a share of slots is in use any more."""
-        return granted + self.life + self.hold + clock_slack(self.life + self.hold)
+        """Checksum of the terms, by which router and allocator notice that their plans differ.
 
-    def most(self, window: int) -> float:
-        """Tokens that all routers together may use within any window, whoever hears nothing.
-
-        A token is used within a life of its granting; so what is used in a window was granted in it or a life
-        before, out of one bucket.  Floors are counted as if all routers were there.
-
-        :param window: us, of true time.
+        The name is left out: one budget has several partitions.
         """
-        fast = 1 + DRIFT / 1e6
-        granted = self.shared_rate * fast * (window + self.life) / S + self.shared_burst
-        return granted + self.routers * (self.floor_rate * fast * window / S + self.floor_burst)
-
-
-def clock_slack(time: int) -> int:
-    """us by which two clocks may differ after that time, rounded up."""
-    return -(-2 * time * DRIFT // 1_000_000)
-
-
-class QuotaRequest(NamedTuple):
-    """A router's word to the granter.
-
-    :param token: of the process: another one under the same name is another holder.
-    :param number: counts the asks of that process from 1.
-    :param want: tokens a second that it would use, what it had to turn away included.
-    :param left: tokens that it holds and hasn't used.
-    :param keep: slots to which it has confined itself, from this word on.
-    :param slots: that it would use.
-    :param figures: of the budget as the router's plan has it.
-    """
-
-    budget: str
-    name: str
-    token: str
-    number: int
-    want: float = 0.0
-    left: float = 0.0
-    keep: int = 0
-    slots: int = 0
-    figures: int = 0
-
-
-class QuotaGrant(NamedTuple):
-    """The granter's answer to one ask.
+        return crc32(repr(astuple(self)[1:]).encode())
 
-    :param tokens: more, on top of what is left of earlier ones.
-    :param slots: in all, in place of what was kept.
-    """
+    def grant_expiry(self, requested_at: int) -> int:
+        """When a grant expires at its holder, microseconds of the holder's clock.
 
-    budget: str
-    token: str
-    number: int
-    tokens: float
-    slots: int
+        Guards against use of quota that the allocator has granted to another router meanwhile: counted from
+        the request, which was before the grant, and shortened by the clocks' drift, the grant expires at the
+        holder before it does at the allocator.
 
+        :param requested_at: when the holder asked for it, microseconds of the same clock.
+        """
+        return requested_at + self.grant_ttl - clock_slack(self.grant_ttl)
 
-class QuotaRefusal(NamedTuple):
-    """An ask that was not obeyed: which field, why, and what to do."""
+    def slots_free_at(self, granted_at: int) -> int:
+        """From when no slot of a grant is in use, microseconds of the allocator's clock.
 
-    place: str
-    reason: str
-    remedy: str
+        Guards against one slot in use twice: a request may begin right before the grant expires, and stays in
+        flight for ``max_request_time``.
 
+        :param granted_at: microseconds of the same clock.
+        """
+        longest_use = self.grant_ttl + self.max_request_time
+        return granted_at + longest_use + clock_slack(longest_use)
 
-class QuotaHolding(NamedTuple):
-    """What a granter knows of one router's part in a budget.
+    def max_use(self, window: int) -> float:
+        """The most tokens that all routers together may use within any window, whatever messages are lost.
 
-    :param want: tokens a second.
-    :param slots: that it may have in use.
-    :param heard: us since its last ask.
-    """
+        A token is used within a time to live of its grant; so what is used in a window was granted in it or
+        one time to live before, out of one bucket.  All routers' guaranteed minimums are counted.
 
-    name: str
-    want: float
-    slots: int
-    heard: int
+        :param window: microseconds of true time.
+        """
+        fastest_clock = 1 + MAX_CLOCK_DRIFT / 1e6
+        granted = self.shared_rate * fastest_clock * (window + self.grant_ttl) / SECOND + self.shared_burst
+        guaranteed = self.guaranteed_rate * fastest_clock * window / SECOND + self.guaranteed_burst
+        return granted + self.routers * guaranteed
 
 
-class BudgetState(NamedTuple):
-    """A budget as its granter sees it.
+def base_name(name: str) -> str:
+    """The name in the plan of a budget or of one of its partitions."""
+    return name.partition(PARTITION_SEPARATOR)[0]
 
-    :param tokens: in the bucket.
-    :param granted: tokens, since the granter began.
-    :param waits: us until slots are granted, which an earlier granter's may still be in use for.
-    """
 
-    budget: str
-    rate: float
-    slots: int
-    tokens: float
-    granted: float
-    waits: int
-    holders: tuple[QuotaHolding, ...]
+def clock_slack(duration: int) -> int:
+    """Microseconds by which two clocks may differ after that duration, rounded up."""
+    return -(-2 * duration * MAX_CLOCK_DRIFT // 1_000_000)
--- a/quartzrouter/quota/local_quota.py
+++ b/quartzrouter/quota/local_quota.py
@@ -1,182 +1,270 @@
-"""A router's side: what it may use now, by its own clock, and what it asks for."""
+"""One budget at one router: what it may use now by its own clock, and what it asks for. No I/O."""
 
 from collections import deque
 from typing import NamedTuple
 
-from quartzrouter.quota.budget import Budget, QuotaGrant, QuotaRequest, S
+from quartzrouter.quota.budget import SECOND, Budget
+from quartzrouter.quota.messages import QuotaGrant, QuotaRequest
 
-ASKED_MOST = 64  # asks whose answers may still come: an older one has run out
-MANY = 4  # reqs between two asks: fewer tell no rate by themselves
+MAX_PENDING_REQUESTS = 64  # requests for quota without an answer; the grant of an older one has expired
+MIN_RATE_SAMPLE = 4  # requests between two requests for quota: fewer of them show no rate by themselves
 
 
-class QuotaAllowance(NamedTuple):
-    """Tokens of one grant."""
+class TokenGrant(NamedTuple):
+    """Tokens of one grant.
 
-    until: int  # us, own clock
+    :param expires_at: microseconds of this router's clock.
+    :param tokens: left of it.
+    """
+
+    expires_at: int
     tokens: float
 
 
+class DemandSample(NamedTuple):
+    """Requests that the guaranteed minimum didn't suffice for between two requests for quota.
+
+    :param since: microseconds of this router's clock, at which the sample begins.
+    :param requests: how many.
+    """
+
+    since: int
+    requests: int
+
+
 class LocalQuota:
-    """:param budget: as the plan has it.
+    """A router's part in one budget.
+
+    :param budget: of the plan, named with its partition.
     :param name: of the router.
-    :param token: of its process.
-    :param now: us, of its own monotonic clock; so are all times.
-    :param since: us, from when on the floor's tokens count, where that was earlier.
+    :param process_token: of its process.
+    :param now: microseconds of this router's monotonic clock; so are all times.
+    :param guaranteed_since: from when on guaranteed tokens accrue, where that was earlier than ``now``.
     """
 
-    def __init__(self, budget: Budget, name: str, token: str, now: int, since: int | None = None):
-        self.budget, self.name, self.token = budget, name, token
-        self.numbers = 0
-        self.asked: dict[int, int] = {}  # when, by number, for those not yet answered
-        self.purses: deque[QuotaAllowance] = deque()  # by their end
-        since = now if since is None else since
-        self.floor, self.filled = 0.0, since  # empty at first: a restart may not give a second burst
-        self.floor_from = since + budget.hold  # what a process before this one had in hand is over by then
-        self.slots, self.slots_until = 0, now
-        self.in_use = self.most_in_use = 0
-        self.short = 0  # reqs denied for want of a slot since the last ask
-        self.want, self.since, self.tried = 0.0, now, 0  # reqs that the floor doesn't do for
-        self.lately: deque[tuple[int, int]] = deque()  # since when so many
-        self.answered = now  # when a grant came
-        self.on_floor = self.denied = self.odd = 0  # reqs let through by the floor, turned away; odd words
-
-    # -- using -----------------------------------------------------------------------------------------
-
-    def may(self, now: int, kept_free: float = 0.0) -> int:
-        """Whether a req may go now; counts it as wanted.
-
-        :param now: us, read right before: a process that was stopped may have woken behind a share's end.
-        :param kept_free: the share of the slots that a req of less value leaves alone.
-        :return: 0 where it may go; else us after which to come back: by then more may be granted.
+    def __init__(
+        self, budget: Budget, name: str, process_token: str, now: int, guaranteed_since: int | None = None
+    ):
+        self.budget = budget
+        self.name = name
+        self.process_token = process_token
+        self.last_sequence_number = 0
+        self.pending_requests: dict[
+            int, int
+        ] = {}  # sequence number of an unanswered request: when it was made
+        self.token_grants: deque[TokenGrant] = deque()  # the next to expire first
+        guaranteed_since = now if guaranteed_since is None else guaranteed_since
+        # A restart must not give the guaranteed burst again: the bucket begins empty.
+        self.guaranteed_tokens = 0.0
+        self.guaranteed_refilled_at = guaranteed_since
+        # Requests of a former process may be in flight until then, in the same guaranteed slots.
+        self.guaranteed_slots_from = guaranteed_since + budget.max_request_time
+        self.granted_slots = 0
+        self.granted_slots_expire_at = now
+        self.in_use = 0  # requests in flight
+        self.peak_in_use = 0  # since the last request for quota
+        self.denied_for_slots = 0  # since the last request for quota
+        self.wanted_rate = 0.0  # tokens per second beyond the guaranteed minimum
+        self.demand_since = now
+        self.demand = 0  # requests since then that the guaranteed minimum didn't suffice for
+        self.recent_demand: deque[DemandSample] = deque()
+        self.last_grant_at = now
+        self.admitted_by_guarantee = 0
+        self.denied = 0
+        self.invalid_grants = 0
+
+    # -- use -------------------------------------------------------------------------------------------
+
+    def time_until_admitted(self, now: int, kept_free: float = 0.0) -> int:
+        """Whether a request may begin now; the request counts as demand.
+
+        :param now: microseconds, read right before: a process that was stopped may wake after a grant's end.
+        :param kept_free: share of the slots, from 0 to 1, which a request of low priority leaves to others.
+        :returns: 0 where it may begin; else microseconds after which to retry: more may be granted by then.
         """
-        if self.budget.slots and self.in_use >= int(self._slots(now) * (1 - kept_free)):
+        usable_slots = int(self._slots(now) * (1 - kept_free))
+        if self.budget.slots and self.in_use >= usable_slots:
             self.denied += 1
-            self.short += 1
-            return self.budget.every
-        if self.budget.rate and not self._token(now):
+            self.denied_for_slots += 1
+            return self.budget.request_interval
+        if self.budget.rate and not self._has_token(now):
             self.denied += 1
-            return self.budget.every
+            return self.budget.request_interval
         return 0
 
-    def take(self, now: int, kept_free: float = 0.0) -> int:
-        """Uses a token, and a slot, for one req, where it may go; as `may`."""
-        if come_back := self.may(now, kept_free):
-            return come_back
-        self.use()
-        return 0
+    def try_use(self, now: int, kept_free: float = 0.0) -> int:
+        """Begins a request where it may begin; parameters and result as of ``time_until_admitted``."""
+        retry_after = self.time_until_admitted(now, kept_free)
+        if not retry_after:
+            self.use()
+        return retry_after
 
     def use(self) -> None:
-        """Uses what was just found: a slot, and a token: the floor's first, which nobody else has."""
-        if self.budget.rate and self.floor >= 1:
-            self.floor -= 1
-            self.on_floor += 1
+        """Begins a request that ``time_until_admitted`` has just admitted.
+
+        Takes a slot and a token; a guaranteed token first, as nobody else can use that.
+        """
+        if self.budget.rate and self.guaranteed_tokens >= 1:
+            self.guaranteed_tokens -= 1
+            self.admitted_by_guarantee += 1
         elif self.budget.rate:
-            self.purses[0] = self.purses[0]._replace(tokens=self.purses[0].tokens - 1)
+            next_to_expire = self.token_grants[0]
+            self.token_grants[0] = next_to_expire._replace(tokens=next_to_expire.tokens - 1)
         self.in_use += 1
-        self.most_in_use = max(self.most_in_use, self.in_use)
+        self.peak_in_use = max(self.peak_in_use, self.in_use)
 
-    def ended(self) -> None:
-        """A req that was let through has had its final answer."""
+    def release(self) -> None:
+        """Ends a request: its final answer has been sent."""
         self.in_use -= 1
 
-    def _token(self, now: int) -> bool:
-        """Whether there is a token, granted or of the floor; parts of one join, by the sooner end."""
-        while self.purses and (self.purses[0].until <= now or self.purses[0].tokens < 1):
-            over = self.purses.popleft()
-            if over.until > now and self.purses and over.tokens > 0:
-                self.purses[0] = QuotaAllowance(over.until, self.purses[0].tokens + over.tokens)
-        self._fill(now)
-        if self.floor >= 1:
+    def _has_token(self, now: int) -> bool:
+        """Whether a token is there; fractions of two grants are joined, and expire with the earlier one."""
+        while self.token_grants and (
+            self.token_grants[0].expires_at <= now or self.token_grants[0].tokens < 1
+        ):
+            used_up = self.token_grants.popleft()
+            has_fraction = used_up.expires_at > now and used_up.tokens > 0
+            if has_fraction and self.token_grants:
+                tokens = self.token_grants[0].tokens + used_up.tokens
+                self.token_grants[0] = TokenGrant(used_up.expires_at, tokens)
+        self._refill_guaranteed_tokens(now)
+        if self.guaranteed_tokens >= 1:
             return True
-        self.tried += 1  # the floor didn't do
-        return bool(self.purses)
+        self.demand += 1
+        return bool(self.token_grants)
+
+    def _refill_guaranteed_tokens(self, now: int) -> None:
+        if now <= self.guaranteed_refilled_at:
+            return
+        due = self.budget.guaranteed_rate * (now - self.guaranteed_refilled_at) / SECOND
+        self.guaranteed_tokens = min(self.budget.guaranteed_burst, self.guaranteed_tokens + due)
+        self.guaranteed_refilled_at = now
 
-    def _fill(self, now: int) -> None:
-        if now > self.filled:
-            more = self.budget.floor_rate * (now - self.filled) / S
-            self.floor, self.filled = min(self.budget.floor_burst, self.floor + more), now
+    def _guaranteed_slots(self, now: int) -> int:
+        return self.budget.guaranteed_slots if now >= self.guaranteed_slots_from else 0
 
     def _slots(self, now: int) -> int:
-        floor = self.budget.floor_slots if now >= self.floor_from else 0
-        return floor + (self.slots if now < self.slots_until else 0)
+        granted = self.granted_slots if now < self.granted_slots_expire_at else 0
+        return self._guaranteed_slots(now) + granted
 
-    def left(self, now: int) -> float:
-        """Tokens granted and not used."""
-        return sum(purse.tokens for purse in self.purses if purse.until > now)
+    def tokens_left(self, now: int) -> float:
+        """Tokens that are granted and not used."""
+        return sum(grant.tokens for grant in self.token_grants if grant.expires_at > now)
 
-    def rests(self, now: int) -> bool:
-        """Whether it would be the same if it were made anew: nothing in hand or held, and a full floor."""
-        self._fill(now)
-        full = not self.budget.rate or self.floor >= self.budget.floor_burst
-        return full and not self.in_use and not self.granted(now) and now >= self.floor_from
+    def is_at_rest(self, now: int) -> bool:
+        """Whether a new one would be the same: nothing in flight or granted, all guaranteed tokens there."""
+        self._refill_guaranteed_tokens(now)
+        is_full = not self.budget.rate or self.guaranteed_tokens >= self.budget.guaranteed_burst
+        has_grant = self.has_grant(now)
+        return is_full and not self.in_use and not has_grant and now >= self.guaranteed_slots_from
 
     def replace(self, budget: Budget, now: int) -> None:
-        """A new plan's terms: what was granted by the old ones is given up, what is in hand stays so."""
-        self._fill(now)
-        self.floor = min(self.floor, budget.floor_burst)
-        self.budget, self.slots, self.slots_until = budget, 0, now
-        self.purses.clear()
-        self.asked.clear()
-
-    def granted(self, now: int) -> bool:
-        """Whether anything granted is in force."""
-        return self.left(now) >= 1 or (self.slots > 0 and now < self.slots_until)
-
-    def cut_off(self, now: int) -> bool:
-        """Whether it acts on its floor because no grant has come for a share's life."""
-        return now - self.answered > self.budget.life
-
-    # -- asking ----------------------------------------------------------------------------------------
-
-    def ask(self, now: int) -> QuotaRequest:
-        """What to say next; from then on no more slots than it says are used."""
-        self._wants(now)
-        floor = self.budget.floor_slots if now >= self.floor_from else 0
-        most = self.most_in_use
-        wanted = max(
-            0, most + max(most // 4 + 1, min(self.short, most)) - floor
-        )  # twice as many, where denied
-        self.short = 0
-        self.slots = min(self.slots, max(self.in_use - floor, wanted))
-        self.most_in_use = self.in_use
-        self.numbers += 1
-        self.asked[self.numbers] = now
-        while len(self.asked) > ASKED_MOST:
-            del self.asked[next(iter(self.asked))]
-        wanted = wanted if self.budget.slots else 0
-        keep = max(self.slots, self.in_use - floor)  # those in use count, also where fewer are held by now
-        told = (self.token, self.numbers, self.want, self.left(now), keep, wanted)
-        return QuotaRequest(self.budget.name, self.name, *told, self.budget.figures)
-
-    def _wants(self, now: int) -> None:
-        """Tokens a second that it would use: over a share's life, and at once where many have come lately."""
-        seen = self.tried / max(1, now - self.since) * S
-        self.lately.append((self.since, self.tried))
-        while self.lately[0][0] < now - self.budget.life and len(self.lately) > 1:
-            self.lately.popleft()
-        usual = sum(tried for _, tried in self.lately) / max(1, now - self.lately[0][0]) * S
-        self.want = max(usual, seen) if self.tried >= MANY else usual
-        self.tried, self.since = 0, now
-
-    def take_grant(self, said: QuotaGrant, now: int) -> bool:
-        """Takes an answer in, once; a word that can't be one is counted and not obeyed."""
-        most = self.budget.shared_rate * self.budget.life / S + self.budget.shared_burst
-        well = 0 <= said.tokens <= most and 0 <= said.slots <= self.budget.shared_slots
-        if said.budget != self.budget.name or said.token != self.token or not well:
-            self.odd += 1
-            return False
-        asked = self.asked.pop(said.number, None)
-        if asked is None:
-            self.odd += 1
+        """Takes a new plan's terms: grants of the old ones are given up, requests in flight count on."""
+        self._refill_guaranteed_tokens(now)
+        self.guaranteed_tokens = min(self.guaranteed_tokens, budget.guaranteed_burst)
+        self.budget = budget
+        self.granted_slots = 0
+        self.granted_slots_expire_at = now
+        self.token_grants.clear()
+        self.pending_requests.clear()
+
+    def has_grant(self, now: int) -> bool:
+        """Whether a grant is in force."""
+        has_slots = self.granted_slots > 0 and now < self.granted_slots_expire_at
+        return self.tokens_left(now) >= 1 or has_slots
+
+    def is_cut_off(self, now: int) -> bool:
+        """Whether no grant has come for a time to live, so that only the guaranteed minimum is left."""
+        return now - self.last_grant_at > self.budget.grant_ttl
+
+    # -- requests for quota ----------------------------------------------------------------------------
+
+    def next_request(self, now: int) -> QuotaRequest:
+        """The next request for quota.
+
+        Guards against a slot in use at two routers: from now on this router uses no more slots than the
+        request says that it keeps, and the allocator may grant the others elsewhere.
+        """
+        self._measure_demand(now)
+        guaranteed_slots = self._guaranteed_slots(now)
+        slots_wanted = self._wanted_slots(guaranteed_slots)
+        self.denied_for_slots = 0
+        self.granted_slots = min(self.granted_slots, max(self.in_use - guaranteed_slots, slots_wanted))
+        self.peak_in_use = self.in_use
+        self.last_sequence_number += 1
+        self.pending_requests[self.last_sequence_number] = now
+        while len(self.pending_requests) > MAX_PENDING_REQUESTS:
+            del self.pending_requests[next(iter(self.pending_requests))]
+        # Slots in use count, also where fewer are granted by now.
+        slots_kept = max(self.granted_slots, self.in_use - guaranteed_slots)
+        return QuotaRequest(
+            budget=self.budget.name,
+            name=self.name,
+            process_token=self.process_token,
+            sequence_number=self.last_sequence_number,
+            wanted_rate=self.wanted_rate,
+            tokens_left=self.tokens_left(now),
+            slots_kept=slots_kept,
+            slots_wanted=slots_wanted if self.budget.slots else 0,
+            figures=self.budget.figures,
+        )
+
+    def _wanted_slots(self, guaranteed_slots: int) -> int:
+        """Slots to ask for: a quarter more than were in use, up to twice as many where some were denied."""
+        peak = self.peak_in_use
+        headroom = max(peak // 4 + 1, min(self.denied_for_slots, peak))
+        return max(0, peak + headroom - guaranteed_slots)
+
+    def _measure_demand(self, now: int) -> None:
+        """Sets the wanted rate: over a grant's time to live, or the latest one where that shows more."""
+        latest_rate = self.demand / max(1, now - self.demand_since) * SECOND
+        self.recent_demand.append(DemandSample(self.demand_since, self.demand))
+        oldest_allowed = now - self.budget.grant_ttl
+        while self.recent_demand[0].since < oldest_allowed and len(self.recent_demand) > 1:
+            self.recent_demand.popleft()
+        requests = sum(sample.requests for sample in self.recent_demand)
+        usual_rate = requests / max(1, now - self.recent_demand[0].since) * SECOND
+        is_representative = self.demand >= MIN_RATE_SAMPLE
+        self.wanted_rate = max(usual_rate, latest_rate) if is_representative else usual_rate
+        self.demand = 0
+        self.demand_since = now
+
+    def apply_grant(self, grant: QuotaGrant, now: int) -> bool:
+        """Takes in the answer to a request, once.
+
+        Guards against doubled, reordered and foreign grants: only a pending request's grant counts, and slots
+        only by the last request, as that one may have confined this router to fewer.
+
+        :returns: whether the grant is in force; one that can't be an answer is counted as invalid.
+        """
+        requested_at = None
+        if self._is_plausible(grant):
+            requested_at = self.pending_requests.pop(grant.sequence_number, None)
+        if requested_at is None:
+            self.invalid_grants += 1
             return False
-        self.answered = now
-        for number in [number for number in self.asked if number < said.number]:
-            del self.asked[number]  # answers come in their order: what was skipped is lost
-        until = self.budget.ends(asked)
-        if until <= now:
+        self.last_grant_at = now
+        self._forget_requests_before(grant.sequence_number)
+        expires_at = self.budget.grant_expiry(requested_at)
+        if expires_at <= now:
             return False
-        if said.tokens:
-            self.purses.append(QuotaAllowance(until, said.tokens))
-        if said.number == self.numbers:  # a later ask has confined this router to fewer, maybe
-            self.slots, self.slots_until = said.slots, until
+        if grant.tokens:
+            self.token_grants.append(TokenGrant(expires_at, grant.tokens))
+        if grant.sequence_number == self.last_sequence_number:
+            self.granted_slots = grant.slots
+            self.granted_slots_expire_at = expires_at
         return True
+
+    def _is_plausible(self, grant: QuotaGrant) -> bool:
+        """Whether a grant is of this process and budget, with amounts that the budget has; NaN is none."""
+        budget = self.budget
+        max_tokens = budget.shared_rate * budget.grant_ttl / SECOND + budget.shared_burst
+        is_ours = grant.budget == budget.name and grant.process_token == self.process_token
+        has_amounts = 0 <= grant.tokens <= max_tokens and 0 <= grant.slots <= budget.shared_slots
+        return is_ours and has_amounts
+
+    def _forget_requests_before(self, sequence_number: int) -> None:
+        """Answers come in the requests' order, so those of earlier requests are lost."""
+        earlier = [number for number in self.pending_requests if number < sequence_number]
+        for number in earlier:
+            del self.pending_requests[number]
--- /dev/null
+++ b/quartzrouter/quota/slow_start_client.py
@@ -0,0 +1,199 @@
+"""A router's side of slow start: the sending time that it was granted at starting endpoints. No I/O."""
+
+from collections import deque
+from collections.abc import Callable, Sequence
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from quartzrouter.quota.slow_start_messages import (
+    MAX_REQUESTS_PER_MESSAGE,
+    MAX_SENDING_TIME,
+    SlowStartGrant,
+    SlowStartRequest,
+    SlowStartTerms,
+)
+from quartzrouter.routing.model import SlowStartDemand
+
+MAX_PENDING_REQUESTS = 64  # requests without an answer, per endpoint; the grant of an older one has expired
+MIN_WANTED_REQUESTS = 0.25  # requests per window: a demand below it is left to the guaranteed share
+SMOOTHING = 0.5  # weight of the time since the last request in the demand (exponential moving average)
+
+
+class SendingTimeGrant(NamedTuple):
+    """What is left of one grant.
+
+    :param expires_at: microseconds of this router's clock.
+    :param sending_time: microseconds.
+    """
+
+    expires_at: int
+    sending_time: int
+
+
+@dataclass(slots=True)
+class EndpointAllowance:
+    """What one router has of one starting endpoint, and wants of it.
+
+    :param tier: whose terms hold.
+    :param measured_at: when the demand was last measured, microseconds.
+    :param grants: the next to expire first.
+    :param pending_requests: sequence number of an unanswered request: when it was made.
+    :param wanted: microseconds of sending time per window, smoothed.
+    :param expired_unused: microseconds, to be returned with the next request.
+    :param request_time: microseconds of one request to the endpoint.
+    """
+
+    tier: str
+    measured_at: int
+    grants: deque[SendingTimeGrant] = field(default_factory=deque)
+    pending_requests: dict[int, int] = field(default_factory=dict)
+    wanted: float = 0.0
+    expired_unused: int = 0
+    request_time: int = 1
+
+    def measure(self, demand: SlowStartDemand, window: int, now: int) -> None:
+        """Takes in what the routing decisions would have sent since the last measurement.
+
+        :param window: microseconds.
+        """
+        per_window = demand.demand * window / max(1, now - self.measured_at)
+        smoothed = self.wanted + SMOOTHING * (per_window - self.wanted)
+        self.wanted = max(float(demand.demand), smoothed)
+        self.measured_at = now
+        self.request_time = min(MAX_SENDING_TIME, demand.largest_request or self.request_time)
+
+    @property
+    def is_worth_a_request(self) -> bool:
+        """Whether enough is wanted, or something is to be returned."""
+        return self.wanted >= self.request_time * MIN_WANTED_REQUESTS or self.expired_unused > 0
+
+    def spend(self, sending_time: int) -> None:
+        """Takes microseconds of sending time out of what expires first."""
+        while sending_time > 0 and self.grants:
+            first = self.grants.popleft()
+            if first.sending_time > sending_time:
+                rest = first.sending_time - sending_time
+                self.grants.appendleft(SendingTimeGrant(first.expires_at, rest))
+            sending_time -= first.sending_time
+
+    def drop_expired(self, now: int) -> None:
+        """Drops expired grants, to be returned."""
+        while self.grants and self.grants[0].expires_at <= now:
+            self.expired_unused += self.grants.popleft().sending_time
+
+
+class SlowStartClient:
+    """The sending time of a router at all starting endpoints.
+
+    :param terms: by tier.
+    :param steady_clock: reads this machine's monotonic clock, microseconds: a process that is stopped may
+        wake after a grant's end.
+    """
+
+    def __init__(self, terms: dict[str, SlowStartTerms], steady_clock: Callable[[], int]):
+        self.terms = dict(terms)
+        self.steady_clock = steady_clock
+        self.allowances: dict[str, EndpointAllowance] = {}
+        # Microseconds by endpoint.  The routing decisions take from it, and refresh() settles what they took.
+        self.left: dict[str, int] = {}
+        self.left_at_refresh: dict[str, int] = {}
+        self.last_sequence_number = 0
+        self.invalid_grants = 0
+
+    def refresh(self) -> None:
+        """To be called before each decision: what has expired is there no more."""
+        if self.allowances or self.left:
+            self._settle()
+            self._update_left(self.steady_clock())
+
+    def _settle(self) -> None:
+        """Takes what was used since the last refresh out of the grants."""
+        for endpoint, before in self.left_at_refresh.items():
+            allowance = self.allowances.get(endpoint)
+            if allowance:
+                allowance.spend(before - self.left.get(endpoint, 0))
+        self.left_at_refresh = {}
+
+    def _update_left(self, now: int) -> None:
+        self.left.clear()
+        for endpoint, allowance in self.allowances.items():
+            allowance.drop_expired(now)
+            if allowance.grants:
+                self.left[endpoint] = sum(grant.sending_time for grant in allowance.grants)
+        self.left_at_refresh = dict(self.left)
+
+    def due_requests(self, demands: Sequence[SlowStartDemand]) -> tuple[SlowStartRequest, ...]:
+        """The requests to send now.
+
+        :param demands: of the endpoints that have started lately, as the routing decisions see them.
+        """
+        now = self.steady_clock()
+        demand_by_endpoint = {demand.endpoint: demand for demand in demands}
+        self._forget_all_but(demand_by_endpoint)
+        self.refresh()
+        requests = []
+        for endpoint, demand in demand_by_endpoint.items():
+            terms = self.terms.get(demand.tier.value)
+            is_wanted = endpoint in self.allowances or demand.demand
+            if terms is None or not is_wanted:
+                continue
+            allowance = self.allowances.get(endpoint)
+            if allowance is None:
+                allowance = EndpointAllowance(demand.tier.value, now - terms.request_interval)
+                self.allowances[endpoint] = allowance
+            allowance.measure(demand, terms.window, now)
+            if allowance.is_worth_a_request:
+                requests.append(self._request(allowance, demand, terms, now))
+        return tuple(requests[:MAX_REQUESTS_PER_MESSAGE])
+
+    def _forget_all_but(self, endpoints: dict[str, SlowStartDemand]) -> None:
+        """Endpoints that have warmed up, or are gone, need no sending time."""
+        for endpoint in [endpoint for endpoint in self.allowances if endpoint not in endpoints]:
+            del self.allowances[endpoint]
+
+    def _request(
+        self, allowance: EndpointAllowance, demand: SlowStartDemand, terms: SlowStartTerms, now: int
+    ) -> SlowStartRequest:
+        self.last_sequence_number += 1
+        pending = allowance.pending_requests
+        pending[self.last_sequence_number] = now
+        while len(pending) > MAX_PENDING_REQUESTS:
+            del pending[next(iter(pending))]
+        returned = min(MAX_SENDING_TIME, allowance.expired_unused)
+        allowance.expired_unused = 0
+        return SlowStartRequest(
+            endpoint=demand.endpoint,
+            tier=allowance.tier,
+            sequence_number=self.last_sequence_number,
+            limit=min(MAX_SENDING_TIME, demand.limit),
+            wanted=min(MAX_SENDING_TIME, max(allowance.request_time, int(allowance.wanted))),
+            left=self.left.get(demand.endpoint, 0),
+            request_time=allowance.request_time,
+            figures=terms.figures,
+            returned=returned,
+        )
+
+    def apply_grants(self, grants: Sequence[SlowStartGrant]) -> None:
+        """Takes in answers of the allocator, each once.
+
+        Guards against doubled and foreign grants: only a pending request's grant counts.
+        """
+        self.refresh()
+        now = self.steady_clock()
+        for grant in grants:
+            allowance = self.allowances.get(grant.endpoint)
+            requested_at = None
+            if allowance:
+                requested_at = allowance.pending_requests.pop(grant.sequence_number, None)
+            is_valid = 0 <= grant.sending_time <= MAX_SENDING_TIME
+            if allowance is None or requested_at is None or not is_valid:
+                self.invalid_grants += 1
+                continue
+            expires_at = self.terms[allowance.tier].grant_expiry(requested_at)
+            if grant.sending_time and expires_at > now:
+                allowance.grants.append(SendingTimeGrant(expires_at, grant.sending_time))
+        self._update_left(now)
+
+    def request_interval(self) -> int | None:
+        """Microseconds until the next look for demand; None where no slow start is shared."""
+        return min((terms.request_interval for terms in self.terms.values()), default=None)
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -10,12 +10,12 @@
 from quartzrouter.config.model import Plan
 from quartzrouter.config.platform_json import compiled, members
 from quartzrouter.configuration import Configuration, ConfigurationError, Section, address
-from quartzrouter.fleet_health.aggregator import NEWS_EVERY, TELL_EVERY
+from quartzrouter.fleet_health.reports import REPORT_INTERVAL, URGENT_REPORT_INTERVAL
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.shared_limits import budgets, terms
 from quartzrouter.purge_log.member_client import CloseConnection, MemberClient, QueueMessage
-from quartzrouter.quota.client import NOTHING, QuotaClient, QuotaCounters, shown
-from quartzrouter.quota.slow_start import SlowStartClient
+from quartzrouter.quota.client import QuotaClient, QuotaCounters, describe_changes
+from quartzrouter.quota.slow_start_client import SlowStartClient
 from quartzrouter.server import process
 from quartzrouter.server.endpoint_watch import EndpointUpdate, initial_snapshot
 from quartzrouter.server.rate_limited_log import RateLimitedLog
@@ -94,17 +94,17 @@
 
     async def _ask_shares(self) -> None:
         while True:
-            due = self.force.shares.wait()
-            if colds := self.force.parts.wait():
+            due = self.force.shares.time_until_next_request()
+            if colds := self.force.parts.request_interval():
                 due = min(due, colds)
             await anyio.sleep(due / 1e6)
             self.feed(RequestQuota())
 
     async def _tell_sights(self) -> None:
-        looks = TELL_EVERY // NEWS_EVERY
+        looks = REPORT_INTERVAL // URGENT_REPORT_INTERVAL
         while True:
             for look in range(looks):
-                await anyio.sleep(NEWS_EVERY / 1e6)
+                await anyio.sleep(URGENT_REPORT_INTERVAL / 1e6)
                 self.feed(ReportHealth(failures=look < looks - 1))
 
     async def _tell_shares(self) -> None:
@@ -112,9 +112,9 @@
         before: dict[str, QuotaCounters] = {}
         while True:
             await anyio.sleep(purge_membership.TELL_EVERY)
-            told = self.force.shares.told()
+            told = self.force.shares.counters()
             for name, counts in told.items():
-                if said := shown(counts, before.get(name, NOTHING)):
+                if said := describe_changes(counts, before.get(name, QuotaCounters())):
                     self.report.say("shares", f"limit {name}: {said}")
             before = told
             for budget, (place, reason, remedy) in self.reducer.refused.items():
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -8,7 +8,8 @@
 from typing import NamedTuple
 
 from quartzrouter.config.model import Plan
-from quartzrouter.fleet_health.aggregator import SIGHTS_MOST, accepted_ejections
+from quartzrouter.fleet_health.ejection import accepted_ejections
+from quartzrouter.fleet_health.reports import MAX_OBSERVATIONS
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.route_selection import vhost_name
 from quartzrouter.purge_log.member_client import (
@@ -20,7 +21,7 @@
 from quartzrouter.purges import messages
 from quartzrouter.purges.messages import CaughtUp, EjectionVerdicts, HealthReport, QuotaGrants, QuotaRequests
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
-from quartzrouter.quota.budget import QuotaRefusal
+from quartzrouter.quota.messages import QuotaRefusal
 from quartzrouter.routing.model import AttemptStatus, HealthObservation, Request
 from quartzrouter.routing.model import Idempotency as Repeats
 from quartzrouter.server import responses
@@ -125,8 +126,8 @@
     def _asks(self, now: int) -> list[QueueMessage]:
         if not (self.follower and self.follower.grants):
             return []
-        asks, parts = self.force.shares.asks(), self.force.parts
-        colds = parts.asks(self.force.slow_start_demand(now)) if parts and parts.terms else ()
+        asks, parts = self.force.shares.due_requests(), self.force.parts
+        colds = parts.due_requests(self.force.slow_start_demand(now)) if parts and parts.terms else ()
         return [QueueMessage(QuotaRequests(asks, colds))] if asks or colds else []
 
     def _sights(self, now: int, failures: bool) -> list[QueueMessage]:
@@ -144,22 +145,22 @@
             begun = max(0, good + bad + new.in_flight - old.in_flight)
             if new.ejected or good or bad or new.in_flight:
                 said.append(messages.CacheObservation(name, new.ejected, good, bad, new.in_flight, begun))
-        told = (self.force.arguments["home"], tuple(said[:SIGHTS_MOST]), len(self.seen))
+        told = (self.force.arguments["home"], tuple(said[:MAX_OBSERVATIONS]), len(self.seen))
         return [QueueMessage(HealthReport(*told, self.force.plan.deployment["counts"]))]
 
     def _judged(self, judgements: tuple[messages.EjectionVerdict, ...], now: int) -> None:
         """Leaves caches out for as long as others say, as few as may be; each ends by itself."""
         until = accepted_ejections(judgements, len(self.force.health_observations(now)), now)
         for cache in until.keys() - self.hearsay.keys():
-            by = next(each.by for each in judgements if each.cache == cache)
+            by = next(each.reported_by for each in judgements if each.cache == cache)
             log.info("%s is left out by the word of %s", cache, ", ".join(by[:NAMED]))
         self.hearsay = until
         self.force.set_ejected_by_peers(until, now)
 
     def _granted(self, said: QuotaGrants) -> None:
-        self.force.shares.granted(said.grants)
+        self.force.shares.apply_grants(said.grants)
         if self.force.parts:
-            self.force.parts.granted(said.colds)
+            self.force.parts.apply_grants(said.colds)
         for budget, refusal in said.refused.items():
             self.refused[budget] = refusal
             while len(self.refused) > REFUSED_MOST:
@@ -188,7 +189,7 @@
 
     def _came(self, ticket: int, call: ClientRequest, now: int) -> None:
         denied = self.force.admit(ticket, call.ruling, now)
-        if self.force.shares and self.force.shares.fresh:
+        if self.force.shares and self.force.shares.has_new_demand:
             self.effects += self._asks(now)  # a budget that nothing is held of waits for no timer
         if denied is not None:
             self.denied[denied.limit] = self.denied.get(denied.limit, 0) + 1
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -8,15 +8,11 @@
 from test_force import Played
 
 from quartzrouter.fault_scenarios.sharing import FEW, Fault, play
-from quartzrouter.fleet_health import aggregator as module
-from quartzrouter.fleet_health.aggregator import (
-    HOLDS,
-    QUIET,
-    SIGHT_LIFE,
-    TELL_EVERY,
-    CacheObservation,
-    HealthAggregator,
-)
+from quartzrouter.fleet_health import ejection, reports
+from quartzrouter.fleet_health.aggregator import HealthAggregator
+from quartzrouter.fleet_health.ejection import BASE_EJECTION_TIME, EJECTION_MEMORY
+from quartzrouter.fleet_health.messages import CacheObservation, EjectionVerdict
+from quartzrouter.fleet_health.reports import REPORT_TTL, REPORT_INTERVAL, RouterReport
 from quartzrouter.routing.model import AttemptStatus
 
 S = 1_000_000
@@ -34,7 +30,7 @@
 
     def play(self, rounds):
         for _ in range(rounds):
-            self.now += TELL_EVERY
+            self.now += REPORT_INTERVAL
             for n in set(range(self.routers)) - self.silent:
                 sights = [
                     CacheObservation(cache, False, 0, 2, 1, 2)
@@ -42,10 +38,10 @@
                     else CacheObservation(cache, False, 3, 0, 2, 3)
                     for cache in CACHES
                 ]
-                assert self.council.hear(
+                assert self.council.record_report(
                     f"r{n}", self.tokens[n], "north", tuple(sights), self.now, len(CACHES)
                 )
-        return [each.cache for each in self.council.judged("north", self.now)]
+        return [each.cache for each in self.council.verdicts("north", self.now)]
 
     def fail(self, cache, routers):
         for n in routers:
@@ -56,9 +52,9 @@
     store = Store()
     store.fail("n3", range(5))
     assert store.play(5) == ["n3"]
-    (judgement,) = store.council.judged("north", store.now)
-    assert judgement.by == ("r0", "r1", "r2", "r3", "r4") and judgement.against == ("r5",)
-    assert 0 < judgement.ends <= HOLDS and judgement.failures > 10
+    (judgement,) = store.council.verdicts("north", store.now)
+    assert judgement.reported_by == ("r0", "r1", "r2", "r3", "r4") and judgement.contradicted_by == ("r5",)
+    assert 0 < judgement.expires_in <= BASE_EJECTION_TIME and judgement.failures > 10
     store.silent = set(range(6))  # nobody sends there any more, or nobody is heard
     assert store.play(12) == []  # it has ended
 
@@ -79,7 +75,7 @@
         return store.play(10)
 
     assert played() == []
-    monkeypatch.setattr(module, "_cut_off", lambda voice: False)
+    monkeypatch.setattr(RouterReport, "is_cut_off", property(lambda report: False))
     assert played() == ["n1"]  # by its word and one more's
 
 
@@ -91,20 +87,20 @@
         return store.play(10)
 
     assert len(played()) == 3
-    monkeypatch.setattr(module, "LEFT_OUT", 1.0)
+    monkeypatch.setattr(ejection, "MAX_EJECTED_SHARE", 1.0)
     assert len(played()) == 4
 
 
 def test_errors_that_all_caches_show_take_none():
     store = Store()
     for now in range(10):
-        store.now += TELL_EVERY
+        store.now += REPORT_INTERVAL
         for n in range(6):
             sights = tuple(
                 CacheObservation(cache, False, 1, 1 + (cache == "n0") * (now % 2)) for cache in CACHES
             )
-            store.council.hear(f"r{n}", "t", "north", sights, store.now, len(CACHES))
-    assert store.council.judged("north", store.now) == ()
+            store.council.record_report(f"r{n}", "t", "north", sights, store.now, len(CACHES))
+    assert store.council.verdicts("north", store.now) == ()
 
 
 def test_a_cache_that_flaps_is_left_out_for_longer_each_time():
@@ -116,14 +112,16 @@
         left = 0
         while store.play(1):
             left += 1
-        spans.append(left * TELL_EVERY)
+        spans.append(left * REPORT_INTERVAL)
     assert (
-        spans == sorted(spans) and spans[-1] >= 4 * spans[0] and spans[-1] <= module.HOLDS_MOST + SIGHT_LIFE
+        spans == sorted(spans)
+        and spans[-1] >= 4 * spans[0]
+        and spans[-1] <= ejection.MAX_EJECTION_TIME + REPORT_TTL
     )
-    store.now += QUIET + S
+    store.now += EJECTION_MEMORY + S
     store.fail("n3", range(6))
     store.play(8)
-    assert store.council.judged("north", store.now)[0].ends <= HOLDS  # the first again
+    assert store.council.verdicts("north", store.now)[0].expires_in <= BASE_EJECTION_TIME  # the first again
 
 
 def test_two_halves_that_judge_differently_agree_once_they_meet():
@@ -138,24 +136,24 @@
 def test_counts_tell_what_is_out_with_age_and_error_and_unknown_where_one_is_silent():
     store = Store(3)
     store.play(6)
-    count = {each.cache: each for each in store.council.counts("north", store.now)}["n0"]
+    count = {each.cache: each for each in store.council.loads("north", store.now)}["n0"]
     assert count == ("n0", 6, 0, 0, 3)
-    later = store.now + TELL_EVERY
-    assert store.council.counts("north", later)[0] == ("n0", 6, TELL_EVERY, 9, 3)
+    later = store.now + REPORT_INTERVAL
+    assert store.council.loads("north", later)[0] == ("n0", 6, REPORT_INTERVAL, 9, 3)
     store.silent = {2}
     store.play(7)
-    assert store.council.counts("north", store.now)[0].in_hand == -1  # never less by one who isn't heard
+    assert store.council.loads("north", store.now)[0].in_flight == -1  # never less by one who isn't heard
     store.tokens[2] = "again"
     store.silent = set()
-    assert not store.play(1) and store.council.counts("north", store.now)[0].in_hand == 6
+    assert not store.play(1) and store.council.loads("north", store.now)[0].in_flight == 6
     store.silent = {2}
     store.play(6)
-    store.council.left("r2")
-    assert store.council.counts("north", store.now)[0].in_hand == 4
+    store.council.remove_router("r2")
+    assert store.council.loads("north", store.now)[0].in_flight == 4
     store.silent = {0, 1, 2}
-    store.now += QUIET + S
-    store.council.trim(store.now)
-    assert store.council.counts("north", store.now) == () and not store.council.voices
+    store.now += EJECTION_MEMORY + S
+    store.council.expire(store.now)
+    assert store.council.loads("north", store.now) == () and not store.council.reports
 
 
 @pytest.mark.parametrize(
@@ -169,16 +167,20 @@
 )
 def test_words_that_a_council_does_not_obey(sight):
     council = HealthAggregator()
-    assert not council.hear("r", "t", "north", (sight,), S, 9) and council.odd == 1 and not council.voices
-    assert not council.hear(
-        "r", "t", "north", (CacheObservation("n", True),) * (module.SIGHTS_MOST + 1), S, 9
+    assert (
+        not council.record_report("r", "t", "north", (sight,), S, 9)
+        and council.invalid_reports == 1
+        and not council.reports
     )
-    assert not council.hear("r", "t", "north", (), S, -1)
+    assert not council.record_report(
+        "r", "t", "north", (CacheObservation("n", True),) * (reports.MAX_OBSERVATIONS + 1), S, 9
+    )
+    assert not council.record_report("r", "t", "north", (), S, -1)
 
 
 def test_what_is_not_told_of_has_nothing_out_and_fades():
     council, now = HealthAggregator(), 100 * S
-    council.hear(
+    council.record_report(
         "r",
         "t",
         "north",
@@ -186,18 +188,20 @@
         now,
         9,
     )
-    assert set(council.voices["r"].tallies) == {"n1", "n2"} and len(council.counts("north", now)) == 2
-    council.hear("r", "t", "north", (), now + TELL_EVERY, 9)
-    tally = council.voices["r"].tallies["n1"]
-    assert not tally.out and 2 < tally.bad < 4 and council.counts("north", now + TELL_EVERY) == ()
-    council.hear("r", "t", "north", (), now + 10 * S, 9)
-    assert not council.voices["r"].tallies
+    assert set(council.reports["r"].outcomes) == {"n1", "n2"} and len(council.loads("north", now)) == 2
+    council.record_report("r", "t", "north", (), now + REPORT_INTERVAL, 9)
+    tally = council.reports["r"].outcomes["n1"]
+    assert not tally.ejected and 2 < tally.failed < 4 and council.loads("north", now + REPORT_INTERVAL) == ()
+    council.record_report("r", "t", "north", (), now + 10 * S, 9)
+    assert not council.reports["r"].outcomes
 
 
 def test_a_router_heeds_few_judgements_and_none_for_long():
-    told = tuple(module.EjectionVerdict(f"n{n}", 100 * S * (n < 3), (), (), 0) for n in range(6))
-    assert module.accepted_ejections(told, 9, 5) == {f"n{n}": 5 + module.HOLDS_MOST for n in range(3)}
-    assert module.accepted_ejections(told[3:], 9, 5) == {} and module.accepted_ejections(told, 2, 5) == {}
+    told = tuple(EjectionVerdict(f"n{n}", 100 * S * (n < 3), (), (), 0) for n in range(6))
+    assert ejection.accepted_ejections(told, 9, 5) == {
+        f"n{n}": 5 + ejection.MAX_EJECTION_TIME for n in range(3)
+    }
+    assert ejection.accepted_ejections(told[3:], 9, 5) == {} and ejection.accepted_ejections(told, 2, 5) == {}
 
 
 # -- at a router, and between processes ----------------------------------------------------------------------
--- a/tests/test_force.py
+++ b/tests/test_force.py
@@ -14,7 +14,7 @@
 from quartzrouter.config.request_sets import Asked
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.pools import PoolSelector
-from quartzrouter.pool_routing.rate_limits import KEYS_MOST, LimitKey, RateLimiter
+from quartzrouter.pool_routing.rate_limits import MAX_KEYS, LimitKey, RateLimiter
 from quartzrouter.routing.model import (
     AttemptResult,
     AttemptStatus,
@@ -72,15 +72,15 @@
 
 def test_keys_are_bounded_and_those_in_use_stay(monkeypatch):
     monkeypatch.setattr(
-        "quartzrouter.pool_routing.rate_limits.KEYS_MOST", KEYS_MOST // 16
+        "quartzrouter.pool_routing.rate_limits.MAX_KEYS", MAX_KEYS // 16
     )  # a look at all for each new one
     limits = RateLimiter({"c": Limit("c", "client", rate=1.0, burst=1, concurrent=2)})
     assert limits.admit(0, [LimitKey("c", "first")], 1.0, 0) is None  # stays in hand
-    for n in range(1, 3 * KEYS_MOST // 16):
+    for n in range(1, 3 * MAX_KEYS // 16):
         limits.admit(n, [LimitKey("c", f"{n}")], 1.0, n)
         limits.release(n)
-    assert len(limits.counts["c"]) <= KEYS_MOST // 16
-    assert limits.counts["c"]["first"].in_hand == 1
+    assert len(limits.counters["c"]) <= MAX_KEYS // 16
+    assert limits.counters["c"]["first"].in_flight == 1
 
 
 def test_a_new_plan_keeps_the_counts_of_a_limit_that_is_saturated():
@@ -96,7 +96,7 @@
     assert limits.admit(12, [LimitKey("a", "")], 1.0, 0)
     limits.release(3)
     limits.replace({"a": new})
-    assert "gone" not in limits.counts
+    assert "gone" not in limits.counters
 
 
 def fallback(back_after=S):
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -29,7 +29,7 @@
 from quartzrouter.drill import wire
 from quartzrouter.drill.host import Instance
 from quartzrouter.fault_harness import fault_schedule
-from quartzrouter.fleet_health import aggregator
+from quartzrouter.fleet_health import messages as health_messages
 from quartzrouter.lease_service.token_storage import TokenStorage
 from quartzrouter.leases import acceptor as lease_keeper
 from quartzrouter.leases import messages as lease_words
@@ -41,7 +41,8 @@
 from quartzrouter.purges import messages as messages_module
 from quartzrouter.purges.fleet_purges import FleetPurges
 from quartzrouter.purges.replica import PurgeReplica
-from quartzrouter.quota import allocator, budget, slow_start
+from quartzrouter.quota import allocator, budget, slow_start_allocator, slow_start_messages
+from quartzrouter.quota import messages as quota_messages
 from quartzrouter.routing.model import (
     AttemptResult,
     AttemptStatus,
@@ -63,7 +64,7 @@
 # -- checksums that two parties compare --------------------------------------------------------------------
 
 BUDGET = budget.Budget("origin", 250.0, 50.0, 40, 3 * S, 0.25, 4, 2 * S)
-COLD = slow_start.SlowStartTerms(1 * S, 0.3, 4, 500_000)
+COLD = slow_start_messages.SlowStartTerms(1 * S, 0.3, 4, 500_000)
 LEASES = lease_terms.LeaseTerms(("k1", "k2", "k3"), 2, 4 * S, 150, (("deliver", ("a", "b")), ("sweep", ())))
 FIGURES = {
     "budget all": BUDGET,
@@ -89,28 +90,33 @@
     messages_module.Purge(10, WHEN + 10, "object", ("00000000000000a1",), "page", "", "key-10"),
 )
 ASKS = (
-    budget.QuotaRequest("origin", "t-0", "0123abcd", 5, 120.5, 7.25, 3, 9, 4_000_000_001),
-    budget.QuotaRequest("origin/tenant", "t-0", "0123abcd", 6),
+    quota_messages.QuotaRequest("origin", "t-0", "0123abcd", 5, 120.5, 7.25, 3, 9, 4_000_000_001),
+    quota_messages.QuotaRequest("origin/tenant", "t-0", "0123abcd", 6),
 )
 COLD_ASKS = (
-    slow_start.SlowStartRequest("n1", "cache", 8, 900_000, 400_000, 50_000, 1_200, 4_000_000_002, 30_000),
-    slow_start.SlowStartRequest("p1", "parent", 9, 800_000, 300_000, 0, 900, 4_000_000_003),
+    slow_start_messages.SlowStartRequest(
+        "n1", "cache", 8, 900_000, 400_000, 50_000, 1_200, 4_000_000_002, 30_000
+    ),
+    slow_start_messages.SlowStartRequest("p1", "parent", 9, 800_000, 300_000, 0, 900, 4_000_000_003),
+)
+SIGHTS = (
+    health_messages.CacheObservation("n1", True, 10, 3, 2, 14),
+    health_messages.CacheObservation("n2", False),
 )
-SIGHTS = (aggregator.CacheObservation("n1", True, 10, 3, 2, 14), aggregator.CacheObservation("n2", False))
-JUDGEMENTS = (aggregator.EjectionVerdict("n1", 950_000, ("t-0", "t-1"), ("t-2",), 11),)
-COUNTS = (aggregator.CacheLoad("n1", 12, 150_000, 4, 3), aggregator.CacheLoad("n2", -1, 0, 0, 1))
+JUDGEMENTS = (health_messages.EjectionVerdict("n1", 950_000, ("t-0", "t-1"), ("t-2",), 11),)
+COUNTS = (health_messages.CacheLoad("n1", 12, 150_000, 4, 3), health_messages.CacheLoad("n2", -1, 0, 0, 1))
 GRANTS = (
-    budget.QuotaGrant("origin", "0123abcd", 5, 30.125, 9),
-    budget.QuotaGrant("fills", "0123abcd", 6, 0.0, 0),
+    quota_messages.QuotaGrant("origin", "0123abcd", 5, 30.125, 9),
+    quota_messages.QuotaGrant("fills", "0123abcd", 6, 0.0, 0),
 )
-COLD_GRANTS = (slow_start.SlowStartGrant("n1", 8, 250_000),)
+COLD_GRANTS = (slow_start_messages.SlowStartGrant("n1", 8, 250_000),)
 BUDGETS = (
-    budget.BudgetState(
-        "origin", 250.0, 40, 12.5, 1_000.75, 400_000, (budget.QuotaHolding("t-0", 120.5, 9, 80_000),)
+    quota_messages.BudgetState(
+        "origin", 250.0, 40, 12.5, 1_000.75, 400_000, (quota_messages.HolderState("t-0", 120.5, 9, 80_000),)
     ),
-    budget.BudgetState("fills", 0.0, 8, 0.0, 0.0, 0, ()),
+    quota_messages.BudgetState("fills", 0.0, 8, 0.0, 0.0, 0, ()),
 )
-COLD_STATES = (slow_start.SlowStartState("n1", 250_000, 900_000, 3),)
+COLD_STATES = (slow_start_messages.SlowStartState("n1", 250_000, 900_000, 3),)
 MEMBERS = (
     messages_module.MemberStatus("t-0", "router", 9, True, False, 12_000),
     messages_module.MemberStatus("n1", "cache", 7, False, True, 3_400_000),
@@ -164,7 +170,7 @@
     "members": messages_module.MembersReply(3, 10, MEMBERS),
     "grants": messages_module.QuotaGrants(
         GRANTS,
-        {"fills": budget.QuotaRefusal("figures", "it has others here", "give both the same plan")},
+        {"fills": quota_messages.QuotaRefusal("figures", "it has others here", "give both the same plan")},
         COLD_GRANTS,
     ),
     "grants_defaults": messages_module.QuotaGrants(()),
@@ -302,9 +308,9 @@
 
 def refused_budgets() -> list[Any]:
     grants, figures, most = allocator.QuotaAllocator([BUDGET], 0), BUDGET.figures, float(2**80)
-    grants.ask(budget.QuotaRequest("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, figures), S)
+    grants.ask(quota_messages.QuotaRequest("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, figures), S)
     return [
-        grants.ask(budget.QuotaRequest(*each), S)
+        grants.ask(quota_messages.QuotaRequest(*each), S)
         for each in (
             ("fills", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, figures),
             ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, 1),
@@ -318,10 +324,12 @@
 
 
 def refused_colds() -> list[Any]:
-    grants, figures = slow_start.SlowStartAllocator({"cache": COLD}, 0), COLD.figures
-    grants.ask(slow_start.SlowStartRequest("n1", "cache", 5, 9, 9, 0, 1, figures), "t-0", "0123abcd", S)
+    grants, figures = slow_start_allocator.SlowStartAllocator({"cache": COLD}, 0), COLD.figures
+    grants.ask(
+        slow_start_messages.SlowStartRequest("n1", "cache", 5, 9, 9, 0, 1, figures), "t-0", "0123abcd", S
+    )
     return [
-        grants.ask(slow_start.SlowStartRequest(*each), "t-0", "0123abcd", S)
+        grants.ask(slow_start_messages.SlowStartRequest(*each), "t-0", "0123abcd", S)
         for each in (
             ("n1", "parent", 6, 9, 9, 0, 1, figures),
             ("n1", "cache", 6, 9, 9, 0, 1, 1),
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -42,7 +42,7 @@
 from quartzrouter.purges.delivery_plan import Delivery
 from quartzrouter.purges.messages import Purge
 from quartzrouter.quota.budget import Budget
-from quartzrouter.quota.budget import QuotaRequest as AskShare
+from quartzrouter.quota.messages import QuotaRequest
 from quartzrouter.server import process as net
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
@@ -669,7 +669,7 @@
 
 def test_a_granter_starts_anew_under_each_lease_and_grants_under_none_without():
     now, number = [100 * S], [0]
-    budget = Budget("calls", rate=50.0, burst=20.0, floors=0.2, routers=4)
+    budget = Budget("calls", rate=50.0, burst=20.0, guaranteed_share=0.2, routers=4)
 
     async def made():
         told = {"budgets": [budget], "steady": lambda: now[0], "may_grant": lambda: number[0]}
@@ -681,7 +681,7 @@
         if not ledger._grants():
             return None
         now[0] += S
-        said = AskShare("calls", "r", token, 1, want=50.0, figures=budget.figures)
+        said = QuotaRequest("calls", "r", token, 1, wanted_rate=50.0, figures=budget.figures)
         return ledger.granter.ask(said, now[0]).tokens
 
     assert granted("a") is None
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -14,7 +14,7 @@
 from quartzrouter.config.request_sets import Asked
 from quartzrouter.configuration import Configuration
 from quartzrouter.fakes.faulty_disk import FaultyDisk
-from quartzrouter.fleet_health.aggregator import CacheObservation
+from quartzrouter.fleet_health.messages import CacheObservation
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.rate_limits import LimitKey, RateLimiter
 from quartzrouter.pool_routing.shared_limits import budgets
@@ -30,15 +30,16 @@
     encode_line,
 )
 from quartzrouter.quota import client as module
-from quartzrouter.quota.allocator import POTS_MOST, QuotaAllocator
-from quartzrouter.quota.budget import Budget, QuotaGrant, QuotaRequest
+from quartzrouter.quota.allocator import MAX_ACCOUNTS, QuotaAllocator
+from quartzrouter.quota.budget import Budget
 from quartzrouter.quota.client import QuotaClient
+from quartzrouter.quota.messages import QuotaGrant, QuotaRequest
 from quartzrouter.server.process import wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 S = 1_000_000
-CALLS = Budget("calls", rate=50.0, burst=20.0, floors=0.2, routers=4)
-CROWD = Budget("crowd", slots=8, hold=S, floors=0.5, routers=4)
+CALLS = Budget("calls", rate=50.0, burst=20.0, guaranteed_share=0.2, routers=4)
+CROWD = Budget("crowd", slots=8, max_request_time=S, guaranteed_share=0.5, routers=4)
 
 PLAN = """{
   deployment: { name: "t", home: "north", routers: 6, routers_here: 2 },
@@ -66,8 +67,10 @@
     plan = load("main", lambda path: PLAN % PURGES).plan
     found = {each.name: each for each in budgets(plan, plan.stores)}
     assert set(found) == {"calls", "crowd@north", "crowd@south"}
-    assert found["calls"] == Budget("calls", 60.0, 30.0, floors=0.2, routers=6)
-    assert found["crowd@north"] == Budget("crowd@north", slots=12, hold=9 * S, floors=0.5, routers=2)
+    assert found["calls"] == Budget("calls", 60.0, 30.0, guaranteed_share=0.2, routers=6)
+    assert found["crowd@north"] == Budget(
+        "crowd@north", slots=12, max_request_time=9 * S, guaranteed_share=0.5, routers=2
+    )
 
 
 def test_a_shared_limit_without_a_ledger_is_a_fault_of_the_plan():
@@ -86,8 +89,8 @@
 
     def granted(self, granter):
         """Asks, and takes what is granted; gives the asks."""
-        asks = self.shares.asks()
-        self.shares.granted(
+        asks = self.shares.due_requests()
+        self.shares.apply_grants(
             [said for ask in asks if isinstance(said := granter.ask(ask, self.now), QuotaGrant)]
         )
         return asks
@@ -103,40 +106,46 @@
     router.now += 2 * S
     assert router.limits.admit(1, keys, 1.0, 0) is None  # on the floor's one slot
     assert router.limits.admit(2, keys, 1.0, 0).limit == "own"  # asked first: it is no demand for a slot
-    assert router.shares.shares["crowd"].short == 0
+    assert router.shares.quotas["crowd"].denied_for_slots == 0
     denied = router.limits.admit(3, keys, 1.0, 5 * S)
-    assert denied.limit == "crowd" and denied.come_back == CROWD.every
+    assert denied.limit == "crowd" and denied.come_back == CROWD.request_interval
     router.limits.release(1)
     router.limits.release(1)
-    assert router.limits.admit(4, keys, 1.0, 5 * S) is None and router.shares.shares["crowd"].in_use == 1
+    assert router.limits.admit(4, keys, 1.0, 5 * S) is None and router.shares.quotas["crowd"].in_use == 1
 
 
 def test_tenants_have_a_budget_each_and_are_asked_for_while_they_are_used():
-    router, granter = Router(CALLS), QuotaAllocator([CALLS], 0, alone=True)
+    router, granter = Router(CALLS), QuotaAllocator([CALLS], 0, first_allocator=True)
     name = router.shares.key("calls", "a tenant/" + "x" * 200)
     assert name.startswith("calls/#") and len(name) < 30 and router.shares.key("calls", "") == "calls"
     for tenant in ("anna", "bert"):
         for _ in range(30):
-            if not router.shares.may(key := router.shares.key("calls", tenant)):
-                router.shares.take(key)
-    assert router.shares.fresh  # nothing is held of them: asked for at once
+            if not router.shares.time_until_admitted(key := router.shares.key("calls", tenant)):
+                router.shares.use(key)
+    assert router.shares.has_new_demand  # nothing is held of them: asked for at once
     assert [ask.budget for ask in router.granted(granter)] == ["calls/anna", "calls/bert"]
-    assert not router.shares.fresh and not router.shares.asks() and router.shares.wait() > 0
-    assert all(router.shares.may(f"calls/{tenant}") == 0 for tenant in ("anna", "bert"))
+    assert (
+        not router.shares.has_new_demand
+        and not router.shares.due_requests()
+        and router.shares.time_until_next_request() > 0
+    )
+    assert all(router.shares.time_until_admitted(f"calls/{tenant}") == 0 for tenant in ("anna", "bert"))
     router.now += 10 * S
-    assert not router.shares.asks() and router.shares.wait() == module.IDLE  # unused, no more asked for
+    assert (
+        not router.shares.due_requests() and router.shares.time_until_next_request() == module.IDLE_INTERVAL
+    )  # unused, no more asked for
 
 
 def test_a_share_that_is_forgotten_counts_its_asks_on_and_gains_no_floor(monkeypatch):
     """Its asks began with 1 again, and the granter took them for late words for good."""
-    monkeypatch.setattr(module, "SHARES_MOST", 1)
-    router, granter = Router(CALLS), QuotaAllocator([CALLS], 0, alone=True)
+    monkeypatch.setattr(module, "MAX_QUOTAS", 1)
+    router, granter = Router(CALLS), QuotaAllocator([CALLS], 0, first_allocator=True)
     router.now += 2 * S
 
     def floors(tenant):
         used = 0
-        while not router.shares.may(f"calls/{tenant}"):
-            router.shares.take(f"calls/{tenant}").ended()
+        while not router.shares.time_until_admitted(f"calls/{tenant}"):
+            router.shares.use(f"calls/{tenant}").release()
             used += 1
         return used
 
@@ -146,38 +155,44 @@
         assert floors("anna") == 0  # else a floor again and again
     router.now += S // 4
     asks = router.granted(granter)
-    assert granter.refused == 0 and asks[0].number > 1
+    assert granter.refused == 0 and asks[0].sequence_number > 1
 
 
 def test_a_new_plan_keeps_what_stays_and_drops_what_it_had_of_what_changes():
-    router, granter = Router(CALLS, CROWD), QuotaAllocator([CALLS, CROWD], 0, alone=True)
+    router, granter = Router(CALLS, CROWD), QuotaAllocator([CALLS, CROWD], 0, first_allocator=True)
     router.now += 2 * S
     for _ in range(20):
-        router.shares.may("calls")
-    assert router.shares.may("crowd") == 0
-    share = router.shares.take("crowd")
-    router.shares.may("crowd")
+        router.shares.time_until_admitted("calls")
+    assert router.shares.time_until_admitted("crowd") == 0
+    share = router.shares.use("crowd")
+    router.shares.time_until_admitted("crowd")
     router.granted(granter)
-    assert router.shares.shares["crowd"].slots and router.shares.shares["calls"].left(router.now) > 1
+    assert (
+        router.shares.quotas["crowd"].granted_slots
+        and router.shares.quotas["calls"].tokens_left(router.now) > 1
+    )
     router.shares.replace([CALLS, replace(CROWD, slots=6)])
-    assert router.shares.shares["crowd"].slots == 0 and router.shares.shares["calls"].left(router.now) > 1
-    assert router.shares.shares["crowd"].in_use == 1
+    assert (
+        router.shares.quotas["crowd"].granted_slots == 0
+        and router.shares.quotas["calls"].tokens_left(router.now) > 1
+    )
+    assert router.shares.quotas["crowd"].in_use == 1
     router.shares.replace([CALLS])
-    share.ended()  # of a budget that is gone
-    assert set(router.shares.shares) == {"calls"}
+    share.release()  # of a budget that is gone
+    assert set(router.shares.quotas) == {"calls"}
 
 
 def test_pots_are_bounded_and_one_made_anew_is_empty():
-    granter = QuotaAllocator([CALLS], 0, alone=True)
+    granter = QuotaAllocator([CALLS], 0, first_allocator=True)
 
     def ask(of, number):
-        said = QuotaRequest(f"calls/{of}", "r", "t", number, want=500.0, figures=CALLS.figures)
+        said = QuotaRequest(f"calls/{of}", "r", "t", number, wanted_rate=500.0, figures=CALLS.figures)
         return granter.ask(said, 100 * S)
 
     assert ask("first", 1).tokens > 15
-    for n in range(POTS_MOST):
+    for n in range(MAX_ACCOUNTS):
         assert isinstance(ask(n, 1), QuotaGrant)
-    assert len(granter.pots) == POTS_MOST and "calls/first" not in granter.pots
+    assert len(granter.accounts) == MAX_ACCOUNTS and "calls/first" not in granter.accounts
     assert ask("first", 1).tokens == 0
 
 
@@ -216,19 +231,19 @@
     anyio.run(main)
 
 
-GOOD = QuotaRequest("calls", "r", "t", 1, want=5.0, figures=CALLS.figures)
+GOOD = QuotaRequest("calls", "r", "t", 1, wanted_rate=5.0, figures=CALLS.figures)
 
 
 @pytest.mark.parametrize(
     "bad, place",
     [
         (GOOD._replace(budget="fills"), "budget"),
-        (GOOD._replace(want=-1.0), "want"),
-        (GOOD._replace(left=1e12), "left"),
-        (GOOD._replace(slots=-3), "slots"),
+        (GOOD._replace(wanted_rate=-1.0), "want"),
+        (GOOD._replace(tokens_left=1e12), "left"),
+        (GOOD._replace(slots_wanted=-3), "slots"),
         (GOOD._replace(figures=7), "figures"),
         (GOOD._replace(name="s"), "name"),
-        (GOOD._replace(token="other"), "name"),
+        (GOOD._replace(process_token="other"), "name"),
     ],
 )
 def test_an_ask_that_is_not_obeyed_gets_its_reason_and_the_line_goes_on(bad, place):
@@ -239,7 +254,7 @@
         said = await until(QuotaGrants)
         assert not said.grants and said.refused[bad.budget].place == place
         await tell(QuotaRequests((GOOD,)))
-        assert (await until(QuotaGrants)).grants[0].number == 1
+        assert (await until(QuotaGrants)).grants[0].sequence_number == 1
         assert ledger.granter.refused + ledger.strangers == 1
 
     talk(scene)
@@ -273,7 +288,7 @@
         assert (await until(Welcome)).grants
         ledger.replace([CALLS], {})
         await tell(QuotaRequests((GOOD,)))
-        assert (await until(QuotaGrants)).grants[0].number == 1
+        assert (await until(QuotaGrants)).grants[0].sequence_number == 1
 
     talk(scene, of=())
 
