--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -8,35 +8,41 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from quartzrouter.fault_harness.mutations import (
-    any_number,
-    at_once,
-    endless,
-    floor_at_once,
-    forgets,
-    full,
-    late,
-    older,
-    twice,
-    two_bursts,
-    unconfined,
+from quartzrouter.fault_harness.quota_mutations import (
+    late_request_is_granted,
+    slots_granted_at_once,
+    grant_never_expires,
+    restart_has_slots_at_once,
+    former_process_forgotten,
+    bucket_begins_full,
+    grant_counts_from_answer,
+    older_grant_sets_slots,
+    slots_free_at_expiry,
+    doubled_grant_counts_twice,
+    restart_has_burst,
+    request_does_not_confine,
 )
 from quartzrouter.model_checking.checker import explore
-from quartzrouter.model_checking.quota_model import PLAYED, Bounds, SharingModel
-from quartzrouter.quota.allocator import QuotaAllocator, level
-from quartzrouter.quota.budget import DRIFT, Budget, QuotaGrant, QuotaRefusal, QuotaRequest, S
+from quartzrouter.model_checking.quota_model import PLAYED, Bounds, QuotaModel
+from quartzrouter.quota.allocator import QuotaAllocator
+from quartzrouter.quota.budget import MAX_CLOCK_DRIFT, SECOND, Budget
+from quartzrouter.quota.fairness import max_min_fair_share
 from quartzrouter.quota.local_quota import LocalQuota
+from quartzrouter.quota.messages import QuotaGrant, QuotaRefusal, QuotaRequest
 
 STEP = 10_000  # us of true time
-RATE = Budget("fills", rate=50.0, burst=20.0, floors=0.2, routers=4)
-SLOTS = Budget("origin", slots=20, hold=600_000, floors=0.2, routers=4)
+RATE = Budget("fills", rate=50.0, burst=20.0, guaranteed_share=0.2, routers=4)
+SLOTS = Budget("origin", slots=20, max_request_time=600_000, guaranteed_share=0.2, routers=4)
 
 
 class Clock:
     """A party's monotonic clock: any start, fast or slow by up to the bound."""
 
     def __init__(self, chance):
-        self.start, self.drift = chance.randrange(1_000 * S), chance.choice((-DRIFT, 0, DRIFT))
+        self.start, self.drift = (
+            chance.randrange(1_000 * SECOND),
+            chance.choice((-MAX_CLOCK_DRIFT, 0, MAX_CLOCK_DRIFT)),
+        )
 
     def at(self, true):
         return self.start + true + true * self.drift // 1_000_000
@@ -71,7 +77,7 @@
         self.born = Counter()
         self.shares = [self.share(n) for n in range(budget.routers)]
         self.clock = Clock(self.chance)
-        self.granter = QuotaAllocator([budget], self.clock.at(0), alone=True)
+        self.granter = QuotaAllocator([budget], self.clock.at(0), first_allocator=True)
         self.next = [0] * budget.routers
         self.deaf = [0] * budget.routers  # until when nothing passes
         self.lines = []  # (when it arrives, to whom, what)
@@ -83,7 +89,7 @@
         return LocalQuota(self.budget, f"r{n}", f"t{n}.{self.born[n]}", self.clocks[n].at(self.true))
 
     def play(self, seconds):
-        while self.true < seconds * S:
+        while self.true < seconds * SECOND:
             self.true += STEP
             if self.chance.random() < self.falls / 10:
                 self.clock = Clock(self.chance)
@@ -99,7 +105,7 @@
         if until > self.true:
             return True
         if born == self.born[n]:
-            self.shares[n].ended()
+            self.shares[n].release()
         return False
 
     def router(self, n):
@@ -107,33 +113,41 @@
         if chance.random() < self.deaths / 10:
             self.shares[n] = self.share(n)
         if chance.random() < self.cut / 10:
-            self.deaf[n] = self.true + chance.randrange(3 * S)
+            self.deaf[n] = self.true + chance.randrange(3 * SECOND)
         if self.true < self.stopped[n]:
             return
         if (
             chance.random() < self.stops / 10
         ):  # stopped, and awake again in the middle of what it was about to do
-            self.stopped[n] = self.true + chance.randrange(2 * S)
+            self.stopped[n] = self.true + chance.randrange(2 * SECOND)
             return
         now = self.clocks[n].at(self.true)
         if self.moves and chance.random() < 0.012:
             self.much[n] = not self.much[n]
-        rate = 100 * self.demand[n] * STEP / S if self.much[n] else 0  # in a hundredth of a req
+        rate = 100 * self.demand[n] * STEP / SECOND if self.much[n] else 0  # in a hundredth of a req
         for _ in range(int(rate / 100) + (chance.random() * 100 < rate % 100)):
-            if self.shares[n].take(now):
+            if self.shares[n].try_use(now):
                 self.denied += 1
                 continue
             self.used.append(self.true)
-            held = chance.randrange(self.budget.hold * 9 // 10, self.budget.hold) if self.budget.hold else 0
+            held = (
+                chance.randrange(self.budget.max_request_time * 9 // 10, self.budget.max_request_time)
+                if self.budget.max_request_time
+                else 0
+            )
             self.in_hand.append((n, self.born[n], self.true + held))
         if self.true >= self.next[n]:
-            self.next[n] = self.true + self.budget.every
-            self.send(n, "granter", self.shares[n].ask(now))
+            self.next[n] = self.true + self.budget.request_interval
+            self.send(n, "granter", self.shares[n].next_request(now))
 
     def send(self, n, to, what):
         if self.true < self.deaf[n]:
             return
-        way = self.chance.randrange(40_000) if self.chance.random() > self.spoil else self.chance.randrange(S)
+        way = (
+            self.chance.randrange(40_000)
+            if self.chance.random() > self.spoil
+            else self.chance.randrange(SECOND)
+        )
         times = self.chance.choice((0, 2)) if self.chance.random() < self.spoil else 1
         for _ in range(times + (self.chance.random() < self.double)):
             self.lines.append((self.true + way, n, to, what))
@@ -147,17 +161,17 @@
                 if isinstance(said, QuotaGrant):
                     self.send(n, "router", said)
             elif self.true >= self.stopped[n]:
-                self.shares[n].take_grant(what, self.clocks[n].at(self.true))
+                self.shares[n].apply_grant(what, self.clocks[n].at(self.true))
 
     def over(self):
         """The most that any window held above what it may; at most 0 where the budget was kept."""
-        worst = -self.budget.most(0)
-        for window in (0, STEP, S // 4, S, 2 * S, 5 * S, 10 * S, 20 * S):
+        worst = -self.budget.max_use(0)
+        for window in (0, STEP, SECOND // 4, SECOND, 2 * SECOND, 5 * SECOND, 10 * SECOND, 20 * SECOND):
             first = 0
             for at, when in enumerate(self.used):
                 while self.used[first] < when - window:
                     first += 1
-                worst = max(worst, at - first + 1 - self.budget.most(window))
+                worst = max(worst, at - first + 1 - self.budget.max_use(window))
         return worst
 
 
@@ -183,28 +197,54 @@
     """One router has four fifths of a demand that is the whole budget."""
     used = {}
     for floors in (0.1, 1.0):
-        budget = Budget("fills", rate=50.0, burst=20.0, floors=floors, routers=8)
+        budget = Budget("fills", rate=50.0, burst=20.0, guaranteed_share=floors, routers=8)
         fleet = Fleet(budget, 1, [40.0, *[10.0 / 7] * 7], **QUIET).play(30)
         used[floors] = len(fleet.used) / 30 / budget.rate
     print(used)
     assert used[0.1] > 0.75 and used[1.0] < 0.4
 
 
-BURSTS = Budget("bursts", rate=8.0, burst=40.0, floors=0.5, routers=4)  # where floors and bursts weigh most
+BURSTS = Budget(
+    "bursts", rate=8.0, burst=40.0, guaranteed_share=0.5, routers=4
+)  # where floors and bursts weigh most
 GUARDS = {
-    "tokens of a doubled grant count twice": (LocalQuota, "take_grant", twice, RATE, QUIET | {"double": 0.6}),
-    "a granter starts with a full bucket": (QuotaAllocator, "__init__", full, BURSTS, {"falls": 1.0}),
-    "a granter grants slots at once": (QuotaAllocator, "__init__", at_once, SLOTS, {"falls": 0.02}),
+    "tokens of a doubled grant count doubled_grant_counts_twice": (
+        LocalQuota,
+        "apply_grant",
+        doubled_grant_counts_twice,
+        RATE,
+        QUIET | {"double": 0.6},
+    ),
+    "a granter starts with a bucket_begins_full bucket": (
+        QuotaAllocator,
+        "__init__",
+        bucket_begins_full,
+        BURSTS,
+        {"falls": 1.0},
+    ),
+    "a granter grants slots at once": (
+        QuotaAllocator,
+        "__init__",
+        slots_granted_at_once,
+        SLOTS,
+        {"falls": 0.02},
+    ),
     "a restarted router has its floor's burst again": (
         LocalQuota,
         "__init__",
-        two_bursts,
+        restart_has_burst,
         BURSTS,
         {"deaths": 0.1},
     ),
-    "a restarted router has its floor's slots at once": (LocalQuota, "__init__", floor_at_once, SLOTS, {}),
-    "a share doesn't end": (Budget, "ends", endless, SLOTS, {"cut": 0.05}),
-    "a slot's req is over with its share": (Budget, "gone", lambda self, at: at + self.life, SLOTS, {}),
+    "a restarted router has its floor's slots at once": (
+        LocalQuota,
+        "__init__",
+        restart_has_slots_at_once,
+        SLOTS,
+        {},
+    ),
+    "a share doesn't end": (Budget, "grant_expiry", grant_never_expires, SLOTS, {"cut": 0.05}),
+    "a slot's req is over with its share": (Budget, "slots_free_at", slots_free_at_expiry, SLOTS, {}),
 }
 
 
@@ -226,46 +266,46 @@
     """Two routers, each with a floor of one slot, and one more that is granted; words go by hand."""
 
     def __init__(self):
-        self.budget = Budget("b", slots=3, hold=S // 2, floors=2 / 3, routers=2)
-        self.now, self.granter = S, QuotaAllocator([self.budget], 0, alone=True)
+        self.budget = Budget("b", slots=3, max_request_time=SECOND // 2, guaranteed_share=2 / 3, routers=2)
+        self.now, self.granter = SECOND, QuotaAllocator([self.budget], 0, first_allocator=True)
         self.a, self.b = (LocalQuota(self.budget, name, name, 0) for name in "ab")
         self.began = []
 
     def ask(self, share):
-        return self.granter.ask(share.ask(self.now), self.now)
+        return self.granter.ask(share.next_request(self.now), self.now)
 
     def fill(self, share):
         """All that it lets through now."""
-        while not share.take(self.now):
+        while not share.try_use(self.now):
             self.began.append((self.now, share))
 
     def in_hand(self):
-        return sum(self.now - began < self.budget.hold for began, _ in self.began)
+        return sum(self.now - began < self.budget.max_request_time for began, _ in self.began)
 
     def serve(self, share):
         """It fills itself, asks, is heard, and fills itself again."""
         self.fill(share)
-        share.take_grant(self.ask(share), self.now)
+        share.apply_grant(self.ask(share), self.now)
         self.fill(share)
 
     def rest(self, share):
         """Its reqs end, and two asks pass in which it wants no more than its floor; the last one's answer."""
         for began, of in list(self.began):
             if of is share:
-                share.ended()
+                share.release()
                 self.began.remove((began, of))
-        share.ask(self.now)
-        return share.ask(self.now)
+        share.next_request(self.now)
+        return share.next_request(self.now)
 
 
 def from_the_answer():
     pair = Pair()
     pair.fill(pair.a)
     grant = pair.ask(pair.a)
-    pair.now += S * 9 // 10
-    pair.a.take_grant(grant, pair.now)
-    pair.now += S * 7 // 10  # it was stopped meanwhile, and its first req is over
-    pair.a.ended()
+    pair.now += SECOND * 9 // 10
+    pair.a.apply_grant(grant, pair.now)
+    pair.now += SECOND * 7 // 10  # it was stopped meanwhile, and its first req is over
+    pair.a.release()
     pair.serve(pair.b)
     pair.fill(pair.a)
     return pair.in_hand()
@@ -277,7 +317,7 @@
     grant = pair.ask(pair.a)
     pair.granter.ask(pair.rest(pair.a), pair.now)  # its answer is on its way still
     pair.serve(pair.b)
-    pair.a.take_grant(grant, pair.now)
+    pair.a.apply_grant(grant, pair.now)
     pair.fill(pair.a)
     return pair.in_hand()
 
@@ -313,7 +353,7 @@
     """It took the name back, and when its follower asked again, the slots of the first were forgotten."""
     pair = Pair()
     pair.serve(pair.a)
-    late, again = pair.a.ask(pair.now), LocalQuota(pair.budget, "a", "another", pair.now)
+    late, again = pair.a.next_request(pair.now), LocalQuota(pair.budget, "a", "another", pair.now)
     pair.ask(again)
     pair.granter.ask(late, pair.now)
     pair.serve(again)
@@ -322,11 +362,11 @@
 
 
 SCENES = {
-    from_the_answer: (LocalQuota, "take_grant", late),
-    an_older_answer: (LocalQuota, "take_grant", older),
-    its_own_word: (LocalQuota, "ask", unconfined),
-    a_late_ask: (QuotaAllocator, "_refusal", any_number),
-    a_restart: (QuotaAllocator, "_holder", forgets),
+    from_the_answer: (LocalQuota, "apply_grant", grant_counts_from_answer),
+    an_older_answer: (LocalQuota, "apply_grant", older_grant_sets_slots),
+    its_own_word: (LocalQuota, "next_request", request_does_not_confine),
+    a_late_ask: (QuotaAllocator, "_refusal", late_request_is_granted),
+    a_restart: (QuotaAllocator, "_holder", former_process_forgotten),
 }
 
 
@@ -362,32 +402,39 @@
         ({"budget": "other"}, "budget"),
         ({"budget": "fills/" + 300 * "x"}, "budget"),
         ({"figures": 1}, "figures"),
-        ({"want": -1.0}, "want"),
-        ({"want": float("nan")}, "want"),
-        ({"want": 1e300}, "want"),
-        ({"left": float("inf")}, "left"),
-        ({"keep": -1}, "keep"),
-        ({"slots": 1 << 70}, "slots"),
-        ({"number": 1}, "number"),
-        ({"number": 0}, "number"),
+        ({"wanted_rate": -1.0}, "want"),
+        ({"wanted_rate": float("nan")}, "want"),
+        ({"wanted_rate": 1e300}, "want"),
+        ({"tokens_left": float("inf")}, "left"),
+        ({"slots_kept": -1}, "keep"),
+        ({"slots_wanted": 1 << 70}, "slots"),
+        ({"sequence_number": 1}, "number"),
+        ({"sequence_number": 0}, "number"),
     ],
 )
 def test_words_that_a_granter_does_not_obey(word, place):
-    granter = QuotaAllocator([RATE], 0, alone=True)
-    well = {"budget": "fills", "name": "r", "token": "t", "number": 1, "want": 5.0, "figures": RATE.figures}
-    assert isinstance(granter.ask(QuotaRequest(**well), S), QuotaGrant)
-    before = granter.pots["fills"].tokens
-    said = granter.ask(QuotaRequest(**(well | {"number": 2} | word)), S)
+    granter = QuotaAllocator([RATE], 0, first_allocator=True)
+    well = {
+        "budget": "fills",
+        "name": "r",
+        "process_token": "t",
+        "sequence_number": 1,
+        "wanted_rate": 5.0,
+        "figures": RATE.figures,
+    }
+    assert isinstance(granter.ask(QuotaRequest(**well), SECOND), QuotaGrant)
+    before = granter.accounts["fills"].tokens
+    said = granter.ask(QuotaRequest(**(well | {"sequence_number": 2} | word)), SECOND)
     assert isinstance(said, QuotaRefusal) and said.place == place
-    assert granter.refused == 1 and granter.pots["fills"].tokens == before
+    assert granter.refused == 1 and granter.accounts["fills"].tokens == before
 
 
 @pytest.mark.parametrize(
     "word",
     [
         {"budget": "other"},
-        {"token": "x"},
-        {"number": 9},
+        {"process_token": "x"},
+        {"sequence_number": 9},
         {"tokens": -1.0},
         {"tokens": 1e9},
         {"slots": 99},
@@ -396,11 +443,17 @@
 )
 def test_words_that_a_router_does_not_obey(word):
     share = LocalQuota(RATE, "r", "t", 0)
-    share.ask(0)
-    assert not share.take_grant(
-        QuotaGrant(**({"budget": "fills", "token": "t", "number": 1, "tokens": 2.0, "slots": 0} | word)), 1
+    share.next_request(0)
+    assert not share.apply_grant(
+        QuotaGrant(
+            **(
+                {"budget": "fills", "process_token": "t", "sequence_number": 1, "tokens": 2.0, "slots": 0}
+                | word
+            )
+        ),
+        1,
     )
-    assert share.odd == 1 and share.left(1) == 0
+    assert share.invalid_grants == 1 and share.tokens_left(1) == 0
 
 
 def test_a_budget_made_smaller_is_kept_once_the_shares_have_ended():
@@ -409,7 +462,7 @@
     fleet.granter.replace([small], fleet.clock.at(fleet.true))
     for share in fleet.shares:
         share.budget = small
-    fleet.play(5 + (small.life + small.hold) / S + 0.5)
+    fleet.play(5 + (small.grant_ttl + small.max_request_time) / SECOND + 0.5)
     fleet.most = 0
     fleet.play(20)
     assert 0 < fleet.most <= 8
@@ -417,29 +470,29 @@
 
 @given(st.lists(st.floats(0, 1e6), min_size=1, max_size=12), st.floats(0.1, 1e6))
 def test_max_min_gives_all_there_is_and_nobody_more_than_it_wants(wants, whole):
-    parts = [min(want, level(wants, whole)) for want in wants]
+    parts = [min(want, max_min_fair_share(wants, whole)) for want in wants]
     assert sum(parts) == pytest.approx(min(whole, sum(wants)), rel=1e-6, abs=1e-6)
 
 
 @pytest.mark.parametrize("name", PLAYED)
 def test_no_words_or_wakes_put_more_in_hand_than_the_budget(name):
-    found = explore(SharingModel(PLAYED[name]), 1_500)
+    found = explore(QuotaModel(PLAYED[name]), 1_500)
     assert not found.broken, found.shown()
 
 
 EXPLORED = {
-    "a share doesn't end": (Bounds(steps=4, turns=2, asks=2), Budget, "ends", endless),
+    "a share doesn't end": (Bounds(steps=4, turns=2, asks=2), Budget, "grant_expiry", grant_never_expires),
     "a restarted router has its floor at once": (
         Bounds(steps=0, turns=3, asks=1, restarts=1),
         LocalQuota,
         "__init__",
-        floor_at_once,
+        restart_has_slots_at_once,
     ),
     "a granter grants slots at once": (
         Bounds(steps=0, turns=2, asks=2, falls=1),
         QuotaAllocator,
         "__init__",
-        at_once,
+        slots_granted_at_once,
     ),
 }
 
@@ -449,7 +502,7 @@
     """It finds the other guards too; they are played by hand above, and by processes in `rehearse guards`."""
     bounds, *instead = EXPLORED[name]
     monkeypatch.setattr(*instead)
-    found = explore(SharingModel(bounds), 20_000)
+    found = explore(QuotaModel(bounds), 20_000)
     print(found.shown())
     assert "4 reqs in hand" in found.broken
 
@@ -457,7 +510,7 @@
 TIME = [("time",)] * 4
 AGAIN = [("turn", 1), ("ask", 1, 0), ("hear", 1)]
 TRACES = {
-    "clock": [
+    "rereads_clock": [
         ("turn", 0),
         ("ask", 0, 0),
         ("hear", 0),
@@ -467,7 +520,7 @@
         *AGAIN,
         ("wake", 0),
     ],
-    "looks": [
+    "checks_takeover": [
         ("turn", 0),
         ("takeover",),
         *TIME,
@@ -484,10 +537,10 @@
 def test_guards_of_the_processes_themselves(guard):
     """Found by the model checker in 12 and more steps; played here, which takes no search."""
     for there in (True, False):
-        played = SharingModel(Bounds(stops=1, takeovers=1), **{guard: there})
+        played = QuotaModel(Bounds(stops=1, takeovers=1), **{guard: there})
         world, broken = played.start(), ""
         for action in TRACES[guard]:
-            if action[0] == "hear" and not world.routers[action[1]].down:
+            if action[0] == "hear" and not world.routers[action[1]].to_router:
                 continue  # nobody has answered
             played.act(world, action)
             broken = broken or played.broken(world)
@@ -495,14 +548,14 @@
 
 
 def test_a_late_ask_by_hand(monkeypatch):
-    monkeypatch.setattr(QuotaAllocator, "_refusal", any_number)
-    played = SharingModel(Bounds(steps=0))
+    monkeypatch.setattr(QuotaAllocator, "_refusal", late_request_is_granted)
+    played = QuotaModel(Bounds(steps=0))
     world = played.start()
     for action in [
         ("send", 0),
         ("turn", 0),
         ("send", 0),
-        ("swap", 0, "up"),
+        ("swap", 0, "to_allocator"),
         ("arrive", 0, 0),
         ("hear", 0),
         ("arrive", 0, 0),
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -127,7 +127,7 @@
 
     site.play_site(scene)
     assert len(site.where) == 5
-    assert site.service.reducer.denied == {"few": 8} and not site.service.force.limits.held
+    assert site.service.reducer.denied == {"few": 8} and not site.service.force.limits.held_keys
 
 
 def test_a_rate_names_a_time_to_come_back(site):
@@ -169,7 +169,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await hup()
         assert len(said) == 240 and set(said) <= {"200", "503"} and said.count("200") > 150
-        assert not site.service.force.where and not site.service.force.limits.held
+        assert not site.service.force.where and not site.service.force.limits.held_keys
 
     site.play_site(scene)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
@@ -320,4 +320,4 @@
 
     site.play_site(scene)
     force = site.service.force
-    assert not force.where and not force.rulings and not force.limits.held
+    assert not force.where and not force.rulings and not force.limits.held_keys
--- a/tests/test_stand.py
+++ b/tests/test_stand.py
@@ -17,7 +17,7 @@
 from quartzrouter.fault_harness.skewed_clocks import ClockPage, clocks
 from quartzrouter.fault_scenarios import ScenarioReport
 from quartzrouter.fault_scenarios.sharing import FEW, SCENES, ScenarioSize, play, rehearse
-from quartzrouter.quota.budget import Budget, S
+from quartzrouter.quota.budget import SECOND, Budget
 from quartzrouter.server.clock import RouterClock
 
 # -- checkers ------------------------------------------------------------------------------------------------
@@ -48,12 +48,12 @@
 
 
 def test_a_window_counts_what_was_surely_let_through_in_it():
-    budget = Budget("b", rate=10.0, burst=5.0, floors=0.0, routers=1, life=S)
+    budget = Budget("b", rate=10.0, burst=5.0, guaranteed_share=0.0, routers=1, grant_ttl=SECOND)
     at_once = [(n, n + 10) for n in range(60)]  # 60 reqs in 70 us, where 15 and 1 of a floor may be
     excess, since, until = history_checks.over(at_once, budget)
-    assert excess == pytest.approx(60 - budget.most(until - since)) and (since, until) == (0, 69)
+    assert excess == pytest.approx(60 - budget.max_use(until - since)) and (since, until) == (0, 69)
     assert history_checks.over(at_once[:16], budget)[0] <= 0
-    waited = [(n, 10 * S) for n in range(60)]  # let through at any time in ten seconds
+    waited = [(n, 10 * SECOND) for n in range(60)]  # let through at any time in ten seconds
     assert history_checks.over(waited, budget)[0] < 0
 
 
@@ -173,18 +173,18 @@
 
 
 def test_a_process_reads_its_clocks_off_the_page(tmp_path):
-    page = ClockPage(tmp_path / "p", 5 * S, 100_000)
+    page = ClockPage(tmp_path / "p", 5 * SECOND, 100_000)
     wall, even = clocks(str(page.path))
     first, steadily = wall(), even()
-    page.jump(-5 * S)
-    assert -10.1 * S < wall() - first < -9 * S and 0 <= even() - steadily < S
+    page.jump(-5 * SECOND)
+    assert -10.1 * SECOND < wall() - first < -9 * SECOND and 0 <= even() - steadily < SECOND
 
 
 class Machine:
     """A wall clock and a steady one, set by hand."""
 
     def __init__(self):
-        self.wall = self.even = 1_000 * S
+        self.wall = self.even = 1_000 * SECOND
         self.time = RouterClock(lambda: self.wall, lambda: self.even)
 
     def passes(self, time, off=0):
@@ -200,19 +200,19 @@
 def test_time_goes_on_when_the_wall_clock_is_set_ahead_and_back():
     """It stood still for as long as the clock had been ahead: no timer fired, and reqs had no answer."""
     machine = Machine()
-    first = machine.passes(S)[-1]
-    machine.passes(S // 2, 10 * S)
-    read = machine.passes(2 * S, -10 * S)
+    first = machine.passes(SECOND)[-1]
+    machine.passes(SECOND // 2, 10 * SECOND)
+    read = machine.passes(2 * SECOND, -10 * SECOND)
     steps = [after - before for before, after in zip(read, read[1:], strict=False)]
     assert all(9_000 <= step <= 11_000 for step in steps)
-    assert abs(read[-1] - first - 2.5 * S) < 0.1 * S
+    assert abs(read[-1] - first - 2.5 * SECOND) < 0.1 * SECOND
 
 
 def test_time_follows_the_wall_clock():
     machine = Machine()
-    assert machine.passes(12 * S, S)[-1] == machine.wall  # a second in ten
-    assert machine.passes(12 * S, -S)[-1] == machine.wall
-    assert machine.passes(10_000, 3_600 * S)[-1] == machine.wall  # it was wrong by an hour before
+    assert machine.passes(12 * SECOND, SECOND)[-1] == machine.wall  # a second in ten
+    assert machine.passes(12 * SECOND, -SECOND)[-1] == machine.wall
+    assert machine.passes(10_000, 3_600 * SECOND)[-1] == machine.wall  # it was wrong by an hour before
 
 
 # -- fleets --------------------------------------------------------------------------------------------------
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -6,20 +6,16 @@
 import pytest
 from conftest import Drive
 
-from quartzrouter.fault_harness import mutations
-from quartzrouter.quota import slow_start as module
-from quartzrouter.quota.budget import QuotaRefusal
-from quartzrouter.quota.slow_start import (
-    SlowStartAllocator,
-    SlowStartClient,
-    SlowStartGrant,
-    SlowStartRequest,
-    SlowStartTerms,
-)
+from quartzrouter.fault_harness import quota_mutations
+from quartzrouter.quota import slow_start_allocator
+from quartzrouter.quota.messages import QuotaRefusal
+from quartzrouter.quota.slow_start_allocator import SlowStartAllocator
+from quartzrouter.quota.slow_start_client import SlowStartClient
+from quartzrouter.quota.slow_start_messages import SlowStartGrant, SlowStartRequest, SlowStartTerms
 from quartzrouter.routing.model import Forward, SlowStartDemand, Tier
 
 MS, S = 1_000, 1_000_000
-TERMS = SlowStartTerms(window=S, floors=0.2, routers=8, life=500 * MS)
+TERMS = SlowStartTerms(window=S, guaranteed_share=0.2, routers=8, grant_ttl=500 * MS)
 MOST = 800 * MS  # us that all may spend in a window
 UNIT = 50 * MS
 
@@ -30,7 +26,7 @@
 
 def granter(now=0):
     made = SlowStartAllocator({"cache": TERMS}, now)
-    return made, now + TERMS.span
+    return made, now + TERMS.accounting_period
 
 
 # -- who grants ----------------------------------------------------------------------------------------------
@@ -39,34 +35,38 @@
 def test_a_granter_waits_until_what_was_granted_before_it_is_over():
     made, free = granter()
     assert made.ask(ask(), "a", "t", free - 1) == SlowStartGrant("n0", 1, 0)
-    assert made.ask(ask(2), "a", "t", free).time == 640 * MS  # all but the floors: nobody else wants any
+    assert (
+        made.ask(ask(2), "a", "t", free).sending_time == 640 * MS
+    )  # all but the floors: nobody else wants any
 
 
 def test_what_is_granted_in_a_span_is_bounded_by_the_least_that_anybody_tells():
     made, now = granter()
-    given = made.ask(ask(), "a", "t", now).time
-    assert made.ask(ask(most=400 * MS), "b", "t", now).time == 0  # it knows that the server started later
-    later = now + TERMS.span + 1
-    assert made.ask(ask(2), "a", "t", later).time <= 0.8 * MOST - 0 and given == 640 * MS
-    assert made.ask(ask(2, most=400 * MS), "b", "t", later).time == 0
+    given = made.ask(ask(), "a", "t", now).sending_time
+    assert (
+        made.ask(ask(most=400 * MS), "b", "t", now).sending_time == 0
+    )  # it knows that the server started later
+    later = now + TERMS.accounting_period + 1
+    assert made.ask(ask(2), "a", "t", later).sending_time <= 0.8 * MOST - 0 and given == 640 * MS
+    assert made.ask(ask(2, most=400 * MS), "b", "t", later).sending_time == 0
 
 
 def test_many_who_want_little_get_a_req_each_in_turn():
     made, now = granter()
-    told = {n: made.ask(ask(want=UNIT), f"r{n}", "t", now).time for n in range(30)}
+    told = {n: made.ask(ask(want=UNIT), f"r{n}", "t", now).sending_time for n in range(30)}
     assert [time for time in told.values() if time] == [UNIT] * 12  # 640 ms, and no part of a req
-    assert made.told(now)[0].granted == 600 * MS and made.told(now)[0].routers == 30
+    assert made.states(now)[0].granted == 600 * MS and made.states(now)[0].routers == 30
 
 
 def test_one_who_wants_all_leaves_others_their_part():
     made, now = granter()
-    for number, at in enumerate(range(now, now + 4 * S, TERMS.every), 1):
-        mine = made.ask(ask(number), "a", "t", at).time
-        theirs = made.ask(ask(number, want=300 * MS), "b", "t", at).time
+    for number, at in enumerate(range(now, now + 4 * S, TERMS.request_interval), 1):
+        mine = made.ask(ask(number), "a", "t", at).sending_time
+        theirs = made.ask(ask(number, want=300 * MS), "b", "t", at).sending_time
         if at - now > 2 * S:  # both have asked for a while
             assert mine <= 640 * MS - 300 * MS and theirs <= 320 * MS
-    lately = made.pots["n0"].spent
-    assert sum(each.time for each in lately if each.name == "b") >= 250 * MS
+    lately = made.accounts["n0"].grants
+    assert sum(each.sending_time for each in lately if each.router == "b") >= 250 * MS
 
 
 @pytest.mark.parametrize(
@@ -85,41 +85,52 @@
 def test_odd_words_are_counted_and_not_obeyed(said, place):
     made, now = granter()
     found = made.ask(said, "a", "t", now)
-    assert isinstance(found, QuotaRefusal) and found.place == place and made.refused == 1 and not made.pots
+    assert (
+        isinstance(found, QuotaRefusal) and found.place == place and made.refused == 1 and not made.accounts
+    )
 
 
 def test_late_and_doubled_words_are_not_obeyed_and_another_process_is():
     made, now = granter()
-    assert made.ask(ask(5, want=UNIT), "a", "t", now).time == UNIT
+    assert made.ask(ask(5, want=UNIT), "a", "t", now).sending_time == UNIT
     for number in (5, 4):
         assert made.ask(ask(number, want=UNIT), "a", "t", now).place == "number"
-    assert made.ask(ask(1, want=UNIT), "a", "another", now + 1).time == 0  # its part was the first one's
-    assert made.ask(ask(1, want=UNIT), "b", "t", now + 1).time == UNIT
+    assert (
+        made.ask(ask(1, want=UNIT), "a", "another", now + 1).sending_time == 0
+    )  # its part was the first one's
+    assert made.ask(ask(1, want=UNIT), "b", "t", now + 1).sending_time == UNIT
 
 
 def test_pots_and_routers_are_bounded(monkeypatch):
-    monkeypatch.setattr(module, "SERVERS_MOST", 3)
-    monkeypatch.setattr(module, "HOLDERS_MOST", 2)
+    monkeypatch.setattr(slow_start_allocator, "MAX_ENDPOINTS", 3)
+    monkeypatch.setattr(slow_start_allocator, "MAX_ROUTERS", 2)
     made, now = granter()
     for n in range(3):
-        assert made.ask(ask(server=f"n{n}", want=UNIT), "a", "t", now).time == UNIT
+        assert made.ask(ask(server=f"n{n}", want=UNIT), "a", "t", now).sending_time == UNIT
     assert made.ask(ask(server="n3", want=UNIT), "a", "t", now).place == "server"  # all have some out
-    assert made.ask(ask(server="n3", want=UNIT), "a", "t", now + TERMS.span).time == UNIT
+    assert made.ask(ask(server="n3", want=UNIT), "a", "t", now + TERMS.accounting_period).sending_time == UNIT
     for name in "abc":
         made.ask(ask(number=2, server="n1", want=UNIT), name, "t", now + 1)
-    assert set(made.pots["n1"].wishes) == {"b", "c"}
+    assert set(made.accounts["n1"].demands) == {"b", "c"}
 
 
 def test_a_new_plan_waits_for_what_the_old_one_granted():
     made, now = granter()
     made.ask(ask(), "a", "t", now)
     made.replace({"cache": TERMS}, now)
-    assert made.ask(ask(2, want=UNIT), "b", "t", now + TERMS.span + 1).time == UNIT
-    other = TERMS._replace(life=100 * MS)
+    assert made.ask(ask(2, want=UNIT), "b", "t", now + TERMS.accounting_period + 1).sending_time == UNIT
+    other = TERMS._replace(grant_ttl=100 * MS)
     made.replace({"cache": other}, now + 2 * S)
     said = ask(3, want=UNIT, figures=other.figures)
-    assert made.ask(said, "b", "t", now + 2 * S + other.span).time == 0  # the old span was longer
-    assert made.ask(said._replace(number=4), "b", "t", now + 2 * S + TERMS.span).time == UNIT
+    assert (
+        made.ask(said, "b", "t", now + 2 * S + other.accounting_period).sending_time == 0
+    )  # the old span was longer
+    assert (
+        made.ask(
+            said._replace(sequence_number=4), "b", "t", now + 2 * S + TERMS.accounting_period
+        ).sending_time
+        == UNIT
+    )
 
 
 # -- one router ----------------------------------------------------------------------------------------------
@@ -139,38 +150,43 @@
 def test_a_part_runs_out_by_itself_counted_from_the_asking():
     clock = Clock()
     parts = SlowStartClient({"cache": TERMS}, clock)
-    (said,) = parts.asks(cold(2 * UNIT))
+    (said,) = parts.due_requests(cold(2 * UNIT))
     clock.now += 300 * MS  # the answer is late
-    parts.granted([SlowStartGrant("n0", said.number, 2 * UNIT)])
+    parts.apply_grants([SlowStartGrant("n0", said.sequence_number, 2 * UNIT)])
     assert parts.left == {"n0": 2 * UNIT}
     parts.left["n0"] -= UNIT  # as the decisions do
-    parts.look()
+    parts.refresh()
     assert parts.left == {"n0": UNIT}
     clock.now += 200 * MS  # half a second after the asking
-    parts.look()
+    parts.refresh()
     assert parts.left == {}
 
 
 def test_a_grant_counts_once_and_only_where_it_was_asked_for():
     clock = Clock()
     parts = SlowStartClient({"cache": TERMS}, clock)
-    (said,) = parts.asks(cold(UNIT))
-    grant = SlowStartGrant("n0", said.number, UNIT)
-    parts.granted([grant, grant, SlowStartGrant("n0", 99, UNIT), SlowStartGrant("n9", said.number, UNIT)])
-    assert parts.left == {"n0": UNIT} and parts.odd == 3
-    assert parts.asks([]) == () and parts.left == {} and not parts.parts  # it is warm
+    (said,) = parts.due_requests(cold(UNIT))
+    grant = SlowStartGrant("n0", said.sequence_number, UNIT)
+    parts.apply_grants(
+        [grant, grant, SlowStartGrant("n0", 99, UNIT), SlowStartGrant("n9", said.sequence_number, UNIT)]
+    )
+    assert parts.left == {"n0": UNIT} and parts.invalid_grants == 3
+    assert parts.due_requests([]) == () and parts.left == {} and not parts.allowances  # it is warm
 
 
 def test_what_is_wanted_fades_and_is_then_asked_for_no_more():
     clock = Clock()
     parts = SlowStartClient({"cache": TERMS}, clock)
-    assert parts.asks(cold(0)) == ()
+    assert parts.due_requests(cold(0)) == ()
     said = 0
     for n in range(40):
-        clock.now += TERMS.every
-        said += len(parts.asks(cold(UNIT if n == 0 else 0)))
+        clock.now += TERMS.request_interval
+        said += len(parts.due_requests(cold(UNIT if n == 0 else 0)))
     assert 1 <= said < 10
-    assert SlowStartClient({}, clock).asks(cold(UNIT)) == () and SlowStartClient({}, clock).wait() is None
+    assert (
+        SlowStartClient({}, clock).due_requests(cold(UNIT)) == ()
+        and SlowStartClient({}, clock).request_interval() is None
+    )
 
 
 # -- in the decisions ----------------------------------------------------------------------------------------
@@ -309,7 +325,7 @@
                 if isinstance(given, SlowStartGrant):
                     self.send(n, "grant", given)
             else:
-                self.routers[n].granted([said])
+                self.routers[n].apply_grants([said])
         for n, parts in enumerate(self.routers):
             if chance.random() < 0.001:
                 self.deaf[n] = self.now + chance.randint(100, 3000) * MS
@@ -317,7 +333,7 @@
                 self.routers[n] = parts = SlowStartClient({"cache": TERMS}, lambda n=n: self.clock(n))
                 self.tokens[n] += "'"
             self.wanted[n] += self.demand[n] * self.STEP / S * chance.choice((0, 0, 0, 4))
-            parts.look()
+            parts.refresh()
             used = 0
             if chance.random() < 0.03:
                 self.rests[n] = self.now + chance.choice((100, 300, 460, 700)) * MS
@@ -327,8 +343,8 @@
                     self.wanted[n] -= 1
                     used += UNIT
                     self.spent.append(Told(self.now, UNIT))
-            if self.now % TERMS.every == 0:
-                for said in parts.asks(cold(used + int(self.wanted[n] * UNIT))):
+            if self.now % TERMS.request_interval == 0:
+                for said in parts.due_requests(cold(used + int(self.wanted[n] * UNIT))):
                     self.send(n, "ask", said)
                 self.wanted[n] = min(self.wanted[n], 12.0)
 
@@ -341,7 +357,7 @@
                 total -= self.spent[first].time
                 first += 1
             most = max(most, total)
-        return most - (1 - TERMS.floors) * MOST
+        return most - (1 - TERMS.guaranteed_share) * MOST
 
 
 SEEDS = range(12)
@@ -356,12 +372,24 @@
 
 GUARDS = {
     "a granter waits for what another may have granted": ("waits", None),
-    "a part ends": (SlowStartTerms, "ends", lambda self, asked: asked + 60 * S),
-    "a part counts from its asking": (SlowStartTerms, "ends", lambda self, asked: asked + 4 * self.life),
-    "grants of a life before count as well": (SlowStartTerms, "span", property(lambda self: self.window)),
-    "a grant counts once": (SlowStartClient, "granted", None),
-    "a granter looks at what is granted": (module.EndpointAccount, "lately", lambda self, since: 0),
-    "the floors are kept apart": (SlowStartAllocator, "_time", None),
+    "a part ends": (SlowStartTerms, "grant_expiry", lambda self, asked: asked + 60 * S),
+    "a part counts from its asking": (
+        SlowStartTerms,
+        "grant_expiry",
+        lambda self, asked: asked + 4 * self.grant_ttl,
+    ),
+    "grants of a life before count as well": (
+        SlowStartTerms,
+        "accounting_period",
+        property(lambda self: self.window),
+    ),
+    "a grant counts once": (SlowStartClient, "apply_grants", None),
+    "a granter looks at what is granted": (
+        slow_start_allocator.EndpointAccount,
+        "granted_since",
+        lambda self, since: 0,
+    ),
+    "the floors are kept apart": (SlowStartAllocator, "_sending_time", None),
 }
 
 
@@ -371,18 +399,18 @@
     if of == "waits":
         out = ("waits",)
     elif guard == "a grant counts once":
-        monkeypatch.setattr(*mutations.COLD["a doubled part of a cold server counts twice"])
+        monkeypatch.setattr(*quota_mutations.SLOW_START["a doubled part of a cold server counts twice"])
     elif guard == "the floors are kept apart":
-        time = SlowStartAllocator._time
+        time = SlowStartAllocator._sending_time
 
         def whole(self, pot, said, by, now):
-            terms, self.terms = self.terms, {"cache": TERMS._replace(floors=0.0)}
+            terms, self.terms = self.terms, {"cache": TERMS._replace(guaranteed_share=0.0)}
             try:
                 return time(self, pot, said, by, now)
             finally:
                 self.terms = terms
 
-        monkeypatch.setattr(SlowStartAllocator, "_time", whole)
+        monkeypatch.setattr(SlowStartAllocator, "_sending_time", whole)
     else:
         monkeypatch.setattr(of, name, what[0])
     assert any(Played(seed, out).worst() > 0 for seed in SEEDS)
