--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -17,7 +17,8 @@
 from quartzrouter.quota.client import QuotaClient, QuotaCounters, describe_changes
 from quartzrouter.quota.slow_start_client import SlowStartClient
 from quartzrouter.server import process
-from quartzrouter.server.endpoint_watch import EndpointUpdate, initial_snapshot
+from quartzrouter.server.endpoint_watch import initial_snapshot
+from quartzrouter.server.events import EndpointUpdate
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 from quartzrouter.signals import Signals
 from quartzrouter.standalone import purge_membership
@@ -187,8 +188,8 @@
         hosts = {"hosts": {"complete": True, "members": members(plan)}}
         (lines,) = initial_snapshot([Section(hosts)], self.configuration.briefing)
         listed, now = self.reducer.addresses, self._time()
-        fresh = [line if line.name in listed else replace(line, started_at=now) for line in lines.lines]
-        return lines._replace(lines=fresh)
+        fresh = [line if line.name in listed else replace(line, started_at=now) for line in lines.endpoints]
+        return lines._replace(endpoints=fresh)
 
 
 def configuration(plan: Plan) -> Configuration:
@@ -202,7 +203,7 @@
     :param signals: those that listen already.
     """
     try:
-        anyio.run(StandaloneProcess(path, plan, log, signals).run, backend_options=process.LOOP)
+        anyio.run(StandaloneProcess(path, plan, log, signals).run, backend_options=process.BACKEND_OPTIONS)
     except ConfigurationError as error:
         print(f"quartzrouter: {path}: {error}", file=sys.stderr)
         return 1
