--- a/quartzrouter/cli/main.py
+++ b/quartzrouter/cli/main.py
@@ -64,13 +64,13 @@
 @click.option("--shrink", is_flag=True, help="sharing: cut down what breaks, for some minutes.")
 def rehearse(name: str | None, seed: int, as_json: bool, schedule: str | None, shrink: bool) -> None:
     """Play a direction's hard cases, print its figures, and exit with 1 if anything broke."""
-    from quartzrouter.fault_scenarios import NAMES, play
+    from quartzrouter.fault_scenarios import SCENARIOS, play
 
     if name is None:
-        click.echo("\n".join(f"{known}: {what}" for known, what in NAMES.items()))
+        click.echo("\n".join(f"{known}: {scenario.summary}" for known, scenario in SCENARIOS.items()))
         return
-    if name not in NAMES:
-        raise click.UsageError(f"there is no rehearsal '{name}'; there are {', '.join(NAMES)}")
+    if name not in SCENARIOS:
+        raise click.UsageError(f"there is no rehearsal '{name}'; there are {', '.join(SCENARIOS)}")
     more = {"path": schedule, "shrink": shrink} if schedule or shrink else {}
     if more and name != "sharing":
         raise click.UsageError(f"--schedule and --shrink are for 'sharing', not for '{name}'")
--- /dev/null
+++ b/quartzrouter/fault_scenarios/peer_ejection.py
@@ -0,0 +1,93 @@
+"""Scenario: a cache goes bad, or out of reach of most routers.
+
+Compared is how many requests that costs where each router ejects caches by itself, and where they do
+together.
+"""
+
+import random
+from dataclasses import replace
+
+from quartzrouter.fault_harness import history_checks
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_scenarios import ScenarioReport
+from quartzrouter.fault_scenarios.quota_fleet import RATE_PATH, ScenarioSize
+from quartzrouter.fault_scenarios.quota_play import MAX_ANSWER_TIME, ScenarioResult, play
+from quartzrouter.quota.budget import SECOND
+
+FAULT_AT = 2_500  # milliseconds
+FAULT_DURATION = 4_000  # milliseconds
+FAULTY_CACHE = "n0"
+CUT_OFF_ROUTER = "r0"
+CUT_OFF_CASE = "a router that reaches no cache"
+SIZE = ScenarioSize(
+    routers=8,
+    rate=4_000,
+    burst=4_000,
+    rate_guarantee="100%",
+    slots=4_000,
+    slots_guarantee="100%",
+    demand=240.0,
+    first_router_share=1 / 8,
+    slot_clients=0,
+    seconds=7.0,
+    spoilt_share=0.0,
+    caches=8,
+    cache_links=True,
+)
+CASES = {
+    "a cache that always fails": [Fault(FAULT_AT, "bad", FAULTY_CACHE, FAULT_DURATION, 1.0)],
+    "a cache that fails six of ten": [Fault(FAULT_AT, "bad", FAULTY_CACHE, FAULT_DURATION, 0.6)],
+    "a cache that is gone": [Fault(FAULT_AT, "lost", FAULTY_CACHE, FAULT_DURATION)],
+    "a cache that all but one can't reach": [
+        Fault(FAULT_AT, "part", f"r{router}/0", FAULT_DURATION) for router in range(1, 8)
+    ],
+    CUT_OFF_CASE: [Fault(FAULT_AT, "part", CUT_OFF_ROUTER, FAULT_DURATION)],
+}
+
+
+def rehearse(seed: int, report: ScenarioReport) -> None:
+    """Plays each case with and without ejection by peers."""
+    for case, faults in CASES.items():
+        alone = _play(seed, report, case, faults, peer_ejection="false")
+        together = _play(seed, report, case, faults, peer_ejection="true")
+        reached = f"{_arrived(alone, FAULTY_CACHE)} and {_arrived(together, FAULTY_CACHE)} reqs on n0"
+        report.figures[case] = f"{reached}, {_answered(alone)} and {_answered(together)} done"
+
+
+def _play(
+    seed: int, report: ScenarioReport, case: str, faults: list[Fault], peer_ejection: str
+) -> ScenarioResult:
+    result = play(random.Random(seed), replace(SIZE, peer_ejection=peer_ejection), faults)
+    within = f"{MAX_ANSWER_TIME / SECOND} s"
+    report.expect(not result.lost, f"{case}: {result.lost} reqs without an answer in {within}")
+    report.expect(not result.faults, f"{case}: {result.faults[:1]}")
+    if case == CUT_OFF_CASE:
+        caches = [f"n{index}" for index in range(SIZE.caches)]
+        unused = [cache for cache in caches if not _arrived(result, cache, except_router=CUT_OFF_ROUTER)]
+        report.expect(not unused, f"{case}: {unused} were left by the others")
+    return result
+
+
+def _fault_span(result: ScenarioResult) -> tuple[int, int]:
+    """Begin and end of the fault, microseconds."""
+    begin = result.began + FAULT_AT * 1000
+    return begin, begin + FAULT_DURATION * 1000
+
+
+def _arrived(result: ScenarioResult, cache: str, except_router: str = "") -> int:
+    """Requests that reached a cache while the fault lasted.
+
+    :param except_router: its requests are not counted; empty: all are.
+    """
+    begin, end = _fault_span(result)
+    return sum(
+        event.who == cache
+        and begin <= event.at < end
+        and not event.told["path"].startswith(f"{RATE_PATH}{except_router}.")
+        for event in result.fleet.history.of("arrive")
+    )
+
+
+def _answered(result: ScenarioResult) -> int:
+    """Requests that were sent while the fault lasted and answered well."""
+    return history_checks.answers(result.fleet.history, RATE_PATH, *_fault_span(result)).get("200", 0)
--- /dev/null
+++ b/quartzrouter/fault_scenarios/quota_fleet.py
@@ -0,0 +1,351 @@
+"""A fleet of processes on loopback that share limits, its load, and the faults that strike it."""
+
+import random
+from collections.abc import Sequence
+from dataclasses import asdict, dataclass
+from functools import partial
+from pathlib import Path
+
+import anyio
+
+from quartzrouter.config.loader import load
+from quartzrouter.config.quantity import quantity
+from quartzrouter.configuration import address
+from quartzrouter.fault_harness.counting_cache import CountingCache
+from quartzrouter.fault_harness.fault_injection import FaultInjectedFleet
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_harness.fleet import Clocks
+from quartzrouter.fault_harness.load_generator import LoadGenerator
+from quartzrouter.fault_harness.processes import FleetProcess
+from quartzrouter.fault_harness.proxied_links import ProxiedLink
+from quartzrouter.pool_routing.shared_limits import budgets
+from quartzrouter.quota.budget import SECOND, Budget
+
+RATE_PATH = "/calls/"  # requests that count in the shared rate
+SLOTS_PATH = "/crowd/"  # requests that count in the shared concurrency
+RATE_LIMIT = "calls"  # names of the limits in the plan
+SLOTS_LIMIT = "crowd"
+RATE_RESPONSE_TIME = (0.002, 0.01)  # seconds at a cache, least and most
+SLOT_CLIENT_PAUSE = (0.05, 0.2)  # seconds from an answer to the client's next request, least and most
+REQUESTS_PER_CLIENT = 20  # a second: a client sends its next request only once the last one is answered
+MAX_WALL_CLOCK_ERROR = 5  # seconds
+STANDBY_ARGUMENT = 5  # index in a purge log's arguments of the address that it stands by for
+TAKEOVER_NOTICE = 1.0  # seconds after which a purge log that was stopped has seen its successor, and ended
+
+PLAN = """{{
+  deployment: {{
+    name: "s", home: "north", listen: "127.0.0.1:{port}", number: {number}, routers: {routers},
+    descriptors: 256, dispatches: {max_attempts}, hearsay: {peer_ejection}, {deployment_keys}
+  }},
+  stores: {{ north: {{ hub: "h" }} }}, hubs: {{ h: {{}} }},
+  caches: {{ {listed} }},
+  vhosts: {{
+    page: {{ effect: "replayable", client_timeout: {timeout}, kept: false, {traffic_class_keys} }},
+  }},
+  purges: {{ ledgers: [{ledgers}], life: 10s, grace: {purge_grace} }},
+  pools: {{ near: {{}} }},
+  limits: {{
+    calls: {{
+      rate: {rate}/s, burst: {burst}, across: "fleet", floors: {rate_guarantee}, share_life: {grant_ttl}
+    }},
+    crowd: {{ concurrent: {slots}, across: "fleet", floors: {slots_guarantee}, share_life: {grant_ttl} }},
+    again: {{
+      rate: {retry_rate}/s, burst: {retry_rate}, counts: "repeats", across: "fleet", share_life: {grant_ttl}
+    }},
+  }},
+  routes: {{
+    calls: {{ match: {{ path: "/calls/**" }}, vhost: "page", pool: "near", limits: ["calls", "again"] }},
+    crowd: {{ match: {{ path: "/crowd/**" }}, vhost: "page", pool: "near", limits: "crowd" }},
+    all: {{ match: {{}}, vhost: "page", pool: "near" }},
+  }},
+}}"""
+
+
+@dataclass(frozen=True)
+class ScenarioSize:
+    """What is played.
+
+    :param routers: of the fleet.
+    :param caches: of the store.
+    :param rate: requests per second of the shared rate.
+    :param burst: of the shared rate.
+    :param rate_guarantee: share of the rate that is guaranteed, as the plan writes it.
+    :param slots: of the shared concurrency.
+    :param slots_guarantee: share of the slots that is guaranteed, as the plan writes it.
+    :param grant_ttl: time to live of grants, as the plan writes it.
+    :param response_time: least and most seconds that a request counted in slots is at a cache.
+    :param timeout: the client timeout, as the plan writes it.
+    :param cancels_abandoned: whether caches give up requests whose router has hung up.
+    :param purge_grace: of purges, as the plan writes it; four fifths of it without a message end a
+        connection to a purge log.
+    :param first_router_share: of the demand for the rate, which comes to router 0.
+    :param demand: requests per second for the rate, in all.
+    :param slot_clients: at each router, which ask for slots.
+    :param seconds: of the load.
+    :param spoilt_share: of messages, spoilt from the start on.
+    :param spoil_kinds: how.
+    :param slots_checked_from: milliseconds after the start, from which the bound on slots must hold.
+    :param peer_ejection: whether routers eject caches by each other's reports, as the plan writes it.
+    :param cache_links: a link from each router to each cache, which can be cut.
+    :param max_clock_drift: parts per million by which clocks run fast or slow.
+    :param fault_free_time: milliseconds at the start, in which the use of the budgets is measured.
+    :param max_attempts: per request.
+    :param retry_rate: retries per second, a shared limit.
+    :param cache_weight: of each cache: transfers that its link carries.
+    :param traffic_class_keys: more keys of the traffic class.
+    :param deployment_keys: more keys of the deployment.
+    :param unlisted_caches: the first ones, which no plan lists until a fault ``list``.
+    """
+
+    routers: int = 12
+    caches: int = 4
+    rate: int = 80
+    burst: int = 16
+    rate_guarantee: str = "20%"
+    slots: int = 24
+    slots_guarantee: str = "50%"
+    grant_ttl: str = "500ms"
+    response_time: tuple[float, float] = (0.15, 0.35)
+    timeout: str = "1s"
+    cancels_abandoned: bool = True
+    purge_grace: str = "300ms"
+    first_router_share: float = 0.8
+    demand: float = 96.0
+    slot_clients: int = 3
+    seconds: float = 30.0
+    spoilt_share: float = 0.02
+    spoil_kinds: tuple[str, ...] = ("lose", "double", "swap")
+    slots_checked_from: int = 0
+    peer_ejection: str = "false"
+    cache_links: bool = False
+    max_clock_drift: int = 150
+    fault_free_time: int = 5_000
+    max_attempts: int = 2
+    retry_rate: int = 10_000
+    cache_weight: float = 400
+    traffic_class_keys: str = ""
+    deployment_keys: str = ""
+    unlisted_caches: int = 0
+
+    @property
+    def other_router_demand(self) -> float:
+        """Requests per second for the rate at each router but the first."""
+        return (1 - self.first_router_share) * self.demand / max(1, self.routers - 1)
+
+
+class QuotaFleet(FaultInjectedFleet):
+    """Two purge logs over one folder, the second stands by; routers with a link to each; caches that count.
+
+    :param chance: all that is random is drawn from it.
+    :param size: what is played.
+    :param mutations: names of guards that are taken out in all processes.
+    """
+
+    def __init__(
+        self, folder: Path, chance: random.Random, size: ScenarioSize, mutations: Sequence[str] = ()
+    ):
+        super().__init__(folder, chance, quantity(size.purge_grace).us)
+        self.size = size
+        self.spoil = size.spoilt_share
+        self.mutations = mutations
+        self.caches: list[CountingCache] = []
+        self.cache_addresses: list[str] = []
+        self.clients: list[LoadGenerator] = []
+        self.budgets: dict[str, Budget] = {}
+        self.cache_links: list[list[ProxiedLink]] = []  # by router, by cache
+        self.routers_with_slot_demand = set(range(size.routers))
+        self.unlisted_caches = size.unlisted_caches
+
+    async def start(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Starts caches, links and processes; returns before the processes listen."""
+        self.tasks = tasks
+        await self._start_caches(tasks)
+        shared_plan = self.folder / "shared.plan"
+        for standby in (None, 0):
+            await self.add_ledger(shared_plan, standby, self._draw_clocks(), self.mutations)
+        for _ in range(self.size.routers):
+            await self._add_router_with_links(tasks)
+        shared_plan.write_text(self.plan(0))
+        plan = load(str(shared_plan)).plan
+        self.budgets = {budget.name: budget for budget in budgets(plan, plan.stores)}
+        for party in self.parties:
+            party.start()
+            if party is self.ledgers[0]:
+                await self.up(self.ledger_ports[0])
+
+    async def _start_caches(self, tasks: anyio.abc.TaskGroup) -> None:
+        for index in range(self.size.caches):
+            cache = CountingCache(f"n{index}", self.history, self.chance, self._response_time)
+            cache.notices = self.size.cancels_abandoned
+            self.caches.append(cache)
+            self.cache_addresses.append(await cache.start(tasks))
+
+    async def _add_router_with_links(self, tasks: anyio.abc.TaskGroup) -> None:
+        index = await self.add_links(tasks)
+        cache_links = [
+            ProxiedLink(address(cache, "cache"), self.chance, by_line=False) for cache in self.cache_addresses
+        ]
+        if self.size.cache_links:
+            for link in cache_links:
+                await link.start(tasks)
+        self.cache_links.append(cache_links)
+        self.add_router(index, self.plan(index), self._draw_clocks(), self.mutations)
+        for link in self.links[index]:
+            for direction in link.ways:
+                direction.spoil = self.size.spoilt_share
+                direction.only = self.size.spoil_kinds
+
+    def _draw_clocks(self) -> Clocks:
+        error = self.chance.randint(-MAX_WALL_CLOCK_ERROR, MAX_WALL_CLOCK_ERROR) * SECOND
+        drift = self.chance.randint(-self.size.max_clock_drift, self.size.max_clock_drift)
+        return Clocks(error, drift)
+
+    def plan(self, index: int, **changes) -> str:
+        """The plan of one router.
+
+        :param changes: values of ``PLAN`` in place of those of the size.
+        """
+        ledgers = ", ".join(f'"127.0.0.1:{link.port}"' for link in self.links[index])
+        weight = self.size.cache_weight
+        caches = [
+            f'n{cache}: {{ address: "{cache_address}", at: "north", weight: {weight} }}'
+            for cache, cache_address in enumerate(self._cache_addresses_of(index))
+            if cache >= self.unlisted_caches
+        ]
+        origin = 'o: { address: "127.0.0.1:1", at: "h", tier: "origin", weight: 400 }'
+        listed = ", ".join([*caches, origin])
+        values = asdict(self.size) | changes
+        return PLAN.format(port=self.ports[index], number=index, listed=listed, ledgers=ledgers, **values)
+
+    def _cache_addresses_of(self, router: int) -> list[str]:
+        """Where a router finds the caches."""
+        if not self.size.cache_links:
+            return self.cache_addresses
+        return [f"127.0.0.1:{link.port}" for link in self.cache_links[router]]
+
+    def _response_time(self, path: str) -> float:
+        bounds = self.size.response_time if path.startswith(SLOTS_PATH) else RATE_RESPONSE_TIME
+        return self.chance.uniform(*bounds)
+
+    # -- load ----------------------------------------------------------------------------------------------
+
+    def start_load(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Starts the clients of all routers."""
+        for router in range(self.size.routers):
+            self._add_rate_clients(router)
+            self._add_slot_clients(router)
+        for client in self.clients:
+            tasks.start_soon(client.run)
+
+    def _add_rate_clients(self, router: int) -> None:
+        is_first = router == 0
+        size = self.size
+        demand = size.first_router_share * size.demand if is_first else size.other_router_demand
+        clients = max(1, round(demand / REQUESTS_PER_CLIENT))
+        for client in range(clients):
+            pace = partial(self._uneven_pace, clients / demand)
+            path = f"{RATE_PATH}r{router}.{client}"
+            self.clients.append(LoadGenerator(path, self.history, self.ports[router], pace))
+
+    def _add_slot_clients(self, router: int) -> None:
+        for client in range(self.size.slot_clients):
+            pace = partial(self.chance.uniform, *SLOT_CLIENT_PAUSE)
+            has_demand = partial(self._has_slot_demand, router)
+            path = f"{SLOTS_PATH}r{router}.{client}"
+            self.clients.append(LoadGenerator(path, self.history, self.ports[router], pace, has_demand))
+
+    def _has_slot_demand(self, router: int) -> bool:
+        return router in self.routers_with_slot_demand
+
+    def _uneven_pace(self, interval: float) -> float:
+        return self.chance.uniform(0.6, 1.4) * interval
+
+    def end_load(self) -> None:
+        """Ends all clients after their current request."""
+        for client in self.clients:
+            client.ends = True
+
+    # -- faults, each a method by the name that schedules use ------------------------------------------------
+
+    def links_of(self, name: str) -> list[ProxiedLink]:
+        """The links of a router to the purge logs, as r3, or one of them, as r3/1."""
+        router, _, ledger = name[1:].partition("/")
+        links = self.links[int(router)]
+        return [links[int(ledger)]] if ledger else links
+
+    async def _only(self, fault: Fault) -> None:
+        """From now on there is demand for slots at these routers only; ``all``: at all of them."""
+        if fault.who == "all":
+            self.routers_with_slot_demand = set(range(self.size.routers))
+        else:
+            self.routers_with_slot_demand = {int(name[1:]) for name in fault.who.split()}
+
+    async def _part(self, fault: Fault) -> None:
+        """A router is cut off from one cache, as r3/1, or from all of them, as r3."""
+        router, _, cache = fault.who[1:].partition("/")
+        links = self.cache_links[int(router)]
+        links = [links[int(cache)]] if cache else links
+        for link in links:
+            link.hold()
+        await anyio.sleep(fault.lasts / 1000)
+        for link in links:
+            link.hold(False)
+
+    async def _bad(self, fault: Fault) -> None:
+        """A cache answers a share of its requests with an error."""
+        cache = self.caches[int(fault.who[1:])]
+        cache.bad = fault.much
+        await anyio.sleep(fault.lasts / 1000)
+        cache.bad = 0.0
+
+    async def _lost(self, fault: Fault) -> None:
+        """A cache is gone, and comes back at its port."""
+        cache = self.caches[int(fault.who[1:])]
+        cache.stop()
+        await anyio.sleep(fault.lasts / 1000)
+        await cache.start(self.tasks)
+
+    async def _stop(self, fault: Fault) -> None:
+        """SIGSTOP; a purge log that goes on finds a successor in its place, and ends."""
+        party = self.party(fault.who)
+        party.stop()
+        await anyio.sleep(fault.lasts / 1000)
+        party.go_on()
+        if party in self.ledgers:
+            await anyio.sleep(TAKEOVER_NOTICE)
+            if not party.runs:
+                self._restart(party)
+
+    async def _kill(self, fault: Fault) -> None:
+        """SIGKILL, with the loss of its folder where ``much`` says so, and a restart."""
+        party = self.party(fault.who)
+        party.kill()
+        if fault.much:
+            party.lose_folder()
+        await anyio.sleep(fault.lasts / 1000)
+        self._restart(party)
+
+    def _restart(self, party: FleetProcess) -> None:
+        """Starts a process again; a purge log stands by for the other one where that runs."""
+        if party in self.ledgers:
+            other = 1 - self.ledgers.index(party)
+            other_address = f"127.0.0.1:{self.ledger_ports[other]}"
+            party.arguments[STANDBY_ARGUMENT] = other_address if self.ledgers[other].runs else "-"
+        party.start()
+
+    async def _list(self, _fault: Fault) -> None:
+        """All routers read a plan that lists all caches: those that are new to it have just started."""
+        self.unlisted_caches = 0
+        for index, router in enumerate(self.routers):
+            self.plan_of(index).write_text(self.plan(index))
+            router.reload()
+
+    async def _reload(self, fault: Fault) -> None:
+        """A purge log or a router reads a plan with ``much`` slots."""
+        slots = int(fault.much)
+        if fault.who.startswith("ledger"):
+            (self.folder / "shared.plan").write_text(self.plan(0, slots=slots))
+        else:
+            index = int(fault.who[1:])
+            self.plan_of(index).write_text(self.plan(index, slots=slots))
+        self.party(fault.who).reload()
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -7,7 +7,9 @@
 import pytest
 from test_force import Played
 
-from quartzrouter.fault_scenarios.sharing import FEW, Fault, play
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_scenarios.quota_mutation_scenes import SMALL
+from quartzrouter.fault_scenarios.quota_play import play
 from quartzrouter.fleet_health import ejection, reports
 from quartzrouter.fleet_health.aggregator import HealthAggregator
 from quartzrouter.fleet_health.ejection import BASE_EJECTION_TIME, EJECTION_MEMORY
@@ -255,18 +257,18 @@
 
 
 SHAPE = replace(
-    FEW,
+    SMALL,
     rate=4_000,
     burst=4_000,
-    floors="100%",
+    rate_guarantee="100%",
     demand=150.0,
-    uneven=1 / 6,
-    askers=0,
+    first_router_share=1 / 6,
+    slot_clients=0,
     caches=6,
     cache_links=True,
     timeout="1s",
     seconds=5.0,
-    hearsay="true",
+    peer_ejection="true",
 )
 
 
--- a/tests/test_stand.py
+++ b/tests/test_stand.py
@@ -16,7 +16,10 @@
 from quartzrouter.fault_harness.proxied_links import ProxiedLink
 from quartzrouter.fault_harness.skewed_clocks import ClockPage, clocks
 from quartzrouter.fault_scenarios import ScenarioReport
-from quartzrouter.fault_scenarios.sharing import FEW, SCENES, ScenarioSize, play, rehearse
+from quartzrouter.fault_scenarios.quota import rehearse
+from quartzrouter.fault_scenarios.quota_fleet import ScenarioSize
+from quartzrouter.fault_scenarios.quota_mutation_scenes import SCENES, SMALL
+from quartzrouter.fault_scenarios.quota_play import play
 from quartzrouter.quota.budget import SECOND, Budget
 from quartzrouter.server.clock import RouterClock
 
@@ -218,24 +221,26 @@
 # -- fleets --------------------------------------------------------------------------------------------------
 
 
-SHARED = ScenarioSize(routers=6, rate=60, slots=12, demand=80.0, askers=6, seconds=12.0, quiet=4_000)
+SHARED = ScenarioSize(
+    routers=6, rate=60, slots=12, demand=80.0, slot_clients=6, seconds=12.0, fault_free_time=4_000
+)
 TAKEN_OUT = ("a share doesn't end", "a share counts from its answer")  # all: `quartzrouter rehearse guards`
 
 
 def drawn():
     tally = ScenarioReport()
-    rehearse(3, tally, shape=SHARED)
+    rehearse(3, tally, size=SHARED)
     return tally.broken, tally.figures
 
 
 def jumped():
-    seen = play(random.Random(1), replace(FEW, seconds=4.5), [Fault(500, "jump", "r0", 300, 10.0)])
+    seen = play(random.Random(1), replace(SMALL, seconds=4.5), [Fault(500, "jump", "r0", 300, 10.0)])
     return seen.broken, seen.lost, seen.faults, len(list(seen.fleet.history.of("send")))
 
 
 def without(guard):
-    shape, faults = SCENES[guard]
-    seen = play(random.Random(1), shape, faults, (guard,))
+    size, faults = SCENES[guard]
+    seen = play(random.Random(1), size, faults, (guard,))
     return seen.broken, seen.over_rate, seen.over_slots
 
 
