--- /dev/null
+++ b/tests/test_fleet_health.py
@@ -0,0 +1,358 @@
+"""Health of caches by the reports of all routers: who is a reporter, what is ejected or unknown."""
+
+import random
+from collections import Counter
+from dataclasses import replace
+
+import pytest
+from test_force import Played
+
+from quartzrouter.fault_harness.fault_schedule import Fault
+from quartzrouter.fault_scenarios.quota_mutation_scenes import SMALL
+from quartzrouter.fault_scenarios.quota_play import play
+from quartzrouter.fleet_health import ejection, reports
+from quartzrouter.fleet_health.aggregator import HealthAggregator
+from quartzrouter.fleet_health.ejection import (
+    BASE_EJECTION_TIME,
+    EJECTION_MEMORY,
+    MAX_EJECTION_TIME,
+    accepted_ejections,
+)
+from quartzrouter.fleet_health.messages import LOAD_UNKNOWN, CacheLoad, CacheObservation, EjectionVerdict
+from quartzrouter.fleet_health.reports import REPORT_INTERVAL, REPORT_TTL, RouterReport
+from quartzrouter.quota.budget import SECOND
+from quartzrouter.routing.model import AttemptStatus
+
+STORE = "north"
+CACHES = [f"n{index}" for index in range(9)]
+
+
+class ReportingStore:
+    """A store whose routers report on nine caches in each interval; ``failing`` are caches by router."""
+
+    def __init__(self, routers=6):
+        self.aggregator = HealthAggregator()
+        self.now = 100 * SECOND
+        self.routers = routers
+        self.failing = {router: set() for router in range(routers)}
+        self.process_tokens = dict.fromkeys(range(routers), "t")
+        self.silent = set()
+
+    def play(self, intervals):
+        """Lets time pass; gives the caches that are ejected then."""
+        for _ in range(intervals):
+            self.now += REPORT_INTERVAL
+            for router in set(range(self.routers)) - self.silent:
+                self._report(router)
+        return [verdict.cache for verdict in self.verdicts()]
+
+    def _report(self, router):
+        observations = tuple(
+            CacheObservation(cache, False, succeeded=0, failed=2, in_flight=1, started=2)
+            if cache in self.failing[router]
+            else CacheObservation(cache, False, succeeded=3, failed=0, in_flight=2, started=3)
+            for cache in CACHES
+        )
+        token = self.process_tokens[router]
+        assert self.aggregator.record_report(f"r{router}", token, STORE, observations, self.now, len(CACHES))
+
+    def verdicts(self):
+        return self.aggregator.verdicts(STORE, self.now)
+
+    def loads(self):
+        return self.aggregator.loads(STORE, self.now)
+
+    def fail(self, cache, routers):
+        """From now on a cache fails these routers."""
+        for router in routers:
+            self.failing[router].add(cache)
+
+    def heal(self):
+        """From now on no cache fails any router."""
+        self.failing = {router: set() for router in range(self.routers)}
+
+
+# -- verdicts ----------------------------------------------------------------------------------------------
+
+
+def test_a_cache_that_fails_most_is_ejected_and_comes_back_by_itself():
+    """A cache fails five of six routers; then nobody reports on it any more, and the ejection expires."""
+    store = ReportingStore()
+    store.fail("n3", range(5))
+    assert store.play(5) == ["n3"]
+    (verdict,) = store.verdicts()
+    assert verdict.reported_by == ("r0", "r1", "r2", "r3", "r4") and verdict.contradicted_by == ("r5",)
+    assert 0 < verdict.expires_in <= BASE_EJECTION_TIME and verdict.failures > 10
+    store.silent = set(range(6))
+    assert store.play(12) == []
+
+
+@pytest.mark.parametrize("routers", [(0,), (0, 1, 2)])
+def test_few_take_no_cache_from_the_others(routers):
+    """A cache fails one router, or half of them, and serves the others well."""
+    store = ReportingStore()
+    store.fail("n3", routers)
+    assert store.play(10) == []
+
+
+def test_a_router_that_is_cut_off_itself_is_no_reporter(monkeypatch):
+    """Most caches fail one router, and one of them fails another router too."""
+
+    def played():
+        store = ReportingStore(3)
+        for cache in CACHES[:6]:
+            store.fail(cache, (0,))
+        store.fail("n1", (1,))
+        return store.play(10)
+
+    assert played() == []
+    monkeypatch.setattr(RouterReport, "is_cut_off", property(lambda _report: False))
+    assert played() == ["n1"]
+
+
+def test_few_caches_are_ever_ejected(monkeypatch):
+    """Four of nine caches fail all routers: fewer than half, so that no router is taken for cut off."""
+
+    def played():
+        store = ReportingStore()
+        for cache in CACHES[:4]:
+            store.fail(cache, range(6))
+        return store.play(10)
+
+    assert len(played()) == 3
+    monkeypatch.setattr(ejection, "MAX_EJECTED_SHARE", 1.0)
+    assert len(played()) == 4
+
+
+def test_errors_that_all_caches_show_eject_none():
+    """The origin fails every second request, through whichever cache; one cache shows somewhat more."""
+    store = ReportingStore()
+    for interval in range(10):
+        store.now += REPORT_INTERVAL
+        for router in range(6):
+            observations = tuple(
+                CacheObservation(cache, False, succeeded=1, failed=1 + (cache == "n0") * (interval % 2))
+                for cache in CACHES
+            )
+            store.aggregator.record_report(f"r{router}", "t", STORE, observations, store.now, len(CACHES))
+    assert store.verdicts() == ()
+
+
+def test_a_cache_that_flaps_is_ejected_for_longer_each_time():
+    """It fails and recovers five times; after a long quiet time the first duration holds again."""
+    store = ReportingStore()
+    durations = []
+    for _ in range(5):
+        store.fail("n3", range(6))
+        assert store.play(8) == ["n3"]
+        store.heal()
+        intervals = 0
+        while store.play(1):
+            intervals += 1
+        durations.append(intervals * REPORT_INTERVAL)
+    assert durations == sorted(durations)
+    assert 4 * durations[0] <= durations[-1] <= MAX_EJECTION_TIME + REPORT_TTL
+    store.now += EJECTION_MEMORY + SECOND
+    store.fail("n3", range(6))
+    store.play(8)
+    assert store.verdicts()[0].expires_in <= BASE_EJECTION_TIME
+
+
+def test_two_halves_that_judge_differently_agree_once_they_meet():
+    """A partition of the aggregators: one half ejects a cache, the other doesn't.
+
+    Where all routers meet again, as many are failed by it as are served well, and it is not ejected.
+    """
+    failing_half, healthy_half = ReportingStore(), ReportingStore()
+    failing_half.fail("n3", range(6))
+    assert failing_half.play(6) == ["n3"] and healthy_half.play(6) == []
+    together = ReportingStore()
+    together.fail("n3", range(3))
+    assert together.play(1) == together.play(15) == []
+
+
+# -- loads -------------------------------------------------------------------------------------------------
+
+
+def test_loads_have_an_age_and_an_error_bound():
+    store = ReportingStore(3)
+    store.play(6)
+    assert store.loads()[0] == CacheLoad("n0", in_flight=6, age=0, error_bound=0, routers=3)
+    later = store.aggregator.loads(STORE, store.now + REPORT_INTERVAL)
+    assert later[0] == CacheLoad("n0", in_flight=6, age=REPORT_INTERVAL, error_bound=9, routers=3)
+
+
+def test_loads_are_unknown_where_a_router_is_silent():
+    """A router falls silent: its attempts may go on, so the sum must not be less by them.
+
+    It counts again with its next report, by another process, and no more once it has left or is silent for
+    long.
+    """
+    store = ReportingStore(3)
+    store.play(6)
+    store.silent = {2}
+    store.play(7)
+    assert store.loads()[0].in_flight == LOAD_UNKNOWN
+    store.process_tokens[2] = "again"
+    store.silent = set()
+    assert not store.play(1) and store.loads()[0].in_flight == 6
+    store.silent = {2}
+    store.play(6)
+    store.aggregator.remove_router("r2")
+    assert store.loads()[0].in_flight == 4
+    store.silent = {0, 1, 2}
+    store.now += reports.SILENCE_LIMIT + SECOND
+    store.aggregator.expire(store.now)
+    assert store.loads() == () and not store.aggregator.reports
+
+
+# -- reports -----------------------------------------------------------------------------------------------
+
+
+@pytest.mark.parametrize(
+    "observation",
+    [
+        CacheObservation("", False),
+        CacheObservation("n" * 65, False),
+        CacheObservation("n", False, succeeded=-1),
+        CacheObservation("n", False, in_flight=10**9),
+    ],
+)
+def test_invalid_reports_are_ignored(observation):
+    aggregator = HealthAggregator()
+    assert not aggregator.record_report("r", "t", STORE, (observation,), SECOND, 9)
+    assert aggregator.invalid_reports == 1 and not aggregator.reports
+    too_many = (CacheObservation("n", True),) * (reports.MAX_OBSERVATIONS + 1)
+    assert not aggregator.record_report("r", "t", STORE, too_many, SECOND, 9)
+    assert not aggregator.record_report("r", "t", STORE, (), SECOND, -1)
+
+
+def test_a_cache_that_is_not_mentioned_is_not_ejected_and_its_outcomes_decay():
+    """A router reports on two caches, then on none, and after ten seconds nothing of that counts."""
+    aggregator = HealthAggregator()
+    now = 100 * SECOND
+    first = (
+        CacheObservation("n1", True, succeeded=0, failed=4, in_flight=2, started=2),
+        CacheObservation("n2", False, succeeded=4, failed=0, in_flight=1, started=4),
+    )
+    aggregator.record_report("r", "t", STORE, first, now, 9)
+    assert set(aggregator.reports["r"].outcomes) == {"n1", "n2"} and len(aggregator.loads(STORE, now)) == 2
+    now += REPORT_INTERVAL
+    aggregator.record_report("r", "t", STORE, (), now, 9)
+    outcomes = aggregator.reports["r"].outcomes["n1"]
+    assert not outcomes.ejected and 2 < outcomes.failed < 4 and aggregator.loads(STORE, now) == ()
+    aggregator.record_report("r", "t", STORE, (), now + 10 * SECOND, 9)
+    assert not aggregator.reports["r"].outcomes
+
+
+def test_a_router_obeys_few_verdicts_and_none_for_long():
+    """A faulty aggregator wants to have six of nine caches ejected, half of them for 100 s."""
+    verdicts = tuple(
+        EjectionVerdict(f"n{index}", 100 * SECOND * (index < 3), (), (), 0) for index in range(6)
+    )
+    until = {f"n{index}": 5 + MAX_EJECTION_TIME for index in range(3)}
+    assert accepted_ejections(verdicts, 9, 5) == until
+    assert accepted_ejections(verdicts[3:], 9, 5) == {} and accepted_ejections(verdicts, 2, 5) == {}
+
+
+# -- at a router -------------------------------------------------------------------------------------------
+
+
+def endpoints_of(played, requests):
+    """How many requests go to each cache; all of them are answered well."""
+    found = Counter()
+    for number in range(requests):
+        played.now += 10_000
+        answer = played.req(f"/x{number}")
+        found[answer.endpoint] += 1
+        played.end(AttemptStatus.SUCCEEDED)
+    return found
+
+
+def test_a_cache_ejected_by_peers_gets_no_requests_until_that_ends():
+    """It ends by itself, or by a verdict that doesn't name the cache any more."""
+    played = Played()
+    caches = {
+        observation.cache
+        for observation in played.force.health_observations(played.now).values()
+        if observation.cache.startswith("n")
+    }
+    bad = sorted(caches)[0]
+    assert set(endpoints_of(played, 80)) == caches
+    played.now += SECOND
+    played.force.set_ejected_by_peers({bad: played.now + 5 * SECOND}, played.now)
+    assert set(endpoints_of(played, 80)) == caches - {bad}
+    played.now += 5 * SECOND
+    assert bad in endpoints_of(played, 80)
+    played.now += SECOND
+    played.force.set_ejected_by_peers({bad: played.now + 5 * SECOND}, played.now)
+    played.force.set_ejected_by_peers({}, played.now)
+    assert bad in endpoints_of(played, 80)
+
+
+def test_what_a_router_saw_itself_lately_goes_first():
+    """Peers eject a cache that has served this router well a moment ago."""
+    played = Played()
+    bad = sorted(endpoints_of(played, 80))[0]
+    played.force.set_ejected_by_peers({bad: played.now + 5 * SECOND}, played.now)
+    assert bad in endpoints_of(played, 80)
+    assert played.force.health_observations(played.now)[bad].completed > 0
+
+
+def test_all_caches_ejected_is_as_none():
+    played = Played()
+    names = set(endpoints_of(played, 80))
+    played.now += SECOND
+    played.force.set_ejected_by_peers(dict.fromkeys(names, played.now + 5 * SECOND), played.now)
+    assert endpoints_of(played, 40)
+
+
+# -- between processes -------------------------------------------------------------------------------------
+
+SIZE = replace(
+    SMALL,
+    rate=4_000,
+    burst=4_000,
+    rate_guarantee="100%",
+    demand=150.0,
+    first_router_share=1 / 6,
+    slot_clients=0,
+    caches=6,
+    cache_links=True,
+    timeout="1s",
+    seconds=5.0,
+    peer_ejection="true",
+)
+
+
+def is_of_reachable_router(event, result):
+    """Whether an event is of another router than the first, and after the routers had time to agree."""
+    return event.at > result.began + 2.5 * SECOND and "/r0." not in event.told["path"]
+
+
+def test_processes_leave_a_cache_that_all_but_one_can_not_reach():
+    """All routers but the first are cut off from one cache, and their requests to it wait in vain.
+
+    Alone, three in ten requests wait for it again and again; together, seven in a hundred.
+    """
+    faults = [Fault(1500, "part", f"r{router}/0", 4000) for router in range(1, 6)]
+    result = play(random.Random(1), SIZE, faults)
+    ends = {event.told["path"]: event.at for event in result.fleet.history.of("end")}
+    waits = [
+        ends.get(event.told["path"], event.at + SECOND) - event.at
+        for event in result.fleet.history.of("send")
+        if is_of_reachable_router(event, result)
+    ]
+    long_waits = sum(wait > SECOND // 4 for wait in waits)
+    print(len(waits), long_waits)
+    assert long_waits < 0.2 * len(waits) and not (result.lost or result.faults)
+
+
+def test_processes_eject_no_cache_by_the_reports_of_one_that_is_cut_off_itself():
+    """One router reaches no cache: for the others, all six caches go on to serve."""
+    result = play(random.Random(1), SIZE, [Fault(1500, "part", "r0", 4000)])
+    reached = Counter(
+        event.who for event in result.fleet.history.of("arrive") if is_of_reachable_router(event, result)
+    )
+    assert len(reached) == 6 and min(reached.values()) > 10, reached
+    assert not (result.lost or result.faults)
--- /dev/null
+++ b/tests/test_slow_start_quota.py
@@ -0,0 +1,426 @@
+"""Slow start shared by routers: sending time that is granted, and the bound on it within every window."""
+
+import random
+from typing import NamedTuple
+
+import pytest
+
+from quartzrouter.fault_harness import quota_mutations
+from quartzrouter.quota import slow_start_allocator
+from quartzrouter.quota.budget import SECOND
+from quartzrouter.quota.messages import QuotaRefusal
+from quartzrouter.quota.slow_start_allocator import EndpointAccount, SlowStartAllocator
+from quartzrouter.quota.slow_start_client import SlowStartClient
+from quartzrouter.quota.slow_start_messages import SlowStartGrant, SlowStartRequest, SlowStartTerms
+from quartzrouter.routing.model import SlowStartDemand, Tier
+
+MILLISECOND = 1_000  # microseconds
+TERMS = SlowStartTerms(window=SECOND, guaranteed_share=0.2, routers=8, grant_ttl=500 * MILLISECOND)
+LIMIT = 800 * MILLISECOND  # of sending time that all routers may spend in a window
+GRANTABLE = 640 * MILLISECOND  # of it, beside the guaranteed share
+REQUEST_TIME = 50 * MILLISECOND
+
+
+def request(
+    sequence_number=1,
+    limit=LIMIT,
+    wanted=LIMIT,
+    left=0,
+    request_time=REQUEST_TIME,
+    endpoint="n0",
+    figures=TERMS.figures,
+    tier="cache",
+):
+    return SlowStartRequest(endpoint, tier, sequence_number, limit, wanted, left, request_time, figures)
+
+
+class Allocator(SlowStartAllocator):
+    """An allocator that began at 0 and grants from ``ready_at`` on, when an earlier one's grants are over."""
+
+    def __init__(self):
+        super().__init__({"cache": TERMS}, 0)
+        self.ready_at = TERMS.accounting_period
+
+    def sending_time(self, asked, router, now, process_token="t"):
+        """What is granted for one request."""
+        return self.ask(asked, router, process_token, now).sending_time
+
+
+# -- allocator ---------------------------------------------------------------------------------------------
+
+
+def test_an_allocator_waits_until_what_was_granted_before_it_is_over():
+    """Another allocator may have granted everything right before this one began."""
+    allocator = Allocator()
+    early = allocator.ask(request(), "a", "t", allocator.ready_at - 1)
+    assert early == SlowStartGrant("n0", 1, 0)
+    assert allocator.sending_time(request(2), "a", allocator.ready_at) == GRANTABLE
+
+
+def test_the_least_limit_that_any_router_tells_holds():
+    """A router has heard later of the endpoint's start than the other one, so it knows it for colder."""
+    allocator = Allocator()
+    now = allocator.ready_at
+    granted = allocator.sending_time(request(), "a", now)
+    assert allocator.sending_time(request(limit=LIMIT // 2), "b", now) == 0
+    later = now + TERMS.accounting_period + 1
+    assert allocator.sending_time(request(2), "a", later) <= GRANTABLE and granted == GRANTABLE
+    assert allocator.sending_time(request(2, limit=LIMIT // 2), "b", later) == 0
+
+
+def test_many_who_want_little_get_a_request_each_in_turn():
+    """Thirty routers want one request each, and twelve requests are there; none is granted a part of one."""
+    allocator = Allocator()
+    now = allocator.ready_at
+    granted = [
+        allocator.sending_time(request(wanted=REQUEST_TIME), f"r{router}", now) for router in range(30)
+    ]
+    assert [sending_time for sending_time in granted if sending_time] == [REQUEST_TIME] * 12
+    state = allocator.states(now)[0]
+    assert state.granted == 12 * REQUEST_TIME and state.routers == 30
+
+
+def test_one_who_wants_all_leaves_others_their_share():
+    """A router wants all, another one less than half; both ask for four seconds."""
+    allocator = Allocator()
+    now = allocator.ready_at
+    other_wants = 300 * MILLISECOND
+    times = range(now, now + 4 * SECOND, TERMS.request_interval)
+    for sequence_number, at in enumerate(times, 1):
+        first = allocator.sending_time(request(sequence_number), "a", at)
+        second = allocator.sending_time(request(sequence_number, wanted=other_wants), "b", at)
+        if at - now > 2 * SECOND:
+            assert first <= GRANTABLE - other_wants and second <= GRANTABLE // 2
+    grants = allocator.accounts["n0"].grants
+    second_has = sum(grant.sending_time for grant in grants if grant.router == "b")
+    assert second_has >= 250 * MILLISECOND
+
+
+@pytest.mark.parametrize(
+    "invalid, place",
+    [
+        (request(figures=1), "figures"),
+        (request(tier="hub"), "tier"),
+        (request(endpoint=""), "server"),
+        (request(endpoint="x" * 65), "server"),
+        (request(limit=-1), "most"),
+        (request(wanted=10**13), "want"),
+        (request(left=-5), "left"),
+        (request(request_time=-1), "unit"),
+    ],
+)
+def test_invalid_requests_are_counted_and_refused(invalid, place):
+    allocator = Allocator()
+    refusal = allocator.ask(invalid, "a", "t", allocator.ready_at)
+    assert isinstance(refusal, QuotaRefusal) and refusal.place == place
+    assert allocator.refused == 1 and not allocator.accounts
+
+
+def test_late_and_doubled_requests_are_refused_and_another_process_is_not():
+    """The router's new process counts from 1 again, and the former one's grant counts as the router's."""
+    allocator = Allocator()
+    now = allocator.ready_at
+    assert allocator.sending_time(request(5, wanted=REQUEST_TIME), "a", now) == REQUEST_TIME
+    for sequence_number in (5, 4):
+        late = request(sequence_number, wanted=REQUEST_TIME)
+        assert allocator.ask(late, "a", "t", now).place == "number"
+    first = request(1, wanted=REQUEST_TIME)
+    assert allocator.sending_time(first, "a", now + 1, process_token="another") == 0
+    assert allocator.sending_time(first, "b", now + 1) == REQUEST_TIME
+
+
+def test_accounts_and_routers_are_bounded(monkeypatch):
+    """There is no room for a fourth endpoint until the grants of another one are over."""
+    monkeypatch.setattr(slow_start_allocator, "MAX_ENDPOINTS", 3)
+    monkeypatch.setattr(slow_start_allocator, "MAX_ROUTERS", 2)
+    allocator = Allocator()
+    now = allocator.ready_at
+    for index in range(3):
+        asked = request(endpoint=f"n{index}", wanted=REQUEST_TIME)
+        assert allocator.sending_time(asked, "a", now) == REQUEST_TIME
+    fourth = request(endpoint="n3", wanted=REQUEST_TIME)
+    assert allocator.ask(fourth, "a", "t", now).place == "server"
+    assert allocator.sending_time(fourth, "a", now + TERMS.accounting_period) == REQUEST_TIME
+    for router in "abc":
+        allocator.ask(request(2, endpoint="n1", wanted=REQUEST_TIME), router, "t", now + 1)
+    assert set(allocator.accounts["n1"].demands) == {"b", "c"}
+
+
+def test_a_new_plan_waits_for_what_the_old_one_granted():
+    """The same terms change nothing; shorter grants wait until the longer ones before them are over."""
+    allocator = Allocator()
+    now = allocator.ready_at
+    allocator.ask(request(), "a", "t", now)
+    allocator.replace({"cache": TERMS}, now)
+    second = request(2, wanted=REQUEST_TIME)
+    assert allocator.sending_time(second, "b", now + TERMS.accounting_period + 1) == REQUEST_TIME
+    short = TERMS._replace(grant_ttl=100 * MILLISECOND)
+    changed_at = now + 2 * SECOND
+    allocator.replace({"cache": short}, changed_at)
+    third = request(3, wanted=REQUEST_TIME, figures=short.figures)
+    assert allocator.sending_time(third, "b", changed_at + short.accounting_period) == 0
+    fourth = third._replace(sequence_number=4)
+    assert allocator.sending_time(fourth, "b", changed_at + TERMS.accounting_period) == REQUEST_TIME
+
+
+# -- one router --------------------------------------------------------------------------------------------
+
+
+class Clock:
+    """A clock that is set by hand."""
+
+    now = 100 * SECOND
+
+    def __call__(self):
+        return self.now
+
+
+def demand_of(sending_time):
+    """What the routing decisions would have sent to a starting endpoint, microseconds."""
+    return [SlowStartDemand("n0", Tier.CACHE, LIMIT, sending_time, REQUEST_TIME)]
+
+
+def test_a_grant_expires_by_itself_counted_from_the_request():
+    """The answer comes 300 ms late, and the grant is over 500 ms after the request."""
+    clock = Clock()
+    client = SlowStartClient({"cache": TERMS}, clock)
+    (asked,) = client.due_requests(demand_of(2 * REQUEST_TIME))
+    clock.now += 300 * MILLISECOND
+    client.apply_grants([SlowStartGrant("n0", asked.sequence_number, 2 * REQUEST_TIME)])
+    assert client.left == {"n0": 2 * REQUEST_TIME}
+    client.left["n0"] -= REQUEST_TIME  # as the routing decisions do
+    client.refresh()
+    assert client.left == {"n0": REQUEST_TIME}
+    clock.now += 200 * MILLISECOND
+    client.refresh()
+    assert client.left == {}
+
+
+def test_a_grant_counts_once_and_only_where_it_was_asked_for():
+    """One is doubled on its way, one answers no request, and one is for another endpoint."""
+    clock = Clock()
+    client = SlowStartClient({"cache": TERMS}, clock)
+    (asked,) = client.due_requests(demand_of(REQUEST_TIME))
+    grant = SlowStartGrant("n0", asked.sequence_number, REQUEST_TIME)
+    unasked = SlowStartGrant("n0", 99, REQUEST_TIME)
+    elsewhere = SlowStartGrant("n9", asked.sequence_number, REQUEST_TIME)
+    client.apply_grants([grant, grant, unasked, elsewhere])
+    assert client.left == {"n0": REQUEST_TIME} and client.invalid_grants == 3
+    assert client.due_requests([]) == ()  # the endpoint has warmed up
+    assert client.left == {} and not client.allowances
+
+
+def test_a_demand_that_ends_is_asked_for_no_more():
+    clock = Clock()
+    client = SlowStartClient({"cache": TERMS}, clock)
+    assert client.due_requests(demand_of(0)) == ()
+    asked = 0
+    for interval in range(40):
+        clock.now += TERMS.request_interval
+        asked += len(client.due_requests(demand_of(REQUEST_TIME if interval == 0 else 0)))
+    assert 1 <= asked < 10
+
+
+def test_nothing_is_asked_for_where_no_slow_start_is_shared():
+    client = SlowStartClient({}, Clock())
+    assert client.due_requests(demand_of(REQUEST_TIME)) == () and client.request_interval() is None
+
+
+# -- simulated fleets --------------------------------------------------------------------------------------
+
+
+class SpentTime(NamedTuple):
+    """Sending time that a router has used.
+
+    :param at: microseconds of true time.
+    :param sending_time: microseconds.
+    """
+
+    at: int
+    sending_time: int
+
+
+class DelayedMessage(NamedTuple):
+    """A message on its way between a router and the allocator.
+
+    :param arrives_at: microseconds of true time.
+    """
+
+    arrives_at: int
+    router: int
+    to_allocator: bool
+    content: object
+
+
+class SimulatedFleet:
+    """Routers whose clocks are wrong, an allocator that restarts, messages that are lost, doubled and late.
+
+    :param allocator_waits: whether an allocator waits for the grants of the one before it.
+    """
+
+    STEP = 10 * MILLISECOND
+    ROUTERS = 8
+    SECONDS = 12
+    MAX_CLOCK_DRIFT = 150  # parts per million
+
+    def __init__(self, seed, allocator_waits=True):
+        self.chance = chance = random.Random(seed)
+        self.allocator_waits = allocator_waits
+        self.now = 0
+        self.spent: list[SpentTime] = []
+        routers = range(self.ROUTERS)
+        self.drift = [chance.randint(-self.MAX_CLOCK_DRIFT, self.MAX_CLOCK_DRIFT) for _ in routers]
+        self.offset = [chance.randint(0, 10**12) for _ in routers]
+        self.clients = [self._start_client(router) for router in routers]
+        self.process_tokens = ["t"] * self.ROUTERS
+        self.demand = [chance.choice((1.0, 8.0, 24.0)) for _ in routers]  # requests per second
+        self.paused_until = [0] * self.ROUTERS  # it sends nothing, but goes on to ask
+        self.waiting_requests = [0.0] * self.ROUTERS
+        self.allocator = self._start_allocator()
+        self.messages: list[DelayedMessage] = []
+        self.deaf_until = [0] * self.ROUTERS
+        self.allocator_restarts_at = chance.randint(2, 9) * SECOND
+        while self.now < self.SECONDS * SECOND:
+            self.now += self.STEP
+            self._step()
+
+    def excess(self):
+        """The most that was spent in a window, beyond what may be granted; nothing else was used."""
+        most, first, total = 0, 0, 0
+        for spent in self.spent:
+            total += spent.sending_time
+            while self.spent[first].at <= spent.at - TERMS.window:
+                total -= self.spent[first].sending_time
+                first += 1
+            most = max(most, total)
+        return most - (1 - TERMS.guaranteed_share) * LIMIT
+
+    def _clock(self, router):
+        return self.offset[router] + self.now + self.now * self.drift[router] // 1_000_000
+
+    def _start_client(self, router):
+        return SlowStartClient({"cache": TERMS}, lambda: self._clock(router))
+
+    def _start_allocator(self):
+        """The first one has begun long ago, so it needn't wait."""
+        is_first = not self.now
+        began_earlier = 10 * SECOND if is_first or not self.allocator_waits else 0
+        return SlowStartAllocator({"cache": TERMS}, self.now - began_earlier)
+
+    def _step(self):
+        if self.now >= self.allocator_restarts_at:
+            self.allocator = self._start_allocator()
+            delay = self.chance.choice((400, 3_000, 9_000)) * MILLISECOND
+            self.allocator_restarts_at = self.now + delay
+        self._deliver()
+        for router in range(self.ROUTERS):
+            self._step_router(router)
+
+    def _send(self, router, to_allocator, content):
+        chance = self.chance
+        if self.now < self.deaf_until[router] or chance.random() < 0.05:
+            return
+        for _ in range(1 + (chance.random() < 0.1)):
+            delay = chance.choice((*[0] * 12, 20, 200, 300)) * MILLISECOND
+            self.messages.append(DelayedMessage(self.now + delay, router, to_allocator, content))
+
+    def _deliver(self):
+        for message in [message for message in self.messages if message.arrives_at <= self.now]:
+            self.messages.remove(message)
+            _, router, to_allocator, content = message
+            if not to_allocator:
+                self.clients[router].apply_grants([content])
+                continue
+            answer = self.allocator.ask(content, f"r{router}", self.process_tokens[router], self.now)
+            if isinstance(answer, SlowStartGrant):
+                self._send(router, False, answer)
+
+    def _step_router(self, router):
+        chance = self.chance
+        if chance.random() < 0.001:
+            self.deaf_until[router] = self.now + chance.randint(100, 3000) * MILLISECOND
+        if chance.random() < 0.0005:  # a restart: what it held is gone, and it counts from 1 again
+            self.clients[router] = self._start_client(router)
+            self.process_tokens[router] += "'"
+        arrived = self.demand[router] * self.STEP / SECOND * chance.choice((0, 0, 0, 4))
+        self.waiting_requests[router] += arrived
+        client = self.clients[router]
+        client.refresh()
+        if chance.random() < 0.03:
+            self.paused_until[router] = self.now + chance.choice((100, 300, 460, 700)) * MILLISECOND
+        spent = self._spend(router, client) if self.now >= self.paused_until[router] else 0
+        if self.now % TERMS.request_interval == 0:
+            demand = spent + int(self.waiting_requests[router] * REQUEST_TIME)
+            for asked in client.due_requests(demand_of(demand)):
+                self._send(router, True, asked)
+            self.waiting_requests[router] = min(self.waiting_requests[router], 12.0)
+
+    def _spend(self, router, client):
+        """Sends all waiting requests that grants admit; gives the sending time."""
+        spent = 0
+        while self.waiting_requests[router] >= 1 and client.left.get("n0", 0) >= REQUEST_TIME:
+            client.left["n0"] -= REQUEST_TIME
+            self.waiting_requests[router] -= 1
+            spent += REQUEST_TIME
+            self.spent.append(SpentTime(self.now, REQUEST_TIME))
+        return spent
+
+
+SEEDS = range(12)
+
+
+def test_fleets_never_spend_more_than_is_left_beside_the_guaranteed_share():
+    """The bound must also be near, or the fleets would prove nothing."""
+    fleets = [SimulatedFleet(seed) for seed in SEEDS]
+    assert all(fleet.excess() <= 0 for fleet in fleets)
+    assert sum(len(fleet.spent) for fleet in fleets) > 400
+    assert max(fleet.excess() for fleet in fleets) > -300 * MILLISECOND
+
+
+def no_guaranteed_share(
+    allocator, account, asked, router, now, sending_time=SlowStartAllocator._sending_time
+):
+    """Replaces ``SlowStartAllocator._sending_time``: the guaranteed share is granted as well."""
+    terms = allocator.terms
+    allocator.terms = {"cache": TERMS._replace(guaranteed_share=0.0)}
+    try:
+        return sending_time(allocator, account, asked, router, now)
+    finally:
+        allocator.terms = terms
+
+
+MUTATIONS = {
+    "a grant expires": (SlowStartTerms, "grant_expiry", lambda _terms, asked: asked + 60 * SECOND),
+    "a grant counts from its request": (
+        SlowStartTerms,
+        "grant_expiry",
+        lambda terms, asked: asked + 4 * terms.grant_ttl,
+    ),
+    "grants of a time to live before count as well": (
+        SlowStartTerms,
+        "accounting_period",
+        property(lambda terms: terms.window),
+    ),
+    "a grant counts once": (
+        SlowStartClient,
+        "apply_grants",
+        quota_mutations.doubled_slow_start_grant_counts_twice,
+    ),
+    "an allocator looks at what is granted": (
+        EndpointAccount,
+        "granted_since",
+        quota_mutations.granted_time_forgotten,
+    ),
+    "the guaranteed share is kept apart": (SlowStartAllocator, "_sending_time", no_guaranteed_share),
+}
+
+
+def test_an_allocator_that_does_not_wait_is_found():
+    """It grants at once what the one before it may have granted too."""
+    assert any(SimulatedFleet(seed, allocator_waits=False).excess() > 0 for seed in SEEDS)
+
+
+@pytest.mark.parametrize("guard", MUTATIONS)
+def test_fleets_spend_too_much_without_each_guard(guard, monkeypatch):
+    monkeypatch.setattr(*MUTATIONS[guard])
+    assert any(SimulatedFleet(seed).excess() > 0 for seed in SEEDS)
