--- a/quartzrouter/cli/fleet.py
+++ b/quartzrouter/cli/fleet.py
@@ -53,8 +53,8 @@
     members = ran(ask, ledgers, MembersQuery()).members
     quota = ran(ask, ledgers, QuotaQuery())
     routers = [member for member in members if member.kind == "router"]
-    live = [router.name for router in routers if router.live]
-    silent = [router.name for router in routers if not router.live]
+    live = [router.name for router in routers if router.is_live]
+    silent = [router.name for router in routers if not router.is_live]
     if as_json:
         found = {
             "epoch": quota.epoch,
--- a/quartzrouter/fault_scenarios/slow_start.py
+++ b/quartzrouter/fault_scenarios/slow_start.py
@@ -16,7 +16,7 @@
 from quartzrouter.fault_scenarios.quota_fleet import RATE_PATH, ScenarioSize
 from quartzrouter.fault_scenarios.quota_play import MAX_ANSWER_TIME, ScenarioResult, play
 from quartzrouter.quota.budget import SECOND
-from quartzrouter.routing.router import COLD_SHARE
+from quartzrouter.routing.slow_start import BUDGET_SHARE
 
 NEW_CACHE = "n0"
 LISTED_AT = 2_500  # milliseconds, when routers are told of the cache
@@ -72,7 +72,7 @@
         age = max(0, end - started_at - window)
         share = INITIAL_SHARE + (1 - INITIAL_SHARE) * min(1.0, age / RAMP_TIME)
         capacity = SIZE.cache_weight * share
-        return capacity * OVERLOAD_FACTOR * window * COLD_SHARE / REQUEST_TIME + IN_TRANSIT
+        return capacity * OVERLOAD_FACTOR * window * BUDGET_SHARE / REQUEST_TIME + IN_TRANSIT
 
     return at
 
--- a/quartzrouter/pool_routing/route_selection.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -8,7 +8,7 @@
 from quartzrouter.config.request_sets import Asked
 from quartzrouter.pool_routing.rate_limits import COUNTS_RETRIES, LimitKey
 from quartzrouter.purges import purge_index
-from quartzrouter.purges.object_names import digits
+from quartzrouter.purges.object_names import object_id
 from quartzrouter.routing.model import TrafficClass
 
 TAGS = 256  # numbers of tags that a request may have: the platform's field is one byte
@@ -62,9 +62,9 @@
         route=route,
         policy=plan.policies[route.policy] if route.policy else NO_POLICY,
         vhost=plan.vhosts[route.vhost],
-        obj=digits(object_name),
+        obj=object_id(object_name),
         part=chunk,
-        group=None if tag_name is None else int(digits(tag_name), 16) % TAGS,
+        group=None if tag_name is None else int(object_id(tag_name), 16) % TAGS,
         tenant=_tenant(route, found, asked),
         client=client,
         path=f"{asked.host}{asked.path}",
