--- a/quartzrouter/routing/model.py
+++ b/quartzrouter/routing/model.py
@@ -6,6 +6,7 @@
 
 from dataclasses import dataclass
 from enum import Enum, IntEnum
+from typing import NamedTuple
 
 
 class Idempotency(Enum):
@@ -332,8 +333,7 @@
 Decision = Forward | Defer | Reject | Fail
 
 
-@dataclass(frozen=True, slots=True)
-class CacheCount:
+class CacheCount(NamedTuple):
     """The caches that a router may use.
 
     :ivar available: those that requests may be sent to now.
@@ -348,13 +348,13 @@
 class MaintenanceActions:
     """What falls due between requests.
 
-    :ivar time: time until ``Router.maintenance()`` wants to be asked again.
-    :ivar probes: the names of endpoints whose health is to be checked.
-    :ivar probe_timeout: time after which a health check has failed.
-    :ivar subscribe: whether to ask for the endpoint list now.
+    :ivar delay: time until ``Router.maintenance()`` wants to be asked again.
+    :ivar health_checks: the names of endpoints whose health is to be checked.
+    :ivar health_check_timeout: time after which a health check has failed.
+    :ivar needs_discovery: whether to ask for the endpoint list now.
     """
 
-    time: int
-    probes: tuple[str, ...]
-    probe_timeout: int
-    subscribe: bool
+    delay: int
+    health_checks: tuple[str, ...]
+    health_check_timeout: int
+    needs_discovery: bool
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -6,7 +6,7 @@
 import anyio
 import pytest
 from conftest import MS, SETUP, S, listed
-from standins import WHOLE
+from standins import OK_RESPONSE
 
 from quartzrouter.deployment_settings import DeploymentSettings
 from quartzrouter.routing import router, timeouts
@@ -88,8 +88,8 @@
         return sum(ticket in self.done for ticket in these) / len(these)
 
 
-def test_large_answers_that_have_begun_are_not_taken_for_hangs():
-    """Time-outs went by the mean size: the largest tenth was given up in the middle, each time."""
+def test_large_responses_that_have_begun_are_not_taken_for_hangs():
+    """Timeouts went by the mean size: the largest tenth was given up in the middle, each time."""
     paced, draw = Paced(), random.Random(5)
     for ticket in range(400):
         paced.came(10 * S + ticket * 100 * MS, ticket, LARGE if draw.random() < 0.1 else SMALL)
@@ -99,8 +99,11 @@
     assert paced.share(LARGE) >= FLOOR * len(paced.done) / len(paced.sizes)
 
 
-def test_large_answers_that_are_told_of_at_their_end_are_not_taken_for_hangs():
-    """Then what was seen of the class says how long a large one takes, not its mean."""
+def test_large_responses_announced_at_their_end_are_not_taken_for_hangs():
+    """Caches say nothing until they have all of a response.
+
+    Timeouts went by the mean size; now by what was seen of the class.
+    """
     paced, draw = Paced(head_first=False, aim_us=100 * MS), random.Random(5)
     for ticket in range(400):
         paced.came(10 * S + ticket * 100 * MS, ticket, int(SMALL * (LARGE / SMALL) ** draw.random()))
@@ -112,7 +115,8 @@
     assert share >= FLOOR * len(paced.done) / 400
 
 
-def test_a_large_answer_that_stops_in_the_middle_is_given_up_before_its_client_does():
+def test_a_large_response_that_stops_in_the_middle_is_given_up_in_time():
+    """A cache stops in the middle of a large response: it is given up before its client gives up."""
     paced = Paced()
     for ticket in range(40):
         paced.came(10 * S + ticket * 100 * MS, ticket, SMALL)
@@ -128,30 +132,30 @@
 
 
 @pytest.mark.parametrize("memory", [1, 4])
-def test_where_the_bytes_of_answers_are_bounded_large_ones_are_answered_too(world, memory):
-    """At most one of them fits at once; small ones that come all the while don't pass it by."""
+def test_large_responses_are_sent_where_response_memory_is_small(world, memory):
+    """At most one large response fits at once: small ones that come all the while don't pass it by."""
     ends, sizes = [], {}
 
     async def scene(connect):
         async def ask(client, ids):
             for id in ids:
-                await client.begin(id, HTTP_X_DEADLINE_MS="3000")
-                said = await client.end()
+                await client.send_request(id, HTTP_X_DEADLINE_MS="3000")
+                said = await client.receive_response()
                 ends.append((id, "200 OK" in said))
 
         for id in range(1, 97):
             sizes[id] = LARGE if id % 8 == 0 else SMALL
-            head = WHOLE.replace(b"5\r\n\r\nabcde", b"%d\r\n\r\n" % sizes[id])
-            world.answers[id] = [head + bytes(sizes[id])]
+            head = OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"%d\r\n\r\n" % sizes[id])
+            world.responses[id] = [head + bytes(sizes[id])]
         clients = [await connect() for _ in range(12)]
         async with anyio.create_task_group() as tasks:
             for n, client in enumerate(clients, 1):
                 tasks.start_soon(ask, client, range(n, 97, 12))
-        assert world.service.cache_connections.response_memory.free == max(
+        assert world.router_process.cache_connections.response_memory.free == max(
             (memory << 20) // 8, cache_responses.MAX_BODY_SIZE
         )  # all of it was given back
 
-    world.play(scene, limits={"sockets": 128, "memory_mb": memory})
+    world.run_scene(scene, limits={"sockets": 128, "memory_mb": memory})
     share = {size: sum(good for id, good in ends if sizes[id] == size) for size in (LARGE, SMALL)}
     print(f"answered: {share[LARGE]} of 12 large reqs, {share[SMALL]} of 84 others")
     assert len(ends) == 96
