--- a/quartzrouter/purge_log/server.py
+++ b/quartzrouter/purge_log/server.py
@@ -21,7 +21,7 @@
 from quartzrouter.purges.messages import Purge, RequestRejected
 from quartzrouter.purges.registry import PurgeRegistry
 from quartzrouter.quota.budget import Budget
-from quartzrouter.quota.slow_start import SlowStartTerms
+from quartzrouter.quota.slow_start_messages import SlowStartTerms
 from quartzrouter.server.clock import steady_clock, wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -13,7 +13,8 @@
 from typing import NamedTuple
 
 from quartzrouter.config.model import Plan
-from quartzrouter.fleet_health.aggregator import SIGHTS_MOST, accepted_ejections
+from quartzrouter.fleet_health.ejection import accepted_ejections
+from quartzrouter.fleet_health.reports import MAX_OBSERVATIONS
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.route_selection import vhost_name
 from quartzrouter.purge_log.member_client import (
@@ -33,7 +34,7 @@
     QuotaRequests,
 )
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
-from quartzrouter.quota.budget import QuotaRefusal
+from quartzrouter.quota.messages import QuotaRefusal
 from quartzrouter.routing.model import AttemptStatus, HealthObservation, Idempotency, Request
 from quartzrouter.server import responses
 from quartzrouter.server.cache_protocol import HTTP_NOT_MODIFIED, HTTP_OK
@@ -153,9 +154,9 @@
                 attempt.is_outdated |= self.multi_pool_router.is_outdated(selection, attempt.decision, now)
 
     def _take_grants(self, grants: QuotaGrants) -> None:
-        self.multi_pool_router.quota_client.granted(grants.grants)
+        self.multi_pool_router.quota_client.apply_grants(grants.grants)
         if self.multi_pool_router.slow_start_client:
-            self.multi_pool_router.slow_start_client.granted(grants.colds)
+            self.multi_pool_router.slow_start_client.apply_grants(grants.colds)
         for budget, refusal in grants.refused.items():
             self.quota_refusals[budget] = refusal
             while len(self.quota_refusals) > MAX_REFUSALS_KEPT:
@@ -173,7 +174,7 @@
         known_endpoints = len(self.multi_pool_router.health_observations(now))
         until = accepted_ejections(verdicts, known_endpoints, now)
         for endpoint in until.keys() - self.ejected_by_peers.keys():
-            peers = next(verdict.by for verdict in verdicts if verdict.cache == endpoint)
+            peers = next(verdict.reported_by for verdict in verdicts if verdict.cache == endpoint)
             log.info("%s is ejected on the reports of %s", endpoint, ", ".join(peers[:MAX_PEERS_LOGGED]))
         self.ejected_by_peers = until
         self.multi_pool_router.set_ejected_by_peers(until, now)
@@ -184,11 +185,11 @@
         """Asks for shares of quota, where the purge log grants them and there is something to ask for."""
         if not (self.replica and self.replica.grants_quota):
             return []
-        asks = self.multi_pool_router.quota_client.asks()
+        asks = self.multi_pool_router.quota_client.due_requests()
         slow_start_asks = ()
         slow_start = self.multi_pool_router.slow_start_client
         if slow_start and slow_start.terms:
-            slow_start_asks = slow_start.asks(self.multi_pool_router.slow_start_demand(now))
+            slow_start_asks = slow_start.due_requests(self.multi_pool_router.slow_start_demand(now))
         if not (asks or slow_start_asks):
             return []
         return [QueueMessage(QuotaRequests(asks, slow_start_asks))]
@@ -205,11 +206,11 @@
         entries = []
         for name, observation in observations.items():
             entry = _since(before.get(name), observation)
-            if entry.out or entry.good or entry.bad or entry.in_hand:
+            if entry.ejected or entry.succeeded or entry.failed or entry.in_flight:
                 entries.append(entry)
         home = self.multi_pool_router.arguments["home_location"]
         wants_load = self.multi_pool_router.plan.deployment["counts"]
-        report = HealthReport(home, tuple(entries[:SIGHTS_MOST]), len(observations), wants_load)
+        report = HealthReport(home, tuple(entries[:MAX_OBSERVATIONS]), len(observations), wants_load)
         return [QueueMessage(report)]
 
     def _has_new_failure(self, observations: dict[str, HealthObservation]) -> bool:
@@ -223,7 +224,7 @@
 
     def _request_received(self, request_id: int, client_request: ClientRequest, now: int) -> None:
         exceeded = self.multi_pool_router.admit(request_id, client_request.route_selection, now)
-        if self.multi_pool_router.quota_client and self.multi_pool_router.quota_client.fresh:
+        if self.multi_pool_router.quota_client and self.multi_pool_router.quota_client.has_new_demand:
             self.effects += self._request_quota(now)  # a budget that nothing is held of waits for no timer
         if exceeded is not None:
             self.rejected_by_limit[exceeded.limit] = self.rejected_by_limit.get(exceeded.limit, 0) + 1
