--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -28,7 +28,7 @@
 from quartzrouter.pool_routing.shared_limits import budgets, holds
 from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
 from quartzrouter.quota.client import QuotaClient
-from quartzrouter.quota.slow_start import SlowStartClient
+from quartzrouter.quota.slow_start_client import SlowStartClient
 from quartzrouter.routing.freshness import Freshness
 from quartzrouter.routing.model import (
     AttemptResult,
@@ -152,7 +152,7 @@
             is_at_home = pool_router.pool.stores == (self.home_location,)
             routers = slow_start.routers if is_at_home else everyone
             terms = self.slow_start_client.terms.get(tier.value) if self.slow_start_client else None
-            own_share = terms.floors if terms else 1.0
+            own_share = terms.guaranteed_share if terms else 1.0
             pool_router.router.share_slow_start(tier, routers * pools, own_share)
         pool_router.router.share_fill_limits(everyone * pools)
 
@@ -262,7 +262,7 @@
         """Asks a request's router, with what others leave to this one as it stands right now."""
         router, selection = self.router_of[request_id].router, self.selections[request_id]
         if self.slow_start_client:
-            self.slow_start_client.look()
+            self.slow_start_client.refresh()
         limits = self.limits_on_retries.get(selection.route.name) if may_retry else None
         if not limits:
             return ask(router)
--- a/quartzrouter/purge_log/health_service.py
+++ b/quartzrouter/purge_log/health_service.py
@@ -5,7 +5,8 @@
 
 import anyio
 
-from quartzrouter.fleet_health.aggregator import NEWS_EVERY, TELL_EVERY, HealthAggregator
+from quartzrouter.fleet_health.aggregator import HealthAggregator
+from quartzrouter.fleet_health.reports import REPORT_INTERVAL, URGENT_REPORT_INTERVAL
 from quartzrouter.purges.members import Member
 from quartzrouter.purges.messages import EjectionVerdicts, HealthReply, HealthReport, StoreHealth
 
@@ -30,15 +31,15 @@
 
     def report(self, member: Member, report: HealthReport) -> None:
         """Takes a router's report."""
-        self.aggregator.hear(
+        self.aggregator.record_report(
             member.name, member.token, report.store, report.sights, self.steady_clock(), report.caches
         )
-        if any(observation.bad for observation in report.sights):
+        if any(observation.failed for observation in report.sights):
             self.failure_reported.set()
 
     def left(self, member_name: str) -> None:
         """Forgets the reports of a router that has stopped on purpose."""
-        self.aggregator.left(member_name)
+        self.aggregator.remove_router(member_name)
 
     async def run(self, sessions: Callable[[], Collection["Session"]]) -> None:
         """Sends verdicts until it is cancelled.
@@ -50,7 +51,7 @@
         """
         while True:
             self.failure_reported = anyio.Event()
-            await anyio.sleep(NEWS_EVERY / MICROSECONDS_PER_SECOND)
+            await anyio.sleep(URGENT_REPORT_INTERVAL / MICROSECONDS_PER_SECOND)
             until_full = max(0, self.next_full_at - self.steady_clock()) / MICROSECONDS_PER_SECOND
             with anyio.move_on_after(until_full):
                 await self.failure_reported.wait()
@@ -59,14 +60,14 @@
     def _send_verdicts(self, sessions: list["Session"]) -> None:
         now = self.steady_clock()
         is_full = now >= self.next_full_at
-        self.aggregator.trim(now)
+        self.aggregator.expire(now)
         stores = {session.reported_store for session in sessions}
-        verdicts = {store: self.aggregator.judged(store, now) for store in stores}
+        verdicts = {store: self.aggregator.verdicts(store, now) for store in stores}
         ejected = {store: {verdict.cache for verdict in verdicts[store]} for store in stores}
         stores_to_tell = {store for store in stores if is_full or ejected[store] != self.ejected.get(store)}
         self.ejected = ejected
         if is_full:
-            self.next_full_at = now + TELL_EVERY - NEWS_EVERY
+            self.next_full_at = now + REPORT_INTERVAL - URGENT_REPORT_INTERVAL
         sessions = [session for session in sessions if session.reported_store in stores_to_tell]
         stores_with_loads = {session.reported_store for session in sessions if session.wants_loads}
         loads = {store: self._loads(store, now) for store in stores_with_loads}
@@ -79,16 +80,15 @@
 
     def _loads(self, store: str, now: int) -> dict[str, int]:
         """Requests in flight at each cache of a store."""
-        return {load.cache: load.in_hand for load in self.aggregator.counts(store, now)}
+        return {load.cache: load.in_flight for load in self.aggregator.loads(store, now)}
 
     def status(self, epoch: int) -> HealthReply:
         """Returns the health of all caches, by store."""
         now = self.steady_clock()
-        stores = sorted({voice.store for voice in self.aggregator.voices.values()})
         return HealthReply(
             epoch,
             tuple(
-                StoreHealth(store, self.aggregator.judged(store, now), self.aggregator.counts(store, now))
-                for store in stores
+                StoreHealth(store, self.aggregator.verdicts(store, now), self.aggregator.loads(store, now))
+                for store in self.aggregator.stores()
             ),
         )
--- a/quartzrouter/purge_log/quota_service.py
+++ b/quartzrouter/purge_log/quota_service.py
@@ -11,13 +11,19 @@
     QuotaStatus,
 )
 from quartzrouter.quota.allocator import QuotaAllocator
-from quartzrouter.quota.budget import Budget, QuotaGrant, QuotaRefusal, QuotaRequest
-from quartzrouter.quota.slow_start import COLDS_MOST, SlowStartAllocator, SlowStartGrant, SlowStartTerms
+from quartzrouter.quota.budget import Budget
+from quartzrouter.quota.messages import QuotaGrant, QuotaRefusal, QuotaRequest, RefusedField
+from quartzrouter.quota.slow_start_allocator import SlowStartAllocator
+from quartzrouter.quota.slow_start_messages import (
+    MAX_REQUESTS_PER_MESSAGE,
+    RefusedSlowStartField,
+    SlowStartGrant,
+    SlowStartTerms,
+)
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 WITHOUT_LEASE = 1  # in place of a fencing token, where a single process grants
 NOT_HELD = 0  # in place of a fencing token, where another process may grant
-LATE_REQUEST = "number"  # the place in a refusal of a late request: counted, and nothing is wrong
 
 
 class QuotaService:
@@ -61,19 +67,19 @@
             reply = self._grant_one(request, member)
             if not isinstance(reply, QuotaRefusal):
                 grants.append(reply)
-            elif reply.place != LATE_REQUEST:
+            elif reply.place != RefusedField.SEQUENCE_NUMBER:  # a late request: nothing is wrong
                 refused[request.budget] = reply
                 self._report_refusal(member, request.budget, reply)
         slow_start_grants: list[SlowStartGrant] = []
-        for slow_start_request in requests.colds[:COLDS_MOST]:
+        for slow_start_request in requests.colds[:MAX_REQUESTS_PER_MESSAGE]:
             slow_start_reply = self.slow_start.ask(
                 slow_start_request, member.name, member.token, self.steady_clock()
             )
             if not isinstance(slow_start_reply, QuotaRefusal):
                 slow_start_grants.append(slow_start_reply)
-            elif slow_start_reply.place != LATE_REQUEST:
-                refused[slow_start_request.server[:60]] = slow_start_reply
-                self._report_refusal(member, slow_start_request.server, slow_start_reply)
+            elif slow_start_reply.place != RefusedSlowStartField.SEQUENCE_NUMBER:
+                refused[slow_start_request.endpoint[:60]] = slow_start_reply
+                self._report_refusal(member, slow_start_request.endpoint, slow_start_reply)
         return QuotaGrants(tuple(grants), refused, tuple(slow_start_grants))
 
     def _holds_lease(self) -> bool:
@@ -92,7 +98,7 @@
 
     def _grant_one(self, request: QuotaRequest, member: Member) -> QuotaGrant | QuotaRefusal:
         """Guards against a member that spends under another's name: its grants would not be counted."""
-        if (request.name, request.token) != (member.name, member.token):
+        if (request.name, request.process_token) != (member.name, member.token):
             self.impersonations += 1
             return QuotaRefusal("name", f"{request.name!r:.40} asks on another's line", "mend the sender")
         assert self.allocator is not None  # the caller looked whether quota is granted at all
@@ -106,8 +112,8 @@
         if self.allocator is None:
             return QuotaStatus(epoch, (), 0)
         now = self.steady_clock()
-        budgets = self.allocator.told(now)[-MAX_PURGES_PER_LINE:]
-        slow_starts = self.slow_start.told(now)[-MAX_PURGES_PER_LINE:]
+        budgets = self.allocator.states(now)[-MAX_PURGES_PER_LINE:]
+        slow_starts = self.slow_start.states(now)[-MAX_PURGES_PER_LINE:]
         refused = self.allocator.refused + self.slow_start.refused + self.impersonations
         return QuotaStatus(epoch, tuple(budgets), refused, tuple(slow_starts))
 
--- a/quartzrouter/purges/server_messages.py
+++ b/quartzrouter/purges/server_messages.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from quartzrouter.fleet_health.aggregator import CacheLoad, EjectionVerdict
+from quartzrouter.fleet_health.messages import CacheLoad, EjectionVerdict
 from quartzrouter.purges.client_messages import MemberKind
 from quartzrouter.purges.purge import Purge
-from quartzrouter.quota.budget import BudgetState, QuotaGrant, QuotaRefusal
-from quartzrouter.quota.slow_start import SlowStartGrant, SlowStartState
+from quartzrouter.quota.messages import BudgetState, QuotaGrant, QuotaRefusal
+from quartzrouter.quota.slow_start_messages import SlowStartGrant, SlowStartState
 
 
 class PurgeAccepted(msgspec.Struct, tag_field="say", tag="taken", omit_defaults=True):
--- a/quartzrouter/standalone/fleet_tasks.py
+++ b/quartzrouter/standalone/fleet_tasks.py
@@ -4,10 +4,10 @@
 
 import anyio
 
-from quartzrouter.fleet_health.aggregator import NEWS_EVERY, TELL_EVERY
+from quartzrouter.fleet_health.reports import REPORT_INTERVAL, URGENT_REPORT_INTERVAL
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.purges.fleet_purges import FleetPurges
-from quartzrouter.quota.client import NOTHING, QuotaCounters, shown
+from quartzrouter.quota.client import QuotaCounters, describe_changes
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 from quartzrouter.standalone import purge_membership
 from quartzrouter.standalone.state_machine import (
@@ -76,18 +76,18 @@
     async def _request_quota(self) -> None:
         """Requests shares of limits and of slow starts when they are due."""
         while True:
-            wait = self._pool_router.quota_client.wait()
-            if slow_start_wait := self._pool_router.slow_start_client.wait():
+            wait = self._pool_router.quota_client.time_until_next_request()
+            if slow_start_wait := self._pool_router.slow_start_client.request_interval():
                 wait = min(wait, slow_start_wait)
             await anyio.sleep(wait / MICROSECONDS)
             self._feed(RequestQuota())
 
     async def _report_health(self) -> None:
         """Reports failures at each short interval, and all that was seen at each long one."""
-        reports_per_round = TELL_EVERY // NEWS_EVERY
+        reports_per_round = REPORT_INTERVAL // URGENT_REPORT_INTERVAL
         while True:
             for number in range(reports_per_round):
-                await anyio.sleep(NEWS_EVERY / MICROSECONDS)
+                await anyio.sleep(URGENT_REPORT_INTERVAL / MICROSECONDS)
                 self._feed(ReportHealth(only_failures=number < reports_per_round - 1))
 
     async def _log_quota(self) -> None:
@@ -95,9 +95,9 @@
         counters_before: dict[str, QuotaCounters] = {}
         while True:
             await anyio.sleep(purge_membership.REPORT_INTERVAL)
-            counters_by_limit = self._pool_router.quota_client.told()
+            counters_by_limit = self._pool_router.quota_client.counters()
             for limit, counters in counters_by_limit.items():
-                if changes := shown(counters, counters_before.get(limit, NOTHING)):
+                if changes := describe_changes(counters, counters_before.get(limit, QuotaCounters())):
                     self._log.say("shares", f"limit {limit}: {changes}")
             counters_before = counters_by_limit
             for budget, (place, reason, remedy) in self._state_machine.quota_refusals.items():
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -15,7 +15,7 @@
 from quartzrouter.pool_routing.shared_limits import budgets, terms
 from quartzrouter.purge_log.member_client import CloseConnection, MemberClient, QueueMessage
 from quartzrouter.quota.client import QuotaClient
-from quartzrouter.quota.slow_start import SlowStartClient
+from quartzrouter.quota.slow_start_client import SlowStartClient
 from quartzrouter.server import process
 from quartzrouter.server.cache_responses import CopyReader
 from quartzrouter.server.discovery_protocol import initial_events
