--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,9 +1,10 @@
-"""Where the time of a restart goes: routers started at once, with nobody to tell them of the caches.
+"""Where the time of a restart goes: routers started at once, while their discovery service is down.
 
     python benchmarks/restarts.py [ROUTERS]
 
-A table of ms by part, median and worst: the interpreter, imports, the configuration, the service, its loop,
-the list it knows and the listener, and the first 200 on /health as a front asks for it.
+A table of ms by part, median and worst: the interpreter, imports, the configuration, the process's objects,
+its event loop, the initial snapshot with the listener, and the first 200 on /health as a front server asks
+for it.
 """
 
 import json
@@ -17,52 +18,53 @@
 from pathlib import Path
 
 from quartzrouter.fakes.loopback import PORT_RANGE, Client, begin_request_record
-from quartzrouter.server import fastcgi
+from quartzrouter.server.fastcgi import RecordType
 
 ROUTERS = 20
-PARTS = "interpreter", "imports", "configuration", "service", "loop", "list, listener", "health"
-ASK_EVERY = 0.01  # s
-MOST = 60.0  # s for all of them
+PARTS = "interpreter", "imports", "configuration", "objects", "event loop", "list, listener", "health"
+POLL_INTERVAL = 0.01  # s
+TIMEOUT = 60.0  # s for all of them
+CACHES = 160
 # The router as it is, but for notes of when it got where.
-NOTED = """
+ROUTER_WITH_NOTES = """
 import os, sys, time
-came = [time.monotonic()]
+times = [time.monotonic()]
 from quartzrouter.signals import Signals
 signals = Signals().__enter__()
 from quartzrouter.configuration import Configuration, read_configuration
 from quartzrouter.server import process
 import anyio
-note = lambda: came.append(time.monotonic())
+note = lambda: times.append(time.monotonic())
 note()
-class Service(process.RouterProcess):
+class NotedProcess(process.RouterProcess):
     async def _run(self):
         note()
         await super()._run()
     def _start_background_tasks(self):
         note()
-        print(*came, flush=True)
+        print(*times, flush=True)
 configuration = Configuration(read_configuration(os.environ), os.environ)
 note()
-service = Service(configuration, None, signals)
+router_process = NotedProcess(configuration, None, signals)
 note()
-anyio.run(service.run, backend_options=process.BACKEND_OPTIONS)
+anyio.run(router_process.run, backend_options=process.BACKEND_OPTIONS)
 """
 
 
 def configuration() -> dict:
-    """A deployment of 160 caches, told at start."""
+    """A deployment of 160 caches, a parent and an origin, listed in the configuration."""
     members = [
         {
-            "id": f"s-{n:08x}",
-            "host_port": f"127.0.0.1:{9 + n}",
+            "id": f"s-{number:08x}",
+            "host_port": f"127.0.0.1:{9 + number}",
             "locality": "north",
             "cell": 0,
             "size": 6,
-            "flavor": {0: "origin", 1: "parent"}.get(n, "box"),
+            "flavor": {0: "origin", 1: "parent"}.get(number, "box"),
             "phase": "SERVING",
             "up_since_ms": 0,
         }
-        for n in range(162)
+        for number in range(CACHES + 2)
     ]
     return {
         "journal": "127.0.0.1:9",
@@ -79,55 +81,80 @@
     }
 
 
-def health(port: int) -> bool:
+def is_healthy(port: int) -> bool:
     """Whether /health answers 200, over FastCGI on a connection of its own."""
-    params = (fastcgi.RecordType.PARAMS, b"\x0b\x07SCRIPT_NAME/health")
-    ask = Client.encode_records(
-        begin_request_record(), params, (fastcgi.RecordType.PARAMS, b""), (fastcgi.RecordType.STDIN, b"")
-    )
+    params = RecordType.PARAMS, b"\x0b\x07SCRIPT_NAME/health"
+    end_of_params = RecordType.PARAMS, b""
+    end_of_body = RecordType.STDIN, b""
+    request = Client.encode_records(begin_request_record(), params, end_of_params, end_of_body)
     try:
         with socket.create_connection(("127.0.0.1", port), 1) as connection:
-            connection.sendall(ask)
+            connection.sendall(request)
             return b"Status: 200" in connection.recv(4096)
     except OSError:
         return False
 
 
-def main(routers: int) -> None:
-    ports = random.SystemRandom().sample(range(*PORT_RANGE), routers)
-    with tempfile.TemporaryDirectory() as name:
-        path = Path(name) / "config.json"
-        path.write_text(json.dumps(configuration()))
-        began, processes, ready = time.monotonic(), [], {}
+def start_router(config_path: Path, port: int) -> subprocess.Popen:
+    """Starts one router that prints when it got where."""
+    environ = os.environ | {"NODE_CONFIG": str(config_path), "NODE_LISTEN": f"127.0.0.1:{port}"}
+    command = [sys.executable, "-c", ROUTER_WITH_NOTES]
+    return subprocess.Popen(
+        command, env=environ, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True
+    )
+
+
+def wait_until_healthy(ports: list[int], started_at: float) -> dict[int, float]:
+    """When each router was healthy first, by port; those that never were are missing."""
+    healthy_at: dict[int, float] = {}
+    while len(healthy_at) < len(ports) and time.monotonic() < started_at + TIMEOUT:
         for port in ports:
-            environ = os.environ | {"NODE_CONFIG": str(path), "NODE_LISTEN": f"127.0.0.1:{port}"}
-            command = [sys.executable, "-c", NOTED]
-            processes.append(
-                subprocess.Popen(
-                    command, env=environ, stdout=subprocess.PIPE, stderr=subprocess.DEVNULL, text=True
-                )
-            )
-        while len(ready) < routers and time.monotonic() < began + MOST:
-            for port in ports:
-                if port not in ready and health(port):
-                    ready[port] = time.monotonic()
-            time.sleep(ASK_EVERY)
+            if port not in healthy_at and is_healthy(port):
+                healthy_at[port] = time.monotonic()
+        time.sleep(POLL_INTERVAL)
+    return healthy_at
+
+
+def measure(router_count: int) -> list[list[float]]:
+    """Starts routers at once; returns for each that got healthy when it reached the end of each part.
+
+    The first entry is the common start, in s of the monotonic clock.
+    """
+    ports = random.SystemRandom().sample(range(*PORT_RANGE), router_count)
+    with tempfile.TemporaryDirectory() as folder:
+        path = Path(folder) / "config.json"
+        path.write_text(json.dumps(configuration()))
+        started_at = time.monotonic()
+        processes = [start_router(path, port) for port in ports]
+        healthy_at = wait_until_healthy(ports, started_at)
         for process in processes:
             process.terminate()
-        came = []
+        measured = []
         for port, process in zip(ports, processes, strict=True):
-            said, _ = process.communicate()
-            if port in ready and said:
-                came.append([began, *map(float, said.split()), ready[port]])
+            output, _ = process.communicate()
+            if port in healthy_at and output:
+                measured.append([started_at, *map(float, output.split()), healthy_at[port]])
+    return measured
+
+
+def print_table(measured: list[list[float]], router_count: int) -> None:
+    """Prints ms by part."""
     load = os.getloadavg()[0]
-    print(f"{routers} routers at once, {os.cpu_count()} cores, load {load:.1f}; ready: {len(ready)}")
+    healthy = len(measured)
+    print(f"{router_count} routers at once, {os.cpu_count()} cores, load {load:.1f}; ready: {healthy}")
     print(f"{'ms':16} median  worst")
-    for n, part in enumerate(PARTS):
-        took = sorted((each[n + 1] - each[n]) * 1000 for each in came)
-        print(f"{part:16} {took[len(took) // 2]:6.0f} {took[-1]:6.0f}")
-    took = sorted((each[-1] - began) * 1000 for each in came)
-    most = took[len(took) * 9 // 10 - 1]
-    print(f"{'in all':16} {took[len(took) // 2]:6.0f} {took[-1]:6.0f}, nine in ten within {most:.0f}")
+    for number, part in enumerate(PARTS):
+        durations = sorted((times[number + 1] - times[number]) * 1000 for times in measured)
+        print(f"{part:16} {durations[len(durations) // 2]:6.0f} {durations[-1]:6.0f}")
+    totals = sorted((times[-1] - times[0]) * 1000 for times in measured)
+    nine_in_ten = totals[len(totals) * 9 // 10 - 1]
+    median = totals[len(totals) // 2]
+    print(f"{'in all':16} {median:6.0f} {totals[-1]:6.0f}, nine in ten within {nine_in_ten:.0f}")
+
+
+def main(router_count: int) -> None:
+    """Measures and prints."""
+    print_table(measure(router_count), router_count)
 
 
 if __name__ == "__main__":
--- a/quartzrouter/purges/client_messages.py
+++ b/quartzrouter/purges/client_messages.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-from quartzrouter.fleet_health.aggregator import CacheObservation
+from quartzrouter.fleet_health.messages import CacheObservation
 from quartzrouter.purges.purge import PurgeKind
-from quartzrouter.quota.budget import QuotaRequest
-from quartzrouter.quota.slow_start import SlowStartRequest
+from quartzrouter.quota.messages import QuotaRequest
+from quartzrouter.quota.slow_start_messages import SlowStartRequest
 
 MemberKind = Literal["router", "cache", "watcher"]
 
