--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -141,7 +141,7 @@
     assert len(world.served_by) == 5
     assert (
         world.router_process.state_machine.rejected_by_limit == {"few": 8}
-        and not world.router_process.force.limits.held
+        and not world.router_process.force.limits.held_keys
     )
 
 
@@ -185,7 +185,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await reload()
         assert len(responses) == 240 and set(responses) <= {"200", "503"} and responses.count("200") > 150
-        assert not world.router_process.force.router_of and not world.router_process.force.limits.held
+        assert not world.router_process.force.router_of and not world.router_process.force.limits.held_keys
 
     world.run_scene(scene)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
@@ -355,4 +355,4 @@
 
     world.run_scene(scene)
     force = world.router_process.force
-    assert not force.router_of and not force.selections and not force.limits.held
+    assert not force.router_of and not force.selections and not force.limits.held_keys
