--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -38,8 +38,8 @@
     for step in (1, 7, len(data)):
         ring, params, pieces = RingBuffer(1000), b"", 0
         records = fastcgi.RecordReader(ring)
-        for at in range(0, len(data), step):
-            ring.put(data[at : at + step])
+        for start in range(0, len(data), step):
+            ring.put(data[start : start + step])
             while record := records.next():
                 if record.record_type == fastcgi.RecordType.PARAMS:
                     params, pieces = params + record.content, pieces + 1
@@ -126,8 +126,10 @@
     ):
         response = h11.Response(status_code=status, headers=fields)
         try:
-            told = cache_responses.header_fields(response)
-            said = cache_responses.parse_head(1, 0, response.status_code, told, with_load_report=True)
+            fields_by_name = cache_responses.header_fields(response)
+            said = cache_responses.parse_head(
+                1, 0, response.status_code, fields_by_name, with_load_report=True
+            )
         except cache_responses.MalformedResponseError as error:
             said = f"Unreadable {error}"
         trace.append(f"{status} {fields}: {said}")
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -41,7 +41,7 @@
     traceback.
     """
     head = b"HTTP/1.1 200 OK\r\n" + COPY_HEADERS
-    wrong = {
+    malformed = {
         1: [b"nonsense\r\n\r\n"],
         2: [head + b"Content-Length: 9\r\n\r\nabcde", None],
         3: [head + b"\r\nabcde", None],
@@ -60,11 +60,11 @@
         16: [head + b"Content-Length: -5\r\n\r\nabcde"],
         17: [OK_RESPONSE],
     }
-    world.responses = wrong
+    world.responses = malformed
 
     async def scene(connect):
         client = await connect()
-        for id in wrong:
+        for id in malformed:
             await client.send_request(id)
             trace.append(await client.receive_response())
 
@@ -78,7 +78,7 @@
     """
 
     async def scene(connect):
-        for said in (
+        for data in (
             b"\x02" + bytes(7),
             b"GET / HTTP/1.1\r\n\r\n",
             fastcgi.encode_record(fastcgi.RecordType.BEGIN_REQUEST, 1, b"short"),
@@ -87,8 +87,8 @@
             fastcgi.encode_record(fastcgi.RecordType.BEGIN_REQUEST, 1, b"\x00\x01" + bytes(6)) * 2,
         ):
             client = await connect()
-            await client.stream.send(said)
-            trace.append(f"{said[:20]}: {await client.receive_response()}")
+            await client.stream.send(data)
+            trace.append(f"{data[:20]}: {await client.receive_response()}")
         client = await connect()
         await client.send_request(1, role=2)
         trace.append(await client.receive_response())
@@ -163,7 +163,7 @@
             for _ in range(100):
                 await client.send_request(1, path="/rpc/other")
 
-    ways = (
+    behaviours = (
         silence,
         half,
         body_without_end,
@@ -178,21 +178,21 @@
     world.responses = {9: [0.2, OK_RESPONSE]}
 
     async def scene(connect):
-        said = {}
+        outcomes = {}
 
-        async def play(way):
+        async def run_one(behaviour):
             began, client = time.monotonic(), await connect()
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(way, client)
-                said[way] = await client.receive_response()
-                spent = "at once" if time.monotonic() - began < 1 else "soon"
-                said[way] += f" {spent}" if time.monotonic() - began < 2.9 else " late"
+                tasks.start_soon(behaviour, client)
+                outcomes[behaviour] = await client.receive_response()
+                promptness = "at once" if time.monotonic() - began < 1 else "soon"
+                outcomes[behaviour] += f" {promptness}" if time.monotonic() - began < 2.9 else " late"
                 tasks.cancel_scope.cancel()
 
         async with anyio.create_task_group() as tasks:
-            for way in ways:
-                tasks.start_soon(play, way)
-        trace.extend(f"{way.__name__}: {said[way]}" for way in ways)
+            for behaviour in behaviours:
+                tasks.start_soon(run_one, behaviour)
+        trace.extend(f"{behaviour.__name__}: {outcomes[behaviour]}" for behaviour in behaviours)
         await anyio.sleep(0.05)  # until the ends of the last clients have been read
         asked = [line for line in world.requests if "GET" in line and f"{9:016x}" not in line]
         clients = len(world.router_process.client_connections.open)
@@ -222,9 +222,9 @@
 
 def test_a_client_that_reads_nothing_blocks_nobody_else(world, trace):
     """A client takes none of its large responses: another client's are not held up."""
-    big = b"x" * 240_000
+    body = b"x" * 240_000
     world.responses = {
-        n: [OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + big] for n in range(1, 31)
+        n: [OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + body] for n in range(1, 31)
     }
 
     async def scene(connect):
@@ -264,14 +264,16 @@
     """SIGHUP with broken configurations changes nothing; with a good one discovery is followed elsewhere."""
 
     async def scene(connect):
-        client, stay = await connect(), world.config_path.read_text()
+        client, original = await connect(), world.config_path.read_text()
         async with anyio.create_task_group() as tasks:
-            there = await world.start_server(tasks, world.serve_discovery)
+            new_address = await world.start_server(tasks, world.serve_discovery)
             world.discovery_frames = [frame(2, 3, bytes(16)), b"", frame(2, 3, bytes(16)) + frame(3, 0)]
-            for told in ("{", stay.replace('"127.0.0.1:1"', "7"), None, stay):
-                if told is None:
-                    told = json.dumps(json.loads(stay) | {"journal": there, "limits": {"sockets": 256}})
-                world.config_path.write_text(told)
+            for text in ("{", original.replace('"127.0.0.1:1"', "7"), None, original):
+                if text is None:
+                    text = json.dumps(
+                        json.loads(original) | {"journal": new_address, "limits": {"sockets": 256}}
+                    )
+                world.config_path.write_text(text)
                 os.kill(os.getpid(), signal.SIGHUP)
                 await anyio.sleep(0.2)
             await client.send_request(1)
@@ -280,8 +282,8 @@
 
     world.run_scene(scene)
     trace += [line for line in world.requests if line.startswith("journal")]
-    said = [line for line in capsys.readouterr().err.splitlines() if "SIGHUP" in line]
-    trace += [re.sub("[0-9]{4,}", "PORT", line.replace(str(world.config_path), "FILE")) for line in said]
+    lines = [line for line in capsys.readouterr().err.splitlines() if "SIGHUP" in line]
+    trace += [re.sub("[0-9]{4,}", "PORT", line.replace(str(world.config_path), "FILE")) for line in lines]
 
 
 def test_requests_are_rejected_when_descriptors_run_out(world, trace):
@@ -426,7 +428,7 @@
 
 
 def test_sigterm_finishes_in_flight_requests(world, trace):
-    """A process is told to stop with a request in flight, and a second one can't bind its address."""
+    """A process is text to stop with a request in flight, and a second one can't bind its address."""
     world.responses = {1: [0.3, OK_RESPONSE]}
     world.discovery_frames = []
 
@@ -457,7 +459,7 @@
                 error = (await anyio.to_thread.run_sync(routers[0].communicate))[1].decode()
                 took = (
                     time.monotonic() - began
-                )  # a second for what is on its way, half for what crosses the close
+                )  # a second for what is on its behaviour, half for what crosses the close
                 trace.append(f"exit {routers[0].returncode}, {'soon' if 0.9 < took < 3 else took}")
                 assert "Traceback" not in error
                 tasks.cancel_scope.cancel()
@@ -469,10 +471,10 @@
     """One program for both platforms: with load reports in responses a request is served, and the load
     known.
     """
-    told = OK_RESPONSE.replace(
+    text = OK_RESPONSE.replace(
         b"X-Tag", b"X-Report: busy:0.61;x1:1.5\r\nX-Ttfb: 9.4\r\nX-Tell: cached\r\nX-Tag"
     )
-    world.responses = {1: [told]}
+    world.responses = {1: [text]}
 
     async def scene(connect):
         client = await connect()
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -11,7 +11,7 @@
 from quartzrouter.server import process
 
 ROUTERS = 20
-MOST, ALL = 10.0, 30.0  # s within which nine in ten, and all, have to be ready
+NINE_IN_TEN_WITHIN, ALL_WITHIN = 10.0, 30.0  # s within which nine in ten, and all, have to be ready
 
 
 def test_routers_started_together_are_ready_by_their_initial_snapshot(world, capsys):
@@ -24,14 +24,14 @@
         while True:
             client = await world.connect(port)
             await client.send_request(1, path="/health")
-            said = await client.receive_response()
+            response = await client.receive_response()
             await client.stream.aclose()
-            if "200" in said:
+            if "200" in response:
                 return time.monotonic() - began
             await anyio.sleep(0.05)
 
     async def run():
-        routers, took = [], []
+        routers, durations = [], []
         cache, ports = "127.0.0.1:9", [await free_port() for _ in range(ROUTERS)]
         world.write_configuration(cache, f"127.0.0.1:{await free_port()}")  # discovery is down
         began = time.monotonic()
@@ -44,20 +44,20 @@
                 command = [sys.executable, "-m", "quartzrouter"]
                 routers.append(subprocess.Popen(command, env=environ, stderr=subprocess.DEVNULL))
 
-            async def ask(port):
-                took.append(await first_answer(port, began))
+            async def record(port):
+                durations.append(await first_answer(port, began))
 
-            with anyio.move_on_after(ALL):
+            with anyio.move_on_after(ALL_WITHIN):
                 async with anyio.create_task_group() as tasks:
                     for port in ports:
-                        tasks.start_soon(ask, port)
+                        tasks.start_soon(record, port)
         finally:
             for router in routers:
                 router.kill()
                 router.wait()
-        return sorted(took)
+        return sorted(durations)
 
-    took = anyio.run(run, backend_options=process.BACKEND_OPTIONS)
-    print("ready after", *(f"{each:.2f}" for each in took), "s")
-    assert len(took) == ROUTERS
-    assert took[ROUTERS * 9 // 10 - 1] <= MOST
+    durations = anyio.run(run, backend_options=process.BACKEND_OPTIONS)
+    print("ready after", *(f"{each:.2f}" for each in durations), "s")
+    assert len(durations) == ROUTERS
+    assert durations[ROUTERS * 9 // 10 - 1] <= NINE_IN_TEN_WITHIN
