--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a store or the fleet: in the plan, at one router, and on the ledger's lines."""
+"""Limits of a store or the fleet: in the plan, at one router, and between processes."""
 
 import json
 from dataclasses import replace
@@ -29,17 +29,16 @@
     Welcome,
     encode_line,
 )
-from quartzrouter.quota import client as module
+from quartzrouter.quota import client as quota_client
 from quartzrouter.quota.allocator import MAX_ACCOUNTS, QuotaAllocator
-from quartzrouter.quota.budget import Budget
+from quartzrouter.quota.budget import SECOND, Budget
 from quartzrouter.quota.client import QuotaClient
 from quartzrouter.quota.messages import QuotaGrant, QuotaRequest
 from quartzrouter.server.process import wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-S = 1_000_000
 CALLS = Budget("calls", rate=50.0, burst=20.0, guaranteed_share=0.2, routers=4)
-CROWD = Budget("crowd", slots=8, max_request_time=S, guaranteed_share=0.5, routers=4)
+CROWD = Budget("crowd", slots=8, max_request_time=SECOND, guaranteed_share=0.5, routers=4)
 
 PLAN = """{
   deployment: { name: "t", home: "north", routers: 6, routers_here: 2 },
@@ -69,7 +68,7 @@
     assert set(found) == {"calls", "crowd@north", "crowd@south"}
     assert found["calls"] == Budget("calls", 60.0, 30.0, guaranteed_share=0.2, routers=6)
     assert found["crowd@north"] == Budget(
-        "crowd@north", slots=12, max_request_time=9 * S, guaranteed_share=0.5, routers=2
+        "crowd@north", slots=12, max_request_time=9 * SECOND, guaranteed_share=0.5, routers=2
     )
 
 
@@ -81,264 +80,296 @@
 # -- at one router -------------------------------------------------------------------------------------------
 
 
-class Router:
-    def __init__(self, *of, limits=None):
-        self.now = 100 * S
-        self.shares = QuotaClient(of, "r", "t", lambda: self.now)
-        self.limits = RateLimiter(limits or {}, self.shares, "north")
+class RouterLimits:
+    """The limits at one router, with a clock that is set by hand."""
 
-    def granted(self, granter):
-        """Asks, and takes what is granted; gives the asks."""
-        asks = self.shares.due_requests()
-        self.shares.apply_grants(
-            [said for ask in asks if isinstance(said := granter.ask(ask, self.now), QuotaGrant)]
-        )
-        return asks
+    def __init__(self, *budgets, limits=None):
+        self.now = 100 * SECOND
+        self.quota_client = QuotaClient(budgets, "r", "t", lambda: self.now)
+        self.rate_limiter = RateLimiter(limits or {}, self.quota_client, "north")
 
+    def request_grants(self, allocator):
+        """Sends the due requests, and takes in what is granted; gives the requests."""
+        requests = self.quota_client.due_requests()
+        answers = [allocator.ask(request, self.now) for request in requests]
+        self.quota_client.apply_grants([answer for answer in answers if isinstance(answer, QuotaGrant)])
+        return requests
 
-def test_a_req_counts_in_shared_limits_or_in_none():
+    def is_admitted(self, key):
+        return self.quota_client.time_until_admitted(key) == 0
+
+
+def test_a_request_counts_in_shared_limits_or_in_none():
+    """A limit of this router alone denies a request, which is no demand for a shared slot then."""
     limits = {
         "crowd": Limit("crowd", "all", concurrent=8, across="fleet"),
         "own": Limit("own", "all", rate=1.0, burst=1),
     }
-    router = Router(CROWD, limits=limits)
+    router = RouterLimits(CROWD, limits=limits)
+    rate_limiter = router.rate_limiter
+    crowd = router.quota_client.quotas
     keys = [LimitKey("crowd", ""), LimitKey("own", "")]
-    router.now += 2 * S
-    assert router.limits.admit(1, keys, 1.0, 0) is None  # on the floor's one slot
-    assert router.limits.admit(2, keys, 1.0, 0).limit == "own"  # asked first: it is no demand for a slot
-    assert router.shares.quotas["crowd"].denied_for_slots == 0
-    denied = router.limits.admit(3, keys, 1.0, 5 * S)
-    assert denied.limit == "crowd" and denied.come_back == CROWD.request_interval
-    router.limits.release(1)
-    router.limits.release(1)
-    assert router.limits.admit(4, keys, 1.0, 5 * S) is None and router.shares.quotas["crowd"].in_use == 1
+    router.now += 2 * SECOND
+    assert rate_limiter.admit(1, keys, 1.0, 0) is None  # in the one guaranteed slot
+    assert rate_limiter.admit(2, keys, 1.0, 0).limit == "own"
+    assert crowd["crowd"].denied_for_slots == 0
+    exceeded = rate_limiter.admit(3, keys, 1.0, 5 * SECOND)
+    assert exceeded.limit == "crowd" and exceeded.come_back == CROWD.request_interval
+    rate_limiter.release(1)
+    rate_limiter.release(1)
+    assert rate_limiter.admit(4, keys, 1.0, 5 * SECOND) is None and crowd["crowd"].in_use == 1
 
 
 def test_tenants_have_a_budget_each_and_are_asked_for_while_they_are_used():
-    router, granter = Router(CALLS), QuotaAllocator([CALLS], 0, first_allocator=True)
-    name = router.shares.key("calls", "a tenant/" + "x" * 200)
-    assert name.startswith("calls/#") and len(name) < 30 and router.shares.key("calls", "") == "calls"
+    """Nothing is held of two tenants: they are asked for at once, and no more ten seconds after their use."""
+    router = RouterLimits(CALLS)
+    client = router.quota_client
+    allocator = QuotaAllocator([CALLS], 0, first_allocator=True)
+    hashed = client.key("calls", "a tenant/" + "x" * 200)
+    assert hashed.startswith("calls/#") and len(hashed) < 30 and client.key("calls", "") == "calls"
     for tenant in ("anna", "bert"):
+        key = client.key("calls", tenant)
         for _ in range(30):
-            if not router.shares.time_until_admitted(key := router.shares.key("calls", tenant)):
-                router.shares.use(key)
-    assert router.shares.has_new_demand  # nothing is held of them: asked for at once
-    assert [ask.budget for ask in router.granted(granter)] == ["calls/anna", "calls/bert"]
-    assert (
-        not router.shares.has_new_demand
-        and not router.shares.due_requests()
-        and router.shares.time_until_next_request() > 0
-    )
-    assert all(router.shares.time_until_admitted(f"calls/{tenant}") == 0 for tenant in ("anna", "bert"))
-    router.now += 10 * S
-    assert (
-        not router.shares.due_requests() and router.shares.time_until_next_request() == module.IDLE_INTERVAL
-    )  # unused, no more asked for
-
-
-def test_a_share_that_is_forgotten_counts_its_asks_on_and_gains_no_floor(monkeypatch):
-    """Its asks began with 1 again, and the granter took them for late words for good."""
-    monkeypatch.setattr(module, "MAX_QUOTAS", 1)
-    router, granter = Router(CALLS), QuotaAllocator([CALLS], 0, first_allocator=True)
-    router.now += 2 * S
-
-    def floors(tenant):
+            if router.is_admitted(key):
+                client.use(key)
+    assert client.has_new_demand
+    requests = router.request_grants(allocator)
+    assert [request.budget for request in requests] == ["calls/anna", "calls/bert"]
+    assert not client.has_new_demand and not client.due_requests() and client.time_until_next_request() > 0
+    assert router.is_admitted("calls/anna") and router.is_admitted("calls/bert")
+    router.now += 10 * SECOND
+    assert not client.due_requests() and client.time_until_next_request() == quota_client.IDLE_INTERVAL
+
+
+def test_a_quota_that_is_forgotten_counts_its_requests_on_and_gains_no_guarantee(monkeypatch):
+    """Its requests began with 1 again, and the allocator took them for late ones for good.
+
+    Two tenants push each other out; neither has its guaranteed burst again by that.
+    """
+    monkeypatch.setattr(quota_client, "MAX_QUOTAS", 1)
+    router = RouterLimits(CALLS)
+    allocator = QuotaAllocator([CALLS], 0, first_allocator=True)
+    router.now += 2 * SECOND
+
+    def guaranteed_requests(tenant):
         used = 0
-        while not router.shares.time_until_admitted(f"calls/{tenant}"):
-            router.shares.use(f"calls/{tenant}").release()
+        while router.is_admitted(f"calls/{tenant}"):
+            router.quota_client.use(f"calls/{tenant}").release()
             used += 1
         return used
 
-    assert floors("anna") == 1 and router.granted(granter)
+    assert guaranteed_requests("anna") == 1 and router.request_grants(allocator)
     for _ in range(3):
-        floors("bert")
-        assert floors("anna") == 0  # else a floor again and again
-    router.now += S // 4
-    asks = router.granted(granter)
-    assert granter.refused == 0 and asks[0].sequence_number > 1
+        guaranteed_requests("bert")
+        assert guaranteed_requests("anna") == 0
+    router.now += SECOND // 4
+    requests = router.request_grants(allocator)
+    assert allocator.refused == 0 and requests[0].sequence_number > 1
 
 
 def test_a_new_plan_keeps_what_stays_and_drops_what_it_had_of_what_changes():
-    router, granter = Router(CALLS, CROWD), QuotaAllocator([CALLS, CROWD], 0, first_allocator=True)
-    router.now += 2 * S
+    """One budget gets fewer slots, and is then gone while a request holds one of them; the other stays."""
+    router = RouterLimits(CALLS, CROWD)
+    client = router.quota_client
+    quotas = client.quotas
+    router.now += 2 * SECOND
     for _ in range(20):
-        router.shares.time_until_admitted("calls")
-    assert router.shares.time_until_admitted("crowd") == 0
-    share = router.shares.use("crowd")
-    router.shares.time_until_admitted("crowd")
-    router.granted(granter)
-    assert (
-        router.shares.quotas["crowd"].granted_slots
-        and router.shares.quotas["calls"].tokens_left(router.now) > 1
-    )
-    router.shares.replace([CALLS, replace(CROWD, slots=6)])
-    assert (
-        router.shares.quotas["crowd"].granted_slots == 0
-        and router.shares.quotas["calls"].tokens_left(router.now) > 1
-    )
-    assert router.shares.quotas["crowd"].in_use == 1
-    router.shares.replace([CALLS])
-    share.release()  # of a budget that is gone
-    assert set(router.shares.quotas) == {"calls"}
+        client.time_until_admitted("calls")
+    assert router.is_admitted("crowd")
+    crowd = client.use("crowd")
+    client.time_until_admitted("crowd")
+    router.request_grants(QuotaAllocator([CALLS, CROWD], 0, first_allocator=True))
+    assert quotas["crowd"].granted_slots and quotas["calls"].tokens_left(router.now) > 1
+    client.replace([CALLS, replace(CROWD, slots=6)])
+    assert quotas["crowd"].granted_slots == 0 and quotas["calls"].tokens_left(router.now) > 1
+    assert quotas["crowd"].in_use == 1
+    client.replace([CALLS])
+    crowd.release()
+    assert set(quotas) == {"calls"}
+
+
+def test_accounts_are_bounded_and_one_made_anew_is_empty():
+    """So many tenants ask that the first one's account is evicted; it must not have its burst again."""
+    allocator = QuotaAllocator([CALLS], 0, first_allocator=True)
+
+    def ask(tenant):
+        request = QuotaRequest(f"calls/{tenant}", "r", "t", 1, wanted_rate=500.0, figures=CALLS.figures)
+        return allocator.ask(request, 100 * SECOND)
+
+    assert ask("first").tokens > 15
+    for tenant in range(MAX_ACCOUNTS):
+        assert isinstance(ask(tenant), QuotaGrant)
+    assert len(allocator.accounts) == MAX_ACCOUNTS and "calls/first" not in allocator.accounts
+    assert ask("first").tokens == 0
+
+
+# -- between processes ---------------------------------------------------------------------------------------
+
 
+class Member:
+    """A member's connection to a purge log.
 
-def test_pots_are_bounded_and_one_made_anew_is_empty():
-    granter = QuotaAllocator([CALLS], 0, first_allocator=True)
+    :param port: at which the purge log listens.
+    """
 
-    def ask(of, number):
-        said = QuotaRequest(f"calls/{of}", "r", "t", number, wanted_rate=500.0, figures=CALLS.figures)
-        return granter.ask(said, 100 * S)
+    def __init__(self, stream, port):
+        self.stream = stream
+        self.received = read_lines(stream)
+        self.port = port
 
-    assert ask("first", 1).tokens > 15
-    for n in range(MAX_ACCOUNTS):
-        assert isinstance(ask(n, 1), QuotaGrant)
-    assert len(granter.accounts) == MAX_ACCOUNTS and "calls/first" not in granter.accounts
-    assert ask("first", 1).tokens == 0
+    async def send(self, message):
+        await self.stream.send(encode_line(message))
 
+    async def receive(self, kind):
+        """The next message of a type; others are skipped."""
+        async for line in self.received:
+            message = messages.decode_from_purge_log(line)
+            if isinstance(message, kind):
+                return message
 
-# -- on the ledger's lines -----------------------------------------------------------------------------------
+    async def greet(self):
+        """Becomes the member r."""
+        await self.send(MemberHello("r", "router", "t"))
 
+    def run_command(self, *arguments):
+        """The output of `quartzrouter fleet ...`."""
+        result = CliRunner().invoke(cli, ("fleet", *arguments, "--ledger", f"127.0.0.1:{self.port}"))
+        assert result.exit_code == 0, result.output
+        return result.output
 
-def talk(scene, of=(CALLS,)):
-    """A scene with a ledger that grants, if there are budgets, and a member's line to it."""
+    async def command(self, *arguments):
+        return await anyio.to_thread.run_sync(self.run_command, *arguments)
+
+
+def play(scene, budgets=(CALLS,)):
+    """Plays a scene with a purge log and a member.
+
+    :param budgets: that the purge log grants; None: it grants none.
+    """
 
     async def main():
-        ledger = PurgeLogServer(
-            FaultyDisk(),
-            300_000,
-            RateLimitedLog("ledger", wall_clock),
-            budgets=None if of is None else list(of),
-        )
+        log = RateLimitedLog("ledger", wall_clock)
+        granted = None if budgets is None else list(budgets)
+        purge_log = PurgeLogServer(FaultyDisk(), 300_000, log, budgets=granted)
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(ledger.run, [listener])
+                tasks.start_soon(purge_log.run, [listener])
                 async with await connect(("127.0.0.1", port)) as stream:
-                    heard = read_lines(stream)
-
-                    async def until(kind):
-                        async for data in heard:
-                            if isinstance(said := messages.decode_from_purge_log(data), kind):
-                                return said
-
-                    async def tell(said):
-                        await stream.send(encode_line(said))
-
-                    await scene(ledger, tell, until, port)
+                    await scene(purge_log, Member(stream, port))
                 tasks.cancel_scope.cancel()
 
     anyio.run(main)
 
 
-GOOD = QuotaRequest("calls", "r", "t", 1, wanted_rate=5.0, figures=CALLS.figures)
+VALID = QuotaRequest("calls", "r", "t", 1, wanted_rate=5.0, figures=CALLS.figures)
 
 
 @pytest.mark.parametrize(
-    "bad, place",
+    "invalid, place",
     [
-        (GOOD._replace(budget="fills"), "budget"),
-        (GOOD._replace(wanted_rate=-1.0), "want"),
-        (GOOD._replace(tokens_left=1e12), "left"),
-        (GOOD._replace(slots_wanted=-3), "slots"),
-        (GOOD._replace(figures=7), "figures"),
-        (GOOD._replace(name="s"), "name"),
-        (GOOD._replace(process_token="other"), "name"),
+        (VALID._replace(budget="fills"), "budget"),
+        (VALID._replace(wanted_rate=-1.0), "want"),
+        (VALID._replace(tokens_left=1e12), "left"),
+        (VALID._replace(slots_wanted=-3), "slots"),
+        (VALID._replace(figures=7), "figures"),
+        (VALID._replace(name="s"), "name"),
+        (VALID._replace(process_token="other"), "name"),
     ],
 )
-def test_an_ask_that_is_not_obeyed_gets_its_reason_and_the_line_goes_on(bad, place):
-    async def scene(ledger, tell, until, port):
-        await tell(MemberHello("r", "router", "t"))
-        assert (await until(Welcome)).grants_quota
-        await tell(QuotaRequests((bad,)))
-        said = await until(QuotaGrants)
-        assert not said.grants and said.refused[bad.budget].place == place
-        await tell(QuotaRequests((GOOD,)))
-        assert (await until(QuotaGrants)).grants[0].sequence_number == 1
-        assert ledger.quota.allocator.refused + ledger.quota.impersonations == 1
+def test_a_refused_request_gets_its_reason_and_the_connection_goes_on(invalid, place):
+    async def scene(purge_log, member):
+        await member.greet()
+        assert (await member.receive(Welcome)).grants_quota
+        await member.send(QuotaRequests((invalid,)))
+        answer = await member.receive(QuotaGrants)
+        assert not answer.grants and answer.refused[invalid.budget].place == place
+        await member.send(QuotaRequests((VALID,)))
+        assert (await member.receive(QuotaGrants)).grants[0].sequence_number == 1
+        assert purge_log.quota.allocator.refused + purge_log.quota.impersonations == 1
 
-    talk(scene)
+    play(scene)
 
 
-def test_late_words_are_counted_and_answered_with_nothing():
-    async def scene(ledger, tell, until, port):
-        await tell(MemberHello("r", "router", "t"))
-        await tell(QuotaRequests((GOOD, GOOD)))
-        said = await until(QuotaGrants)
-        assert len(said.grants) == 1 and not said.refused and ledger.quota.allocator.refused == 1
+def test_late_requests_are_counted_and_answered_with_nothing():
+    """A request is doubled on its way."""
 
-    talk(scene)
+    async def scene(purge_log, member):
+        await member.greet()
+        await member.send(QuotaRequests((VALID, VALID)))
+        answer = await member.receive(QuotaGrants)
+        assert len(answer.grants) == 1 and not answer.refused
+        assert purge_log.quota.allocator.refused == 1
 
+    play(scene)
 
-def test_a_ledger_without_budgets_says_so_and_passes_asks_over():
-    async def scene(ledger, tell, until, port):
-        await tell(MemberHello("r", "router", "t"))
-        assert not (await until(Welcome)).grants_quota
-        await tell(QuotaRequests((GOOD,)))
-        assert (await until(messages.Heartbeat)).epoch == 1
 
-    talk(scene, of=None)
+def test_a_purge_log_without_budgets_says_so_and_ignores_requests():
+    async def scene(_purge_log, member):
+        await member.greet()
+        assert not (await member.receive(Welcome)).grants_quota
+        await member.send(QuotaRequests((VALID,)))
+        assert (await member.receive(messages.Heartbeat)).epoch == 1
+
+    play(scene, budgets=None)
 
 
 def test_a_plan_that_shares_its_first_limit_later_is_granted_from_then_on():
-    """A ledger that began with a plan without shared limits granted none until its next start."""
+    """A purge log that began with a plan without shared limits granted none until its next start."""
 
-    async def scene(ledger, tell, until, port):
-        await tell(MemberHello("r", "router", "t"))
-        assert (await until(Welcome)).grants_quota
-        ledger.quota.replace([CALLS], {})
-        await tell(QuotaRequests((GOOD,)))
-        assert (await until(QuotaGrants)).grants[0].sequence_number == 1
+    async def scene(purge_log, member):
+        await member.greet()
+        assert (await member.receive(Welcome)).grants_quota
+        purge_log.quota.replace([CALLS], {})
+        await member.send(QuotaRequests((VALID,)))
+        assert (await member.receive(QuotaGrants)).grants[0].sequence_number == 1
 
-    talk(scene, of=())
+    play(scene, budgets=())
 
 
 def test_a_client_waits_no_longer_than_a_shared_slot_is_reckoned_in_use():
+    """The allocator takes a slot for free once the request in it must be over by the plan's timeouts."""
     plan = load("main", lambda path: PLAN % PURGES).plan
-    force = MultiPoolRouter(
-        plan, Configuration(compiled(plan), {}, needs_discovery=False).settings.router_arguments
-    )
-    ruling = force.select_route(Asked("north", "", "/a", "GET", {}, {}), "c")
-    assert [force.client_timeout(ruling, told) for told in (0, 5 * S, 60 * S)] == [3 * S, 5 * S, 9 * S]
-
-
-def test_a_welcome_of_an_older_ledger_grants_nothing():
-    said = messages.decode_from_purge_log(b'{"say":"welcome","epoch":1,"head":0,"now":5,"lease":9}')
-    assert not said.grants_quota
-
-
-def test_the_fleets_budgets_are_told():
-    async def scene(ledger, tell, until, port):
-        await tell(MemberHello("r", "router", "t"))
-        await tell(QuotaRequests((GOOD,)))
-        await until(QuotaGrants)
-
-        def called(*arguments):
-            made = CliRunner().invoke(cli, ("fleet", *arguments, "--ledger", f"127.0.0.1:{port}"))
-            assert made.exit_code == 0, made.output
-            return made.output
-
-        shown = await anyio.to_thread.run_sync(called, "budgets")
-        assert "calls: 50/s" in shown and "wants      5.0/s" in shown
-        told = json.loads(await anyio.to_thread.run_sync(called, "budgets", "--json"))
-        assert told[0]["holders"][0]["name"] == "r" and told[0]["rate"] == 50
-        assert "1 budgets, 0 asks not obeyed" in await anyio.to_thread.run_sync(called, "status")
-        told = json.loads(await anyio.to_thread.run_sync(called, "status", "--json"))
-        assert "no cache is left out" in await anyio.to_thread.run_sync(called, "judgements")
-        seen = tuple(CacheObservation(f"n{n}", n == 0, 3, 0, 2, 3) for n in range(3))
-        await tell(messages.HealthReport("north", seen, 3))
-        await tell(QuotaRequests(()))
-        await until(QuotaGrants)  # so it has read what came before
-        assert "north: n0" in await anyio.to_thread.run_sync(called, "counts")
-        assert json.loads(await anyio.to_thread.run_sync(called, "counts", "--json"))[1]["in_hand"] == 2
-        assert told["budgets"] == 1 and told["silent"] == ["r"]  # it never acknowledged anything
-
-    talk(scene)
+    settings = Configuration(compiled(plan), {}, needs_discovery=False).settings
+    multi_pool_router = MultiPoolRouter(plan, settings.router_arguments)
+    selection = multi_pool_router.select_route(Asked("north", "", "/a", "GET", {}, {}), "c")
+    timeouts = [multi_pool_router.client_timeout(selection, told) for told in (0, 5 * SECOND, 60 * SECOND)]
+    assert timeouts == [3 * SECOND, 5 * SECOND, 9 * SECOND]
+
+
+def test_a_welcome_of_an_older_purge_log_grants_nothing():
+    welcome = messages.decode_from_purge_log(b'{"say":"welcome","epoch":1,"head":0,"now":5,"lease":9}')
+    assert not welcome.grants_quota
+
+
+def test_operators_commands_show_budgets_status_and_loads():
+    async def scene(_purge_log, member):
+        await member.greet()
+        await member.send(QuotaRequests((VALID,)))
+        await member.receive(QuotaGrants)
+        budgets_shown = await member.command("budgets")
+        assert "calls: 50/s" in budgets_shown and "wants      5.0/s" in budgets_shown
+        budget = json.loads(await member.command("budgets", "--json"))[0]
+        assert budget["holders"][0]["name"] == "r" and budget["rate"] == 50
+        assert "1 budgets, 0 asks not obeyed" in await member.command("status")
+        status = json.loads(await member.command("status", "--json"))
+        assert status["budgets"] == 1 and status["silent"] == ["r"]  # it never acknowledged anything
+        assert "no cache is left out" in await member.command("judgements")
+        observations = tuple(CacheObservation(f"n{index}", index == 0, 3, 0, 2, 3) for index in range(3))
+        await member.send(messages.HealthReport("north", observations, 3))
+        await member.send(QuotaRequests(()))
+        await member.receive(QuotaGrants)  # so the report has been read
+        assert "north: n0" in await member.command("counts")
+        assert json.loads(await member.command("counts", "--json"))[1]["in_hand"] == 2
+
+    play(scene)
 
 
 def test_budgets_can_be_asked_for_before_any_hello():
-    async def scene(ledger, tell, until, port):
-        await tell(QuotaQuery())
-        assert [each.budget for each in (await until(messages.QuotaStatus)).budgets] == ["calls"]
+    async def scene(_purge_log, member):
+        await member.send(QuotaQuery())
+        status = await member.receive(messages.QuotaStatus)
+        assert [budget.budget for budget in status.budgets] == ["calls"]
 
-    talk(scene)
+    play(scene)
