--- a/quartzrouter/pool_routing/rate_limits.py
+++ b/quartzrouter/pool_routing/rate_limits.py
@@ -45,10 +45,12 @@
     """A limit that routers share.
 
     :param limit: of the plan.
+    :param quotas: this router's parts in shared limits.
     :param budget: the name of the budget's part, as of ``QuotaClient.key``.
     """
 
     limit: Limit
+    quotas: QuotaClient
     budget: str
 
 
@@ -106,7 +108,7 @@
         if own:
             self.held_keys[req] = own
         if shared:
-            self.held_quotas[req] = [self.quotas.use(budget) for _, budget in shared]
+            self.held_quotas[req] = [shared_key.quotas.use(shared_key.budget) for shared_key in shared]
         return None
 
     def may_repeat(self, keys: list[LimitKey], now: int) -> bool:
@@ -118,15 +120,17 @@
         own, shared = self._split_shared(self._counting(keys, COUNTS_RETRIES))
         for key in own:
             self._use(key, now)
-        for _, budget in shared:
-            self.quotas.use(budget).release()  # limits on retries are rates: nothing stays in flight
+        for shared_key in shared:
+            shared_key.quotas.use(
+                shared_key.budget
+            ).release()  # limits on retries are rates: nothing stays in flight
 
     def release(self, req: int) -> None:
         """A request has had its final answer; a second call changes nothing."""
         for key in self.held_keys.pop(req, ()):
-            counter = self.counters.get(key.limit, {}).get(key.counted)
-            if counter is not None:
-                counter.in_flight -= 1
+            counters = self.counters.get(key.limit)
+            if counters and key.counted in counters:
+                counters[key.counted].in_flight -= 1
         for quota in self.held_quotas.pop(req, ()):
             quota.release()
 
@@ -143,9 +147,9 @@
             exceeded = _exceeded(self.limits[key.limit], self._counter(key, now), value, now)
             if exceeded:
                 return exceeded
-        for limit, budget in shared:
+        for limit, quotas, budget in shared:
             kept_free = limit.keep_free if value < limit.below else 0.0
-            retry_after = self.quotas.time_until_admitted(budget, kept_free)
+            retry_after = quotas.time_until_admitted(budget, kept_free)
             if retry_after:
                 return LimitExceeded(limit.name, retry_after)
         return None
@@ -159,7 +163,7 @@
             limit = self.limits[key.limit]
             budget = budget_of(limit, self.home)
             if budget:
-                shared.append(SharedLimitKey(limit, self.quotas.key(budget, key.counted)))
+                shared.append(SharedLimitKey(limit, self.quotas, self.quotas.key(budget, key.counted)))
             else:
                 own.append(key)
         return own, shared
