--- a/quartzrouter/standalone/fleet_tasks.py
+++ b/quartzrouter/standalone/fleet_tasks.py
@@ -76,8 +76,8 @@
     async def _request_quota(self) -> None:
         """Requests shares of limits and of slow starts when they are due."""
         while True:
-            wait = self._pool_router.shares.time_until_next_request()
-            if slow_start_wait := self._pool_router.parts.request_interval():
+            wait = self._pool_router.quota_client.time_until_next_request()
+            if slow_start_wait := self._pool_router.slow_start_client.request_interval():
                 wait = min(wait, slow_start_wait)
             await anyio.sleep(wait / MICROSECONDS)
             self._feed(RequestQuota())
@@ -95,7 +95,7 @@
         counters_before: dict[str, QuotaCounters] = {}
         while True:
             await anyio.sleep(purge_membership.REPORT_INTERVAL)
-            counters_by_limit = self._pool_router.shares.counters()
+            counters_by_limit = self._pool_router.quota_client.counters()
             for limit, counters in counters_by_limit.items():
                 if changes := describe_changes(counters, counters_before.get(limit, QuotaCounters())):
                     self._log.say("shares", f"limit {limit}: {changes}")
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -40,7 +40,8 @@
 from quartzrouter.server.cache_protocol import HTTP_NOT_MODIFIED, HTTP_OK
 from quartzrouter.server.effects import Effect, SendResponse
 from quartzrouter.server.events import AttemptEnded, ClientRequest, EndpointUpdate, Event
-from quartzrouter.server.state_machine import PendingAttempt, RouterStateMachine
+from quartzrouter.server.pending_request import PendingAttempt
+from quartzrouter.server.state_machine import RouterStateMachine
 
 log = logging.getLogger("quartzrouter.routing.router")  # what changes the decisions is logged with them
 
@@ -125,7 +126,7 @@
                 case ApplyPurges():
                     self._apply_purges(effect, now)
                 case CaughtUp(caches):
-                    self.multi_pool_router.fleet.caches_caught_up = caches
+                    self.multi_pool_router.fleet_purges.caches_caught_up = caches
                 case QuotaGrants():
                     self._take_grants(effect)
                 case EjectionVerdicts(verdicts, loads):
@@ -143,7 +144,7 @@
         Attempts that are not sent yet, and whose decision allows a copy that is now too old, are decided
         anew.  Those that are sent are checked when their copy comes.
         """
-        self.multi_pool_router.fleet.apply(purges, self.replica.applied_up_to, now)
+        self.multi_pool_router.fleet_purges.apply(purges, self.replica.applied_up_to, now)
         if not purges.purges:
             return
         for pending in self.in_flight.values():
@@ -153,9 +154,9 @@
                 attempt.is_outdated |= self.multi_pool_router.is_outdated(selection, attempt.decision, now)
 
     def _take_grants(self, grants: QuotaGrants) -> None:
-        self.multi_pool_router.shares.apply_grants(grants.grants)
-        if self.multi_pool_router.parts:
-            self.multi_pool_router.parts.apply_grants(grants.colds)
+        self.multi_pool_router.quota_client.apply_grants(grants.grants)
+        if self.multi_pool_router.slow_start_client:
+            self.multi_pool_router.slow_start_client.apply_grants(grants.colds)
         for budget, refusal in grants.refused.items():
             self.quota_refusals[budget] = refusal
             while len(self.quota_refusals) > MAX_REFUSALS_KEPT:
@@ -184,9 +185,9 @@
         """Asks for shares of quota, where the purge log grants them and there is something to ask for."""
         if not (self.replica and self.replica.grants_quota):
             return []
-        asks = self.multi_pool_router.shares.due_requests()
+        asks = self.multi_pool_router.quota_client.due_requests()
         slow_start_asks = ()
-        slow_start = self.multi_pool_router.parts
+        slow_start = self.multi_pool_router.slow_start_client
         if slow_start and slow_start.terms:
             slow_start_asks = slow_start.due_requests(self.multi_pool_router.slow_start_demand(now))
         if not (asks or slow_start_asks):
@@ -223,7 +224,7 @@
 
     def _request_received(self, request_id: int, client_request: ClientRequest, now: int) -> None:
         exceeded = self.multi_pool_router.admit(request_id, client_request.route_selection, now)
-        if self.multi_pool_router.shares and self.multi_pool_router.shares.has_new_demand:
+        if self.multi_pool_router.quota_client and self.multi_pool_router.quota_client.has_new_demand:
             self.effects += self._request_quota(now)  # a budget that nothing is held of waits for no timer
         if exceeded is not None:
             self.rejected_by_limit[exceeded.limit] = self.rejected_by_limit.get(exceeded.limit, 0) + 1
--- a/tests/test_fleet_health.py
+++ b/tests/test_fleet_health.py
@@ -5,7 +5,7 @@
 from dataclasses import replace
 
 import pytest
-from test_force import Played
+from test_pool_routing import PlanScenario
 
 from quartzrouter.fault_harness.fault_schedule import Fault
 from quartzrouter.fault_scenarios.quota_mutation_scenes import SMALL
@@ -258,53 +258,53 @@
 # -- at a router -------------------------------------------------------------------------------------------
 
 
-def endpoints_of(played, requests):
+def endpoints_of(scenario, requests):
     """How many requests go to each cache; all of them are answered well."""
     found = Counter()
     for number in range(requests):
-        played.now += 10_000
-        answer = played.req(f"/x{number}")
+        scenario.now += 10_000
+        answer = scenario.request(f"/x{number}")
         found[answer.endpoint] += 1
-        played.end(AttemptStatus.SUCCEEDED)
+        scenario.finish(AttemptStatus.SUCCEEDED)
     return found
 
 
 def test_a_cache_ejected_by_peers_gets_no_requests_until_that_ends():
     """It ends by itself, or by a verdict that doesn't name the cache any more."""
-    played = Played()
+    scenario = PlanScenario()
     caches = {
         observation.cache
-        for observation in played.force.health_observations(played.now).values()
+        for observation in scenario.router.health_observations(scenario.now).values()
         if observation.cache.startswith("n")
     }
     bad = sorted(caches)[0]
-    assert set(endpoints_of(played, 80)) == caches
-    played.now += SECOND
-    played.force.set_ejected_by_peers({bad: played.now + 5 * SECOND}, played.now)
-    assert set(endpoints_of(played, 80)) == caches - {bad}
-    played.now += 5 * SECOND
-    assert bad in endpoints_of(played, 80)
-    played.now += SECOND
-    played.force.set_ejected_by_peers({bad: played.now + 5 * SECOND}, played.now)
-    played.force.set_ejected_by_peers({}, played.now)
-    assert bad in endpoints_of(played, 80)
+    assert set(endpoints_of(scenario, 80)) == caches
+    scenario.now += SECOND
+    scenario.router.set_ejected_by_peers({bad: scenario.now + 5 * SECOND}, scenario.now)
+    assert set(endpoints_of(scenario, 80)) == caches - {bad}
+    scenario.now += 5 * SECOND
+    assert bad in endpoints_of(scenario, 80)
+    scenario.now += SECOND
+    scenario.router.set_ejected_by_peers({bad: scenario.now + 5 * SECOND}, scenario.now)
+    scenario.router.set_ejected_by_peers({}, scenario.now)
+    assert bad in endpoints_of(scenario, 80)
 
 
 def test_what_a_router_saw_itself_lately_goes_first():
     """Peers eject a cache that has served this router well a moment ago."""
-    played = Played()
-    bad = sorted(endpoints_of(played, 80))[0]
-    played.force.set_ejected_by_peers({bad: played.now + 5 * SECOND}, played.now)
-    assert bad in endpoints_of(played, 80)
-    assert played.force.health_observations(played.now)[bad].completed > 0
+    scenario = PlanScenario()
+    bad = sorted(endpoints_of(scenario, 80))[0]
+    scenario.router.set_ejected_by_peers({bad: scenario.now + 5 * SECOND}, scenario.now)
+    assert bad in endpoints_of(scenario, 80)
+    assert scenario.router.health_observations(scenario.now)[bad].completed > 0
 
 
 def test_all_caches_ejected_is_as_none():
-    played = Played()
-    names = set(endpoints_of(played, 80))
-    played.now += SECOND
-    played.force.set_ejected_by_peers(dict.fromkeys(names, played.now + 5 * SECOND), played.now)
-    assert endpoints_of(played, 40)
+    scenario = PlanScenario()
+    names = set(endpoints_of(scenario, 80))
+    scenario.now += SECOND
+    scenario.router.set_ejected_by_peers(dict.fromkeys(names, scenario.now + 5 * SECOND), scenario.now)
+    assert endpoints_of(scenario, 40)
 
 
 # -- between processes -------------------------------------------------------------------------------------
