--- a/benchmarks/purges.py
+++ b/benchmarks/purges.py
@@ -66,7 +66,7 @@
         else:
             self.tags[value] = purged_at
 
-    def newest(self, lookup: PurgeLookup, tags: tuple[str, ...], store: str) -> int:
+    def newest(self, lookup: PurgeLookup, tags: tuple[str, ...], store: str) -> int:  # noqa: ARG002 - as PurgeIndex
         """Returns the time of the newest purge that matches."""
         newest = max([self.objects.get(lookup.object_key, 0), *(self.tags.get(tag, 0) for tag in tags)])
         for expression, purged_at in self.patterns:
--- a/quartzrouter/fakes/caches.py
+++ b/quartzrouter/fakes/caches.py
@@ -87,7 +87,7 @@
     chance: random.Random
     is_origin: bool = False
     skew: int = 0
-    tags_of: Callable[[str], str] = lambda path: ""
+    tags_of: Callable[[str], str] = lambda _path: ""
     delay: Callable[[], float] = lambda: 0.0
     fill_source: str = ""
     copies: dict[CopyKey, StoredCopy] = field(default_factory=dict)
--- a/quartzrouter/model_checking/purge_world.py
+++ b/quartzrouter/model_checking/purge_world.py
@@ -25,7 +25,7 @@
     def add(self, delay: int) -> None:
         """Keeps nothing of a delay."""
 
-    def percentile(self, percent: float) -> int:
+    def percentile(self, percent: float) -> int:  # noqa: ARG002 - as in its base class
         """Returns 0, as where nothing was recorded."""
         return 0
 
