--- a/quartzrouter/purge_log/process.py
+++ b/quartzrouter/purge_log/process.py
@@ -13,7 +13,7 @@
 from quartzrouter.purge_log.server import PurgeLogServer
 from quartzrouter.purges.registry import PurgeRegistry
 from quartzrouter.quota.budget import Budget
-from quartzrouter.quota.slow_start import SlowStartTerms
+from quartzrouter.quota.slow_start_messages import SlowStartTerms
 from quartzrouter.server.clock import steady_clock, wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
--- a/quartzrouter/purges/messages.py
+++ b/quartzrouter/purges/messages.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from quartzrouter.fleet_health.aggregator import CacheObservation, EjectionVerdict
+from quartzrouter.fleet_health.messages import CacheObservation, EjectionVerdict
 from quartzrouter.purges.client_messages import (
     HealthQuery,
     HealthReport,
