--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -130,7 +130,7 @@
                 answer = self._grants(router, message)
             else:
                 self.health.record_report(
-                    f"r{router}", "t", message.store, message.sights, self.now, message.caches
+                    f"r{router}", "t", message.store, message.observations, self.now, message.cache_count
                 )
         if answer:
             self.lines_out += 1
@@ -138,9 +138,10 @@
                 encode_line(answer)
 
     def _grants(self, router: int, message: QuotaRequests) -> QuotaGrants:
-        grants = tuple(self.quota.ask(request, self.now) for request in message.asks)
+        grants = tuple(self.quota.ask(request, self.now) for request in message.requests)
         slow_start = tuple(
-            self.slow_start.ask(request, f"r{router}", "t", self.now) for request in message.colds
+            self.slow_start.ask(request, f"r{router}", "t", self.now)
+            for request in message.slow_start_requests
         )
         return QuotaGrants(grants, {}, slow_start)
 
--- a/quartzrouter/cli/fleet.py
+++ b/quartzrouter/cli/fleet.py
@@ -103,7 +103,7 @@
         reporters = " ".join(verdict.reported_by)
         return f"{verdict.cache} is out for {verdict.expires_in / 1e6:.1f} s by {reporters}{against}"
 
-    verdicts = [(view.store, verdict) for view in _views(ledgers) for verdict in view.judgements]
+    verdicts = [(view.store, verdict) for view in _views(ledgers) for verdict in view.verdicts]
     if as_json:
         _echo_json(verdicts, VERDICT_KEYS)
     else:
@@ -121,7 +121,7 @@
         age = f"{load.age / 1000:.0f} ms old, from {load.routers} routers"
         return f"{load.cache:16} {in_flight:>12}, {load.error_bound} more or less, {age}"
 
-    loads = [(view.store, load) for view in _views(ledgers) for load in view.counts]
+    loads = [(view.store, load) for view in _views(ledgers) for load in view.loads]
     if as_json:
         _echo_json(loads, LOAD_KEYS)
     else:
@@ -163,4 +163,4 @@
 def _views(ledgers):
     from quartzrouter.purges.messages import HealthQuery
 
-    return ran(ask, ledgers, HealthQuery()).views
+    return ran(ask, ledgers, HealthQuery()).stores
--- a/quartzrouter/purge_log/health_service.py
+++ b/quartzrouter/purge_log/health_service.py
@@ -32,9 +32,14 @@
     def report(self, member: Member, report: HealthReport) -> None:
         """Takes a router's report."""
         self.aggregator.record_report(
-            member.name, member.token, report.store, report.sights, self.steady_clock(), report.caches
+            member.name,
+            member.token,
+            report.store,
+            report.observations,
+            self.steady_clock(),
+            report.cache_count,
         )
-        if any(observation.failed for observation in report.sights):
+        if any(observation.failed for observation in report.observations):
             self.failure_reported.set()
 
     def left(self, member_name: str) -> None:
--- a/quartzrouter/purge_log/quota_service.py
+++ b/quartzrouter/purge_log/quota_service.py
@@ -63,7 +63,7 @@
             return None
         refused: dict[str, QuotaRefusal] = {}
         grants: list[QuotaGrant] = []
-        for request in requests.asks[:MAX_QUOTA_REQUESTS]:
+        for request in requests.requests[:MAX_QUOTA_REQUESTS]:
             reply = self._grant_one(request, member)
             if not isinstance(reply, QuotaRefusal):
                 grants.append(reply)
@@ -71,7 +71,7 @@
                 refused[request.budget] = reply
                 self._report_refusal(member, request.budget, reply)
         slow_start_grants: list[SlowStartGrant] = []
-        for slow_start_request in requests.colds[:MAX_REQUESTS_PER_MESSAGE]:
+        for slow_start_request in requests.slow_start_requests[:MAX_REQUESTS_PER_MESSAGE]:
             slow_start_reply = self.slow_start.ask(
                 slow_start_request, member.name, member.token, self.steady_clock()
             )
--- a/quartzrouter/purge_log/sessions.py
+++ b/quartzrouter/purge_log/sessions.py
@@ -140,7 +140,7 @@
                 self.health.left(member.name)
             case HealthReport():
                 session.reported_store = message.store
-                session.wants_loads = message.loads
+                session.wants_loads = message.wants_loads
                 self.health.report(member, message)
             case QuotaRequests() if self.quota.is_enabled and self.leadership.is_held():
                 # What is granted ends by itself. Where this process is stopped between the look at the
--- a/quartzrouter/purges/client_messages.py
+++ b/quartzrouter/purges/client_messages.py
@@ -75,25 +75,25 @@
 class QuotaRequests(msgspec.Struct, tag_field="say", tag="asks", omit_defaults=True):
     """A member asks for shares of budgets; sent only where the Welcome offers quota.
 
-    :param colds: requests for shares of slow-start budgets; an older purge log ignores them.
+    :param slow_start_requests: requests for shares of slow-start budgets; an older purge log ignores them.
     """
 
-    asks: tuple[QuotaRequest, ...]
-    colds: tuple[SlowStartRequest, ...] = ()
+    requests: tuple[QuotaRequest, ...] = msgspec.field(name="asks")
+    slow_start_requests: tuple[SlowStartRequest, ...] = msgspec.field(default=(), name="colds")
 
 
 class HealthReport(msgspec.Struct, tag_field="say", tag="sights", omit_defaults=True):
     """A router reports its observations of its store's caches; sent only where the Welcome offers verdicts.
 
-    :param sights: observations; a cache without one is not ejected, and nothing new is known of it.
-    :param caches: how many caches the router knows.
-    :param loads: whether it wants to be told how many requests all routers have in flight at each cache.
+    :param observations: a cache without one is not ejected, and nothing new is known of it.
+    :param cache_count: how many caches the router knows.
+    :param wants_loads: whether it wants to know how many requests all routers have in flight at each cache.
     """
 
     store: str
-    sights: tuple[CacheObservation, ...]
-    caches: int
-    loads: bool = False
+    observations: tuple[CacheObservation, ...] = msgspec.field(name="sights")
+    cache_count: int = msgspec.field(name="caches")
+    wants_loads: bool = msgspec.field(default=False, name="loads")
 
 
 class HealthQuery(msgspec.Struct, tag_field="say", tag="views"):
--- a/quartzrouter/purges/server_messages.py
+++ b/quartzrouter/purges/server_messages.py
@@ -152,25 +152,25 @@
     """Answers QuotaRequests.
 
     :param refused: requests that were not granted, by their budgets or endpoints.
-    :param colds: shares of slow-start budgets.
+    :param slow_start_grants: shares of slow-start budgets.
     """
 
     grants: tuple[QuotaGrant, ...]
     refused: dict[str, QuotaRefusal] = {}
-    colds: tuple[SlowStartGrant, ...] = ()
+    slow_start_grants: tuple[SlowStartGrant, ...] = msgspec.field(default=(), name="colds")
 
 
 class QuotaStatus(msgspec.Struct, tag_field="say", tag="budgets"):
     """The state of the budgets: at most a page of them, the most recently requested.
 
     :param refused: requests that were not granted since the start.
-    :param colds: endpoints that have started lately, and what was granted of them; likewise a page.
+    :param slow_starts: endpoints that have started lately, and what was granted of them; likewise a page.
     """
 
     epoch: int
     budgets: tuple[BudgetState, ...]
     refused: int
-    colds: tuple[SlowStartState, ...] = ()
+    slow_starts: tuple[SlowStartState, ...] = msgspec.field(default=(), name="colds")
 
 
 class EjectionVerdicts(msgspec.Struct, tag_field="say", tag="judged", omit_defaults=True):
@@ -180,7 +180,7 @@
         that is not named has none. None where it was not asked for.
     """
 
-    judgements: tuple[EjectionVerdict, ...]
+    verdicts: tuple[EjectionVerdict, ...] = msgspec.field(name="judgements")
     loads: dict[str, int] | None = None
 
 
@@ -188,15 +188,15 @@
     """The health of the caches of one store."""
 
     store: str
-    judgements: tuple[EjectionVerdict, ...]
-    counts: tuple[CacheLoad, ...]
+    verdicts: tuple[EjectionVerdict, ...] = msgspec.field(name="judgements")
+    loads: tuple[CacheLoad, ...] = msgspec.field(name="counts")
 
 
 class HealthReply(msgspec.Struct, tag_field="say", tag="views"):
     """The health of all caches, by store."""
 
     epoch: int
-    views: tuple[StoreHealth, ...]
+    stores: tuple[StoreHealth, ...] = msgspec.field(name="views")
 
 
 FromPurgeLog = (
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -156,7 +156,7 @@
     def _take_grants(self, grants: QuotaGrants) -> None:
         self.multi_pool_router.quota_client.apply_grants(grants.grants)
         if self.multi_pool_router.slow_start_client:
-            self.multi_pool_router.slow_start_client.apply_grants(grants.colds)
+            self.multi_pool_router.slow_start_client.apply_grants(grants.slow_start_grants)
         for budget, refusal in grants.refused.items():
             self.quota_refusals[budget] = refusal
             while len(self.quota_refusals) > MAX_REFUSALS_KEPT:
