--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -34,14 +34,14 @@
     """Five keepers, 20 tasks, 200 claimants that all want all: decisions alone, at true time."""
     terms = LeaseTerms(tuple(f"k{n}" for n in range(5)), tasks=tuple((f"t{n}", ()) for n in range(20)))
     now, said = 10 * S, 0
-    keepers = [Acceptor(terms, name, 0) for name in terms.keepers]
+    keepers = [Acceptor(terms, name, 0) for name in terms.acceptors]
     claims = [Proposer(terms, task, f"c{n}", f"x{n}", now) for n in range(200) for task, _ in terms.tasks]
     began, cpu = now, time.process_time()
     held = 0
     while now < began + SECONDS * S:
         now += STEP
         for claim in claims:
-            if claim.wait(now) > 0:
+            if claim.time_until_due(now) > 0:
                 continue
             todo = list(claim.tick(now, now // 1000))
             while todo:
@@ -50,12 +50,14 @@
                     continue
                 for keeper in keepers:
                     said += 1
-                    if isinstance(effect.said, VoteRelease):
-                        for name in keeper.free(effect.said, now):
-                            next(c for c in claims if (c.name, c.task) == (name, effect.said.task)).freed(now)
-                    elif isinstance(answer := keeper.vote(effect.said, now), VoteReply):
-                        todo += claim.answer(answer, now)
-    held = sum(claim.held(now) for claim in claims)
+                    if isinstance(effect.message, VoteRelease):
+                        for name in keeper.release(effect.message, now):
+                            next(
+                                c for c in claims if (c.name, c.task) == (name, effect.message.task)
+                            ).vote_available(now)
+                    elif isinstance(answer := keeper.vote(effect.message, now), VoteReply):
+                        todo += claim.handle_reply(answer, now)
+    held = sum(claim.may_act(now) for claim in claims)
     took = time.process_time() - cpu
     rate, each = said / SECONDS, took / said * 1e6
     print(f"5 keepers, 20 tasks, 200 claimants, leases of 3 s: {held} held")
--- a/quartzrouter/cli/keeper.py
+++ b/quartzrouter/cli/keeper.py
@@ -1,9 +1,15 @@
-"""`quartzrouter keeper ...`: one of the processes that grant leases by majority."""
+"""`quartzrouter keeper ...`: an acceptor, one of those that grant leases by majority."""
 
 import sys
+from typing import TYPE_CHECKING
 
 import click
 
+if TYPE_CHECKING:
+    from quartzrouter.lease_service.plan_terms import Addresses
+    from quartzrouter.lease_service.server import TermsReader
+    from quartzrouter.leases.terms import LeaseTerms
+
 
 @click.group()
 def keeper() -> None:
@@ -19,37 +25,41 @@
     import anyio
 
     from quartzrouter.lease_service import server
-    from quartzrouter.lease_service.plan_terms import LeasesNotConfigured
-    from quartzrouter.lease_service.token_storage import ForeignFolder, TokenStorage
+    from quartzrouter.lease_service.plan_terms import LeasesNotConfiguredError
+    from quartzrouter.lease_service.token_storage import ForeignFolderError, TokenStorage
     from quartzrouter.server.clock import wall_clock
     from quartzrouter.server.event_loop import BACKEND_OPTIONS
     from quartzrouter.standalone.structured_log import StructuredLog, logger
 
     report = StructuredLog(name, wall_clock, logger())
     try:
-        read = reader(path, name)
+        read = terms_reader(path, name)
         read()
-        numbers = TokenStorage(folder, name, lambda line: report.say("lease", line)) if folder else None
-        anyio.run(server.serve, name, read, report, numbers, backend_options=BACKEND_OPTIONS)
-    except (LeasesNotConfigured, ForeignFolder, OSError) as error:
+        storage = TokenStorage(folder, name, lambda line: report.say("lease", line)) if folder else None
+        anyio.run(server.serve, name, read, report, storage, backend_options=BACKEND_OPTIONS)
+    except (LeasesNotConfiguredError, ForeignFolderError, OSError) as error:
         click.echo(f"quartzrouter: {path}: {error}", err=True)
         sys.exit(1)
 
 
-def reader(path: str, name: str):
-    """Reads a plan's leases for one keeper, each time it is called.  Raises Untold."""
+def terms_reader(path: str, name: str) -> "TermsReader":
+    """Returns a function that reads the terms out of a plan, each time it is called.
+
+    That function raises LeasesNotConfiguredError where the plan can't be used, or doesn't name this acceptor.
+    """
     from quartzrouter.config.loader import load
-    from quartzrouter.lease_service.plan_terms import LeasesNotConfigured, terms
+    from quartzrouter.lease_service.plan_terms import LeasesNotConfiguredError, lease_terms
 
-    def read():
+    def read() -> "tuple[LeaseTerms, Addresses]":
         loaded = load(path)
         if loaded.plan is None:
             faults = loaded.faults.errors
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
-            raise LeasesNotConfigured(f"{faults[0].head}{more}; 'quartzrouter plan check {path}' shows all")
-        told, addresses = terms(loaded.plan)
+            remedy = f"'quartzrouter plan check {path}' shows all"
+            raise LeasesNotConfiguredError(f"{faults[0].head}{more}; {remedy}")
+        terms, addresses = lease_terms(loaded.plan)
         if name not in addresses:
-            raise LeasesNotConfigured(f"there is no keeper '{name}'; there are {', '.join(addresses)}")
-        return told, addresses
+            raise LeasesNotConfiguredError(f"there is no keeper '{name}'; there are {', '.join(addresses)}")
+        return terms, addresses
 
     return read
--- a/quartzrouter/cli/lease.py
+++ b/quartzrouter/cli/lease.py
@@ -1,12 +1,18 @@
-"""`quartzrouter lease ...`: who does what for the fleet, and why nobody does."""
+"""`quartzrouter lease ...`: who holds which fleet-wide task, and why nobody does."""
 
 import json
 import sys
+from typing import TYPE_CHECKING, Any
 
 import click
 
 from quartzrouter.cli.purge import AS_JSON
 
+if TYPE_CHECKING:
+    from quartzrouter.lease_service.plan_terms import Addresses
+    from quartzrouter.leases.status import AcceptorAnswers, TaskStatus
+    from quartzrouter.leases.terms import LeaseTerms
+
 PLAN = click.argument("path", metavar="PLAN")
 
 
@@ -20,15 +26,32 @@
 @AS_JSON
 def list_(path: str, as_json: bool) -> None:
     """List tasks with holder, number and votes; exit with 1 where no majority of keepers answers."""
-    from quartzrouter.leases.status import held, shown
+    from quartzrouter.leases.status import describe, task_statuses
 
-    terms, found = _ask(path)
-    views, silent = held(terms, found), {name: why for name, why in found.items() if isinstance(why, str)}
+    terms, answers = _ask(path)
+    statuses = task_statuses(terms, answers)
+    silent = {name: reason for name, reason in answers.items() if isinstance(reason, str)}
     if as_json:
-        click.echo(json.dumps({"tasks": [view._asdict() for view in views], "silent": silent}))
+        tasks = [_as_json(status) for status in statuses]
+        click.echo(json.dumps({"tasks": tasks, "silent": silent}))
     else:
-        click.echo("\n".join([*map(shown, views), *(f"keeper {n}: {why}" for n, why in silent.items())]))
-    sys.exit(len(found) - len(silent) < terms.majority)
+        lines = [describe(status) for status in statuses]
+        lines += [f"keeper {name}: {reason}" for name, reason in silent.items()]
+        click.echo("\n".join(lines))
+    sys.exit(len(answers) - len(silent) < terms.majority)
+
+
+def _as_json(status: "TaskStatus") -> dict[str, Any]:
+    """A task under the keys that `--json` promises."""
+    return {
+        "task": status.task,
+        "holder": status.holder,
+        "number": status.fencing_token,
+        "votes": status.votes,
+        "since": status.held_for,
+        "left": status.time_left,
+        "waiting": status.waiting,
+    }
 
 
 @lease.command(epilog="Example: quartzrouter lease why main.plan deliver")
@@ -36,12 +59,11 @@
 @click.argument("task")
 def why(path: str, task: str) -> None:
     """Tell who holds a task, since when, who voted for whom; or why nobody holds it."""
-    from quartzrouter.leases.status import why as lines
+    from quartzrouter.leases.status import explain
 
-    terms, found = _ask(path)
-    if task not in dict(terms.tasks):
-        raise click.UsageError(f"there is no task {task!r} in {path}; there are {_names(terms)}")
-    click.echo("\n".join(lines(terms, found, task)))
+    terms, answers = _ask(path)
+    _check_task(terms, task, path)
+    click.echo("\n".join(explain(terms, answers, task)))
 
 
 @lease.command(epilog="Example: quartzrouter lease watch main.plan")
@@ -51,16 +73,17 @@
     """Tell of each change until it is interrupted."""
     import time
 
-    from quartzrouter.leases.status import held, shown
+    from quartzrouter.leases.status import describe, task_statuses
 
-    before: dict[str, tuple] = {}
+    shown_leases: dict[str, tuple[str, int]] = {}
     try:
         while True:
-            terms, found = _ask(path)
-            for view in held(terms, found):
-                if before.get(view.task) != (view.holder, view.number):
-                    before[view.task] = (view.holder, view.number)
-                    click.echo(f"{time.strftime('%H:%M:%S')} {shown(view)}")
+            terms, answers = _ask(path)
+            for status in task_statuses(terms, answers):
+                current_lease = (status.holder, status.fencing_token)
+                if shown_leases.get(status.task) != current_lease:
+                    shown_leases[status.task] = current_lease
+                    click.echo(f"{time.strftime('%H:%M:%S')} {describe(status)}")
             sys.stdout.flush()
             time.sleep(every)
     except KeyboardInterrupt:
@@ -77,34 +100,36 @@
     from quartzrouter.lease_service.queries import ask_all
     from quartzrouter.leases.messages import RevokeHolder
 
-    terms, addresses = _told(path)
-    if task not in dict(terms.tasks):
-        raise click.UsageError(f"there is no task {task!r} in {path}; there are {_names(terms)}")
-    found = anyio.run(ask_all, addresses, RevokeHolder(task))
-    heard = sum(not isinstance(said, str) for said in found.values())
-    click.echo(f"{task}: {heard} of {len(terms.keepers)} keepers vote for others first now")
-    sys.exit(heard < terms.majority)
+    terms, addresses = _lease_terms(path)
+    _check_task(terms, task, path)
+    answers = anyio.run(ask_all, addresses, RevokeHolder(task))
+    answered = sum(not isinstance(answer, str) for answer in answers.values())
+    click.echo(f"{task}: {answered} of {len(terms.acceptors)} keepers vote for others first now")
+    sys.exit(answered < terms.majority)
+
 
+def _check_task(terms: "LeaseTerms", task: str, path: str) -> None:
+    names = [name for name, _ in terms.tasks]
+    if task not in names:
+        raise click.UsageError(f"there is no task {task!r} in {path}; there are {', '.join(names)}")
 
-def _told(path: str):
+
+def _lease_terms(path: str) -> "tuple[LeaseTerms, Addresses]":
+    """The terms of a plan; ends the command where it has none."""
     from quartzrouter.cli.plan import checked
-    from quartzrouter.lease_service.plan_terms import LeasesNotConfigured, terms
+    from quartzrouter.lease_service.plan_terms import LeasesNotConfiguredError, lease_terms
 
     try:
-        return terms(checked(path))
-    except LeasesNotConfigured as error:
+        return lease_terms(checked(path))
+    except LeasesNotConfiguredError as error:
         click.echo(f"quartzrouter: {path}: {error}", err=True)
         sys.exit(1)
 
 
-def _ask(path: str):
+def _ask(path: str) -> "tuple[LeaseTerms, AcceptorAnswers]":
     import anyio
 
     from quartzrouter.lease_service.queries import ask_all
 
-    told, addresses = _told(path)
-    return told, anyio.run(ask_all, addresses)
-
-
-def _names(terms) -> str:
-    return ", ".join(name for name, _ in terms.tasks)
+    terms, addresses = _lease_terms(path)
+    return terms, anyio.run(ask_all, addresses)
--- a/quartzrouter/cli/purge.py
+++ b/quartzrouter/cli/purge.py
@@ -354,13 +354,14 @@
     :param name: of the claimant.
     """
     from quartzrouter.lease_service.client import ClusterLeaseClient
-    from quartzrouter.lease_service.plan_terms import LeasesNotConfigured, terms
+    from quartzrouter.lease_service.plan_terms import LeasesNotConfiguredError
+    from quartzrouter.lease_service.plan_terms import lease_terms as terms
 
     if not name:
         raise click.UsageError("--task needs --name: claimants are told apart by it")
     try:
         lease_terms, addresses = terms(plan)
-    except LeasesNotConfigured as error:
+    except LeasesNotConfiguredError as error:
         _exit_with(f"quartzrouter: {path}: {error}")
     tasks = dict(lease_terms.tasks)
     if task not in tasks:
--- a/quartzrouter/fault_harness/child_process.py
+++ b/quartzrouter/fault_harness/child_process.py
@@ -41,7 +41,7 @@
         told = (folder, parse_address(listen, "listen"), int(grace), report, beside, wall, granted, even)
         return anyio.run(process.serve, *told, backend_options=BACKEND_OPTIONS)
     if what == "keeper":
-        from quartzrouter.cli.keeper import reader
+        from quartzrouter.cli.keeper import terms_reader
         from quartzrouter.lease_service import server as keeper
         from quartzrouter.lease_service.token_storage import TokenStorage
 
@@ -52,7 +52,13 @@
             TokenStorage(folder, name, lambda said: report.say("lease", said)) if folder != "-" else None
         )
         anyio.run(
-            keeper.serve, name, reader(path, name), report, numbers, even, backend_options=BACKEND_OPTIONS
+            keeper.serve,
+            name,
+            terms_reader(path, name),
+            report,
+            numbers,
+            even,
+            backend_options=BACKEND_OPTIONS,
         )
         return 0
     if what == "claimant":
--- a/quartzrouter/fault_harness/mutations.py
+++ b/quartzrouter/fault_harness/mutations.py
@@ -24,43 +24,50 @@
 
 # -- of leases ---------------------------------------------------------------------------------------------
 
-KEEPER, VOTE, GAINED, CLAIMS = Acceptor.__init__, Acceptor.vote, Proposer._gained, ClusterLeaseClient.__init__
+ACCEPTOR_INIT = Acceptor.__init__
+VOTE = Acceptor.vote
+ACQUIRE = Proposer._acquire
+LEASE_CLIENT_INIT = ClusterLeaseClient.__init__
 
 
-def votes_at_once(self, terms, name, now, highest=None):
-    KEEPER(self, terms, name, now, highest)
-    self.from_ = now
+def votes_at_once(self, terms, name, now, highest_tokens=None):
+    """An acceptor that forgets, in a restart, that it may have voted."""
+    ACCEPTOR_INIT(self, terms, name, now, highest_tokens)
+    self.votes_from = now
 
 
 def from_the_answer(self, now):
-    asked, self.asked = self.asked, now
-    effects = GAINED(self, now)
-    self.asked = asked
+    """A lease that lasts longer the later its replies come."""
+    requested_at, self.requested_at = self.requested_at, now
+    effects = ACQUIRE(self, now)
+    self.requested_at = requested_at
     return effects
 
 
-def votes_for_all(self, said, now):
-    for ballot in self.ballots.values():
-        ballot.until = min(ballot.until, now)
-    return VOTE(self, said, now)
+def votes_for_all(self, request, now):
+    """An acceptor whose votes for other proposers are over as soon as one asks."""
+    for vote in self.votes.values():
+        vote.expires_at = min(vote.expires_at, now)
+    return VOTE(self, request, now)
 
 
-def votes_for_names(self, said, now):
-    given = VOTE(self, said._replace(token="same"), now)
-    return given._replace(token=said.token) if isinstance(given, VoteReply) else given
+def votes_for_names(self, request, now):
+    """An acceptor that doesn't tell two processes of one name apart."""
+    reply = VOTE(self, request._replace(process_token="same"), now)
+    return reply._replace(process_token=request.process_token) if isinstance(reply, VoteReply) else reply
 
 
-def claims_by_the_wall(self, terms, addresses, name, report, steady, clock):
-    CLAIMS(self, terms, addresses, name, report, clock, clock)
+def leases_by_the_wall_clock(self, terms, addresses, name, report, steady, wall):
+    LEASE_CLIENT_INIT(self, terms, addresses, name, report, wall, wall)
 
 
 LEASES = {
     "a keeper votes right after its start": (Acceptor, "__init__", votes_at_once),
-    "a lease counts from its answers": (Proposer, "_gained", from_the_answer),
-    "the drift is left out": (LeaseTerms, "slack", lambda self, time: 0),
-    "half of the keepers will do": (LeaseTerms, "majority", property(lambda self: len(self.keepers) // 2)),
+    "a lease counts from its answers": (Proposer, "_acquire", from_the_answer),
+    "the drift is left out": (LeaseTerms, "clock_slack", lambda self, duration: 0),
+    "half of the keepers will do": (LeaseTerms, "majority", property(lambda self: len(self.acceptors) // 2)),
     "a keeper votes for all": (Acceptor, "vote", votes_for_all),
     "a name is enough": (Acceptor, "vote", votes_for_names),
-    "leases end by the wall clock": (ClusterLeaseClient, "__init__", claims_by_the_wall),
+    "leases end by the wall clock": (ClusterLeaseClient, "__init__", leases_by_the_wall_clock),
 }
 MUTATIONS = PURGES | QUOTA | SLOW_START | LEASES
--- a/quartzrouter/fault_harness/witness.py
+++ b/quartzrouter/fault_harness/witness.py
@@ -18,7 +18,7 @@
 from quartzrouter.fakes.loopback import Server
 from quartzrouter.fault_harness.history import History
 from quartzrouter.lease_service.client import ClusterLeaseClient, HeldLease
-from quartzrouter.lease_service.plan_terms import terms
+from quartzrouter.lease_service.plan_terms import lease_terms
 from quartzrouter.purge_log.line_connection import connect, read_lines
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
@@ -74,7 +74,7 @@
     clock: Callable[[], int],
 ) -> None:
     """Acts for as long as it holds the task, until SIGTERM; its party's name is the plan's file name."""
-    told, addresses = terms(load(path).plan)
+    told, addresses = lease_terms(load(path).plan)
     claims = ClusterLeaseClient(told, addresses, name, report, steady, clock)
     party = path.rpartition("/")[2].removesuffix(".plan")
     halts = Event()
@@ -85,10 +85,10 @@
             heard = read_lines(stream)
 
             async def say(what: str) -> tuple[str, int]:
-                await stream.send(json.dumps([party, what, hold.number]).encode() + b"\n")
+                await stream.send(json.dumps([party, what, hold.fencing_token]).encode() + b"\n")
                 return json.loads(await anext(heard))
 
-            while hold.held():
+            while hold.may_act():
                 time.sleep(LOOK_TO_ACT)  # the loop stands as well: what is stopped here knows nothing of it
                 if halts.is_set():
                     halts.clear()
@@ -101,7 +101,7 @@
                 if answer == "fails":
                     raise Failing("the witness says so")
                 if answer == "no":
-                    hold.passed(number)
+                    hold.superseded(number)
                     return
                 await anyio.sleep(PAUSE)
 
--- a/quartzrouter/fault_scenarios/leases.py
+++ b/quartzrouter/fault_scenarios/leases.py
@@ -25,7 +25,7 @@
 from quartzrouter.fault_harness.witness import Witness
 from quartzrouter.fault_scenarios import ScenarioReport
 from quartzrouter.lease_service.queries import ask_all
-from quartzrouter.leases.terms import ACT_MOST, AcceptorStatus
+from quartzrouter.leases.terms import ACTION_TIME_DIVISOR, AcceptorStatus
 from quartzrouter.server import process
 
 S = 1_000_000
@@ -142,7 +142,7 @@
         with anyio.fail_after(VOTES_WITHIN):
             while True:
                 found = await ask_all(at)
-                if all(isinstance(each, AcceptorStatus) and not each.silent for each in found.values()):
+                if all(isinstance(each, AcceptorStatus) and not each.silent_for for each in found.values()):
                     return
                 await anyio.sleep(0.05)
 
@@ -255,7 +255,9 @@
 
     @property
     def overlaps(self) -> list:
-        return history_checks.overlaps(self.fleet.history, quantity(self.fleet.shape.length).us // ACT_MOST)
+        return history_checks.overlaps(
+            self.fleet.history, quantity(self.fleet.shape.length).us // ACTION_TIME_DIVISOR
+        )
 
     @property
     def falls(self) -> list:
--- a/quartzrouter/lease_service/client.py
+++ b/quartzrouter/lease_service/client.py
@@ -1,251 +1,313 @@
-"""A claimant's side: a line to each keeper, the claims of its tasks on them, and work while one is held.
+"""The proposers of one process: connections to acceptors, and the work that is done while a lease is held.
 
-    claims = Claims(terms, addresses, "deliver-a", report)
-    tasks.start_soon(claims.run)
-    await claims.perform("deliver", work)
+    client = ClusterLeaseClient(terms, addresses, "deliver-a", report)
+    tasks.start_soon(client.run)
+    await client.perform("deliver", work)
 
-`work` is called with a Hold whenever the task is gained, and is cancelled when it is lost.
+`work` is called with a lease handle whenever the task is acquired, and is cancelled when the lease is lost.
 """
 
 import secrets
-from collections.abc import Awaitable, Callable, Iterable
+from collections.abc import Awaitable, Callable, Iterable, Sequence
+from typing import NoReturn
 
 import anyio
 
+from quartzrouter.lease_service.plan_terms import Addresses
 from quartzrouter.leases import messages
 from quartzrouter.leases.proposer import Effect, LeaseAcquired, LeaseLost, Proposer, SendToAcceptors
-from quartzrouter.leases.terms import NAME_MOST, LeaseTerms, VoteRelease
-from quartzrouter.purge_log.line_connection import connect, read_lines
+from quartzrouter.leases.terms import MAX_NAME_LENGTH, LeaseTerms, VoteRelease, VoteRequest
+from quartzrouter.purge_log.line_connection import LineQueue, connect, describe, first_error, read_lines
 from quartzrouter.purges.messages import encode_line
 from quartzrouter.purges.reconnect_backoff import ReconnectBackoff
 from quartzrouter.server.clock import steady_clock, wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-SILENT_LEASES = 2  # without an answer to what was asked, until a connection is taken for broken
-LAST_WORDS = 0.2  # s for what is given up to be said at the end
-OUT_MOST = 64  # lines to a keeper that takes nothing; older ones count for nothing any more
+MICROSECONDS_PER_SECOND = 1e6
+MICROSECONDS_PER_MILLISECOND = 1_000
+SILENCE_TIMEOUT_LEASES = 2  # without a reply to a request, until a connection is taken for broken
+FAREWELL_TIMEOUT = 0.2  # s for releases to be sent at the end
+FAREWELL_POLL = 0.005  # s
+WORK_END_POLL = 0.001  # s
+MIN_WAIT = 0.001  # s between two ticks
+MAX_QUEUED_LINES = 64  # to an acceptor that takes nothing; older ones count for nothing any more
+FIRST_REQUEST_DIVISOR = 4  # of the renewal interval, after which a proposer asks on a new connection
+TOKEN_BYTES = 8
 
 
 class AcceptorConnection:
-    """A line to one keeper: connects anew whenever it ends."""
-
-    def __init__(self, name: str, address: tuple[str, int], claims: "ClusterLeaseClient"):
-        self.name, self.address, self.claims = name, address, claims
-        self.attempts = ReconnectBackoff([address], f"{claims.name} {name}")
-        self.out: list[bytes] | None = None
-        self.wake = anyio.Event()
-        self.unanswered = 0  # lines of asks since the last word
-
-    def tell(self, data: bytes, ask: bool) -> None:
-        if self.out is not None:
-            self.out.append(data)
-            del self.out[:-OUT_MOST]
-            self.unanswered += ask
-            self.wake.set()
+    """The connection to one acceptor: reconnects whenever it ends."""
+
+    def __init__(self, name: str, address: tuple[str, int], client: "ClusterLeaseClient"):
+        self.name = name
+        self.outgoing = LineQueue(MAX_QUEUED_LINES)
+        self._address = address
+        self._client = client
+        self._backoff = ReconnectBackoff([address], f"{client.name} {name}")
+        self._unanswered = 0  # lines of requests since the last reply
+
+    def send(self, line: bytes, expects_reply: bool) -> None:
+        """Queues a line for the current connection; it is dropped where there is none."""
+        if self.outgoing.put(line):
+            self._unanswered += expects_reply
 
     async def run(self) -> None:
+        """Connects, and reconnects whenever the connection ends, until it is cancelled."""
         while True:
             try:
                 await self._follow()
             except* Exception as group:
-                error = group.exceptions[0]
-                while isinstance(error, BaseExceptionGroup):
-                    error = error.exceptions[0]
-                why = str(error) or type(error).__name__
-                self.claims.report.say("lease", f"keeper {self.name}: {why}; connecting anew")
-            self.out = None
-            await anyio.sleep(self.attempts.next_delay() / 1e6)
+                reason = describe(first_error(group))
+                self._client.report.say("lease", f"keeper {self.name}: {reason}; reconnecting")
+            self.outgoing.close()
+            await anyio.sleep(self._backoff.next_delay() / MICROSECONDS_PER_SECOND)
 
     async def _follow(self) -> None:
-        stream = await connect(self.address)
+        stream = await connect(self._address)
         async with stream, anyio.create_task_group() as tasks:
-            self.out, self.unanswered = [], 0
-            tasks.start_soon(self._write, stream)
-            tasks.start_soon(self._watch)
-            self.claims.linked()
-            async for heard in read_lines(stream):
-                self.unanswered = 0
-                self.attempts.succeeded()
-                self.claims.heard(self.name, messages.decode_from_acceptor(heard))
+            self.outgoing.open()
+            self._unanswered = 0
+            tasks.start_soon(self.outgoing.write_to, stream)
+            tasks.start_soon(self._watch_silence)
+            self._client.connected()
+            async for line in read_lines(stream):
+                self._unanswered = 0
+                self._backoff.succeeded()
+                self._client.handle(self.name, messages.decode_from_acceptor(line))
             raise anyio.EndOfStream("it has closed the connection")
 
-    async def _write(self, stream: anyio.abc.ByteStream) -> None:
-        while True:
-            while self.out:
-                data, self.out = b"".join(self.out), []
-                await stream.send(data)
-            self.wake = anyio.Event()
-            await self.wake.wait()
-
-    async def _watch(self) -> None:
-        """Nothing tells of a line that is cut: what is asked has no answer."""
-        within = SILENT_LEASES * self.claims.terms.length / 1e6
+    async def _watch_silence(self) -> NoReturn:
+        """Ends the connection once requests stay without any reply.
+
+        Guards against a path that is cut without a reset: nothing else tells of it, and votes that another
+        connection could get are waited for in vain.
+        """
+        timeout = SILENCE_TIMEOUT_LEASES * self._client.terms.ttl / MICROSECONDS_PER_SECOND
         while True:
-            before = self.unanswered
-            await anyio.sleep(within)
-            if before and self.unanswered >= before:
-                raise TimeoutError(f"no answer for {within:.1f} s")
+            unanswered_before = self._unanswered
+            await anyio.sleep(timeout)
+            if unanswered_before and self._unanswered >= unanswered_before:
+                raise TimeoutError(f"no answer for {timeout:.1f} s")
 
 
 class HeldLease:
-    """A task that is held, as its work sees it."""
+    """A lease that is held, as its work sees it."""
+
+    def __init__(self, client: "ClusterLeaseClient", proposer: Proposer):
+        self.fencing_token = proposer.fencing_token
+        self._client = client
+        self._proposer = proposer
 
-    def __init__(self, claims: "ClusterLeaseClient", claim: Proposer):
-        self.claims, self.claim, self.number = claims, claim, claim.number
+    @property
+    def is_current(self) -> bool:
+        """Whether the proposer still holds this lease, and no later one."""
+        return self._proposer.is_holder and self._proposer.fencing_token == self.fencing_token
 
-    def held(self) -> bool:
-        """Whether an act may begin; read right before each."""
-        return self.claim.number == self.number and self.claim.held(self.claims.steady())
+    def may_act(self) -> bool:
+        """Whether an action may start; read right before each."""
+        is_same_lease = self._proposer.fencing_token == self.fencing_token
+        return is_same_lease and self._proposer.may_act(self._client.steady())
 
-    def passed(self, number: int) -> None:
-        """Whoever was acted on has seen a higher number."""
-        self.claims.perform_all(self.claim, self.claim.passed(number, self.claims.steady()))
+    def superseded(self, fencing_token: int) -> None:
+        """Whoever was acted on has seen that higher fencing token."""
+        effects = self._proposer.superseded(fencing_token, self._client.steady())
+        self._client.carry_out(self._proposer, effects)
 
 
 class ClusterLeaseClient:
-    """:param name: of the claimant, one a process.
-    :param steady: reads the monotonic clock, us; and `clock` the wall clock.
+    """The proposers of one process, for tasks that a majority of acceptors grants.
+
+    :param name: of the proposer, one a process.
+    :param steady: reads the monotonic clock, in microseconds.
+    :param wall: reads the wall clock, in microseconds.
     """
 
     def __init__(
         self,
         terms: LeaseTerms,
-        addresses: dict[str, tuple[str, int]],
+        addresses: Addresses,
         name: str,
         report: RateLimitedLog,
         steady: Callable[[], int] = steady_clock,
-        clock: Callable[[], int] = wall_clock,
+        wall: Callable[[], int] = wall_clock,
     ):
-        self.terms, self.name, self.report = terms, name[:NAME_MOST], report
-        self.steady, self.clock, self.token = steady, clock, secrets.token_hex(8)
-        self.claims: dict[str, Proposer] = {}
-        self.changed: dict[str, anyio.Event] = {}
-        self.working: set[str] = set()  # tasks whose work is under way
-        self.lines = [AcceptorConnection(keeper, at, self) for keeper, at in addresses.items()]
-        self.due = anyio.Event()  # a claim wants to be looked at sooner
-
-    def claim(self, task: str) -> Proposer:
-        """Wants a task from now on; raises KeyError for one that the terms don't name."""
+        self.terms = terms
+        self.name = name[:MAX_NAME_LENGTH]
+        self.report = report
+        self.steady = steady
+        self.process_token = secrets.token_hex(TOKEN_BYTES)
+        self.proposers: dict[str, Proposer] = {}  # by task
+        self._wall = wall
+        self._holder_changed: dict[str, anyio.Event] = {}  # by task
+        self._working: set[str] = set()  # tasks whose work is under way
+        self._acceptors = [AcceptorConnection(acceptor, at, self) for acceptor, at in addresses.items()]
+        self._wake = anyio.Event()  # a proposer may be due sooner
+
+    def propose(self, task: str) -> Proposer:
+        """Wants a task from now on.
+
+        :raises KeyError: for a task that the terms don't name.
+        """
         dict(self.terms.tasks)[task]
-        if task not in self.claims:
-            self.claims[task] = Proposer(self.terms, task, self.name, self.token, self.steady())
-            self.changed[task] = anyio.Event()
-            self.due.set()
-        return self.claims[task]
+        if task not in self.proposers:
+            self.proposers[task] = Proposer(self.terms, task, self.name, self.process_token, self.steady())
+            self._holder_changed[task] = anyio.Event()
+            self._wake.set()
+        return self.proposers[task]
 
     async def run(self) -> None:
-        """Until it is cancelled; what is held is given up then."""
+        """Requests votes until it is cancelled."""
         async with anyio.create_task_group() as tasks:
-            for each in self.lines:
-                tasks.start_soon(each.run)
+            for acceptor in self._acceptors:
+                tasks.start_soon(acceptor.run)
             while True:
-                now = self.steady()
-                asks: list[SendToAcceptors] = []
-                for claim in list(self.claims.values()):
-                    asks += self._settle(claim, claim.tick(now, self.clock() // 1000))
-                self._say(asks)
-                wait = min((claim.wait(now) for claim in self.claims.values()), default=self.terms.every)
-                self.due = anyio.Event()
-                with anyio.move_on_after(max(0.001, wait / 1e6)):
-                    await self.due.wait()
+                self._tick()
+                wait = min(
+                    (proposer.time_until_due(self.steady()) for proposer in self.proposers.values()),
+                    default=self.terms.renewal_interval,
+                )
+                self._wake = anyio.Event()
+                with anyio.move_on_after(max(MIN_WAIT, wait / MICROSECONDS_PER_SECOND)):
+                    await self._wake.wait()
+
+    def _tick(self) -> None:
+        """Lets each proposer do what is due; all that they send goes out together."""
+        now = self.steady()
+        wall_clock_ms = self._wall() // MICROSECONDS_PER_MILLISECOND
+        to_send: list[SendToAcceptors] = []
+        for proposer in list(self.proposers.values()):
+            to_send += self._apply(proposer, proposer.tick(now, wall_clock_ms))
+        self._send(to_send)
+
+    # -- work ----------------------------------------------------------------------------------------------
 
     async def perform(self, task: str, work: Callable[[HeldLease], Awaitable[None]]) -> None:
-        """Does the work whenever the task is held; one that fails lets another claimant have it."""
-        claim = self.claim(task)
+        """Does the work whenever the task is held; where it fails, another proposer may have the task."""
+        proposer = self.propose(task)
         while True:
-            while not claim.holding:
-                await self.changed[task].wait()
-            hold, failed = HeldLease(self, claim), ""
-            self.report.say("lease", f"{task}: held here, number {hold.number}")
-            self.working.add(task)
-            with anyio.CancelScope() as scope:
-                async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self._watch, hold, task, scope)
-                    try:
-                        await work(hold)
-                    except* Exception as group:
-                        error = group.exceptions[0]
-                        failed = f"{type(error).__name__}: {error}"
-                    tasks.cancel_scope.cancel()
-            self.working.discard(task)
-            if not failed and not hold.held():  # the end of a lease ended it, which may yet be renewed
-                await anyio.sleep(self.terms.act / 1e6)
-            elif claim.holding and claim.number == hold.number:
-                self.report.say("lease", f"{task}: {failed or 'done here'}; given up")
-                self.perform_all(claim, claim.failed(self.steady()))
-
-    async def _watch(self, hold: HeldLease, task: str, scope: anyio.CancelScope) -> None:
-        while hold.claim.holding and hold.claim.number == hold.number:
-            await self.changed[task].wait()
+            while not proposer.is_holder:
+                await self._holder_changed[task].wait()
+            lease = HeldLease(self, proposer)
+            self.report.say("lease", f"{task}: held here, number {lease.fencing_token}")
+            self._working.add(task)
+            failure = await self._work(task, lease, work)
+            self._working.discard(task)
+            if not failure and not lease.may_act():
+                # The lease ended the work, and may yet be renewed.  To count that as a failure doubled the
+                # pause each time, and left the task without a holder for several leases.
+                await anyio.sleep(self.terms.max_action_time / MICROSECONDS_PER_SECOND)
+            elif lease.is_current:
+                self.report.say("lease", f"{task}: {failure or 'done here'}; given up")
+                self.carry_out(proposer, proposer.task_failed(self.steady()))
+
+    async def _work(self, task: str, lease: HeldLease, work: Callable[[HeldLease], Awaitable[None]]) -> str:
+        """Runs the work until it ends or the lease is lost; returns why it failed, or nothing."""
+        failure = ""
+        with anyio.CancelScope() as scope:
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(self._cancel_once_lost, task, lease, scope)
+                try:
+                    await work(lease)
+                except* Exception as group:
+                    error = group.exceptions[0]
+                    failure = f"{type(error).__name__}: {error}"
+                tasks.cancel_scope.cancel()
+        return failure
+
+    async def _cancel_once_lost(self, task: str, lease: HeldLease, scope: anyio.CancelScope) -> None:
+        while lease.is_current:
+            await self._holder_changed[task].wait()
         scope.cancel()
 
     async def release(self, tasks: Iterable[str] = ()) -> None:
-        """Gives up tasks, all where none is named, and sees that it is said: once what is done has ended."""
-        asks, tasks = [], list(tasks or self.claims)
-        for task in tasks:
-            claim = self.claims[task]
-            asks += self._settle(claim, claim.release(self.steady()))
-        with anyio.move_on_after(self.terms.length / 1e6, shield=True) as waited:  # then it is over anyway
-            while self.working.intersection(tasks):
-                await anyio.sleep(0.001)
-        if not waited.cancelled_caught:
-            self._say(asks)
-        with anyio.move_on_after(LAST_WORDS, shield=True):
-            while any(each.out for each in self.lines):
-                await anyio.sleep(0.005)
-
-    # -- words ---------------------------------------------------------------------------------------------
-
-    def linked(self) -> None:
-        """A keeper can be asked: one that holds nothing asks at once."""
+        """Gives tasks up, and sees that acceptors hear of it once the work on them has ended.
+
+        :param tasks: all where none is named.
+        """
+        released = list(tasks or self.proposers)
+        to_send: list[SendToAcceptors] = []
+        for task in released:
+            proposer = self.proposers[task]
+            to_send += self._apply(proposer, proposer.release(self.steady()))
+        # after a lease's time it is over anyway
+        lease_time = self.terms.ttl / MICROSECONDS_PER_SECOND
+        with anyio.move_on_after(lease_time, shield=True) as wait_for_work:
+            while self._working.intersection(released):
+                await anyio.sleep(WORK_END_POLL)
+        if not wait_for_work.cancelled_caught:
+            self._send(to_send)
+        with anyio.move_on_after(FAREWELL_TIMEOUT, shield=True):
+            while any(acceptor.outgoing.lines for acceptor in self._acceptors):
+                await anyio.sleep(FAREWELL_POLL)
+
+    # -- messages ------------------------------------------------------------------------------------------
+
+    def connected(self) -> None:
+        """An acceptor can be asked: a proposer that holds nothing and heard nothing asks soon."""
         now = self.steady()
-        for claim in self.claims.values():
-            if not claim.holding and claim.round and not claim.answered:
-                claim.due = min(claim.due, now + self.terms.every // 4)
-        self.due.set()
-
-    def heard(self, keeper: str, said: messages.FromAcceptor) -> None:
+        for proposer in self.proposers.values():
+            if not proposer.is_holder and proposer.round and not proposer.answered_by:
+                soon = now + self.terms.renewal_interval // FIRST_REQUEST_DIVISOR
+                proposer.next_request_at = min(proposer.next_request_at, soon)
+        self._wake.set()
+
+    def handle(self, acceptor: str, message: messages.FromAcceptor) -> None:
+        """Takes a message of an acceptor in."""
         now = self.steady()
-        match said:
-            case messages.VoteReplies(answers, refused):
-                for answer in answers:
-                    claim = self.claims.get(answer.task)
-                    if claim and answer.keeper == keeper:
-                        self.perform_all(claim, claim.answer(answer, now))
-                for task, refusal in refused.items():
-                    if claim := self.claims.get(task):
-                        claim.refuse(f"{keeper}: {refusal.place}: {refusal.reason}; {refusal.remedy}", now)
-                        self.report.say("lease", f"{task}: {claim.refused}")
+        match message:
+            case messages.VoteReplies():
+                self._handle_replies(acceptor, message, now)
             case messages.VoteAvailable(task):
-                if claim := self.claims.get(task):
-                    claim.freed(now)
+                if proposer := self.proposers.get(task):
+                    proposer.vote_available(now)
             case messages.MessageRejected(reason, remedy):
-                self.report.say("lease", f"keeper {keeper} can't read this: {reason}; {remedy}")
-        self.due.set()
-
-    def perform_all(self, claim: Proposer, effects: list[Effect]) -> None:
-        self._say(self._settle(claim, effects))
-
-    def _settle(self, claim: Proposer, effects: list[Effect]) -> list[SendToAcceptors]:
-        """What is held has changed, where it has: whoever works is told before any word goes out."""
-        asks = []
+                self.report.say("lease", f"keeper {acceptor} can't read this: {reason}; {remedy}")
+        self._wake.set()
+
+    def _handle_replies(self, acceptor: str, message: messages.VoteReplies, now: int) -> None:
+        for reply in message.replies:
+            proposer = self.proposers.get(reply.task)
+            if proposer and reply.acceptor == acceptor:
+                self.carry_out(proposer, proposer.handle_reply(reply, now))
+        for task, refusal in message.refused.items():
+            if proposer := self.proposers.get(task):
+                reason = f"{acceptor}: {refusal.field}: {refusal.reason}; {refusal.remedy}"
+                proposer.refused(reason, now)
+                self.report.say("lease", f"{task}: {reason}")
+
+    def carry_out(self, proposer: Proposer, effects: Sequence[Effect]) -> None:
+        """Carries out what a proposer has decided."""
+        self._send(self._apply(proposer, effects))
+
+    def _apply(self, proposer: Proposer, effects: Sequence[Effect]) -> list[SendToAcceptors]:
+        """Tells the work of a lease that was acquired or lost, before any message about it goes out.
+
+        :returns: what is to be sent.
+        """
+        to_send = []
         for effect in effects:
             match effect:
                 case SendToAcceptors():
-                    asks.append(effect)
-                case LeaseAcquired() | LeaseLost():
-                    if isinstance(effect, LeaseLost):
-                        self.report.say("lease", f"{claim.task}: held no more: {effect.why}")
-                    self.changed[claim.task].set()
-                    self.changed[claim.task] = anyio.Event()
-        self.due.set()
-        return asks
-
-    def _say(self, asks: list[SendToAcceptors]) -> None:
-        frees = tuple(each.said for each in asks if isinstance(each.said, VoteRelease))
-        votes = tuple(each.said for each in asks if not isinstance(each.said, VoteRelease))
-        for each in self.lines:
-            if frees:
-                each.tell(encode_line(messages.VoteReleases(frees)), False)
-            if votes:
-                each.tell(encode_line(messages.VoteRequests(votes)), True)
+                    to_send.append(effect)
+                case LeaseAcquired():
+                    self._notify_work(proposer.task)
+                case LeaseLost(reason):
+                    self.report.say("lease", f"{proposer.task}: held no more: {reason}")
+                    self._notify_work(proposer.task)
+        self._wake.set()
+        return to_send
+
+    def _notify_work(self, task: str) -> None:
+        self._holder_changed[task].set()
+        self._holder_changed[task] = anyio.Event()
+
+    def _send(self, to_send: Sequence[SendToAcceptors]) -> None:
+        """Sends releases first, then requests, each kind in one line to every acceptor."""
+        sent = [effect.message for effect in to_send]
+        releases = tuple(message for message in sent if isinstance(message, VoteRelease))
+        requests = tuple(message for message in sent if isinstance(message, VoteRequest))
+        for acceptor in self._acceptors:
+            if releases:
+                acceptor.send(encode_line(messages.VoteReleases(releases)), expects_reply=False)
+            if requests:
+                acceptor.send(encode_line(messages.VoteRequests(requests)), expects_reply=True)
--- a/quartzrouter/lease_service/plan_terms.py
+++ b/quartzrouter/lease_service/plan_terms.py
@@ -1,20 +1,29 @@
-"""The terms of leases, and where keepers listen, as a plan tells them."""
+"""The terms of leases, and where acceptors listen, as the configuration says: it calls them keepers."""
 
 from quartzrouter.config.model import Plan
 from quartzrouter.configuration_section import parse_address
 from quartzrouter.leases.terms import LeaseTerms
 
+Addresses = dict[str, tuple[str, int]]  # of acceptors, by name
 
-class LeasesNotConfigured(ValueError):
-    """A plan that names no keepers, or not this one or this task."""
 
+class LeasesNotConfiguredError(ValueError):
+    """A configuration that names no acceptors, or not this one, or not this task."""
 
-def terms(plan: Plan) -> tuple[LeaseTerms, dict[str, tuple[str, int]]]:
-    """Raises Untold."""
-    told = plan.leases
-    if not told:
-        raise LeasesNotConfigured("the plan names no keepers: give it `leases`")
-    addresses = {name: parse_address(at, f"leases.keepers.{name}") for name, at in told["keepers"].items()}
-    tasks = tuple((name, tuple(task["prefer"])) for name, task in sorted(told["tasks"].items()))
-    names = tuple(sorted(addresses))
-    return LeaseTerms(names, told["version"], told["length"], told["drift"], tasks), addresses
+
+def lease_terms(plan: Plan) -> tuple[LeaseTerms, Addresses]:
+    """Returns the terms, and where each acceptor listens.
+
+    :raises LeasesNotConfiguredError: where the configuration has no `leases`.
+    """
+    settings = plan.leases
+    if not settings:
+        raise LeasesNotConfiguredError("the plan names no keepers: give it `leases`")
+    addresses = {
+        name: parse_address(address, f"leases.keepers.{name}")
+        for name, address in settings["keepers"].items()
+    }
+    tasks = tuple((name, tuple(task["prefer"])) for name, task in sorted(settings["tasks"].items()))
+    acceptors = tuple(sorted(addresses))
+    terms = LeaseTerms(acceptors, settings["version"], settings["length"], settings["drift"], tasks)
+    return terms, addresses
--- a/quartzrouter/lease_service/queries.py
+++ b/quartzrouter/lease_service/queries.py
@@ -1,43 +1,50 @@
-"""One question to a keeper, as operators and keepers ask it."""
+"""One question to an acceptor, or to all, as operators and other acceptors ask it."""
 
 import anyio
 
+from quartzrouter.lease_service.plan_terms import Addresses
 from quartzrouter.leases import messages
 from quartzrouter.leases.terms import AcceptorStatus
-from quartzrouter.purge_log.line_connection import connect, read_lines
+from quartzrouter.purge_log.line_connection import connect, describe, read_lines
 from quartzrouter.purges.messages import MalformedMessage, encode_line
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 
-ANSWER_WITHIN = 1.0  # s
+ANSWER_TIMEOUT = 1.0  # s
 
 
 async def ask(
-    address: tuple[str, int], within: float = ANSWER_WITHIN, said: messages.ToAcceptor | None = None
+    address: tuple[str, int],
+    timeout: float = ANSWER_TIMEOUT,
+    message: messages.ToAcceptor | None = None,
 ) -> AcceptorStatus | str:
-    """How a keeper stands, or why that isn't known."""
+    """Returns the status of an acceptor, or why it isn't known.
+
+    :param timeout: seconds.
+    :param message: what to send; a query for the status where it is None.
+    """
     try:
-        with anyio.fail_after(within):
+        with anyio.fail_after(timeout):
             async with await connect(address) as stream:
-                await stream.send(encode_line(said or messages.StatusQuery()))
-                async for heard in read_lines(stream):
-                    answer = messages.decode_from_acceptor(heard)
+                await stream.send(encode_line(message or messages.StatusQuery()))
+                async for line in read_lines(stream):
+                    answer = messages.decode_from_acceptor(line)
                     if isinstance(answer, messages.StatusReply):
-                        return answer.keeps
+                        return answer.status
         return "it hung up"
-    except (*CONNECTION_LOST, TimeoutError, MalformedMessage, messages.MalformedMessage) as error:
-        return str(error) or type(error).__name__
+    except (*CONNECTION_LOST, TimeoutError, MalformedMessage, messages.MalformedMessageError) as error:
+        return describe(error)
 
 
 async def ask_all(
-    addresses: dict[str, tuple[str, int]], said: messages.ToAcceptor | None = None
+    addresses: Addresses, message: messages.ToAcceptor | None = None
 ) -> dict[str, AcceptorStatus | str]:
-    """All at once, by name."""
-    found: dict[str, AcceptorStatus | str] = {}
+    """Asks all acceptors at once; returns their answers by name, in the order of the addresses."""
+    answers: dict[str, AcceptorStatus | str] = {}
 
-    async def one(name: str) -> None:
-        found[name] = await ask(addresses[name], said=said)
+    async def ask_one(name: str) -> None:
+        answers[name] = await ask(addresses[name], message=message)
 
     async with anyio.create_task_group() as tasks:
         for name in addresses:
-            tasks.start_soon(one, name)
-    return {name: found[name] for name in addresses}
+            tasks.start_soon(ask_one, name)
+    return {name: answers[name] for name in addresses}
--- a/quartzrouter/lease_service/server.py
+++ b/quartzrouter/lease_service/server.py
@@ -1,29 +1,38 @@
-"""A keeper's process: votes for claimants over their connections, and keeps numbers on its disk."""
+"""The process of one acceptor: connections of proposers, its tokens on disk, its terms at SIGHUP."""
 
 import signal
 from collections.abc import Callable
 
 import anyio
+from anyio.streams.memory import MemoryObjectSendStream
 
+from quartzrouter.lease_service.plan_terms import Addresses
 from quartzrouter.lease_service.queries import ask_all
 from quartzrouter.lease_service.token_storage import TokenStorage
 from quartzrouter.leases import messages
 from quartzrouter.leases.acceptor import Acceptor
 from quartzrouter.leases.terms import AcceptorStatus, LeaseTerms, VoteRefusal
-from quartzrouter.purge_log.line_connection import read_lines
+from quartzrouter.purge_log.line_connection import CONNECTION_ENDED, ConnectionGuard, read_lines
 from quartzrouter.purges.messages import MalformedMessage, encode_line
-from quartzrouter.server.attempt_failure import CONNECTION_LOST
 from quartzrouter.server.clock import steady_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-CONNECTIONS_MOST = 4_096
-ANSWERS_MOST = 64  # lines on their way to one claimant; beyond, it is given up: it takes nothing
-WRITE_WITHIN = 2.0  # s
+MAX_CONNECTIONS = 4_096
+MAX_QUEUED_REPLIES = 64  # lines for a proposer that takes nothing: then its connection ends
+WRITE_TIMEOUT = 2.0  # s for a line
+MICROSECONDS_PER_SECOND = 1e6
+MAX_LOGGED_NAME = 60  # characters
+
+ReplyQueue = MemoryObjectSendStream[messages.FromAcceptor]
+# reads the terms, and where all acceptors listen, as the configuration has them now
+TermsReader = Callable[[], tuple[LeaseTerms, Addresses]]
 
 
 class LeaseServer:
-    """:param numbers: on the disk; None: it has none, and hears numbers anew after each start.
-    :param steady: reads the monotonic clock, us.
+    """One acceptor and its connections.
+
+    :param storage: its fencing tokens on disk; None: it has none, and learns them again after each start.
+    :param steady: reads the monotonic clock, in microseconds.
     """
 
     def __init__(
@@ -31,154 +40,194 @@
         terms: LeaseTerms,
         name: str,
         report: RateLimitedLog,
-        numbers: TokenStorage | None = None,
+        storage: TokenStorage | None = None,
         steady: Callable[[], int] = steady_clock,
     ):
-        self.report, self.numbers, self.steady = report, numbers, steady
-        self.keeper = Acceptor(terms, name, steady(), numbers.found if numbers else None)
-        self.kept = self.keeper.highest()
-        self.heard: dict[str, anyio.abc.ObjectSendStream] = {}  # by claimant: the line it asks on
-        self.disk = anyio.Lock()
-        self.connections = 0
+        self.report = report
+        self.storage = storage
+        self.steady = steady
+        self.acceptor = Acceptor(terms, name, steady(), storage.found if storage else None)
+        self._stored_tokens = self.acceptor.highest_tokens()
+        self._reply_queues: dict[str, ReplyQueue] = {}  # by proposer: of the connection that it asks on
+        self._disk = anyio.Lock()
+        self._guard = ConnectionGuard(MAX_CONNECTIONS, report, (*CONNECTION_ENDED, anyio.WouldBlock))
 
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
-        if self.connections >= CONNECTIONS_MOST:
-            await anyio.aclose_forcefully(stream)
-            return
-        self.connections += 1
-        try:
-            async with stream:
-                await self._serve(stream)
-        except* (*CONNECTION_LOST, TimeoutError, anyio.WouldBlock):
-            pass
-        except* Exception as group:  # a fault of ours ends at its connection
-            self.report.say("fault", "; ".join(f"{type(e).__name__}: {e}" for e in group.exceptions))
-        finally:
-            self.connections -= 1
+        """Serves one connection until it ends."""
+        await self._guard.serve(stream, self._serve)
 
     async def _serve(self, stream: anyio.abc.ByteStream) -> None:
-        give, take = anyio.create_memory_object_stream(ANSWERS_MOST)
+        queue, replies = anyio.create_memory_object_stream[messages.FromAcceptor](MAX_QUEUED_REPLIES)
 
-        async def write() -> None:
-            async for said in take:
-                with anyio.fail_after(WRITE_WITHIN):
-                    await stream.send(encode_line(said))
+        async def write_replies() -> None:
+            async for reply in replies:
+                with anyio.fail_after(WRITE_TIMEOUT):
+                    await stream.send(encode_line(reply))
 
-        names: set[str] = set()
-        async with anyio.create_task_group() as tasks, give:
-            tasks.start_soon(write)
+        proposers: set[str] = set()
+        async with anyio.create_task_group() as tasks, queue:
+            tasks.start_soon(write_replies)
             try:
-                async for heard in read_lines(stream):
-                    if answer := await self._hear(messages.decode_to_acceptor(heard), give, names):
-                        give.send_nowait(answer)
-            except (messages.MalformedMessage, MalformedMessage) as error:
-                give.send_nowait(messages.MessageRejected(str(error), "see docs/leases.md for what is said"))
+                async for line in read_lines(stream):
+                    reply = await self._handle(messages.decode_to_acceptor(line), queue, proposers)
+                    if reply is not None:
+                        queue.send_nowait(reply)
+            except (messages.MalformedMessageError, MalformedMessage) as error:
+                queue.send_nowait(messages.MessageRejected(str(error), "see docs/leases.md for what is said"))
             finally:
-                for name in names:
-                    if self.heard.get(name) is give:
-                        del self.heard[name]
-
-    async def _hear(self, said: messages.ToAcceptor, give, names: set[str]) -> messages.FromAcceptor | None:
-        if isinstance(said, messages.StatusQuery):
-            return messages.StatusReply(self.keeper.told(self.steady()))
-        if isinstance(said, messages.RevokeHolder):
-            if holder := self.keeper.shun(said.task, self.steady()):
-                self.report.say("lease", f"{said.task:.60}: an operator takes it from {holder}")
-            return messages.StatusReply(self.keeper.told(self.steady()))
-        if isinstance(said, messages.VoteReleases):
-            for free in said.frees[: messages.VOTES_MOST]:
-                for name in self.keeper.free(free, self.steady()):
-                    self._tell(name, free.task)
-            return None
-        answers, refused = [], {}
-        for vote in said.votes[: messages.VOTES_MOST]:
-            given = self.keeper.vote(vote, self.steady())
-            if isinstance(given, VoteRefusal):
-                refused[vote.task[:60]] = given
-                self.report.say("lease", f"{vote.name:.60}: {given.place}: {given.reason}")
+                self._forget_queue(queue, proposers)
+
+    def _forget_queue(self, queue: ReplyQueue, proposers: set[str]) -> None:
+        for proposer in proposers:
+            if self._reply_queues.get(proposer) is queue:
+                del self._reply_queues[proposer]
+
+    async def _handle(
+        self, message: messages.ToAcceptor, queue: ReplyQueue, proposers: set[str]
+    ) -> messages.FromAcceptor | None:
+        """Obeys one message; returns the reply to it, where it has one.
+
+        :param queue: of the connection that it came on.
+        :param proposers: those that have asked on this connection; added to.
+        """
+        match message:
+            case messages.StatusQuery():
+                return messages.StatusReply(self.acceptor.status(self.steady()))
+            case messages.RevokeHolder(task):
+                return self._revoke(task)
+            case messages.VoteReleases(releases):
+                for release in releases[: messages.MAX_VOTE_REQUESTS]:
+                    for proposer in self.acceptor.release(release, self.steady()):
+                        self._notify(proposer, release.task)
+                return None
+            case messages.VoteRequests():
+                return await self._vote(message, queue, proposers)
+
+    def _revoke(self, task: str) -> messages.StatusReply:
+        holder = self.acceptor.revoke(task, self.steady())
+        if holder:
+            self.report.say("lease", f"{task[:MAX_LOGGED_NAME]}: an operator takes it from {holder}")
+        return messages.StatusReply(self.acceptor.status(self.steady()))
+
+    async def _vote(
+        self, message: messages.VoteRequests, queue: ReplyQueue, proposers: set[str]
+    ) -> messages.VoteReplies:
+        replies = []
+        refused: dict[str, VoteRefusal] = {}
+        for request in message.requests[: messages.MAX_VOTE_REQUESTS]:
+            reply = self.acceptor.vote(request, self.steady())
+            if isinstance(reply, VoteRefusal):
+                refused[request.task[:MAX_LOGGED_NAME]] = reply
+                proposer = request.proposer[:MAX_LOGGED_NAME]
+                self.report.say("lease", f"{proposer}: {reply.field}: {reply.reason}")
                 continue
-            answers.append(given)
-            names.add(vote.name)
-            self.heard[vote.name] = give
-        if not await self._keep():
-            answers = []  # what isn't kept isn't said: the votes run out by themselves
-        return messages.VoteReplies(tuple(answers), refused)
-
-    def _tell(self, name: str, task: str) -> None:
-        if (line_of := self.heard.get(name)) is not None:
-            try:
-                line_of.send_nowait(messages.VoteAvailable(task))
-            except (anyio.WouldBlock, anyio.ClosedResourceError, anyio.BrokenResourceError):
-                del self.heard[name]
+            replies.append(reply)
+            proposers.add(request.proposer)
+            self._reply_queues[request.proposer] = queue
+        if not await self._store_tokens():
+            replies = []  # a vote that isn't on the disk isn't given: it expires by itself
+        return messages.VoteReplies(tuple(replies), refused)
+
+    def _notify(self, proposer: str, task: str) -> None:
+        queue = self._reply_queues.get(proposer)
+        if queue is None:
+            return
+        try:
+            queue.send_nowait(messages.VoteAvailable(task))
+        except (anyio.WouldBlock, anyio.ClosedResourceError, anyio.BrokenResourceError):
+            del self._reply_queues[proposer]
 
-    async def _keep(self) -> bool:
-        """Numbers that have risen are on the disk before they are spoken of."""
-        if self.numbers is None:
+    async def _store_tokens(self) -> bool:
+        """Puts fencing tokens that have risen on the disk.
+
+        Guards against a token that is given twice: an acceptor that forgot it in a restart would vote for
+        another proposer under the same one.
+
+        :returns: whether all tokens are on the disk, or there is none.
+        """
+        if self.storage is None:
             return True
-        async with self.disk:
-            now = self.keeper.highest()
-            if now == self.kept:
+        async with self._disk:
+            tokens = self.acceptor.highest_tokens()
+            if tokens == self._stored_tokens:
                 return True
             try:
-                await anyio.to_thread.run_sync(self.numbers.write, now)
+                await anyio.to_thread.run_sync(self.storage.write, tokens)
             except OSError as error:
-                self.report.say("lease", f"no votes: {self.numbers.path}: {error.strerror or error}")
+                self.report.say("lease", f"no votes: {self.storage.path}: {error.strerror or error}")
                 return False
-            self.kept = now
+            self._stored_tokens = tokens
             return True
 
-    async def replace(self, terms: LeaseTerms, addresses: dict[str, tuple[str, int]]) -> VoteRefusal | None:
-        """The plan was read anew; gives why it isn't followed."""
-        others = {name: at for name, at in addresses.items() if name != self.keeper.name}
-        found = await ask_all(others)
-        versions = {name: said.version for name, said in found.items() if isinstance(said, AcceptorStatus)}
-        return self.keeper.next(terms, versions, self.steady())
-
+    async def change_terms(self, terms: LeaseTerms, addresses: Addresses) -> VoteRefusal | None:
+        """Goes by terms that were read anew.
 
-Told = Callable[[], tuple[LeaseTerms, dict[str, tuple[str, int]]]]
+        :param addresses: of the acceptors of the current and the new list.
+        :returns: why they aren't followed; None where they are.
+        """
+        others = {name: address for name, address in addresses.items() if name != self.acceptor.name}
+        answers = await ask_all(others)
+        versions = {
+            name: answer.version for name, answer in answers.items() if isinstance(answer, AcceptorStatus)
+        }
+        return self.acceptor.change_terms(terms, versions)
 
 
-async def serve(
-    name: str,
-    read: Told,
-    report: RateLimitedLog,
-    numbers: TokenStorage | None = None,
-    steady: Callable[[], int] = steady_clock,
-) -> None:
-    """Keeps until SIGTERM; reads the plan anew at SIGHUP.  Raises OSError, ValueError before it votes.
+class TermsReloader:
+    """Reads the terms again at SIGHUP.
 
-    :param read: the terms and where all keepers listen, as the plan has them now; raises ValueError.
+    :param addresses: of acceptors, by the terms until now.
     """
-    terms, addresses = read()
-    service = LeaseServer(terms, name, report, numbers, steady)
-    where = dict(addresses)
 
-    async def reread() -> None:
+    def __init__(self, server: LeaseServer, read: TermsReader, addresses: Addresses):
+        self._server = server
+        self._read = read
+        self._addresses = addresses
+
+    async def reload(self) -> None:
+        """Reads the configuration; one that can't be used changes nothing and costs a line."""
+        report = self._server.report
         try:
-            terms, addresses = await anyio.to_thread.run_sync(read)
+            terms, addresses = await anyio.to_thread.run_sync(self._read)
         except (ValueError, OSError) as error:
             report.say("lease", f"SIGHUP: nothing changes: {error}")
             return
-        refused = await service.replace(terms, where | addresses)
-        if refused:
-            place, reason, remedy = refused
-            report.say("lease", f"SIGHUP: nothing changes: {place}: {reason}; {remedy}")
+        refusal = await self._server.change_terms(terms, self._addresses | addresses)
+        if refusal is not None:
+            cause = f"{refusal.field}: {refusal.reason}; {refusal.remedy}"
+            report.say("lease", f"SIGHUP: nothing changes: {cause}")
             return
-        where.clear()
-        where.update(addresses)
-        report.say("lease", f"SIGHUP: version {terms.version}, keepers {', '.join(terms.keepers)}")
+        self._addresses = dict(addresses)
+        report.say("lease", f"SIGHUP: version {terms.version}, keepers {', '.join(terms.acceptors)}")
 
+
+async def serve(
+    name: str,
+    read: TermsReader,
+    report: RateLimitedLog,
+    storage: TokenStorage | None = None,
+    steady: Callable[[], int] = steady_clock,
+) -> None:
+    """Runs an acceptor until SIGTERM; reads the configuration again at SIGHUP.
+
+    :param read: raises ValueError where the configuration can't be used.
+    :raises OSError: where it can't listen.
+    :raises ValueError: as `read` does, before it votes.
+    """
+    terms, addresses = read()
+    server = LeaseServer(terms, name, report, storage, steady)
+    reloader = TermsReloader(server, read, dict(addresses))
     async with anyio.create_task_group() as tasks:
         host, port = addresses[name]
         listeners = await anyio.create_tcp_listener(local_host=host, local_port=port)
-        silent = service.keeper.from_ - steady()
-        report.say("process", f"keeper {name} at {host}:{port}, votes in {silent / 1e6:.1f} s")
+        silent_for = (server.acceptor.votes_from - steady()) / MICROSECONDS_PER_SECOND
+        report.say("process", f"keeper {name} at {host}:{port}, votes in {silent_for:.1f} s")
         for listener in listeners.listeners:
-            tasks.start_soon(listener.serve, service.serve)
+            tasks.start_soon(listener.serve, server.serve)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
             async for number in received:
                 if number == signal.SIGHUP:
-                    await reread()
+                    await reloader.reload()
                     continue
                 report.say("process", f"{number.name}: stopping")
                 tasks.cancel_scope.cancel()
--- a/quartzrouter/lease_service/token_storage.py
+++ b/quartzrouter/lease_service/token_storage.py
@@ -1,4 +1,4 @@
-"""Numbers that a keeper has heard of, on its disk: written whole before it votes for a higher one."""
+"""Fencing tokens that an acceptor knows, on its disk: written whole before it votes under a higher one."""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -9,57 +9,73 @@
 from quartzrouter.leases.terms import FencingToken
 from quartzrouter.purge_log.disk import write_whole
 
-FILE = "numbers"
+FILE_NAME = "numbers"
 FORMAT = 1
-SIZE_MOST = 1 << 20  # bytes: 256 tasks take 60 KB
+MAX_FILE_BYTES = 1 << 20  # 256 tasks take 60 KB
 
 
 class StoredTokens(msgspec.Struct):
-    """:param keeper: whose it is.
-    :param sum: of the numbers as they stand in the file.
+    """The file.
+
+    :param acceptor: whose it is.
+    :param checksum: CRC-32 of the tokens as they stand in the file.
     """
 
     format: int
-    keeper: str
-    sum: int
-    numbers: msgspec.Raw
+    acceptor: str = msgspec.field(name="keeper")
+    checksum: int = msgspec.field(name="sum")
+    tokens: msgspec.Raw = msgspec.field(name="numbers")
 
 
-class ForeignFolder(ValueError):
-    """The folder is another keeper's."""
+class ForeignFolderError(ValueError):
+    """The folder is another acceptor's."""
 
 
 class TokenStorage:
-    """:param folder: made if it isn't there; raises OSError where it can't be.
-    :param say: takes a line on what was passed over.
+    """The file of one acceptor; `found` are the tokens that were there at start, by task.
+
+    :param folder: created if it isn't there.
+    :param acceptor: its name.
+    :param log: takes a line on what was passed over.
+    :raises OSError: where the folder can't be created.
+    :raises ForeignFolderError: where it is another acceptor's.
     """
 
-    def __init__(self, folder: str, keeper: str, say: Callable[[str], None]):
-        self.path, self.keeper = Path(folder) / FILE, keeper
+    def __init__(self, folder: str, acceptor: str, log: Callable[[str], None]):
+        self.path = Path(folder) / FILE_NAME
+        self.acceptor = acceptor
         self.path.parent.mkdir(parents=True, exist_ok=True)
-        self.found = self._read(say)
+        self.found = self._read(log)
 
-    def _read(self, say: Callable[[str], None]) -> dict[str, FencingToken]:
-        """Raises Foreign.  What is damaged counts as lost: holders tell their numbers again."""
+    def _read(self, log: Callable[[str], None]) -> dict[str, FencingToken]:
+        """Reads the file.  One that is damaged counts as lost: holders tell their tokens again."""
         try:
-            data = self.path.read_bytes()
-            page = msgspec.json.decode(data[:SIZE_MOST], type=StoredTokens)
-            if page.sum != crc32(page.numbers):
-                raise ValueError("its checksum is wrong")
-            if page.format != FORMAT:
-                raise ValueError(f"it is of format {page.format}, this program reads {FORMAT}")
-            numbers = msgspec.json.decode(page.numbers, type=dict[str, FencingToken])
+            stored = self._decode(self.path.read_bytes())
+            tokens = msgspec.json.decode(stored.tokens, type=dict[str, FencingToken])
         except FileNotFoundError:
             return {}
         except (ValueError, msgspec.DecodeError, UnicodeDecodeError) as error:
-            say(f"{self.path}: {error}; its numbers are heard anew from holders")
+            log(f"{self.path}: {error}; its numbers are heard anew from holders")
             return {}
-        if page.keeper != self.keeper:
-            raise ForeignFolder(f"{self.path} is {page.keeper}'s; give {self.keeper} a folder of its own")
-        return numbers
-
-    def write(self, numbers: dict[str, FencingToken]) -> None:
-        """Raises OSError; then no vote may be given that needs it."""
-        raw = msgspec.json.encode(numbers)
-        page = StoredTokens(FORMAT, self.keeper, crc32(raw), msgspec.Raw(raw))
-        write_whole(self.path, msgspec.json.encode(page))
+        if stored.acceptor != self.acceptor:
+            remedy = f"give {self.acceptor} a folder of its own"
+            raise ForeignFolderError(f"{self.path} is {stored.acceptor}'s; {remedy}")
+        return tokens
+
+    @staticmethod
+    def _decode(data: bytes) -> StoredTokens:
+        stored = msgspec.json.decode(data[:MAX_FILE_BYTES], type=StoredTokens)
+        if stored.checksum != crc32(stored.tokens):
+            raise ValueError("its checksum is wrong")
+        if stored.format != FORMAT:
+            raise ValueError(f"it is of format {stored.format}, this program reads {FORMAT}")
+        return stored
+
+    def write(self, tokens: dict[str, FencingToken]) -> None:
+        """Writes all tokens.
+
+        :raises OSError: then no vote may be given that needs them.
+        """
+        encoded = msgspec.json.encode(tokens)
+        stored = StoredTokens(FORMAT, self.acceptor, crc32(encoded), msgspec.Raw(encoded))
+        write_whole(self.path, msgspec.json.encode(stored))
--- a/quartzrouter/leases/acceptor.py
+++ b/quartzrouter/leases/acceptor.py
@@ -1,21 +1,21 @@
-"""What one keeper decides: for whom it votes, and for how long.  Alone it decides nothing.
+"""What one acceptor decides: for whom it votes, and for how long.  No I/O; alone it decides nothing.
 
-Votes are kept in memory.  A keeper that has just begun may have voted before, so it votes for nobody until
-that must be over (PaxosLease: Trencseni, Gazso and Reinhardt); numbers that it had heard of are kept on its
-disk, if it has one, and heard again from holders meanwhile.
+Votes are kept in memory.  An acceptor that has just started may have voted before, so it votes for nobody
+until that vote must have expired (PaxosLease: Trencseni, Gazso and Reinhardt).  Fencing tokens are kept on
+its disk, if it has one, and learnt again from holders meanwhile.
 """
 
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
 from quartzrouter.leases.terms import (
-    NAME_MOST,
-    NUMBER_MOST,
-    TASKS_MOST,
+    MAX_FENCING_TOKEN,
+    MAX_NAME_LENGTH,
+    MAX_TASKS,
+    MICROSECONDS_PER_SECOND,
     AcceptorStatus,
     FencingToken,
     LeaseTerms,
-    S,
     VoteRefusal,
     VoteRelease,
     VoteReply,
@@ -23,182 +23,263 @@
     VoteStatus,
 )
 
-WAITING_MOST = 64  # claimants of a task that were turned away and are told when it is free, oldest first
-WAITS_FOR = 30 * S  # us for which one that was turned away counts as waiting
-SHUNNED_LEASES = 3  # for which a holder is left out that an operator has taken a task from
-TOLD_AT_ONCE = 2  # of them, when it gets free: more would all ask, and one gets it
-REFUSED_KINDS = 8  # fields by which words that are not obeyed are counted
+MAX_WAITING = 64  # proposers of a task that were turned away and hear when its vote is free, oldest first
+WAITING_EXPIRES_AFTER = (
+    30 * MICROSECONDS_PER_SECOND
+)  # us for which one that was turned away counts as waiting
+REVOCATION_LEASES = 3  # for which a holder gets no vote after an operator has revoked its lease
+MAX_NOTIFIED = 2  # of those that wait, when a vote is released: more would all ask, and one gets it
+MAX_REFUSAL_FIELDS = 8  # fields by which refused requests are counted
 
 
 @dataclass(slots=True)
 class TaskVote:
-    """A keeper's vote for one task.
+    """An acceptor's vote for one task.
 
-    :param highest: number that it has voted for, or that a holder has told, and `by` whose it was.
+    :param highest_token: the highest fencing token that it has voted for, or that a holder has told.
+    :param highest_token_owner: whose that was: proposer and process token.
+    :param revoked_holder: a holder that an operator wants gone, until `revoked_until`.
+    :param waiting: by proposer, when it was last turned away.
     """
 
-    name: str = ""
-    token: str = ""
-    number: int = 0
-    until: int = 0
-    since: int = 0
-    highest: int = 0
-    by: tuple[str, str] = ("", "")
-    shunned: str = ""  # a holder that an operator wants gone, until a time
-    shunned_until: int = 0
-    waiting: OrderedDict[str, int] = field(default_factory=OrderedDict)  # when last turned away, by name
+    proposer: str = ""
+    process_token: str = ""
+    fencing_token: int = 0
+    expires_at: int = 0
+    granted_at: int = 0
+    highest_token: int = 0
+    highest_token_owner: tuple[str, str] = ("", "")
+    revoked_holder: str = ""
+    revoked_until: int = 0
+    waiting: OrderedDict[str, int] = field(default_factory=OrderedDict)
+
+    @property
+    def owner(self) -> tuple[str, str]:
+        """Proposer and process token that the vote is for."""
+        return self.proposer, self.process_token
 
 
 class Acceptor:
-    """:param name: its own, of the list.
-    :param now: us of its monotonic clock, at which it begins; so are all times.
-    :param highest: by task, numbers found on its disk, and whose they were: name and token.
+    """One acceptor.
+
+    :param name: its own, of the list in the terms.
+    :param now: microseconds of its monotonic clock at which it starts; so are all times.
+    :param highest_tokens: by task, fencing tokens found on its disk.
     """
 
     def __init__(
-        self, terms: LeaseTerms, name: str, now: int, highest: dict[str, FencingToken] | None = None
+        self, terms: LeaseTerms, name: str, now: int, highest_tokens: dict[str, FencingToken] | None = None
     ):
-        self.terms, self.name = terms, name
-        self.from_ = terms.silent(now)
-        self.ballots: dict[str, TaskVote] = {}
-        self.refused: dict[str, int] = {}
-        for task, found in (highest or {}).items():
-            self.ballots[task] = TaskVote(highest=found.number, by=(found.name, found.token))
-
-    def vote(self, said: VoteRequest, now: int) -> VoteReply | VoteRefusal:
-        """Votes for whoever asks, unless it has voted for somebody else."""
-        if found := self._refusal(said):
-            self._count(found)
-            return found
-        ballot = self.ballots.setdefault(said.task, TaskVote())
-        asker = (said.name, said.token)
-        taken = ballot.until > now and (ballot.name, ballot.token) != asker
-        low = said.number < ballot.highest or (said.number == ballot.highest and ballot.by != asker)
-        shunned = ballot.shunned == said.name and now < ballot.shunned_until
-        no = taken or low or shunned or now < self.from_
-        if not low and (said.holds or not no):
-            ballot.highest, ballot.by = said.number, asker
-        if no:
-            until = ballot.shunned_until if shunned else self.from_
-            return self._turned_away(ballot, said, taken, until, now)
-        if (ballot.name, ballot.token, ballot.number) != (*asker, said.number) or ballot.until <= now:
-            ballot.since = now
-        (ballot.name, ballot.token), ballot.number = asker, said.number
-        ballot.until = now + self.terms.length
-        ballot.waiting.pop(said.name, None)
-        return VoteReply(said.task, self.name, said.token, said.round, True, ballot.highest)
-
-    def _turned_away(
-        self, ballot: TaskVote, said: VoteRequest, taken: bool, until: int, now: int
+        self.terms = terms
+        self.name = name
+        self.votes_from = terms.votes_from(now)
+        self.votes: dict[str, TaskVote] = {}
+        self.refusals_by_field: dict[str, int] = {}
+        for task, token in (highest_tokens or {}).items():
+            owner = (token.proposer, token.process_token)
+            self.votes[task] = TaskVote(highest_token=token.number, highest_token_owner=owner)
+
+    # -- voting --------------------------------------------------------------------------------------------
+
+    def vote(self, request: VoteRequest, now: int) -> VoteReply | VoteRefusal:
+        """Votes for the proposer that asks, unless it has voted for another.
+
+        :returns: a refusal where the request can't be obeyed whatever the votes are.
+        """
+        refusal = self._refusal(request)
+        if refusal is not None:
+            self._count(refusal)
+            return refusal
+        vote = self.votes.setdefault(request.task, TaskVote())
+        proposer = (request.proposer, request.process_token)
+        is_taken = vote.expires_at > now and vote.owner != proposer
+        is_outdated = _is_outdated(vote, request)
+        is_revoked = vote.revoked_holder == request.proposer and now < vote.revoked_until
+        is_denied = is_taken or is_outdated or is_revoked or now < self.votes_from
+        if not is_outdated and (request.is_holder or not is_denied):
+            vote.highest_token = request.fencing_token
+            vote.highest_token_owner = proposer
+        if is_denied:
+            free_at = vote.revoked_until if is_revoked else self.votes_from
+            return self._turn_away(vote, request, is_taken, free_at, now)
+        self._grant(vote, request, now)
+        return VoteReply(
+            request.task, self.name, request.process_token, request.round, True, vote.highest_token
+        )
+
+    def _grant(self, vote: TaskVote, request: VoteRequest, now: int) -> None:
+        proposer = (request.proposer, request.process_token)
+        is_renewal = (*vote.owner, vote.fencing_token) == (*proposer, request.fencing_token)
+        if not is_renewal or vote.expires_at <= now:
+            vote.granted_at = now
+        vote.proposer, vote.process_token = proposer
+        vote.fencing_token = request.fencing_token
+        vote.expires_at = now + self.terms.ttl
+        vote.waiting.pop(request.proposer, None)
+
+    def _turn_away(
+        self, vote: TaskVote, request: VoteRequest, is_taken: bool, free_at: int, now: int
     ) -> VoteReply:
-        left = ballot.until - now if taken else max(0, until - now)
-        if taken:
-            ballot.waiting[said.name] = now
-            while len(ballot.waiting) > WAITING_MOST:
-                ballot.waiting.popitem(last=False)
-        holder = ballot.name if taken else ""
-        return VoteReply(said.task, self.name, said.token, said.round, False, ballot.highest, left, holder)
-
-    def _refusal(self, said: VoteRequest) -> VoteRefusal | None:
-        if said.figures != self.terms.figures:
+        time_left = vote.expires_at - now if is_taken else max(0, free_at - now)
+        if is_taken:
+            vote.waiting[request.proposer] = now
+            while len(vote.waiting) > MAX_WAITING:
+                vote.waiting.popitem(last=False)
+        return VoteReply(
+            request.task,
+            self.name,
+            request.process_token,
+            request.round,
+            False,
+            vote.highest_token,
+            time_left,
+            vote.proposer if is_taken else "",
+        )
+
+    def _refusal(self, request: VoteRequest) -> VoteRefusal | None:
+        if request.terms_checksum != self.terms.checksum:
             return VoteRefusal(
                 "figures",
                 f"{self.name} goes by version {self.terms.version} of the keepers",
                 "give keepers and claimants the same plan",
             )
-        for place, word in (("task", said.task), ("name", said.name), ("token", said.token)):
-            if not 0 < len(word) <= NAME_MOST:
-                return VoteRefusal(place, f"{word!r:.60} is no name", "mend the sender")
-        if said.task not in dict(self.terms.tasks):
+        names = (("task", request.task), ("name", request.proposer), ("token", request.process_token))
+        for name_of_field, name in names:
+            if not 0 < len(name) <= MAX_NAME_LENGTH:
+                return VoteRefusal(name_of_field, f"{name!r:.60} is no name", "mend the sender")
+        if request.task not in dict(self.terms.tasks):
             return VoteRefusal(
-                "task", f"there is no task {said.task!r:.60}", "name it in the plan's `leases`"
+                "task", f"there is no task {request.task!r:.60}", "name it in the plan's `leases`"
             )
-        if not 0 < said.number <= NUMBER_MOST or not 0 < said.round <= NUMBER_MOST:
-            return VoteRefusal("number", f"{said.number} is out of range", "mend the sender")
+        numbers_fit = (
+            0 < request.fencing_token <= MAX_FENCING_TOKEN and 0 < request.round <= MAX_FENCING_TOKEN
+        )
+        if not numbers_fit:
+            return VoteRefusal("number", f"{request.fencing_token} is out of range", "mend the sender")
         return None
 
     def _count(self, refusal: VoteRefusal) -> None:
-        if refusal.place in self.refused or len(self.refused) < REFUSED_KINDS:
-            self.refused[refusal.place] = self.refused.get(refusal.place, 0) + 1
+        if refusal.field in self.refusals_by_field or len(self.refusals_by_field) < MAX_REFUSAL_FIELDS:
+            self.refusals_by_field[refusal.field] = self.refusals_by_field.get(refusal.field, 0) + 1
+
+    # -- giving votes back ---------------------------------------------------------------------------------
 
-    def free(self, said: VoteRelease, now: int) -> tuple[str, ...]:
-        """Takes a vote back from whoever gives it up; names those to be told, who were turned away first."""
-        ballot = self.ballots.get(said.task)
-        if ballot is None or (ballot.name, ballot.token) != (said.name, said.token):
+    def release(self, request: VoteRelease, now: int) -> tuple[str, ...]:
+        """Takes a vote back from the proposer that gives it up.
+
+        Guards against a delayed release that undoes a later lease of the same process: it names an older
+        fencing token.
+
+        :returns: proposers to be told, those that were turned away first; none where nothing was released.
+        """
+        vote = self.votes.get(request.task)
+        if vote is None or vote.owner != (request.proposer, request.process_token):
             return ()
-        if said.number < ballot.number or ballot.until <= now:  # a late word on an earlier lease
+        if request.fencing_token < vote.fencing_token or vote.expires_at <= now:
             return ()
-        ballot.until = now
-        for name in [name for name, at in ballot.waiting.items() if now - at > WAITS_FOR]:
-            del ballot.waiting[name]
-        told = tuple(ballot.waiting)[:TOLD_AT_ONCE]
-        for name in told:
-            del ballot.waiting[name]
-        return told
-
-    def shun(self, task: str, now: int) -> str:
-        """Votes for others first; names the holder whose votes run out now."""
-        ballot = self.ballots.get(task)
-        if ballot is None or ballot.until <= now:
+        vote.expires_at = now
+        expired = [name for name, since in vote.waiting.items() if now - since > WAITING_EXPIRES_AFTER]
+        for name in expired:
+            del vote.waiting[name]
+        notified = tuple(vote.waiting)[:MAX_NOTIFIED]
+        for name in notified:
+            del vote.waiting[name]
+        return notified
+
+    def revoke(self, task: str, now: int) -> str:
+        """Votes for other proposers first, for some leases.
+
+        :returns: the holder whose votes run out now; empty where there is none.
+        """
+        vote = self.votes.get(task)
+        if vote is None or vote.expires_at <= now:
             return ""
-        ballot.shunned, ballot.shunned_until = ballot.name, now + SHUNNED_LEASES * self.terms.length
-        return ballot.name
+        vote.revoked_holder = vote.proposer
+        vote.revoked_until = now + REVOCATION_LEASES * self.terms.ttl
+        return vote.proposer
+
+    # -- membership ----------------------------------------------------------------------------------------
 
-    def next(self, terms: LeaseTerms, others: dict[str, int], now: int) -> VoteRefusal | None:
-        """Goes by another list of keepers, or says why it doesn't.
+    def change_terms(self, terms: LeaseTerms, versions: dict[str, int]) -> VoteRefusal | None:
+        """Goes by another list of acceptors, if that is safe.
 
-        :param others: by name, the version that each keeper of the list until now says it goes by.
+        Guards against two majorities that share no acceptor: lists one acceptor apart always do, lists two
+        apart needn't, so no acceptor goes on to the next list before all others have the one before.
+
+        :param versions: by name, the version that each other acceptor of the current list says it goes by.
+        :returns: why the terms stay as they are; None where they have changed.
         """
-        before, after = set(self.terms.keepers), set(terms.keepers)
-        gone, come = before - after, after - before
-        if self.name not in terms.keepers:
+        current, proposed = set(self.terms.acceptors), set(terms.acceptors)
+        removed, added = current - proposed, proposed - current
+        changes = len(removed) + len(added)
+        if self.name not in terms.acceptors:
             return VoteRefusal("keepers", f"{self.name} is not among them", "stop it: its votes run out")
-        if (terms.length, terms.drift) != (self.terms.length, self.terms.drift):
+        if (terms.ttl, terms.max_clock_drift) != (self.terms.ttl, self.terms.max_clock_drift):
             remedy = "stop all keepers and claimants, then start them with it"
             return VoteRefusal("length", "length and drift can't change in service", remedy)
-        if not gone and not come and terms.version == self.terms.version:
+        if changes == 0 and terms.version == self.terms.version:
             self.terms = terms
             return None
-        if terms.version != self.terms.version + 1 or len(gone) + len(come) > 1:
+        if terms.version != self.terms.version + 1 or changes > 1:
             return VoteRefusal(
                 "keepers",
-                f"version {terms.version} with {len(gone) + len(come)} changes after {self.terms.version}",
+                f"version {terms.version} with {changes} changes after {self.terms.version}",
                 "change one keeper at a time, and count the version up by one",
             )
-        late = [name for name in self.terms.keepers if name != self.name and name not in gone]
-        late = [name for name in late if others.get(name, 0) < self.terms.version]
-        if late:
+        behind = self._acceptors_behind(removed, versions)
+        if behind:
             return VoteRefusal(
                 "keepers",
-                f"{', '.join(late)} may not have version {self.terms.version} yet",
+                f"{', '.join(behind)} may not have version {self.terms.version} yet",
                 "see that each keeper runs and has read it, then send SIGHUP again",
             )
         self.terms = terms
         return None
 
-    def highest(self) -> dict[str, FencingToken]:
-        """By task: what is to be on the disk before an answer is given that has raised it."""
+    def _acceptors_behind(self, removed: set[str], versions: dict[str, int]) -> list[str]:
+        """Acceptors that stay and may not have the current list yet."""
+        others = [name for name in self.terms.acceptors if name != self.name and name not in removed]
+        return [name for name in others if versions.get(name, 0) < self.terms.version]
+
+    # -- what it tells -------------------------------------------------------------------------------------
+
+    def highest_tokens(self) -> dict[str, FencingToken]:
+        """By task: what has to be on the disk before a reply goes out that has raised it."""
         return {
-            task: FencingToken(each.highest, *each.by) for task, each in self.ballots.items() if each.highest
+            task: FencingToken(vote.highest_token, *vote.highest_token_owner)
+            for task, vote in self.votes.items()
+            if vote.highest_token
         }
 
-    def told(self, now: int) -> AcceptorStatus:
-        votes = []
-        for task, ballot in list(self.ballots.items())[:TASKS_MOST]:
-            held = ballot.until > now
-            waiting = tuple(name for name, at in ballot.waiting.items() if now - at <= WAITS_FOR)
-            votes.append(
-                VoteStatus(
-                    task,
-                    ballot.name if held else "",
-                    ballot.token if held else "",
-                    ballot.highest,
-                    now - ballot.since if held else 0,
-                    ballot.until - now if held else 0,
-                    waiting,
-                )
-            )
-        refused = sum(self.refused.values())
-        silent = max(0, self.from_ - now)
-        terms = self.terms
-        return AcceptorStatus(self.name, terms.version, terms.figures, silent, refused, tuple(votes))
+    def status(self, now: int) -> AcceptorStatus:
+        """What operators and other acceptors are told."""
+        votes = tuple(
+            self._vote_status(task, vote, now) for task, vote in list(self.votes.items())[:MAX_TASKS]
+        )
+        refused = sum(self.refusals_by_field.values())
+        silent_for = max(0, self.votes_from - now)
+        return AcceptorStatus(self.name, self.terms.version, self.terms.checksum, silent_for, refused, votes)
+
+    @staticmethod
+    def _vote_status(task: str, vote: TaskVote, now: int) -> VoteStatus:
+        is_held = vote.expires_at > now
+        waiting = tuple(name for name, since in vote.waiting.items() if now - since <= WAITING_EXPIRES_AFTER)
+        return VoteStatus(
+            task,
+            vote.proposer if is_held else "",
+            vote.process_token if is_held else "",
+            vote.highest_token,
+            now - vote.granted_at if is_held else 0,
+            vote.expires_at - now if is_held else 0,
+            waiting,
+        )
+
+
+def _is_outdated(vote: TaskVote, request: VoteRequest) -> bool:
+    """Whether a request is under a fencing token at or below one that was another proposer's.
+
+    Guards against an action that falls behind: whoever is acted on has seen the higher token.
+    """
+    if request.fencing_token == vote.highest_token:
+        return vote.highest_token_owner != (request.proposer, request.process_token)
+    return request.fencing_token < vote.highest_token
--- a/quartzrouter/leases/handle.py
+++ b/quartzrouter/leases/handle.py
@@ -1,4 +1,4 @@
-"""What a process that does a task sees of its lease, whoever speaks to the keepers for it."""
+"""What a process that does a fleet-wide task sees of its lease, whoever speaks to the acceptors for it."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -7,33 +7,42 @@
 
 
 class LeaseHandle(Protocol):
-    """A task that is held.
+    """A lease that is held.
 
-    :param number: of this lease, to be shown to whoever is acted on.
+    :param fencing_token: of this lease, to be shown to whoever is acted on.
     """
 
-    number: int
+    fencing_token: int
 
-    def held(self) -> bool:
-        """Whether an act may begin; read right before each."""
+    def may_act(self) -> bool:
+        """Whether an action may start; read right before each."""
         ...
 
-    def passed(self, number: int) -> None:
-        """Whoever was acted on has seen a higher number."""
+    def superseded(self, fencing_token: int) -> None:
+        """Whoever was acted on has seen that higher fencing token."""
         ...
 
 
 class LeaseClient(Protocol):
-    """:param steady: reads the monotonic clock by which leases end, us."""
+    """The leases of one process.
+
+    :param steady: reads the monotonic clock by which leases end, in microseconds.
+    """
 
     steady: Callable[[], int]
 
-    def claim(self, task: str) -> Proposer: ...
-    async def run(self) -> None: ...
+    def propose(self, task: str) -> Proposer:
+        """Wants a task from now on."""
+        ...
+
+    async def run(self) -> None:
+        """Requests votes until it is cancelled."""
+        ...
+
     async def perform(self, task: str, work: Callable[[LeaseHandle], Awaitable[None]]) -> None:
-        """Does the work whenever the task is held, and cancels it when it is lost."""
+        """Does the work whenever the task is held, and cancels it when the lease is lost."""
         ...
 
     async def release(self) -> None:
-        """Gives up all tasks, once what is done has ended."""
+        """Gives up all tasks, once their work has ended."""
         ...
--- a/quartzrouter/leases/messages.py
+++ b/quartzrouter/leases/messages.py
@@ -1,34 +1,39 @@
-"""What is said between claimants and keepers: one JSON object a line, told apart by `say`."""
+"""The messages between proposers and acceptors: one JSON object a line, told apart by `say`.
+
+Tags and field names are part of the protocol: a field that has another name here keeps its name there.
+"""
+
+from typing import Any
 
 import msgspec
 
 from quartzrouter.leases.terms import AcceptorStatus, VoteRefusal, VoteRelease, VoteReply, VoteRequest
 
-VOTES_MOST = 256  # asks in one line: all tasks of a process
-LINE_MOST = 1 << 17  # bytes: that many, and names of 64 characters
+MAX_VOTE_REQUESTS = 256  # in one line: all tasks of a process
+MAX_LINE_BYTES = 1 << 17  # so many requests, and names of 64 characters
 
 
-class MalformedMessage(ValueError):
-    """A line that no claimant or keeper of this version writes."""
+class MalformedMessageError(ValueError):
+    """A line that no proposer or acceptor of this version writes."""
 
 
-# -- to a keeper -------------------------------------------------------------------------------------------
+# -- to an acceptor ----------------------------------------------------------------------------------------
 
 
 class VoteRequests(msgspec.Struct, tag_field="say", tag="votes"):
-    """Vote for these, please."""
+    """Requests for votes, one a task."""
 
-    votes: tuple[VoteRequest, ...]
+    requests: tuple[VoteRequest, ...] = msgspec.field(name="votes")
 
 
 class VoteReleases(msgspec.Struct, tag_field="say", tag="frees"):
-    """These are given up."""
+    """Votes that are given back."""
 
-    frees: tuple[VoteRelease, ...]
+    releases: tuple[VoteRelease, ...] = msgspec.field(name="frees")
 
 
 class StatusQuery(msgspec.Struct, tag_field="say", tag="keeps"):
-    """For whom have you voted?"""
+    """Asks for whom the acceptor has voted."""
 
 
 class RevokeHolder(msgspec.Struct, tag_field="say", tag="shun"):
@@ -39,29 +44,29 @@
 
 ToAcceptor = VoteRequests | VoteReleases | StatusQuery | RevokeHolder
 
-# -- from a keeper -----------------------------------------------------------------------------------------
+# -- from an acceptor --------------------------------------------------------------------------------------
 
 
 class VoteReplies(msgspec.Struct, tag_field="say", tag="answers", omit_defaults=True):
-    """The answer to one line of asks.
+    """The reply to one line of requests.
 
-    :param refused: those not obeyed, by their tasks.
+    :param refused: requests not obeyed, by their tasks.
     """
 
-    answers: tuple[VoteReply, ...]
+    replies: tuple[VoteReply, ...] = msgspec.field(name="answers")
     refused: dict[str, VoteRefusal] = {}
 
 
 class VoteAvailable(msgspec.Struct, tag_field="say", tag="free"):
-    """The vote for a task, for which the hearer was turned away, is free."""
+    """The vote for a task, for which the receiver was turned away, is free."""
 
     task: str
 
 
 class StatusReply(msgspec.Struct, tag_field="say", tag="kept"):
-    """How a keeper stands."""
+    """How an acceptor stands."""
 
-    keeps: AcceptorStatus
+    status: AcceptorStatus = msgspec.field(name="keeps")
 
 
 class MessageRejected(msgspec.Struct, tag_field="say", tag="unheard"):
@@ -73,20 +78,28 @@
 
 FromAcceptor = VoteReplies | VoteAvailable | StatusReply | MessageRejected
 
-_to_keeper = msgspec.json.Decoder(ToAcceptor)
-_from_keeper = msgspec.json.Decoder(FromAcceptor)
+_to_acceptor = msgspec.json.Decoder(ToAcceptor)
+_from_acceptor = msgspec.json.Decoder(FromAcceptor)
+
 
+def decode_to_acceptor(line: bytes) -> ToAcceptor:
+    """Decodes a line that a proposer sent.
+
+    :raises MalformedMessageError: where it can't be read.
+    """
+    return _decode(_to_acceptor, line)
 
-def decode_to_acceptor(data: bytes) -> ToAcceptor:
-    return _read(_to_keeper, data)
 
+def decode_from_acceptor(line: bytes) -> FromAcceptor:
+    """Decodes a line that an acceptor sent.
 
-def decode_from_acceptor(data: bytes) -> FromAcceptor:
-    return _read(_from_keeper, data)
+    :raises MalformedMessageError: where it can't be read.
+    """
+    return _decode(_from_acceptor, line)
 
 
-def _read(decoder: msgspec.json.Decoder, data: bytes):
+def _decode(decoder: msgspec.json.Decoder, line: bytes) -> Any:
     try:
-        return decoder.decode(data)
+        return decoder.decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise MalformedMessage(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
--- a/quartzrouter/leases/proposer.py
+++ b/quartzrouter/leases/proposer.py
@@ -1,37 +1,40 @@
-"""What one claimant of one task decides: when to ask, whether it holds the lease, when to let go.
+"""What one proposer of one task decides: when to request votes, whether it holds the lease, when to let go.
 
-A round is one ask to all keepers.  The lease runs from the moment before the round was asked, so no late
-answer lengthens it; only answers to the last round count, so none that was doubled or swapped counts twice.
+A round is one request to all acceptors.  The lease counts from the moment before the round was requested, so
+no late reply lengthens it; only replies to the last round count, so none that was duplicated or reordered
+counts twice.  No I/O.
 """
 
 import zlib
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from quartzrouter.leases.terms import NUMBER_MOST, LeaseTerms, VoteRelease, VoteReply, VoteRequest
+from quartzrouter.leases.terms import MAX_FENCING_TOKEN, LeaseTerms, VoteRelease, VoteReply, VoteRequest
 
-SPREAD = 4  # rounds that found no majority are followed by a draw of up to a quarter of a lease
-YIELD = 2  # of a lease, for which one that isn't preferred leaves a free task to those that are
-FAILED_MOST = 6  # doublings of the pause of one that fails at its task
-REFUSED_PAUSE = 1_000_000  # us until a keeper that refused a word is asked again
+NEVER = 1 << 62  # us
+JITTER_DIVISOR = 4  # rounds without a majority are followed by a draw of up to a quarter of a lease
+PREFERENCE_DIVISOR = 2  # half a lease, for which others leave a free task to those that are preferred
+MAX_FAILURES = 6  # doublings of the pause of a proposer whose task fails
+REFUSAL_PAUSE = 1_000_000  # us until an acceptor that refused a request is asked again
+NOTIFICATION_DIVISOR = 8  # of that half a lease, after which those not preferred ask for a released vote
 
 
 class SendToAcceptors(NamedTuple):
-    """Effect: say this to every keeper."""
+    """Effect: send this to every acceptor."""
 
-    said: VoteRequest | VoteRelease
+    message: VoteRequest | VoteRelease
 
 
 class LeaseAcquired(NamedTuple):
-    """Effect: the task is held, under that number."""
+    """Effect: the task is held, under that fencing token."""
 
-    number: int
+    fencing_token: int
 
 
 class LeaseLost(NamedTuple):
     """Effect: the task is held no more."""
 
-    why: str
+    reason: str
 
 
 Effect = SendToAcceptors | LeaseAcquired | LeaseLost
@@ -39,185 +42,222 @@
 
 @dataclass
 class Proposer:
-    """:param name: of the claimant, and `token` of its process.
-    :param now: us of its monotonic clock; so are all times.
+    """One proposer of one task.
+
+    :param name: of the proposer, and `process_token` of its process.
+    :param now: microseconds of its monotonic clock; so are all times.
+
+    The other fields are its state: `highest_token_seen` is the highest fencing token that it has heard of,
+    `granted_by` and `answered_by` are acceptors of the current round, `refusals_by_holder` counts those that
+    have voted for another proposer.
     """
 
     terms: LeaseTerms
     task: str
     name: str
-    token: str
+    process_token: str
     now: int
-    wanted: bool = True
+    is_wanted: bool = True
     round: int = 0
-    asked: int = 0  # when the last round was
-    number: int = 0  # under which it asks
-    floor: int = 0  # the highest that it has heard of
-    until: int = 0  # of the lease
-    holding: bool = False
-    since: int = 0  # when it was gained
-    given: set[str] = field(default_factory=set)  # keepers that said yes in this round
-    answered: set[str] = field(default_factory=set)
-    against: dict[str, int] = field(default_factory=dict)  # keepers that said no, by holder
-    due: int = 0  # when to ask next
-    left: int = 0  # until when somebody else is said to hold it
+    requested_at: int = 0  # the last round
+    fencing_token: int = 0  # under which it asks
+    highest_token_seen: int = 0
+    lease_ends_at: int = 0
+    is_holder: bool = False
+    acquired_at: int = 0
+    granted_by: set[str] = field(default_factory=set)
+    answered_by: set[str] = field(default_factory=set)
+    refusals_by_holder: dict[str, int] = field(default_factory=dict)
+    next_request_at: int = 0
+    held_by_other_until: int = 0
     holder: str = ""
     failures: int = 0
-    refused: str = ""  # why words were not obeyed
-    draws: int = 0
+    refusal: str = ""  # why a request was not obeyed
+    draws: int = 0  # chance draws so far
 
     def __post_init__(self) -> None:
-        self.due = self.now + self._draw(self.terms.length // SPREAD) + self._yields()
+        self.next_request_at = self.now + self._jitter() + self._preference_delay()
 
     # -- holding -------------------------------------------------------------------------------------------
 
-    def held(self, now: int) -> bool:
-        """Whether an act may begin now.
+    def may_act(self, now: int) -> bool:
+        """Whether an action may start now.
+
+        Guards against a holder that was stopped and wakes behind the end of its lease.
 
-        :param now: us, read right before the act: whoever was stopped may wake behind the lease's end.
+        :param now: microseconds, read right before the action.
         """
-        return self.holding and now + self.terms.act < self.until
+        return self.is_holder and now + self.terms.max_action_time < self.lease_ends_at
 
     # -- time ----------------------------------------------------------------------------------------------
 
-    def tick(self, now: int, wall: int) -> list[Effect]:
-        """What is due: an end that has come, the next round.
+    def tick(self, now: int, wall_clock: int) -> list[Effect]:
+        """Does what is due: the end of the lease, the next round.
 
-        :param wall: ms of the wall clock.
+        :param wall_clock: milliseconds.
         """
         effects: list[Effect] = []
-        if self.holding and now + self.terms.act >= self.until:
-            effects += self._lost("no majority of keepers has answered in time", now)
-        if self.wanted and now >= self.due:
-            effects += self._ask(now, wall)
+        if self.is_holder and not self.may_act(now):
+            effects += self._lose("no majority of keepers has answered in time", now)
+        if self.is_wanted and now >= self.next_request_at:
+            effects += self._request_votes(now, wall_clock)
         return effects
 
-    def wait(self, now: int) -> int:
-        """us until something is due."""
-        ends = self.until - self.terms.act if self.holding else 1 << 62
-        return max(0, min(self.due if self.wanted else 1 << 62, ends) - now)
-
-    def _ask(self, now: int, wall: int) -> list[Effect]:
-        if not self.holding:  # a number of its own each time: a late word on an earlier one undoes nothing
-            self.number = min(NUMBER_MOST, max(self.floor + 1, self.number + 1, wall))
-        self.round, self.asked = self.round + 1, now
-        self.given, self.answered, self.against = set(), set(), {}
-        self.due = now + self.terms.every
-        told = (self.name, self.token, self.round, self.number, self.terms.figures, self.holding)
-        return [SendToAcceptors(VoteRequest(self.task, *told))]
+    def time_until_due(self, now: int) -> int:
+        """Microseconds until `tick` has something to do."""
+        last_action_at = self.lease_ends_at - self.terms.max_action_time if self.is_holder else NEVER
+        next_request_at = self.next_request_at if self.is_wanted else NEVER
+        return max(0, min(next_request_at, last_action_at) - now)
+
+    def _request_votes(self, now: int, wall_clock: int) -> list[Effect]:
+        if not self.is_holder:
+            # Each attempt has a fencing token of its own, so that a late release of an earlier one undoes
+            # nothing.  The wall clock is a floor for the case that all acceptors have forgotten theirs.
+            candidate = max(self.highest_token_seen + 1, self.fencing_token + 1, wall_clock)
+            self.fencing_token = min(MAX_FENCING_TOKEN, candidate)
+        self.round += 1
+        self.requested_at = now
+        self.granted_by = set()
+        self.answered_by = set()
+        self.refusals_by_holder = {}
+        self.next_request_at = now + self.terms.renewal_interval
+        request = VoteRequest(
+            self.task,
+            self.name,
+            self.process_token,
+            self.round,
+            self.fencing_token,
+            self.terms.checksum,
+            self.is_holder,
+        )
+        return [SendToAcceptors(request)]
 
-    # -- hearing -------------------------------------------------------------------------------------------
+    # -- replies -------------------------------------------------------------------------------------------
 
-    def answer(self, said: VoteReply, now: int) -> list[Effect]:
-        """Takes a keeper's answer in.
+    def handle_reply(self, reply: VoteReply, now: int) -> list[Effect]:
+        """Takes an acceptor's reply in.
 
-        :param said: from the keeper whose connection it came on.
+        :param reply: from the acceptor whose connection it came on.
         """
-        if said.token != self.token or said.task != self.task or said.keeper not in self.terms.keepers:
+        is_ours = reply.process_token == self.process_token and reply.task == self.task
+        if not is_ours or reply.acceptor not in self.terms.acceptors:
             return []
-        if not 0 <= said.highest <= NUMBER_MOST:
+        if not 0 <= reply.highest_token <= MAX_FENCING_TOKEN:
             return []
-        self.floor = max(self.floor, said.highest)
-        if said.round != self.round or said.keeper in self.answered:
+        self.highest_token_seen = max(self.highest_token_seen, reply.highest_token)
+        if reply.round != self.round or reply.acceptor in self.answered_by:
             return []
-        self.answered.add(said.keeper)
-        if said.given:
-            self.given.add(said.keeper)
-            if len(self.given) >= self.terms.majority:
-                return self._gained(now)
+        self.answered_by.add(reply.acceptor)
+        if reply.granted:
+            self.granted_by.add(reply.acceptor)
+            if len(self.granted_by) >= self.terms.majority:
+                return self._acquire(now)
         else:
-            self.against[said.holder] = self.against.get(said.holder, 0) + 1
-        if said.left > 0 and not said.given:
-            self.left, self.holder = max(self.left, now + min(said.left, self.terms.length)), said.holder
-        return self._settled(now)
-
-    def _gained(self, now: int) -> list[Effect]:
-        until = self.terms.ends(self.asked)
-        if until <= now + self.terms.act:
-            return []  # all came too late to be of use
-        self.until, self.holder, self.left = until, self.name, 0
-        if self.holding:
-            if now - self.since >= self.terms.length:
-                self.failures = 0  # it has worked for a while
+            self._count_refusal(reply, now)
+        return self._end_hopeless_round(now)
+
+    def _count_refusal(self, reply: VoteReply, now: int) -> None:
+        self.refusals_by_holder[reply.holder] = self.refusals_by_holder.get(reply.holder, 0) + 1
+        if reply.time_left > 0:
+            time_left = min(reply.time_left, self.terms.ttl)
+            self.held_by_other_until = max(self.held_by_other_until, now + time_left)
+            self.holder = reply.holder
+
+    def _acquire(self, now: int) -> list[Effect]:
+        """A majority has granted this round: the lease begins, or goes on."""
+        lease_ends_at = self.terms.lease_end(self.requested_at)
+        if lease_ends_at <= now + self.terms.max_action_time:
+            return []  # the replies came too late to be of use
+        self.lease_ends_at = lease_ends_at
+        self.holder = self.name
+        self.held_by_other_until = 0
+        if self.is_holder:
+            if now - self.acquired_at >= self.terms.ttl:
+                self.failures = 0  # its work has gone well for a while
             return []
-        self.holding, self.since = True, now
-        return [LeaseAcquired(self.number)]
-
-    def _settled(self, now: int) -> list[Effect]:
-        """Where no majority can come any more, votes that came are given back: others may have them."""
-        no = len(self.answered) - len(self.given)
-        if self.holding or no <= len(self.terms.keepers) - self.terms.majority:
+        self.is_holder = True
+        self.acquired_at = now
+        return [LeaseAcquired(self.fencing_token)]
+
+    def _end_hopeless_round(self, now: int) -> list[Effect]:
+        """Where no majority can come any more, gives votes back: others may have them."""
+        refused = len(self.answered_by) - len(self.granted_by)
+        if self.is_holder or refused <= len(self.terms.acceptors) - self.terms.majority:
             return []
-        one = max(self.against.values(), default=0) >= self.terms.majority
-        pause = max(0, self.left - now) if one else 0  # split votes are soon given back
-        low = self.floor > self.number and not pause  # only the number was: the next is higher, at once
-        self.due = now if low else now + pause + self._pause()
-        self.left = 0
-        return (
-            [SendToAcceptors(VoteRelease(self.task, self.name, self.token, self.number))]
-            if self.given
-            else []
-        )
-
-    def _pause(self) -> int:
-        return self._draw(self.terms.length // SPREAD) + self._yields() + self._penalty()
-
-    def freed(self, now: int) -> None:
-        """A keeper tells that its vote is free: the others' soon are, too."""
-        if not self.holding and self.wanted:
-            self.due = min(self.due, now + self._yields() // 8 + self._penalty())
-
-    def refuse(self, why: str, now: int) -> None:
-        """A keeper didn't obey."""
-        self.refused = why
-        if not self.holding:
-            self.due = max(self.due, now + REFUSED_PAUSE)
+        most_refusals = max(self.refusals_by_holder.values(), default=0)
+        one_holds_it = most_refusals >= self.terms.majority  # split votes are soon given back
+        pause = max(0, self.held_by_other_until - now) if one_holds_it else 0
+        is_token_too_low = self.highest_token_seen > self.fencing_token and not pause
+        if is_token_too_low:
+            self.next_request_at = now  # under a higher one, at once
+        else:
+            penalty = self._jitter() + self._preference_delay() + self._failure_penalty()
+            self.next_request_at = now + pause + penalty
+        self.held_by_other_until = 0
+        return [SendToAcceptors(self._release_message())] if self.granted_by else []
+
+    def vote_available(self, now: int) -> None:
+        """An acceptor tells that its vote is free: those of the others soon are, too."""
+        if not self.is_holder and self.is_wanted:
+            delay = self._preference_delay() // NOTIFICATION_DIVISOR + self._failure_penalty()
+            self.next_request_at = min(self.next_request_at, now + delay)
+
+    def refused(self, reason: str, now: int) -> None:
+        """An acceptor didn't obey a request."""
+        self.refusal = reason
+        if not self.is_holder:
+            self.next_request_at = max(self.next_request_at, now + REFUSAL_PAUSE)
 
     # -- letting go ----------------------------------------------------------------------------------------
 
-    def passed(self, number: int, now: int) -> list[Effect]:
-        """Somebody that was acted on has seen a higher number: this one is over."""
-        self.floor = max(self.floor, min(number, NUMBER_MOST))
-        if not self.holding or number <= self.number:
+    def superseded(self, fencing_token: int, now: int) -> list[Effect]:
+        """Whoever was acted on has seen a higher fencing token: this lease is over."""
+        self.highest_token_seen = max(self.highest_token_seen, min(fencing_token, MAX_FENCING_TOKEN))
+        if not self.is_holder or fencing_token <= self.fencing_token:
             return []
-        return self._release("a higher number has acted", now)
+        return self._give_up("a higher number has acted", now)
 
-    def failed(self, now: int) -> list[Effect]:
-        """The task goes wrong here: another may have it, and this one waits longer each time."""
-        self.failures = min(FAILED_MOST, self.failures + 1)
-        return self._release("the task failed here", now) if self.holding else []
+    def task_failed(self, now: int) -> list[Effect]:
+        """The task fails here: another proposer may have it, and this one waits longer each time."""
+        self.failures = min(MAX_FAILURES, self.failures + 1)
+        return self._give_up("the task failed here", now) if self.is_holder else []
 
     def release(self, now: int) -> list[Effect]:
-        """The claimant is told to stop: whoever waits may have it at once."""
-        self.wanted = False
-        if self.holding:
-            return self._release("it was given up", now)
-        return (
-            [SendToAcceptors(VoteRelease(self.task, self.name, self.token, self.number))]
-            if self.given
-            else []
-        )
-
-    def _release(self, why: str, now: int) -> list[Effect]:
-        """Acts end before the word that says so."""
-        effects = self._lost(why, now)
-        return [*effects, SendToAcceptors(VoteRelease(self.task, self.name, self.token, self.number))]
-
-    def _lost(self, why: str, now: int) -> list[Effect]:
-        self.holding, self.until, self.holder, self.given = False, 0, "", set()
-        self.round += 1  # what still comes of the last round counts no more
-        self.due = now + self._draw(self.terms.length // SPREAD) + self._yields() + self._penalty()
-        return [LeaseLost(why)]
-
-    # -- chance --------------------------------------------------------------------------------------------
-
-    def _yields(self) -> int:
-        prefer = dict(self.terms.tasks).get(self.task, ())
-        return self.terms.length // YIELD if prefer and self.name not in prefer else 0
-
-    def _penalty(self) -> int:
-        return self.terms.length << (self.failures - 1) if self.failures else 0
-
-    def _draw(self, below: int) -> int:
+        """Wants the task no more: whoever waits may have it at once."""
+        self.is_wanted = False
+        if self.is_holder:
+            return self._give_up("it was given up", now)
+        return [SendToAcceptors(self._release_message())] if self.granted_by else []
+
+    def _give_up(self, reason: str, now: int) -> list[Effect]:
+        """Ends the lease first, then says so: actions end before another proposer can start."""
+        effects = self._lose(reason, now)
+        return [*effects, SendToAcceptors(self._release_message())]
+
+    def _lose(self, reason: str, now: int) -> list[Effect]:
+        self.is_holder = False
+        self.lease_ends_at = 0
+        self.holder = ""
+        self.granted_by = set()
+        self.round += 1  # replies to the last round count no more
+        penalty = self._jitter() + self._preference_delay() + self._failure_penalty()
+        self.next_request_at = now + penalty
+        return [LeaseLost(reason)]
+
+    def _release_message(self) -> VoteRelease:
+        return VoteRelease(self.task, self.name, self.process_token, self.fencing_token)
+
+    # -- delays --------------------------------------------------------------------------------------------
+
+    def _preference_delay(self) -> int:
+        preferred = dict(self.terms.tasks).get(self.task, ())
+        return self.terms.ttl // PREFERENCE_DIVISOR if preferred and self.name not in preferred else 0
+
+    def _failure_penalty(self) -> int:
+        return self.terms.ttl << (self.failures - 1) if self.failures else 0
+
+    def _jitter(self) -> int:
+        """A draw, so that proposers whose votes were split don't ask at the same time again."""
         self.draws += 1
-        return zlib.crc32(f"{self.name}/{self.token}/{self.draws}".encode()) % max(1, below)
+        draw = zlib.crc32(f"{self.name}/{self.process_token}/{self.draws}".encode())
+        return draw % max(1, self.terms.ttl // JITTER_DIVISOR)
--- a/quartzrouter/leases/status.py
+++ b/quartzrouter/leases/status.py
@@ -1,100 +1,124 @@
-"""What all keepers tell together: who holds which task, and why nobody does."""
+"""What all acceptors tell together: who holds which task, and why nobody does.  No I/O."""
 
 from collections import Counter
 from typing import NamedTuple
 
-from quartzrouter.leases.terms import AcceptorStatus, LeaseTerms, S, VoteStatus
+from quartzrouter.leases.terms import MICROSECONDS_PER_SECOND, AcceptorStatus, LeaseTerms, VoteStatus
+
+MICROSECONDS_PER_MILLISECOND = 1_000
+
+# by acceptor: its status, or why it didn't answer
+AcceptorAnswers = dict[str, AcceptorStatus | str]
+# by acceptor that answered: its vote for one task
+VotesByAcceptor = dict[str, VoteStatus | None]
 
 
 class TaskStatus(NamedTuple):
     """One task.
 
-    :param holder: nothing: no majority has voted for anybody.
-    :param since: us since it was first voted for.
-    :param left: us until its votes end, if it is heard no more.
+    :param holder: empty where no majority has voted for anybody.
+    :param votes: how many the holder has.
+    :param held_for: microseconds since it was first voted for.
+    :param time_left: microseconds until its votes expire, if it is not heard of again.
+    :param waiting: proposers that were turned away lately.
     """
 
     task: str
     holder: str
-    number: int
+    fencing_token: int
     votes: int
-    since: int
-    left: int
+    held_for: int
+    time_left: int
     waiting: tuple[str, ...]
 
 
-def held(terms: LeaseTerms, found: dict[str, AcceptorStatus | str]) -> list[TaskStatus]:
-    """:param found: what each keeper told, or why it didn't."""
-    return [_held(terms, task, _votes(found, task)) for task, _ in terms.tasks]
+def task_statuses(terms: LeaseTerms, answers: AcceptorAnswers) -> list[TaskStatus]:
+    """The status of each task."""
+    return [_task_status(terms, task, _votes(answers, task)) for task, _ in terms.tasks]
 
 
-def _votes(found: dict[str, AcceptorStatus | str], task: str) -> dict[str, VoteStatus | None]:
-    heard = {name: keeps for name, keeps in found.items() if not isinstance(keeps, str)}
+def _votes(answers: AcceptorAnswers, task: str) -> VotesByAcceptor:
+    statuses = {name: status for name, status in answers.items() if not isinstance(status, str)}
     return {
-        name: next((each for each in keeps.votes if each.task == task), None) for name, keeps in heard.items()
+        name: next((vote for vote in status.votes if vote.task == task), None)
+        for name, status in statuses.items()
     }
 
 
-def _held(terms: LeaseTerms, task: str, votes: dict[str, VoteStatus | None]) -> TaskStatus:
-    given = [each for each in votes.values() if each and each.holder]
-    waiting = tuple(sorted({name for each in votes.values() if each for name in each.waiting}))
-    number = max((each.number for each in votes.values() if each), default=0)
-    most = Counter((each.holder, each.token) for each in given).most_common(1)
-    if not most or most[0][1] < terms.majority:
-        return TaskStatus(task, "", number, most[0][1] if most else 0, 0, 0, waiting)
-    who, count = most[0]
-    of = [each for each in given if (each.holder, each.token) == who]
-    since, left = min(each.since for each in of), sorted(each.left for each in of)[-terms.majority]
-    number = max(each.number for each in of)
-    return TaskStatus(task, who[0], number, count, since, left, tuple(n for n in waiting if n != who[0]))
-
-
-def shown(view: TaskStatus) -> str:
-    waiting = f", {len(view.waiting)} wait" if view.waiting else ""
-    if not view.holder:
-        return f"{view.task:20} nobody{waiting}"
-    since = f"for {view.since / S:.1f} s"
-    return f"{view.task:20} {view.holder}, number {view.number}, {since}, {view.votes} votes{waiting}"
-
-
-def why(terms: LeaseTerms, found: dict[str, AcceptorStatus | str], task: str) -> list[str]:
-    """Who voted for whom, and what that means."""
-    votes = _votes(found, task)
-    view = _held(terms, task, votes)
-    lines = [shown(view)]
-    for name in terms.keepers:
-        said = found.get(name, "it was not asked")
-        if isinstance(said, str):
-            lines.append(f"  keeper {name}: no answer: {said}")
-            continue
-        vote = votes.get(name)
-        what = f"voted for {vote.holder}, {vote.left / 1000:.0f} ms left" if vote and vote.holder else "free"
-        if said.figures != terms.figures:
-            what += f"; goes by version {said.version}, this plan is {terms.version}"
-        if said.silent:
-            what += f"; has just begun, votes in {said.silent / S:.1f} s"
-        lines.append(f"  keeper {name}: {what}")
-    if not view.holder:
-        lines.append(f"  nobody holds it: {_cause(terms, found, votes, view)}")
+def _task_status(terms: LeaseTerms, task: str, votes: VotesByAcceptor) -> TaskStatus:
+    known = [vote for vote in votes.values() if vote]
+    given = [vote for vote in known if vote.holder]
+    waiting = tuple(sorted({name for vote in known for name in vote.waiting}))
+    most_common = Counter((vote.holder, vote.process_token) for vote in given).most_common(1)
+    holder, count = most_common[0] if most_common else (("", ""), 0)
+    if count < terms.majority:
+        highest_token = max((vote.fencing_token for vote in known), default=0)
+        return TaskStatus(task, "", highest_token, count, 0, 0, waiting)
+    of_holder = [vote for vote in given if (vote.holder, vote.process_token) == holder]
+    # the lease lasts for as long as a majority of the votes does
+    time_left = sorted(vote.time_left for vote in of_holder)[-terms.majority]
+    return TaskStatus(
+        task,
+        holder[0],
+        max(vote.fencing_token for vote in of_holder),
+        count,
+        min(vote.held_for for vote in of_holder),
+        time_left,
+        tuple(name for name in waiting if name != holder[0]),
+    )
+
+
+def describe(status: TaskStatus) -> str:
+    """One line for the terminal."""
+    waiting = f", {len(status.waiting)} wait" if status.waiting else ""
+    if not status.holder:
+        return f"{status.task:20} nobody{waiting}"
+    held_for = f"for {status.held_for / MICROSECONDS_PER_SECOND:.1f} s"
+    lease = f"{status.holder}, number {status.fencing_token}, {held_for}, {status.votes} votes"
+    return f"{status.task:20} {lease}{waiting}"
+
+
+def explain(terms: LeaseTerms, answers: AcceptorAnswers, task: str) -> list[str]:
+    """Lines that say who voted for whom, and what that means."""
+    votes = _votes(answers, task)
+    status = _task_status(terms, task, votes)
+    lines = [describe(status)]
+    for name in terms.acceptors:
+        answer = answers.get(name, "it was not asked")
+        if isinstance(answer, str):
+            lines.append(f"  keeper {name}: no answer: {answer}")
+        else:
+            lines.append(f"  keeper {name}: {_describe_vote(terms, answer, votes.get(name))}")
+    if not status.holder:
+        lines.append(f"  nobody holds it: {_cause(terms, answers, votes, status)}")
     return lines
 
 
-def _cause(
-    terms: LeaseTerms,
-    found: dict[str, AcceptorStatus | str],
-    votes: dict[str, VoteStatus | None],
-    view: TaskStatus,
-) -> str:
-    heard = [each for each in found.values() if not isinstance(each, str)]
-    if len(heard) < terms.majority:
-        return f"{len(heard)} of {len(terms.keepers)} keepers answer, {terms.majority} are needed: start them"
-    able = [each for each in heard if each.figures == terms.figures]
-    if len(able) < terms.majority:
+def _describe_vote(terms: LeaseTerms, answer: AcceptorStatus, vote: VoteStatus | None) -> str:
+    text = "free"
+    if vote and vote.holder:
+        time_left = vote.time_left / MICROSECONDS_PER_MILLISECOND
+        text = f"voted for {vote.holder}, {time_left:.0f} ms left"
+    if answer.terms_checksum != terms.checksum:
+        text += f"; goes by version {answer.version}, this plan is {terms.version}"
+    if answer.silent_for:
+        text += f"; has just begun, votes in {answer.silent_for / MICROSECONDS_PER_SECOND:.1f} s"
+    return text
+
+
+def _cause(terms: LeaseTerms, answers: AcceptorAnswers, votes: VotesByAcceptor, status: TaskStatus) -> str:
+    """Why nobody holds a task, and what to do."""
+    answered = [answer for answer in answers.values() if not isinstance(answer, str)]
+    if len(answered) < terms.majority:
+        count = f"{len(answered)} of {len(terms.acceptors)} keepers answer"
+        return f"{count}, {terms.majority} are needed: start them"
+    of_same_terms = [answer for answer in answered if answer.terms_checksum == terms.checksum]
+    if len(of_same_terms) < terms.majority:
         return "keepers go by other plans than this: send them SIGHUP with it"
-    if sum(not each.silent for each in able) < terms.majority:
+    if sum(not answer.silent_for for answer in of_same_terms) < terms.majority:
         return "keepers have just begun and vote once earlier votes must be over: wait"
     if any(vote and vote.holder for vote in votes.values()):
         return "votes are split, or a holder has gone: wait for a lease"
-    if view.waiting:
+    if status.waiting:
         return "claimants wait: wait for a lease"
     return "nobody asks for it: see that a claimant runs and reaches the keepers"
--- a/quartzrouter/model_checking/lease_model.py
+++ b/quartzrouter/model_checking/lease_model.py
@@ -72,7 +72,7 @@
 
     def start(self) -> World:
         terms = self.terms
-        keepers = [Acceptor(terms, name, 0) for name in terms.keepers]
+        keepers = [Acceptor(terms, name, 0) for name in terms.acceptors]
         names = ("a", "a") if self.bounds.same else ("a", "b")
         claimants = [
             Claimant(Proposer(terms, "t", name, f"t{n}", _slow(START))) for n, name in enumerate(names)
@@ -103,7 +103,7 @@
             if left["asks"] and not each.asked:
                 yield "ask", n, (), ""
                 yield from (("ask", n, *each) for each in odd)
-            if each.claim.held(_slow(world.now)):
+            if each.claim.may_act(_slow(world.now)):
                 if left["stops"]:
                     yield "stop", n
                 if left["acts"]:
@@ -124,15 +124,19 @@
         for n, each in enumerate(world.claimants):
             each.asked = False
             claim, now = each.claim, _slow(world.now)
-            if not each.looked and claim.holding and now + claim.terms.act >= claim.until:
-                self._do(world, n, claim._lost("", now))
+            if (
+                not each.looked
+                and claim.is_holder
+                and now + claim.terms.max_action_time >= claim.lease_ends_at
+            ):
+                self._do(world, n, claim._lose("", now))
 
     def _ask(self, world: World, n: int, odd: tuple[int, ...], way: str) -> None:
         each = world.claimants[n]
         world.left["asks"] -= 1
         world.left["faults"] -= len(odd)
         each.asked = True
-        self._do(world, n, each.claim._ask(_slow(world.now), 0), odd, way)
+        self._do(world, n, each.claim._request_votes(_slow(world.now), 0), odd, way)
 
     def _do(
         self, world: World, n: int, effects: list[Effect], odd: tuple[int, ...] = (), way: str = ""
@@ -141,26 +145,26 @@
         each = world.claimants[n]
         for effect in effects:
             if isinstance(effect, LeaseAcquired):
-                if effect.number <= world.gained and not world.lost:
-                    world.fell = f"number {effect.number} is gained after {world.gained}"
-                world.gained = max(world.gained, effect.number)
+                if effect.fencing_token <= world.gained and not world.lost:
+                    world.fell = f"number {effect.fencing_token} is gained after {world.gained}"
+                world.gained = max(world.gained, effect.fencing_token)
             if not isinstance(effect, SendToAcceptors):
                 continue
             for k in range(len(world.keepers)):
                 how = way if k in odd else ""
                 if how in ("late there", "doubled"):
-                    each.up.setdefault(k, []).append(effect.said)
+                    each.up.setdefault(k, []).append(effect.message)
                 if how != "late there":
-                    answer = self._given(world, k, effect.said)
+                    answer = self._given(world, k, effect.message)
                     if answer and how == "late back":
                         each.down.setdefault(k, []).append(answer)
                     elif answer:
-                        self._do(world, n, each.claim.answer(answer, _slow(world.now)))
+                        self._do(world, n, each.claim.handle_reply(answer, _slow(world.now)))
 
     def _given(self, world: World, k: int, said: VoteRequest | VoteRelease) -> VoteReply | None:
         keeper = world.keepers[k]
         if isinstance(said, VoteRelease):
-            keeper.free(said, _fast(world.now))
+            keeper.release(said, _fast(world.now))
             return None
         given = keeper.vote(said, _fast(world.now))
         return None if isinstance(given, VoteRefusal) else given
@@ -173,12 +177,12 @@
 
     def _hear(self, world: World, n: int, k: int) -> None:
         each = world.claimants[n]
-        self._do(world, n, each.claim.answer(each.down[k].pop(0), _slow(world.now)))
+        self._do(world, n, each.claim.handle_reply(each.down[k].pop(0), _slow(world.now)))
 
     def _fall(self, world: World, k: int) -> None:
         world.left["falls"] -= 1
         keeper = world.keepers[k]
-        world.keepers[k] = Acceptor(self.terms, keeper.name, _fast(world.now), keeper.highest())
+        world.keepers[k] = Acceptor(self.terms, keeper.name, _fast(world.now), keeper.highest_tokens())
 
     def _lose(self, world: World, k: int) -> None:
         world.left["losses"] -= 1
@@ -187,7 +191,7 @@
 
     def _stop(self, world: World, n: int) -> None:
         world.left["stops"] -= 1
-        world.claimants[n].looked = world.claimants[n].claim.number
+        world.claimants[n].looked = world.claimants[n].claim.fencing_token
 
     def _wake(self, world: World, n: int) -> None:
         each = world.claimants[n]
@@ -196,14 +200,14 @@
 
     def _act(self, world: World, n: int) -> None:
         world.left["acts"] -= 1
-        self._acted(world, n, world.claimants[n].claim.number)
+        self._acted(world, n, world.claimants[n].claim.fencing_token)
 
     def _acted(self, world: World, n: int, number: int) -> None:
         if number >= world.seen:
             world.seen = number
         elif self.checks:
             claim = world.claimants[n].claim
-            self._do(world, n, claim.passed(world.seen, _slow(world.now)))
+            self._do(world, n, claim.superseded(world.seen, _slow(world.now)))
         else:
             world.fell = f"an act of number {number} comes after one of {world.seen}"
 
@@ -212,11 +216,11 @@
         world.left["faults"] -= len(odd)
         claim = world.claimants[n].claim
         effects = claim.release(_slow(world.now))
-        claim.wanted = True  # and wants it again
+        claim.is_wanted = True  # and wants it again
         self._do(world, n, effects, odd, way)
 
     def broken(self, world: World) -> str:
-        holders = [n for n, each in enumerate(world.claimants) if each.claim.held(_slow(world.now))]
+        holders = [n for n, each in enumerate(world.claimants) if each.claim.may_act(_slow(world.now))]
         if len(holders) > 1:
             return "two claimants hold the task, and both may act"
         return world.fell
@@ -227,30 +231,32 @@
         fast, slow = _fast(world.now), _slow(world.now)
 
         def keeper(k: int, it: Acceptor) -> tuple:
-            ballot = it.ballots.get("t")
-            silent = max(0, it.from_ - fast)
-            left = max(0, ballot.until - fast) if ballot else 0
-            vote = (ballot.token, ballot.number, left) if left else ()
-            known = (ballot.highest, ballot.by) if ballot else ()
+            task_vote = it.votes.get("t")
+            silent = max(0, it.votes_from - fast)
+            left = max(0, task_vote.expires_at - fast) if task_vote else 0
+            vote = (task_vote.process_token, task_vote.fencing_token, left) if left else ()
+            known = (task_vote.highest_token, task_vote.highest_token_owner) if task_vote else ()
             return silent, vote, known, tuple(line(k, it, each) for each in world.claimants)
 
         def line(k: int, it: Acceptor, each: Claimant) -> tuple:
             """What lies between a keeper and a claimant; rounds as that one counts them."""
             claim = each.claim
             up = tuple(
-                (said.number, claim.round - said.round, said.holds)
+                (said.fencing_token, claim.round - said.round, said.is_holder)
                 if isinstance(said, VoteRequest)
-                else said.number
+                else said.fencing_token
                 for said in each.up.get(k, ())
             )
-            down = tuple((claim.round - it.round, it.given, it.highest) for it in each.down.get(k, ()))
-            return up, down, it.name in claim.given, it.name in claim.answered
+            down = tuple(
+                (claim.round - it.round, it.granted, it.highest_token) for it in each.down.get(k, ())
+            )
+            return up, down, it.name in claim.granted_by, it.name in claim.answered_by
 
         def claimant(it: Claimant) -> tuple:
             claim = it.claim
-            held = (max(0, claim.until - slow),) if claim.holding else ()
-            age = min(slow - claim.asked, 2 * LENGTH)
-            return held, claim.number, claim.floor, age, it.looked, it.asked
+            held = (max(0, claim.lease_ends_at - slow),) if claim.is_holder else ()
+            age = min(slow - claim.requested_at, 2 * LENGTH)
+            return held, claim.fencing_token, claim.highest_token_seen, age, it.looked, it.asked
 
         # keepers are alike: which of them it is tells no states apart
         keepers = sorted((keeper(k, it) for k, it in enumerate(world.keepers)), key=repr)
--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -152,7 +152,7 @@
         Guards against a courier whose lease is over and that goes on, as after a stall: it doesn't know
         what its successor has delivered. Whoever has the lease next asks the cache where it stands.
         """
-        if self.lease_handle and not self.lease_handle.held():
+        if self.lease_handle and not self.lease_handle.may_act():
             return
         sequence_number = delivery.purge.sequence_number
         self.deliveries_started += 1
@@ -166,7 +166,7 @@
             else:
                 self.queue.unreachable(wall_clock())
             if isinstance(error, CourierFencedError) and self.lease_handle:
-                self.lease_handle.passed(error.highest_token)
+                self.lease_handle.superseded(error.highest_token)
         else:
             self.queue.confirmed(sequence_number)
         self._acknowledge(wall_clock())
@@ -185,7 +185,7 @@
             ("X-Purge-Done", str(self.queue.purged_up_to)),
         ]
         if self.lease_handle:
-            headers.append(("X-Purge-Lease", str(self.lease_handle.number)))
+            headers.append(("X-Purge-Lease", str(self.lease_handle.fencing_token)))
         if purge.vhost:
             headers.append(("X-Purge-Vhost", purge.vhost))
         if purge.store:
--- a/quartzrouter/purge_log/process.py
+++ b/quartzrouter/purge_log/process.py
@@ -134,10 +134,10 @@
     """Returns a function that tells under which lease quota may be granted right now."""
     if lease_client is None:
         return lambda: WITHOUT_LEASE
-    proposer = lease_client.claim(task)
+    proposer = lease_client.propose(task)
 
     def token() -> int:
-        return proposer.number if proposer.held(lease_client.steady()) else NOT_HELD
+        return proposer.fencing_token if proposer.may_act(lease_client.steady()) else NOT_HELD
 
     return token
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -348,7 +348,7 @@
 
 
 def refused_votes() -> list[Any]:
-    keeper, figures = lease_keeper.Acceptor(LEASES, "k1", 0), LEASES.figures
+    keeper, figures = lease_keeper.Acceptor(LEASES, "k1", 0), LEASES.checksum
     return [
         keeper.vote(lease_terms.VoteRequest(*each), 9 * S)
         for each in (
@@ -383,9 +383,14 @@
 }
 
 
+def refused_field(refusal: Any) -> str:
+    """Which field of a request was at fault, as the refusal says on the wire."""
+    return refusal.field if isinstance(refusal, lease_terms.VoteRefusal) else refusal.place
+
+
 def refused(name: str) -> bytes:
     """The fields that are named, one a line."""
-    return "".join(f"{each.place}\n" for each in REFUSALS[name]()).encode()
+    return "".join(f"{refused_field(each)}\n" for each in REFUSALS[name]()).encode()
 
 
 # -- edges: what others read -------------------------------------------------------------------------------
@@ -604,11 +609,16 @@
     assert (tmp_path / "faults").read_bytes() == path.read_bytes()
 
 
+def checksum_of(terms: Any) -> int:
+    """Two parties compare it on the wire to see that they go by the same terms."""
+    return terms.checksum if isinstance(terms, lease_terms.LeaseTerms) else terms.figures
+
+
 @pytest.mark.parametrize("name", FIGURES)
 def test_terms_checksum(name):
     recorded = json.loads((GOLDEN / "checksums.json").read_bytes())
     assert set(recorded) == set(FIGURES)
-    assert FIGURES[name].figures == recorded[name]
+    assert checksum_of(FIGURES[name]) == recorded[name]
 
 
 @pytest.mark.parametrize("name", REFUSALS)
@@ -684,7 +694,7 @@
             put(f"stored/{name}", Path(made, name).read_bytes())
         fault_schedule.write(Path(made, "faults"), FAULTS)
         put("stored/faults.jsonl", Path(made, "faults").read_bytes())
-    figures = {name: terms.figures for name, terms in FIGURES.items()}
+    figures = {name: checksum_of(terms) for name, terms in FIGURES.items()}
     put("checksums.json", json.dumps(figures, indent=2).encode() + b"\n")
     for name, make in EDGES.items():
         put(f"edges/{name}", make())
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -21,11 +21,11 @@
 from quartzrouter.lease_service.client import ClusterLeaseClient
 from quartzrouter.lease_service.queries import ask_all
 from quartzrouter.lease_service.server import LeaseServer
-from quartzrouter.lease_service.token_storage import ForeignFolder, TokenStorage
+from quartzrouter.lease_service.token_storage import ForeignFolderError, TokenStorage
 from quartzrouter.leases import messages
 from quartzrouter.leases.acceptor import Acceptor
 from quartzrouter.leases.proposer import LeaseAcquired, LeaseLost, Proposer
-from quartzrouter.leases.status import held, shown, why
+from quartzrouter.leases.status import describe, explain, task_statuses
 from quartzrouter.leases.terms import (
     FencingToken,
     LeaseTerms,
@@ -48,10 +48,10 @@
 
 S = 1_000_000
 TERMS = LeaseTerms(("k0", "k1", "k2"), tasks=(("sweep", ()), ("look", ("b",))))
-LENGTH = TERMS.length
+LENGTH = TERMS.ttl
 
 
-def vote(name="a", token="t", round=1, number=1, task="sweep", figures=TERMS.figures, holds=False):
+def vote(name="a", token="t", round=1, number=1, task="sweep", figures=TERMS.checksum, holds=False):
     return VoteRequest(task, name, token, round, number, figures, holds)
 
 
@@ -64,22 +64,22 @@
 
 def test_a_keeper_votes_for_one_until_its_vote_runs_out():
     made = keeper()
-    assert made.vote(vote(), 0).given
+    assert made.vote(vote(), 0).granted
     no = made.vote(vote("b", number=5), LENGTH // 2)
-    assert not no.given and no.left == LENGTH // 2 and no.holder == "a" and no.highest == 1
-    assert made.vote(vote(round=2, holds=True), LENGTH // 2).given  # it goes on with it
-    assert not made.vote(vote("b", number=5), LENGTH).given
-    assert made.vote(vote("b", number=5), LENGTH * 3 // 2).given
-    assert not made.vote(vote(round=3, number=4), 3 * LENGTH).given  # a lower number than one it voted for
+    assert not no.granted and no.time_left == LENGTH // 2 and no.holder == "a" and no.highest_token == 1
+    assert made.vote(vote(round=2, holds=True), LENGTH // 2).granted  # it goes on with it
+    assert not made.vote(vote("b", number=5), LENGTH).granted
+    assert made.vote(vote("b", number=5), LENGTH * 3 // 2).granted
+    assert not made.vote(vote(round=3, number=4), 3 * LENGTH).granted  # a lower number than one it voted for
 
 
 def test_a_keeper_that_has_just_begun_votes_for_nobody_and_hears_numbers_of_holders():
     made = Acceptor(TERMS, "k0", 0)
     no = made.vote(vote(number=7, holds=True), LENGTH)
-    assert not no.given and 0 < no.left <= TERMS.slack(LENGTH) and no.holder == ""
-    free = TERMS.silent(0)
-    assert not made.vote(vote("b", number=7), free).given  # the number was another's
-    assert made.vote(vote("b", number=8), free).given
+    assert not no.granted and 0 < no.time_left <= TERMS.clock_slack(LENGTH) and no.holder == ""
+    free = TERMS.votes_from(0)
+    assert not made.vote(vote("b", number=7), free).granted  # the number was another's
+    assert made.vote(vote("b", number=8), free).granted
 
 
 def test_a_vote_that_is_given_up_is_free_at_once_and_a_late_word_on_it_undoes_nothing():
@@ -88,14 +88,15 @@
     for name in "bcd":
         made.vote(vote(name, number=1), 0)
     assert (
-        made.free(VoteRelease("sweep", "a", "other", 3), 1)
+        made.release(VoteRelease("sweep", "a", "other", 3), 1)
         == ()
-        == made.free(VoteRelease("sweep", "a", "t", 2), 1)
+        == made.release(VoteRelease("sweep", "a", "t", 2), 1)
     )
-    assert made.free(VoteRelease("sweep", "a", "t", 3), 1) == ("b", "c")  # few are told: one gets it
-    assert made.vote(vote("b", number=4), 2).given
+    assert made.release(VoteRelease("sweep", "a", "t", 3), 1) == ("b", "c")  # few are told: one gets it
+    assert made.vote(vote("b", number=4), 2).granted
     assert (
-        made.free(VoteRelease("sweep", "a", "t", 3), 3) == () and not made.vote(vote("c", number=9), 3).given
+        made.release(VoteRelease("sweep", "a", "t", 3), 3) == ()
+        and not made.vote(vote("c", number=9), 3).granted
     )
 
 
@@ -115,16 +116,16 @@
 def test_odd_words_are_refused_and_counted(said, place):
     made = keeper()
     found = made.vote(said, 0)
-    assert isinstance(found, VoteRefusal) and found.place == place and made.told(0).refused == 1
+    assert isinstance(found, VoteRefusal) and found.field == place and made.status(0).refused_requests == 1
 
 
 def test_an_operator_takes_a_task_from_its_holder():
     made = keeper()
     made.vote(vote(number=2), 0)
-    assert made.shun("sweep", 1) == "a" and made.shun("look", 1) == ""
-    assert not made.vote(vote(round=2, number=2, holds=True), 2).given
-    assert made.vote(vote("b", number=3), LENGTH).given
-    assert made.vote(vote(round=3, number=9), 4 * LENGTH).given  # later it may have it again
+    assert made.revoke("sweep", 1) == "a" and made.revoke("look", 1) == ""
+    assert not made.vote(vote(round=2, number=2, holds=True), 2).granted
+    assert made.vote(vote("b", number=3), LENGTH).granted
+    assert made.vote(vote(round=3, number=9), 4 * LENGTH).granted  # later it may have it again
 
 
 def test_the_list_of_keepers_changes_by_one_at_a_time():
@@ -132,15 +133,16 @@
     five = LeaseTerms(("k0", "k1", "k2", "k3", "k4"), 3, tasks=TERMS.tasks)
     all_ = {"k1": 1, "k2": 1}
     assert (
-        made.next(five._replace(version=2) if hasattr(five, "_replace") else five, all_, 0).place == "keepers"
+        made.change_terms(five._replace(version=2) if hasattr(five, "_replace") else five, all_).field
+        == "keepers"
     )
-    assert "k2 may not" in made.next(four, {"k1": 1}, 0).reason
-    assert made.next(LeaseTerms(("k1", "k2", "k3"), 2), all_, 0).reason == "k0 is not among them"
-    assert made.next(LeaseTerms(TERMS.keepers, 1, length=9), all_, 0).place == "length"
-    assert made.next(four, all_, 0) is None and made.terms == four
-    assert made.vote(vote(), 0).place == "figures"  # claimants of the old list are refused
-    assert made.next(five, {"k1": 2, "k2": 1, "k3": 2}, 0).reason.startswith("k2 may not")
-    assert made.next(five, {"k1": 2, "k2": 2, "k3": 2}, 0) is None
+    assert "k2 may not" in made.change_terms(four, {"k1": 1}).reason
+    assert made.change_terms(LeaseTerms(("k1", "k2", "k3"), 2), all_).reason == "k0 is not among them"
+    assert made.change_terms(LeaseTerms(TERMS.acceptors, 1, ttl=9), all_).field == "length"
+    assert made.change_terms(four, all_) is None and made.terms == four
+    assert made.vote(vote(), 0).field == "figures"  # claimants of the old list are refused
+    assert made.change_terms(five, {"k1": 2, "k2": 1, "k3": 2}).reason.startswith("k2 may not")
+    assert made.change_terms(five, {"k1": 2, "k2": 2, "k3": 2}) is None
 
 
 # -- claimants -----------------------------------------------------------------------------------------------
@@ -151,7 +153,7 @@
 
     def __init__(self, *names):
         self.now, self.wall = 10 * S, 1_000
-        self.keepers = [Acceptor(TERMS, name, 0) for name in TERMS.keepers]
+        self.keepers = [Acceptor(TERMS, name, 0) for name in TERMS.acceptors]
         self.claims = [Proposer(TERMS, "sweep", name, f"t-{name}", self.now) for name in names]
         self.log = []
         self.deaf = set()
@@ -164,11 +166,11 @@
             for made in self.keepers:
                 if (claim.name, made.name) in self.deaf:
                     continue
-                if isinstance(effect.said, VoteRelease):
-                    for name in made.free(effect.said, self.now):
-                        next(each for each in self.claims if each.name == name).freed(self.now)
-                elif isinstance(answer := made.vote(effect.said, self.now), VoteReply):
-                    self.do(claim, claim.answer(answer, self.now))
+                if isinstance(effect.message, VoteRelease):
+                    for name in made.release(effect.message, self.now):
+                        next(each for each in self.claims if each.name == name).vote_available(self.now)
+                elif isinstance(answer := made.vote(effect.message, self.now), VoteReply):
+                    self.do(claim, claim.handle_reply(answer, self.now))
 
     def pass_(self, time):
         until = self.now + time
@@ -178,7 +180,7 @@
                 self.do(claim, claim.tick(self.now, self.wall))
 
     def holders(self):
-        return [claim.name for claim in self.claims if claim.held(self.now)]
+        return [claim.name for claim in self.claims if claim.may_act(self.now)]
 
 
 def test_one_holds_goes_on_and_hands_over_at_once():
@@ -202,8 +204,8 @@
     three = Three("a", "b")
     three.pass_(LENGTH)
     (first,) = three.holders()
-    numbers = [claim.number for claim in three.claims if claim.name == first]
-    three.deaf = {(first, name) for name in TERMS.keepers}
+    numbers = [claim.fencing_token for claim in three.claims if claim.name == first]
+    three.deaf = {(first, name) for name in TERMS.acceptors}
     seen = []
     for _ in range(2 * LENGTH // 10_000):
         three.pass_(10_000)
@@ -211,7 +213,7 @@
     assert all(len(each) <= 1 for each in seen) and seen[0] == (first,) and seen[-1] != (first,)
     empty = seen.count(()) * 10_000
     assert LENGTH // 8 <= empty <= LENGTH * 3 // 4
-    assert next(claim.number for claim in three.claims if claim.held(three.now)) > numbers[0]
+    assert next(claim.fencing_token for claim in three.claims if claim.may_act(three.now)) > numbers[0]
 
 
 def test_a_minority_of_keepers_matters_not():
@@ -227,8 +229,8 @@
 def test_all_keepers_restarted_without_folders_grant_higher_numbers_after_a_lease():
     three = Three("a")
     three.pass_(LENGTH)
-    number = three.claims[0].number
-    three.keepers = [Acceptor(TERMS, name, three.now) for name in TERMS.keepers]
+    number = three.claims[0].fencing_token
+    three.keepers = [Acceptor(TERMS, name, three.now) for name in TERMS.acceptors]
     three.claims = [Proposer(TERMS, "sweep", "b", "t-b", three.now)]
     began = three.now
     while not three.holders():
@@ -236,10 +238,10 @@
     assert three.now - began >= LENGTH
     three.wall = 500  # and where the clock was set back, whoever is acted on says so
     claim = three.claims[0]
-    claim.number = number - 1
-    three.do(claim, claim.passed(number, three.now))
+    claim.fencing_token = number - 1
+    three.do(claim, claim.superseded(number, three.now))
     three.pass_(2 * LENGTH)
-    assert three.holders() == ["b"] and claim.number > number
+    assert three.holders() == ["b"] and claim.fencing_token > number
 
 
 def test_one_that_fails_leaves_the_task_to_another():
@@ -247,10 +249,10 @@
     three.pass_(LENGTH)
     (first,) = three.holders()
     holder = next(claim for claim in three.claims if claim.name == first)
-    three.do(holder, holder.failed(three.now))
+    three.do(holder, holder.task_failed(three.now))
     three.pass_(LENGTH)
     assert three.holders() not in ([], [first])
-    assert holder.due > three.now - LENGTH // 2 and holder.failures == 1
+    assert holder.next_request_at > three.now - LENGTH // 2 and holder.failures == 1
     other = next(claim for claim in three.claims if claim.name != first)
     three.do(other, other.release(three.now))
     three.pass_(4 * LENGTH)
@@ -258,10 +260,10 @@
 
 
 def test_the_preferred_come_first():
-    prefers = LeaseTerms(TERMS.keepers, tasks=(("sweep", ("b",)),))
+    prefers = LeaseTerms(TERMS.acceptors, tasks=(("sweep", ("b",)),))
     plain = Proposer(prefers, "sweep", "a", "t", 0)
     preferred = Proposer(prefers, "sweep", "b", "t", 0)
-    assert plain.due >= LENGTH // 2 > preferred.due
+    assert plain.next_request_at >= LENGTH // 2 > preferred.next_request_at
 
 
 def test_many_claimants_ask_a_bounded_number_of_times():
@@ -280,18 +282,18 @@
     assert found.whole and not found.broken, found.shown()
 
 
-def _old_answers(self, said, now, answer=Proposer.answer):
+def _old_answers(self, said, now, answer=Proposer.handle_reply):
     return answer(self, said._replace(round=self.round), now)
 
 
-def _frees_all(self, said, now, free=Acceptor.free):
-    ballot = self.ballots.get(said.task)
-    return free(self, said._replace(number=ballot.number) if ballot else said, now)
+def _frees_all(self, said, now, release=Acceptor.release):
+    ballot = self.votes.get(said.task)
+    return release(self, said._replace(fencing_token=ballot.fencing_token) if ballot else said, now)
 
 
 def _any_number(self, said, now, vote=Acceptor.vote):
-    if said.task in self.ballots:
-        self.ballots[said.task].highest = 0
+    if said.task in self.votes:
+        self.votes[said.task].highest_token = 0
     return vote(self, said, now)
 
 
@@ -304,15 +306,15 @@
     "a keeper votes for all": (None, ONCE),
     "a name is enough": (None, Bounds(steps=1, asks=2, faults=0, same=True)),
     "a holder looks at no clock": (
-        (Proposer, "held", lambda self, now: self.holding),
+        (Proposer, "may_act", lambda self, now: self.is_holder),
         Bounds(steps=6, asks=3, faults=0, stops=1),
     ),
     "answers to older asks count": (
-        (Proposer, "answer", _old_answers),
+        (Proposer, "handle_reply", _old_answers),
         Bounds(steps=3, asks=2, faults=2, ways=LATE),
     ),
     "a late word frees a later vote": (
-        (Acceptor, "free", _frees_all),
+        (Acceptor, "release", _frees_all),
         Bounds(steps=2, asks=4, faults=2, releases=1, ways=("late there",)),
     ),
     "a keeper takes any number": ((Acceptor, "vote", _any_number), Bounds(steps=5, asks=2, faults=0)),
@@ -353,13 +355,13 @@
         path.write_bytes(flipped)
         try:
             found = TokenStorage(str(tmp_path), "k0", said.append).found
-        except ForeignFolder:  # the name was struck
+        except ForeignFolderError:  # the name was struck
             continue
         assert found in ({}, kept)  # a flipped letter of a key that nobody reads
         taken += found == kept
     assert taken < 8
     path.write_bytes(whole)
-    with pytest.raises(ForeignFolder, match="k0's; give k1 a folder of its own"):
+    with pytest.raises(ForeignFolderError, match="k0's; give k1 a folder of its own"):
         TokenStorage(str(tmp_path), "k1", said.append)
 
 
@@ -367,18 +369,18 @@
     said = []
     numbers = TokenStorage(str(tmp_path), "k0", said.append)
     service = LeaseServer(TERMS, "k0", RateLimitedLog("k0", net.wall_clock), numbers, lambda: 100 * S)
-    service.keeper.from_ = 0
+    service.acceptor.votes_from = 0
 
     def fails(found):
         raise OSError(28, "No space left on device")
 
     async def asked():
-        return await service._hear(messages.VoteRequests((vote(),)), None, set())
+        return await service._handle(messages.VoteRequests((vote(),)), None, set())
 
     numbers.write = fails
-    assert anyio.run(asked).answers == ()
+    assert anyio.run(asked).replies == ()
     del numbers.write
-    assert anyio.run(asked).answers[0].given
+    assert anyio.run(asked).replies[0].granted
     assert TokenStorage(str(tmp_path), "k0", said.append).found["sweep"].number == 1
 
 
@@ -388,19 +390,19 @@
 class KeeperHere(Server):
     def __init__(self, name, terms):
         self.service = LeaseServer(terms, name, RateLimitedLog(name, net.wall_clock))
-        self.service.keeper.from_ = 0
+        self.service.acceptor.votes_from = 0
 
     async def serve(self, stream):
         await self.service.serve(stream)
 
 
 def over_sockets(scene, names=("a", "b"), length=600_000):
-    terms = LeaseTerms(("k0", "k1", "k2"), length=length, tasks=(("sweep", ()),))
+    terms = LeaseTerms(("k0", "k1", "k2"), ttl=length, tasks=(("sweep", ()),))
 
     async def main():
         with anyio.fail_after(30):
             async with anyio.create_task_group() as tasks:
-                keepers = {name: KeeperHere(name, terms) for name in terms.keepers}
+                keepers = {name: KeeperHere(name, terms) for name in terms.acceptors}
                 for each in keepers.values():
                     await each.start(tasks)
                 addresses = {name: ("127.0.0.1", each.port) for name, each in keepers.items()}
@@ -502,18 +504,24 @@
 
 
 def test_views_tell_holders_from_what_all_keepers_say():
-    made = {name: keeper() for name in TERMS.keepers}
+    made = {name: keeper() for name in TERMS.acceptors}
     for name, each in made.items():
         each.name = name
         each.vote(vote(number=4), 0)
         each.vote(vote("b", number=2), 1)
-    found = {name: each.told(S) for name, each in made.items()}
-    view, free = held(TERMS, found)
-    assert (view.task, view.holder, view.number, view.votes, view.waiting) == ("sweep", "a", 4, 3, ("b",))
-    assert "a, number 4" in shown(view) and free.holder == "" and "nobody" in shown(free)
-    assert "nobody asks for it" in why(TERMS, found, "look")[-1]
+    found = {name: each.status(S) for name, each in made.items()}
+    view, free = task_statuses(TERMS, found)
+    assert (view.task, view.holder, view.fencing_token, view.votes, view.waiting) == (
+        "sweep",
+        "a",
+        4,
+        3,
+        ("b",),
+    )
+    assert "a, number 4" in describe(view) and free.holder == "" and "nobody" in describe(free)
+    assert "nobody asks for it" in explain(TERMS, found, "look")[-1]
     found["k1"] = found["k2"] = "ConnectionRefusedError"
-    assert "1 of 3 keepers answer" in why(TERMS, found, "sweep")[-1]
+    assert "1 of 3 keepers answer" in explain(TERMS, found, "sweep")[-1]
 
 
 # -- processes -----------------------------------------------------------------------------------------------
@@ -636,13 +644,13 @@
     """A hold by hand."""
 
     def __init__(self, number, holds=True):
-        self.number, self.holds, self.told = number, holds, []
+        self.fencing_token, self.holds, self.told = number, holds, []
 
-    def held(self):
+    def may_act(self):
         return self.holds
 
-    def passed(self, number):
-        self.told.append(number)
+    def superseded(self, fencing_token):
+        self.told.append(fencing_token)
 
 
 def test_a_cache_refuses_a_courier_whose_lease_is_over():
@@ -706,7 +714,7 @@
 
     async def scene(tasks, keepers, claims):
         async def work(hold):
-            held_by.append(hold.number)
+            held_by.append(hold.fencing_token)
             await anyio.sleep_forever()
 
         tasks.start_soon(claims[0].perform, "sweep", work)
@@ -716,39 +724,43 @@
         await keepers["k3"].start(tasks)
         addresses = {name: ("127.0.0.1", each.port) for name, each in keepers.items()}
         keepers["k1"].stop()
-        refused = await keepers["k0"].service.replace(four, addresses)
+        refused = await keepers["k0"].service.change_terms(four, addresses)
         assert refused.reason == "k1 may not have version 1 yet"  # it can't be asked
         await keepers["k1"].start(tasks)
         for name in ("k0", "k1", "k2"):
-            assert await keepers[name].service.replace(four, addresses) is None
+            assert await keepers[name].service.change_terms(four, addresses) is None
         other = ClusterLeaseClient(four, addresses, "b", RateLimitedLog("b", net.wall_clock))
         tasks.start_soon(other.run)
         tasks.start_soon(other.perform, "sweep", work)
         while len(held_by) < 2:
             await anyio.sleep(0.01)
-        assert not claims[0].claims["sweep"].held(claims[0].steady())  # it goes by the old list
+        assert not claims[0].proposers["sweep"].may_act(claims[0].steady())  # it goes by the old list
         assert held_by[1] > held_by[0]
         seen = await ask_all(addresses)
-        assert held(four, seen)[0].holder == "b" and held(four, seen)[0].votes >= 3
+        assert task_statuses(four, seen)[0].holder == "b" and task_statuses(four, seen)[0].votes >= 3
 
     over_sockets(scene, names=("a",))
 
 
 def test_split_votes_are_given_back_and_asked_for_again_soon():
     # Each waited a whole lease for the other, who had given up as well.
-    terms = LeaseTerms(TERMS.keepers, tasks=TERMS.tasks)
+    terms = LeaseTerms(TERMS.acceptors, tasks=TERMS.tasks)
     claim = Proposer(terms, "sweep", "a", "t", 0)
-    claim._ask(0, 1)
-    told = {"task": "sweep", "token": "t", "round": 1, "highest": 1}
-    claim.answer(VoteReply(keeper="k0", given=True, **told), 1)
-    claim.answer(VoteReply(keeper="k1", given=False, left=LENGTH, holder="b", **told), 1)
-    effects = claim.answer(VoteReply(keeper="k2", given=False, left=LENGTH, holder="c", **told), 1)
-    assert isinstance(effects[0].said, VoteRelease) and claim.due <= LENGTH // 4 + 1
-    claim._ask(LENGTH, 1)
+    claim._request_votes(0, 1)
+    told = {"task": "sweep", "process_token": "t", "round": 1, "highest_token": 1}
+    claim.handle_reply(VoteReply(acceptor="k0", granted=True, **told), 1)
+    claim.handle_reply(VoteReply(acceptor="k1", granted=False, time_left=LENGTH, holder="b", **told), 1)
+    effects = claim.handle_reply(
+        VoteReply(acceptor="k2", granted=False, time_left=LENGTH, holder="c", **told), 1
+    )
+    assert isinstance(effects[0].message, VoteRelease) and claim.next_request_at <= LENGTH // 4 + 1
+    claim._request_votes(LENGTH, 1)
     for keeper_ in ("k0", "k1"):  # a majority holds with one
         told["round"] = claim.round
-        claim.answer(VoteReply(keeper=keeper_, given=False, left=LENGTH, holder="b", **told), LENGTH)
-    assert claim.due >= 2 * LENGTH
+        claim.handle_reply(
+            VoteReply(acceptor=keeper_, granted=False, time_left=LENGTH, holder="b", **told), LENGTH
+        )
+    assert claim.next_request_at >= 2 * LENGTH
 
 
 def test_work_that_ends_with_its_lease_has_not_failed():
@@ -756,13 +768,13 @@
     runs = []
 
     async def scene(tasks, keepers, claims):
-        claim = claims[0].claim("sweep")
+        claim = claims[0].propose("sweep")
 
         async def work(hold):
-            runs.append(hold.number)
+            runs.append(hold.fencing_token)
             if len(runs) == 1:
-                claim.until = claims[0].steady()  # no renewal came
-                assert not hold.held()
+                claim.lease_ends_at = claims[0].steady()  # no renewal came
+                assert not hold.may_act()
                 return
             await anyio.sleep_forever()
 
