--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 lint: build
 	.venv/bin/ruff check .
 	.venv/bin/ruff format --check .
+	.venv/bin/mypy
 
 run: build
 	$(PYTHON) -m quartzrouter
--- a/quartzrouter/lease_service/queries.py
+++ b/quartzrouter/lease_service/queries.py
@@ -6,7 +6,7 @@
 from quartzrouter.leases import messages
 from quartzrouter.leases.terms import AcceptorStatus
 from quartzrouter.purge_log.line_connection import connect, describe, read_lines
-from quartzrouter.purges.messages import MalformedMessage, encode_line
+from quartzrouter.purges.messages import MalformedMessageError, encode_line
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 
 ANSWER_TIMEOUT = 1.0  # s
@@ -31,7 +31,7 @@
                     if isinstance(answer, messages.StatusReply):
                         return answer.status
         return "it hung up"
-    except (*CONNECTION_LOST, TimeoutError, MalformedMessage, messages.MalformedMessageError) as error:
+    except (*CONNECTION_LOST, TimeoutError, MalformedMessageError, messages.MalformedMessageError) as error:
         return describe(error)
 
 
--- a/quartzrouter/lease_service/server.py
+++ b/quartzrouter/lease_service/server.py
@@ -13,7 +13,7 @@
 from quartzrouter.leases.acceptor import Acceptor
 from quartzrouter.leases.terms import AcceptorStatus, LeaseTerms, VoteRefusal
 from quartzrouter.purge_log.line_connection import CONNECTION_ENDED, ConnectionGuard, read_lines
-from quartzrouter.purges.messages import MalformedMessage, encode_line
+from quartzrouter.purges.messages import MalformedMessageError, encode_line
 from quartzrouter.server.clock import steady_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
@@ -72,7 +72,7 @@
                     reply = await self._handle(messages.decode_to_acceptor(line), queue, proposers)
                     if reply is not None:
                         queue.send_nowait(reply)
-            except (messages.MalformedMessageError, MalformedMessage) as error:
+            except (messages.MalformedMessageError, MalformedMessageError) as error:
                 queue.send_nowait(messages.MessageRejected(str(error), "see docs/leases.md for what is said"))
             finally:
                 self._forget_queue(queue, proposers)
--- a/quartzrouter/leases/messages.py
+++ b/quartzrouter/leases/messages.py
@@ -3,7 +3,7 @@
 Tags and field names are part of the protocol: a field that has another name here keeps its name there.
 """
 
-from typing import Any
+from typing import TypeVar
 
 import msgspec
 
@@ -78,8 +78,8 @@
 
 FromAcceptor = VoteReplies | VoteAvailable | StatusReply | MessageRejected
 
-_to_acceptor = msgspec.json.Decoder(ToAcceptor)
-_from_acceptor = msgspec.json.Decoder(FromAcceptor)
+_to_acceptor: msgspec.json.Decoder[ToAcceptor] = msgspec.json.Decoder(ToAcceptor)
+_from_acceptor: msgspec.json.Decoder[FromAcceptor] = msgspec.json.Decoder(FromAcceptor)
 
 
 def decode_to_acceptor(line: bytes) -> ToAcceptor:
@@ -98,7 +98,10 @@
     return _decode(_from_acceptor, line)
 
 
-def _decode(decoder: msgspec.json.Decoder, line: bytes) -> Any:
+Message = TypeVar("Message")
+
+
+def _decode(decoder: msgspec.json.Decoder[Message], line: bytes) -> Message:
     try:
         return decoder.decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/quartzrouter/purge_log/line_connection.py
+++ b/quartzrouter/purge_log/line_connection.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from quartzrouter.purges.messages import MAX_LINE_BYTES, MalformedMessage
+from quartzrouter.purges.messages import MAX_LINE_BYTES, MalformedMessageError
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
@@ -20,7 +20,7 @@
 async def read_lines(stream: anyio.abc.ByteStream) -> AsyncIterator[bytes]:
     """Yields each line without its end, until the stream ends.
 
-    :raises MalformedMessage: where a line is too long, so that a sender can't make this process hold more.
+    :raises MalformedMessageError: where a line is too long, so that a sender can't make this process hold more.
     """
     unfinished = bytearray()
     while True:
@@ -33,7 +33,7 @@
             yield bytes(line)
         unfinished = bytearray(rest)
         if len(unfinished) > MAX_LINE_BYTES:
-            raise MalformedMessage(f"a line of more than {MAX_LINE_BYTES} bytes")
+            raise MalformedMessageError(f"a line of more than {MAX_LINE_BYTES} bytes")
 
 
 async def connect(address: tuple[str, int]) -> anyio.abc.SocketStream:
--- a/quartzrouter/purge_log/query_client.py
+++ b/quartzrouter/purge_log/query_client.py
@@ -7,11 +7,11 @@
 from quartzrouter.purge_log.errors import UnreachableError
 from quartzrouter.purge_log.line_connection import CONNECTION_ENDED, connect, describe, read_lines
 from quartzrouter.purges import messages
-from quartzrouter.purges.messages import MalformedMessage
+from quartzrouter.purges.messages import MalformedMessageError
 
 ANSWER_TIMEOUT = 5.0  # s: for a disk that is slow, and for a takeover
 ROUNDS = 2  # over all addresses, until none counts as reachable
-RETRIED_ERRORS = (*CONNECTION_ENDED, MalformedMessage)
+RETRIED_ERRORS = (*CONNECTION_ENDED, MalformedMessageError)
 
 
 class QueryClient:
--- a/quartzrouter/purge_log/requests.py
+++ b/quartzrouter/purge_log/requests.py
@@ -121,7 +121,7 @@
                     if isinstance(message, MemberHello):
                         return message
                     await queue.send(self.answer(message))
-            except messages.MalformedMessage as error:
+            except messages.MalformedMessageError as error:
                 remedy = "write one JSON object a line, see docs/purges.md"
                 await queue.send(RequestRejected("line", str(error), remedy))
         return None
--- a/quartzrouter/purge_log/sessions.py
+++ b/quartzrouter/purge_log/sessions.py
@@ -126,7 +126,7 @@
         try:
             async for line in lines:
                 self._received(session, messages.decode_to_purge_log(line))
-        except messages.MalformedMessage as error:
+        except messages.MalformedMessageError as error:
             self.report.say("member", f"{session.member.name}: {error}")
 
     def _received(self, session: Session, message: messages.ToPurgeLog) -> None:
--- a/quartzrouter/purges/messages.py
+++ b/quartzrouter/purges/messages.py
@@ -59,7 +59,7 @@
     "HealthReply",
     "HealthReport",
     "Heartbeat",
-    "MalformedMessage",
+    "MalformedMessageError",
     "MemberAck",
     "MemberHello",
     "MemberKind",
@@ -102,7 +102,7 @@
 Message = TypeVar("Message")
 
 
-class MalformedMessage(PurgeError, ValueError):
+class MalformedMessageError(PurgeError, ValueError):
     """A line that no member or purge log of this version writes."""
 
 
@@ -115,7 +115,7 @@
     """Reads a message to the purge log.
 
     :param line: without its end.
-    :raises MalformedMessage: where it is none.
+    :raises MalformedMessageError: where it is none.
     """
     return _decode(_to_purge_log, line)
 
@@ -124,7 +124,7 @@
     """Reads a message from the purge log.
 
     :param line: without its end.
-    :raises MalformedMessage: where it is none.
+    :raises MalformedMessageError: where it is none.
     """
     return _decode(_from_purge_log, line)
 
@@ -133,7 +133,7 @@
     try:
         return decoder.decode(line)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise MalformedMessage(str(error)) from None
+        raise MalformedMessageError(str(error)) from None
 
 
 def first_page(purges: Sequence[Purge]) -> Sequence[Purge]:
