--- a/quartzrouter/purge_log/line_connection.py
+++ b/quartzrouter/purge_log/line_connection.py
@@ -20,7 +20,7 @@
 async def read_lines(stream: anyio.abc.ByteStream) -> AsyncIterator[bytes]:
     """Yields each line without its end, until the stream ends.
 
-    :raises MalformedMessageError: where a line is too long, so that a sender can't make this process hold more.
+    :raises MalformedMessageError: where a line is too long; so no sender makes this process hold more.
     """
     unfinished = bytearray()
     while True:
