--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -19,7 +19,7 @@
 from quartzrouter.config.request_sets import Asked, Box, Lang
 from quartzrouter.configuration import Configuration
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
-from quartzrouter.pool_routing.route_selection import vhost_name
+from quartzrouter.pool_routing.route_selection import traffic_class_name
 from quartzrouter.routing.model import AttemptResult, AttemptStatus, Endpoint, EndpointState, Request, Tier
 from quartzrouter.routing.router import Router
 
@@ -149,9 +149,13 @@
 
         def planned(n: int, now: int, force=force, count=count) -> None:
             at = n % count
-            ruling = force.select_route(Asked("s1", f"h{at}.example", f"/area/sub{at}/{n % 500}"), "10.0.0.7")
-            assert force.admit(n, ruling, now) is None
-            told = Request(n, vhost_name(ruling.route), ruling.obj, None, 0, 0.0, 3_000_000)
+            selection = force.select_route(
+                Asked("s1", f"h{at}.example", f"/area/sub{at}/{n % 500}"), "10.0.0.7"
+            )
+            assert force.admit(n, selection, now) is None
+            told = Request(
+                n, traffic_class_name(selection.route), selection.object_key, None, 0, 0.0, 3_000_000
+            )
             answer = force.route(told, now)
             force.attempt_finished(
                 n,
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -20,10 +20,10 @@
 from quartzrouter.pool_routing.rate_limits import LimitExceeded, RateLimiter
 from quartzrouter.pool_routing.route_selection import (
     RouteSelection,
-    keys,
-    repeats,
+    limit_keys,
+    retry_limits_by_route,
     select_route,
-    vhost_name,
+    traffic_class_name,
 )
 from quartzrouter.pool_routing.shared_limits import budgets, holds
 from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
@@ -109,7 +109,7 @@
         self.plan = plan
         self.matcher = Matcher(plan.routes)
         self.longest_in_flight = holds(plan)
-        self.limits_on_retries = repeats(plan)
+        self.limits_on_retries = retry_limits_by_route(plan)
         self.traffic_classes = effective_traffic_classes(plan)
 
     def _assign_routers(self, now: int) -> None:
@@ -176,10 +176,10 @@
         """
         if selection.policy.deny:
             return LimitExceeded("", self.retry_after(selection, 0))
-        wanted = self.pools.resolve_split(selection.route.pool, selection.obj, selection.client)
+        wanted = self.pools.resolve_split(selection.route.pool, selection.object_key, selection.client)
         pool = self.pools.serving(wanted, lambda name: self._count_caches(name, now), now)
-        weight = self.traffic_classes[vhost_name(selection.route)].priority_weight
-        exceeded = self.limits.admit(request_id, keys(self.plan, selection, pool), weight, now)
+        weight = self.traffic_classes[traffic_class_name(selection.route)].priority_weight
+        exceeded = self.limits.admit(request_id, limit_keys(self.plan, selection, pool), weight, now)
         if exceeded:
             return LimitExceeded(exceeded.limit, self.retry_after(selection, exceeded.come_back))
         self.selections[request_id] = selection
@@ -197,7 +197,7 @@
 
         :param requested: by the client; 0: it named no time.
         """
-        timeout = requested or selection.vhost.client_timeout
+        timeout = requested or selection.traffic_class.client_timeout
         for name in selection.route.limits if self.longest_in_flight else ():
             timeout = min(timeout, self.longest_in_flight.get(name, timeout))
         return timeout
@@ -266,13 +266,13 @@
         limits = self.limits_on_retries.get(selection.route.name) if may_retry else None
         if not limits:
             return ask(router)
-        limit_keys = keys(self.plan, selection, self.router_of[request_id].pool.name, limits)
+        keys = limit_keys(self.plan, selection, self.router_of[request_id].pool.name, limits)
         spent_before = router.retries_spent
-        router.allow_retries(self.limits.may_repeat(limit_keys, now))
+        router.allow_retries(self.limits.may_repeat(keys, now))
         answer = ask(router)
         router.allow_retries(True)
         if router.retries_spent > spent_before:
-            self.limits.repeated(limit_keys, now)
+            self.limits.repeated(keys, now)
         return answer
 
     def _apply_plan(
--- a/quartzrouter/pool_routing/policy_classes.py
+++ b/quartzrouter/pool_routing/policy_classes.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from quartzrouter.config.model import POLICY_OVERRIDES, TRAFFIC_CLASS_FIELDS, Plan
-from quartzrouter.pool_routing.route_selection import vhost_name
+from quartzrouter.pool_routing.route_selection import traffic_class_name
 from quartzrouter.routing.model import TrafficClass
 
 
@@ -19,6 +19,6 @@
         policy = plan.policies[route.policy]
         overrides = {key: getattr(policy, key) for key in POLICY_OVERRIDES}
         changes = {TRAFFIC_CLASS_FIELDS[key]: value for key, value in overrides.items() if value is not None}
-        name = vhost_name(route)
+        name = traffic_class_name(route)
         classes[name] = replace(plan.vhosts[route.vhost], name=name, **changes)
     return classes
--- a/quartzrouter/pool_routing/purge_bounds.py
+++ b/quartzrouter/pool_routing/purge_bounds.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Mapping
 
-from quartzrouter.pool_routing.route_selection import RouteSelection, marked, vhost_name
+from quartzrouter.pool_routing.route_selection import RouteSelection, purge_lookup, traffic_class_name
 from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
 from quartzrouter.routing.model import Endpoint, Forward, Tier, TrafficClass
 
@@ -26,7 +26,7 @@
 
     def applies_to(self, selection: RouteSelection) -> bool:
         """:returns: whether purges bound the copies that a request may be answered with."""
-        return self.fleet is not None and not selection.vhost.uncacheable
+        return self.fleet is not None and not selection.traffic_class.uncacheable
 
     def max_age(self, selection: RouteSelection, answer: Forward, now: int) -> int:
         """The age of the oldest copy that will do, by the fleet's purges as well.
@@ -38,7 +38,7 @@
         named = (answer.endpoint, answer.fill_source)
         makers_of_copies = [name for name in named if not self._is_origin(name)]
         store = self._store(answer.endpoint)
-        return self.fleet.max_age(marked(selection), store, makers_of_copies, answer.max_age, now)
+        return self.fleet.max_age(purge_lookup(selection), store, makers_of_copies, answer.max_age, now)
 
     def is_outdated(self, selection: RouteSelection, answer: Forward, now: int) -> bool:
         """:returns: whether an attempt would now be sent with a lower maximal age."""
@@ -59,12 +59,14 @@
         :param written: when the attempt was sent.
         :param traffic_classes: of the plan in force, by name.
         """
-        if self.fleet is None or selection.vhost.uncacheable or copy is None:
+        if self.fleet is None or selection.traffic_class.uncacheable or copy is None:
             return True
-        traffic_class = traffic_classes.get(vhost_name(selection.route), selection.vhost)
+        traffic_class = traffic_classes.get(traffic_class_name(selection.route), selection.traffic_class)
         is_bound = not traffic_class.max_age or answer.max_age < traffic_class.max_age
         max_age = answer.max_age if is_bound else 0
-        return self.fleet.accepts(marked(selection), self._store(answer.endpoint), copy, written, max_age)
+        return self.fleet.accepts(
+            purge_lookup(selection), self._store(answer.endpoint), copy, written, max_age
+        )
 
     def _is_origin(self, name: str) -> bool:
         return name in self.endpoints and self.endpoints[name].tier is Tier.ORIGIN
--- a/quartzrouter/pool_routing/route_selection.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -21,10 +21,10 @@
 
     :param route: that takes it.
     :param policy: of the route.
-    :param vhost: its traffic class, as the plan has it, whatever the policy changes.
-    :param obj: the object's key, 16 hexadecimal digits.
-    :param part: the chunk of the object; 0 where the path names none.
-    :param group: the number of its tag.
+    :param traffic_class: its traffic class, as the plan has it, whatever the policy changes.
+    :param object_key: the object's key, 16 hexadecimal digits.
+    :param chunk: the chunk of the object; 0 where the path names none.
+    :param tag: the number of its tag.
     :param tenant: empty where the route names none.
     :param client: who asks.
     :param path: host and path, as asked for.
@@ -32,10 +32,10 @@
 
     route: Route
     policy: Policy
-    vhost: TrafficClass
-    obj: str
-    part: int
-    group: int | None
+    traffic_class: TrafficClass
+    object_key: str
+    chunk: int
+    tag: int | None
     tenant: str
     client: str
     path: str
@@ -61,17 +61,17 @@
     return RouteSelection(
         route=route,
         policy=plan.policies[route.policy] if route.policy else NO_POLICY,
-        vhost=plan.vhosts[route.vhost],
-        obj=object_id(object_name),
-        part=chunk,
-        group=None if tag_name is None else int(object_id(tag_name), 16) % TAGS,
+        traffic_class=plan.vhosts[route.vhost],
+        object_key=object_id(object_name),
+        chunk=chunk,
+        tag=None if tag_name is None else int(object_id(tag_name), 16) % TAGS,
         tenant=_tenant(route, found, asked),
         client=client,
         path=f"{asked.host}{asked.path}",
     )
 
 
-def repeats(plan: Plan) -> dict[str, tuple[str, ...]]:
+def retry_limits_by_route(plan: Plan) -> dict[str, tuple[str, ...]]:
     """The names of the limits on retries, by route; routes without any are left out."""
     retry_limits = {name for name, limit in plan.limits.items() if limit.counts == COUNTS_RETRIES}
     by_route = {
@@ -80,8 +80,8 @@
     return {name: limits for name, limits in by_route.items() if limits}
 
 
-def keys(
-    plan: Plan, ruling: RouteSelection, pool: str, limits: tuple[str, ...] | None = None
+def limit_keys(
+    plan: Plan, selection: RouteSelection, pool: str, limits: tuple[str, ...] | None = None
 ) -> list[LimitKey]:
     """The counters of a request, one for each limit of its route.
 
@@ -89,23 +89,25 @@
     :param limits: the limits to look at; None: all of the route.
     """
     counted = {
-        "route": ruling.route.name,
+        "route": selection.route.name,
         "pool": pool,
-        "tenant": ruling.tenant,
-        "client": ruling.client,
+        "tenant": selection.tenant,
+        "client": selection.client,
         "all": "",
     }
-    names = ruling.route.limits if limits is None else limits
+    names = selection.route.limits if limits is None else limits
     return [LimitKey(name, counted[plan.limits[name].per]) for name in names]
 
 
-def marked(ruling: RouteSelection) -> purge_index.PurgeLookup:
+def purge_lookup(selection: RouteSelection) -> purge_index.PurgeLookup:
     """By what the purges that concern a request are looked up."""
-    host, slash, path = ruling.path.partition("/")
-    return purge_index.PurgeLookup(ruling.vhost.name, ruling.obj.lower(), host, slash + path)
+    host, slash, path = selection.path.partition("/")
+    return purge_index.PurgeLookup(
+        selection.traffic_class.name, selection.object_key.lower(), host, slash + path
+    )
 
 
-def vhost_name(route: Route) -> str:
+def traffic_class_name(route: Route) -> str:
     """The name by which the routing decisions know a traffic class as a policy changes it."""
     return f"{route.vhost}@{route.policy}" if route.policy else route.vhost
 
--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -53,10 +53,10 @@
         deadline_ms = _deadline_ms(params)
         return ClientRequest(
             correlation_id=_token(params, "HTTP_X_CORRELATION_ID") or secrets.token_hex(GENERATED_ID_SIZE),
-            traffic_class=selection.vhost.name,
-            object_key=_token(params, "HTTP_X_SUBJECT") or selection.obj,
-            chunk=selection.part,
-            tag=selection.group,
+            traffic_class=selection.traffic_class.name,
+            object_key=_token(params, "HTTP_X_SUBJECT") or selection.object_key,
+            chunk=selection.chunk,
+            tag=selection.tag,
             timeout=self.multi_pool_router.client_timeout(selection, deadline_ms * MICROSECONDS_PER_MS),
             idempotency_key=idempotency_key,
             if_none_match=_token(params, "HTTP_X_KNOWN"),
@@ -103,7 +103,7 @@
 def _idempotency_key(params: dict[str, str], selection: RouteSelection) -> str | None:
     """The key by which caches recognise a repeat; a class that goes by keys requires it."""
     key = params.get("HTTP_X_OPERATION_KEY")
-    if key is None and selection.vhost.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
+    if key is None and selection.traffic_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
         raise InvalidRequestError("X-Operation-Key is missing")
     if key is not None and not KEY_PATTERN.fullmatch(key):
         raise InvalidRequestError(f"X-Operation-Key is {key!r:.40}")
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -16,7 +16,7 @@
 from quartzrouter.fleet_health.ejection import accepted_ejections
 from quartzrouter.fleet_health.reports import MAX_OBSERVATIONS
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
-from quartzrouter.pool_routing.route_selection import vhost_name
+from quartzrouter.pool_routing.route_selection import traffic_class_name
 from quartzrouter.purge_log.member_client import (
     CloseConnection,
     ConnectionOpened,
@@ -150,7 +150,7 @@
         for pending in self.in_flight.values():
             attempt = pending.attempt
             selection = pending.client_request.route_selection
-            if attempt and not attempt.is_sent and not selection.vhost.uncacheable:
+            if attempt and not attempt.is_sent and not selection.traffic_class.uncacheable:
                 attempt.is_outdated |= self.multi_pool_router.is_outdated(selection, attempt.decision, now)
 
     def _take_grants(self, grants: QuotaGrants) -> None:
@@ -238,7 +238,7 @@
         selection = client_request.route_selection
         return Request(
             id=request_id,
-            traffic_class=vhost_name(selection.route),
+            traffic_class=traffic_class_name(selection.route),
             object_key=client_request.object_key.lower(),
             tag=client_request.tag,
             chunk=client_request.chunk,
@@ -251,7 +251,7 @@
 
     def _is_cacheable(self, client_request: ClientRequest) -> bool:
         """By the configuration that the request came under, which may have been replaced since."""
-        return not client_request.route_selection.vhost.uncacheable
+        return not client_request.route_selection.traffic_class.uncacheable
 
     def _extra_headers(self, client_request: ClientRequest) -> list[tuple[str, str]]:
         return [("X-Path", client_request.route_selection.path)]
@@ -268,7 +268,7 @@
     def _attempt_ended(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded, now: int) -> None:
         if self._is_copy_too_old(request_id, attempt, event):
             selection = self.in_flight[request_id].client_request.route_selection
-            may_run_again = selection.vhost.idempotency is Idempotency.IDEMPOTENT
+            may_run_again = selection.traffic_class.idempotency is Idempotency.IDEMPOTENT
             status = AttemptStatus.NOT_SENT if may_run_again else AttemptStatus.CONNECTION_LOST
             self._finish_attempt(request_id, attempt, status, now)
         else:
--- a/tests/test_pool_routing.py
+++ b/tests/test_pool_routing.py
@@ -240,14 +240,14 @@
         denied = self.router.admit(self.last_id, selection, self.now)
         if denied:
             return Reject(denied.come_back)
-        from quartzrouter.pool_routing.route_selection import vhost_name
+        from quartzrouter.pool_routing.route_selection import traffic_class_name
 
         req = Request(
             self.last_id,
-            vhost_name(selection.route),
-            selection.obj,
-            selection.group,
-            selection.part,
+            traffic_class_name(selection.route),
+            selection.object_key,
+            selection.tag,
+            selection.chunk,
             0.0,
             3 * S,
             max_attempts=self.router.max_attempts(selection),
