--- a/quartzrouter/cli/ledger.py
+++ b/quartzrouter/cli/ledger.py
@@ -102,7 +102,7 @@
     That function raises PlanUnusableError.
     """
     from quartzrouter.config.loader import load
-    from quartzrouter.pool_routing.shared_limits import budgets, terms
+    from quartzrouter.pool_routing.shared_limits import shared_budgets, slow_start_terms
 
     def read():
         loaded = load(path)
@@ -110,7 +110,7 @@
             errors = loaded.faults.errors
             more = f" (and {len(errors) - 1} more)" if len(errors) > 1 else ""
             raise PlanUnusableError(f"{errors[0].head}{more}; 'quartzrouter plan check {path}' shows all")
-        return budgets(loaded.plan, loaded.plan.stores), terms(loaded.plan)
+        return shared_budgets(loaded.plan, loaded.plan.stores), slow_start_terms(loaded.plan)
 
     return read
 
--- a/quartzrouter/fault_scenarios/quota_fleet.py
+++ b/quartzrouter/fault_scenarios/quota_fleet.py
@@ -18,7 +18,7 @@
 from quartzrouter.fault_harness.load_generator import LoadGenerator
 from quartzrouter.fault_harness.processes import FleetProcess
 from quartzrouter.fault_harness.proxied_links import ProxiedLink
-from quartzrouter.pool_routing.shared_limits import budgets
+from quartzrouter.pool_routing.shared_limits import shared_budgets
 from quartzrouter.quota.budget import SECOND, Budget
 
 RATE_PATH = "/calls/"  # requests that count in the shared rate
@@ -167,7 +167,7 @@
             await self._add_router_with_links(tasks)
         shared_plan.write_text(self.plan(0))
         plan = load(str(shared_plan)).plan
-        self.budgets = {budget.name: budget for budget in budgets(plan, plan.stores)}
+        self.budgets = {budget.name: budget for budget in shared_budgets(plan, plan.stores)}
         for party in self.parties:
             party.start()
             if party is self.ledgers[0]:
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -25,7 +25,7 @@
     select_route,
     traffic_class_name,
 )
-from quartzrouter.pool_routing.shared_limits import budgets, holds
+from quartzrouter.pool_routing.shared_limits import max_request_times, shared_budgets
 from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
 from quartzrouter.quota.client import QuotaClient
 from quartzrouter.quota.slow_start_client import SlowStartClient
@@ -99,7 +99,7 @@
         """Puts a new plan in force."""
         self.limits.replace(plan.limits)
         if self.quota_client:
-            self.quota_client.replace(budgets(plan, (self.home_location,)))
+            self.quota_client.replace(shared_budgets(plan, (self.home_location,)))
         self.pools.replace(plan.pools, plan.splits)
         self.policy_budgets.keep_only(plan.policies)
         self._take_in(plan)
@@ -108,7 +108,7 @@
     def _take_in(self, plan: Plan) -> None:
         self.plan = plan
         self.matcher = Matcher(plan.routes)
-        self.longest_in_flight = holds(plan)
+        self.longest_in_flight = max_request_times(plan)
         self.limits_on_retries = retry_limits_by_route(plan)
         self.traffic_classes = effective_traffic_classes(plan)
 
--- a/quartzrouter/pool_routing/rate_limits.py
+++ b/quartzrouter/pool_routing/rate_limits.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from quartzrouter.config.model import Limit
-from quartzrouter.pool_routing.shared_limits import budget_of
+from quartzrouter.pool_routing.shared_limits import budget_name
 from quartzrouter.quota.client import QuotaClient
 from quartzrouter.quota.local_quota import LocalQuota
 
@@ -161,7 +161,7 @@
         own, shared = [], []
         for key in keys:
             limit = self.limits[key.limit]
-            budget = budget_of(limit, self.home)
+            budget = budget_name(limit, self.home)
             if budget:
                 shared.append(SharedLimitKey(limit, self.quotas, self.quotas.key(budget, key.counted)))
             else:
--- a/quartzrouter/pool_routing/shared_limits.py
+++ b/quartzrouter/pool_routing/shared_limits.py
@@ -10,7 +10,7 @@
 STORE_SEPARATOR = "@"  # between a limit's name and the store's; in no name
 
 
-def budgets(plan: Plan, stores: Iterable[str]) -> list[Budget]:
+def shared_budgets(plan: Plan, stores: Iterable[str]) -> list[Budget]:
     """The budgets that routers of some stores share.
 
     :param stores: all of the plan at an allocator, its own at a router.
@@ -25,7 +25,7 @@
     return found
 
 
-def terms(plan: Plan) -> dict[str, SlowStartTerms]:
+def slow_start_terms(plan: Plan) -> dict[str, SlowStartTerms]:
     """Terms of slow start by tier, of those tiers whose routers share it."""
     deployment = plan.deployment
     found = {}
@@ -43,7 +43,7 @@
     return found
 
 
-def budget_of(limit: Limit, home: str) -> str:
+def budget_name(limit: Limit, home: str) -> str:
     """The name of the budget in which a router counts; empty where it counts by itself.
 
     :param home: the router's store.
@@ -53,8 +53,8 @@
     return limit.name if limit.across == "fleet" else _store_budget_name(limit, home)
 
 
-def holds(plan: Plan) -> dict[str, int]:
-    """Microseconds for which a request may be in flight, by the shared limits on concurrency."""
+def max_request_times(plan: Plan) -> dict[str, int]:
+    """How long a request may be in flight, in microseconds, by the shared limits on concurrency."""
     return {
         limit.name: _max_request_time(plan, limit)
         for limit in plan.limits.values()
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -12,7 +12,7 @@
 from quartzrouter.configuration import Configuration
 from quartzrouter.configuration_section import ConfigurationError, ConfigurationSection, parse_address
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
-from quartzrouter.pool_routing.shared_limits import budgets, terms
+from quartzrouter.pool_routing.shared_limits import shared_budgets, slow_start_terms
 from quartzrouter.purge_log.member_client import CloseConnection, MemberClient, QueueMessage
 from quartzrouter.quota.client import QuotaClient
 from quartzrouter.quota.slow_start_client import SlowStartClient
@@ -60,12 +60,12 @@
         if replica:
             name = replica.name
             token = replica.token
-            slow_start = SlowStartClient(terms(self.plan), process.steady_clock)
+            slow_start = SlowStartClient(slow_start_terms(self.plan), process.steady_clock)
         else:
             name = self.configuration.name
             token = ""
             slow_start = None
-        quota = QuotaClient(budgets(self.plan, (home,)), name, token, process.steady_clock)
+        quota = QuotaClient(shared_budgets(self.plan, (home,)), name, token, process.steady_clock)
         router_arguments = self.configuration.settings.router_arguments
         self.force = MultiPoolRouter(self.plan, router_arguments, self.fleet, quota, slow_start)
         self._restore_purges(replica)
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -17,7 +17,7 @@
 from quartzrouter.fleet_health.messages import CacheObservation
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.rate_limits import LimitKey, RateLimiter
-from quartzrouter.pool_routing.shared_limits import budgets
+from quartzrouter.pool_routing.shared_limits import shared_budgets
 from quartzrouter.purge_log.line_connection import connect, read_lines
 from quartzrouter.purge_log.server import PurgeLogServer
 from quartzrouter.purges import messages
@@ -64,7 +64,7 @@
 
 def test_a_plan_names_a_budget_for_the_fleet_and_one_for_each_store():
     plan = load("main", lambda path: PLAN % PURGES).plan
-    found = {each.name: each for each in budgets(plan, plan.stores)}
+    found = {each.name: each for each in shared_budgets(plan, plan.stores)}
     assert set(found) == {"calls", "crowd@north", "crowd@south"}
     assert found["calls"] == Budget("calls", 60.0, 30.0, guaranteed_share=0.2, routers=6)
     assert found["crowd@north"] == Budget(
