--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -181,7 +181,7 @@
         weight = self.traffic_classes[traffic_class_name(selection.route)].priority_weight
         exceeded = self.limits.admit(request_id, limit_keys(self.plan, selection, pool), weight, now)
         if exceeded:
-            return LimitExceeded(exceeded.limit, self.retry_after(selection, exceeded.come_back))
+            return LimitExceeded(exceeded.limit, self.retry_after(selection, exceeded.retry_after))
         self.selections[request_id] = selection
         self.router_of[request_id] = self.pool_routers[pool]
         return None
@@ -268,11 +268,11 @@
             return ask(router)
         keys = limit_keys(self.plan, selection, self.router_of[request_id].pool.name, limits)
         spent_before = router.retries_spent
-        router.allow_retries(self.limits.may_repeat(keys, now))
+        router.allow_retries(self.limits.may_retry(keys, now))
         answer = ask(router)
         router.allow_retries(True)
         if router.retries_spent > spent_before:
-            self.limits.repeated(keys, now)
+            self.limits.record_retry(keys, now)
         return answer
 
     def _apply_plan(
--- a/quartzrouter/pool_routing/rate_limits.py
+++ b/quartzrouter/pool_routing/rate_limits.py
@@ -23,11 +23,11 @@
     """A request is not admitted.
 
     :param limit: its name.
-    :param come_back: microseconds after which to retry; 0: no time can be named.
+    :param retry_after: microseconds after which to retry; 0: no time can be named.
     """
 
     limit: str
-    come_back: int
+    retry_after: int
 
 
 class LimitKey(NamedTuple):
@@ -70,13 +70,13 @@
     """The limits at one router.
 
     :param limits: of the plan, by name.
-    :param shares: this router's parts in limits that routers share; None: each router has all of each limit.
+    :param quota_client: this router's parts in shared limits; None: each router has all of each limit.
     :param home: this router's store.
     """
 
-    def __init__(self, limits: dict[str, Limit], shares: QuotaClient | None = None, home: str = ""):
+    def __init__(self, limits: dict[str, Limit], quota_client: QuotaClient | None = None, home: str = ""):
         self.limits = limits
-        self.quotas = shares
+        self.quota_client = quota_client
         self.home = home
         self.counters: dict[str, OrderedDict[str, LimitCounter]] = {}  # by limit and counted, last used last
         self.held_keys: dict[int, list[LimitKey]] = {}  # by request, what it counts in
@@ -111,12 +111,12 @@
             self.held_quotas[req] = [shared_key.quotas.use(shared_key.budget) for shared_key in shared]
         return None
 
-    def may_repeat(self, keys: list[LimitKey], now: int) -> bool:
+    def may_retry(self, keys: list[LimitKey], now: int) -> bool:
         """Whether the limits on retries admit one now; to be asked right before it."""
         return not self._first_exceeded(self._counting(keys, COUNTS_RETRIES), 0.0, now)
 
-    def repeated(self, keys: list[LimitKey], now: int) -> None:
-        """Counts a retry that ``may_repeat`` has just admitted."""
+    def record_retry(self, keys: list[LimitKey], now: int) -> None:
+        """Counts a retry that ``may_retry`` has just admitted."""
         own, shared = self._split_shared(self._counting(keys, COUNTS_RETRIES))
         for key in own:
             self._use(key, now)
@@ -156,14 +156,16 @@
 
     def _split_shared(self, keys: list[LimitKey]) -> tuple[list[LimitKey], list[SharedLimitKey]]:
         """The keys that this router counts by itself, and those that it shares."""
-        if self.quotas is None:
+        if self.quota_client is None:
             return keys, []
         own, shared = [], []
         for key in keys:
             limit = self.limits[key.limit]
             budget = budget_name(limit, self.home)
             if budget:
-                shared.append(SharedLimitKey(limit, self.quotas, self.quotas.key(budget, key.counted)))
+                shared.append(
+                    SharedLimitKey(limit, self.quota_client, self.quota_client.key(budget, key.counted))
+                )
             else:
                 own.append(key)
         return own, shared
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -228,7 +228,7 @@
             self.effects += self._request_quota(now)  # a budget that nothing is held of waits for no timer
         if exceeded is not None:
             self.rejected_by_limit[exceeded.limit] = self.rejected_by_limit.get(exceeded.limit, 0) + 1
-            self.effects.append(SendResponse(request_id, responses.overloaded(exceeded.come_back)))
+            self.effects.append(SendResponse(request_id, responses.overloaded(exceeded.retry_after)))
             return
         super()._request_received(request_id, client_request, now)
         if request_id not in self.in_flight:  # its correlation id is in use, or the process is closed
--- a/tests/test_pool_routing.py
+++ b/tests/test_pool_routing.py
@@ -35,8 +35,8 @@
     assert through[:5] == [0, 1, 2, 3, 4]
     assert len(through) == 5 + 9  # 10 a second over 0.99 s, and the burst
     denied = limits.admit(200, [LimitKey("r", "")], 1.0, 990 * MS)
-    assert denied.limit == "r" and 0 < denied.come_back <= 100 * MS
-    assert limits.admit(201, [LimitKey("r", "")], 1.0, 990 * MS + denied.come_back) is None
+    assert denied.limit == "r" and 0 < denied.retry_after <= 100 * MS
+    assert limits.admit(201, [LimitKey("r", "")], 1.0, 990 * MS + denied.retry_after) is None
 
 
 @settings(max_examples=100)
@@ -239,7 +239,7 @@
         selection = self.router.select_route(Asked("north", "", path, "GET", {}, {}), client)
         denied = self.router.admit(self.last_id, selection, self.now)
         if denied:
-            return Reject(denied.come_back)
+            return Reject(denied.retry_after)
         from quartzrouter.pool_routing.route_selection import traffic_class_name
 
         req = Request(
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -114,7 +114,7 @@
     assert rate_limiter.admit(2, keys, 1.0, 0).limit == "own"
     assert crowd["crowd"].denied_for_slots == 0
     exceeded = rate_limiter.admit(3, keys, 1.0, 5 * SECOND)
-    assert exceeded.limit == "crowd" and exceeded.come_back == CROWD.request_interval
+    assert exceeded.limit == "crowd" and exceeded.retry_after == CROWD.request_interval
     rate_limiter.release(1)
     rate_limiter.release(1)
     assert rate_limiter.admit(4, keys, 1.0, 5 * SECOND) is None and crowd["crowd"].in_use == 1
