--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -144,26 +144,26 @@
     for count in (1, 1_000, 5_000):
         text = template(count)
         plan = load("main", lambda path, text=text: text).plan
-        force = MultiPoolRouter(plan, arguments)
-        force.update_endpoints(listed(plan), True, 0)
+        multi_pool_router = MultiPoolRouter(plan, arguments)
+        multi_pool_router.update_endpoints(listed(plan), True, 0)
 
-        def planned(n: int, now: int, force=force, count=count) -> None:
+        def planned(n: int, now: int, multi_pool_router=multi_pool_router, count=count) -> None:
             at = n % count
-            selection = force.select_route(
+            selection = multi_pool_router.select_route(
                 Asked("s1", f"h{at}.example", f"/area/sub{at}/{n % 500}"), "10.0.0.7"
             )
-            assert force.admit(n, selection, now) is None
+            assert multi_pool_router.admit(n, selection, now) is None
             told = Request(
                 n, traffic_class_name(selection.route), selection.object_key, None, 0, 0.0, 3_000_000
             )
-            answer = force.route(told, now)
-            force.attempt_finished(
+            answer = multi_pool_router.route(told, now)
+            multi_pool_router.attempt_finished(
                 n,
                 AttemptResult(answer.attempt_number, AttemptStatus.SUCCEEDED, 9_000, final=True),
                 now + 9_000,
             )
-            force.release(n)
-            force.maintenance(now)
+            multi_pool_router.release(n)
+            multi_pool_router.maintenance(now)
 
         print(f"| under a plan of {count:,} routes | {timed(planned):.1f} |")
     started = [imported("quartzrouter.server.process"), imported("quartzrouter.standalone.process")]
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -272,8 +272,11 @@
                     for name in ("n1", "n2"):
                         await caches[name].start(tasks)
                     await anyio.sleep(0.3)
-            changes = service.force.pools.states["near"].changes
-            held, where = len(service.force.limits.held_keys), len(service.force.router_of)
+            changes = service.multi_pool_router.pools.states["near"].changes
+            held, where = (
+                len(service.multi_pool_router.limits.held_keys),
+                len(service.multi_pool_router.router_of),
+            )
             os.kill(os.getpid(), signal.SIGTERM)
             await put(SITE.format(**told | {"crowd": 1}))  # a plan replaced during SIGTERM
             last = Client(await _connect(told["port"]))
--- a/quartzrouter/standalone/fleet_tasks.py
+++ b/quartzrouter/standalone/fleet_tasks.py
@@ -24,7 +24,7 @@
     """The tasks; each runs until it is cancelled.
 
     :param fleet: the fleet's purges at this router.
-    :param pool_router: holds this router's part of shared limits.
+    :param multi_pool_router: holds this router's part of shared limits.
     :param state_machine: holds what was refused, and which purges were applied.
     :param feed: takes events.
     :param log: is told what the fleet costs here.
@@ -33,13 +33,13 @@
     def __init__(
         self,
         fleet: FleetPurges,
-        pool_router: MultiPoolRouter,
+        multi_pool_router: MultiPoolRouter,
         state_machine: StandaloneStateMachine,
         feed: Callable[[StandaloneEvent], None],
         log: RateLimitedLog,
     ):
         self._fleet = fleet
-        self._pool_router = pool_router
+        self._multi_pool_router = multi_pool_router
         self._state_machine = state_machine
         self._feed = feed
         self._log = log
@@ -76,8 +76,8 @@
     async def _request_quota(self) -> None:
         """Requests shares of limits and of slow starts when they are due."""
         while True:
-            wait = self._pool_router.quota_client.time_until_next_request()
-            if slow_start_wait := self._pool_router.slow_start_client.request_interval():
+            wait = self._multi_pool_router.quota_client.time_until_next_request()
+            if slow_start_wait := self._multi_pool_router.slow_start_client.request_interval():
                 wait = min(wait, slow_start_wait)
             await anyio.sleep(wait / MICROSECONDS)
             self._feed(RequestQuota())
@@ -95,7 +95,7 @@
         counters_before: dict[str, QuotaCounters] = {}
         while True:
             await anyio.sleep(purge_membership.REPORT_INTERVAL)
-            counters_by_limit = self._pool_router.quota_client.counters()
+            counters_by_limit = self._multi_pool_router.quota_client.counters()
             for limit, counters in counters_by_limit.items():
                 if changes := describe_changes(counters, counters_before.get(limit, QuotaCounters())):
                     self._log.say("shares", f"limit {limit}: {changes}")
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -67,9 +67,9 @@
             slow_start = None
         quota = QuotaClient(shared_budgets(self.plan, (home,)), name, token, process.steady_clock)
         router_arguments = self.configuration.settings.router_arguments
-        self.force = MultiPoolRouter(self.plan, router_arguments, self.fleet, quota, slow_start)
+        self.multi_pool_router = MultiPoolRouter(self.plan, router_arguments, self.fleet, quota, slow_start)
         self._restore_purges(replica)
-        return StandaloneStateMachine(self.force, replica)
+        return StandaloneStateMachine(self.multi_pool_router, replica)
 
     def _restore_purges(self, replica: Any) -> None:
         """Applies the purges that were in force when this router last ran, where they are stored."""
@@ -84,7 +84,7 @@
         return purge_membership.copy_from_headers if self.fleet else None
 
     def _create_params_parser(self) -> ParamsParser:
-        return RequestParser(self.force, self.plan.deployment["home"]).parse
+        return RequestParser(self.multi_pool_router, self.plan.deployment["home"]).parse
 
     def _start_background_tasks(self) -> None:
         if self.fleet is None:
@@ -94,7 +94,7 @@
         addresses = [parse_address(text, "purges.ledgers") for text in settings["ledgers"]]
         self.link = MemberClient(addresses, silence_timeout, self.feed, self.log)
         self.tasks.start_soon(self.link.run)
-        fleet_tasks = FleetTasks(self.fleet, self.force, self.state_machine, self.feed, self.log)
+        fleet_tasks = FleetTasks(self.fleet, self.multi_pool_router, self.state_machine, self.feed, self.log)
         fleet_tasks.start(self.tasks, self.plan.deployment["hearsay"], settings["file"])
 
     def _perform_extension(self, effect: object) -> None:
@@ -130,7 +130,14 @@
         self.feed(ConfigurationReplaced(self.plan, endpoints))
 
     def _kept_until_restart(self, plan: Plan) -> list[str]:
-        """Keys that differ in a new plan, and that only a restart changes."""
+        """Keys of the deployment, and `purges`, that differ from the plan in force before.
+
+        The listening process keeps what it was started with; only a restart changes that. Compared is
+        the plan of the last reload, not that of the start: a change is named once, and so is its being
+        put back. Some keys are named that are also read from the new plan at once: `counts` for health
+        reports, `routers` and `routers_here` for budgets of shared limits, `journal` for whether the
+        listed endpoints count.
+        """
         kept = [key for key, value in self.plan.deployment.items() if plan.deployment[key] != value]
         if plan.purges != self.plan.purges:
             kept.append("purges")
--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -141,7 +141,7 @@
     assert len(world.served_by) == 5
     assert (
         world.router_process.state_machine.rejected_by_limit == {"few": 8}
-        and not world.router_process.force.limits.held_keys
+        and not world.router_process.multi_pool_router.limits.held_keys
     )
 
 
@@ -185,7 +185,10 @@
             os.kill(os.getpid(), signal.SIGHUP)
             await reload()
         assert len(responses) == 240 and set(responses) <= {"200", "503"} and responses.count("200") > 150
-        assert not world.router_process.force.router_of and not world.router_process.force.limits.held_keys
+        assert (
+            not world.router_process.multi_pool_router.router_of
+            and not world.router_process.multi_pool_router.limits.held_keys
+        )
 
     world.run_scene(scene)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
@@ -350,9 +353,13 @@
         await client.send_request(1, path="/a")
         await client.send_request(2, path="/b", HTTP_X_CORRELATION_ID=f"{1:016x}")
         assert status(await client.receive_response()) == "409"
-        assert len(world.router_process.force.router_of) == 1
+        assert len(world.router_process.multi_pool_router.router_of) == 1
         assert status(await client.receive_response()) == "200"
 
     world.run_scene(scene)
-    force = world.router_process.force
-    assert not force.router_of and not force.selections and not force.limits.held_keys
+    multi_pool_router = world.router_process.multi_pool_router
+    assert (
+        not multi_pool_router.router_of
+        and not multi_pool_router.selections
+        and not multi_pool_router.limits.held_keys
+    )
--- a/tests/test_standalone_purges.py
+++ b/tests/test_standalone_purges.py
@@ -338,15 +338,15 @@
     async def scene(site):
         await site.start("life: 1s")
         await site.holds_lease()
-        fleet_purges, pool_router = site.fleet_purges, site.router.force
+        fleet_purges, multi_pool_router = site.fleet_purges, site.router.multi_pool_router
         fleet_purges.index.expired_up_to = 1
         fleet_purges.caches_caught_up = {"n1": 1}
-        route = pool_router.select_route(Asked("north", "", "/a", "GET", {}, {}), "")
+        route = multi_pool_router.select_route(Asked("north", "", "/a", "GET", {}, {}), "")
         from_origin = Forward(0, "n1", "o", 1, 0, True, False, 1_000_000, 1 << 62)
         from_parent = replace(from_origin, fill_source="p")
         now = fleet_purges.lease.started_at
-        assert pool_router.purge_bounds.max_age(route, from_origin, now) == 0
-        assert pool_router.purge_bounds.max_age(route, from_parent, now) == 1_000_000
+        assert multi_pool_router.purge_bounds.max_age(route, from_origin, now) == 0
+        assert multi_pool_router.purge_bounds.max_age(route, from_parent, now) == 1_000_000
         site.proxy.hold()
         await site.stop_purge_log()
         client = site.router.link
