--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -35,6 +35,7 @@
 )
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
 from quartzrouter.quota.messages import QuotaRefusal
+from quartzrouter.routing import LOGGER_NAME
 from quartzrouter.routing.model import AttemptStatus, HealthObservation, Idempotency, Request
 from quartzrouter.server import responses
 from quartzrouter.server.cache_protocol import HTTP_NOT_MODIFIED, HTTP_OK
@@ -43,7 +44,7 @@
 from quartzrouter.server.pending_request import PendingAttempt
 from quartzrouter.server.state_machine import RouterStateMachine
 
-log = logging.getLogger("quartzrouter.routing.router")  # what changes the decisions is logged with them
+log = logging.getLogger(f"{LOGGER_NAME}.router")  # what changes the decisions is logged with them
 
 MAX_PEERS_LOGGED = 5  # in the log line of an ejection
 MAX_REFUSALS_KEPT = 64  # until they are logged; beyond that the oldest are dropped
@@ -132,10 +133,10 @@
                 case EjectionVerdicts(verdicts, loads):
                     self._eject_by_peers(verdicts, now)
                     self._take_fleet_load(loads, now)
-                case SendMessage(said):
-                    effects.append(QueueMessage(said))
-                case EndConnection(reason, come_back):
-                    effects.append(CloseConnection(reason, come_back))
+                case SendMessage(reply):
+                    effects.append(QueueMessage(reply))
+                case EndConnection(reason, retry_after):
+                    effects.append(CloseConnection(reason, retry_after))
         return effects
 
     def _apply_purges(self, purges: ApplyPurges, now: int) -> None:
@@ -268,6 +269,8 @@
     def _attempt_ended(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded, now: int) -> None:
         if self._is_copy_too_old(request_id, attempt, event):
             selection = self.in_flight[request_id].client_request.route_selection
+            # A request that may run again is retried as if nothing had been sent. Any other is treated as
+            # possibly executed: its connection is taken for lost.
             may_run_again = selection.traffic_class.idempotency is Idempotency.IDEMPOTENT
             status = AttemptStatus.NOT_SENT if may_run_again else AttemptStatus.CONNECTION_LOST
             self._finish_attempt(request_id, attempt, status, now)
