--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -20,12 +20,12 @@
 from quartzrouter.pool_routing.rate_limits import LimitExceeded, RateLimiter
 from quartzrouter.pool_routing.route_selection import (
     RouteSelection,
-    keys,
-    repeats,
+    limit_keys,
+    retry_limits_by_route,
     select_route,
-    vhost_name,
+    traffic_class_name,
 )
-from quartzrouter.pool_routing.shared_limits import budgets, holds
+from quartzrouter.pool_routing.shared_limits import max_request_times, shared_budgets
 from quartzrouter.purges.fleet_purges import CachedCopy, FleetPurges
 from quartzrouter.quota.client import QuotaClient
 from quartzrouter.quota.slow_start_client import SlowStartClient
@@ -99,7 +99,7 @@
         """Puts a new plan in force."""
         self.limits.replace(plan.limits)
         if self.quota_client:
-            self.quota_client.replace(budgets(plan, (self.home_location,)))
+            self.quota_client.replace(shared_budgets(plan, (self.home_location,)))
         self.pools.replace(plan.pools, plan.splits)
         self.policy_budgets.keep_only(plan.policies)
         self._take_in(plan)
@@ -108,8 +108,8 @@
     def _take_in(self, plan: Plan) -> None:
         self.plan = plan
         self.matcher = Matcher(plan.routes)
-        self.longest_in_flight = holds(plan)
-        self.limits_on_retries = repeats(plan)
+        self.longest_in_flight = max_request_times(plan)
+        self.limits_on_retries = retry_limits_by_route(plan)
         self.traffic_classes = effective_traffic_classes(plan)
 
     def _assign_routers(self, now: int) -> None:
@@ -176,12 +176,12 @@
         """
         if selection.policy.deny:
             return LimitExceeded("", self.retry_after(selection, 0))
-        wanted = self.pools.resolve_split(selection.route.pool, selection.obj, selection.client)
+        wanted = self.pools.resolve_split(selection.route.pool, selection.object_key, selection.client)
         pool = self.pools.serving(wanted, lambda name: self._count_caches(name, now), now)
-        weight = self.traffic_classes[vhost_name(selection.route)].priority_weight
-        exceeded = self.limits.admit(request_id, keys(self.plan, selection, pool), weight, now)
+        weight = self.traffic_classes[traffic_class_name(selection.route)].priority_weight
+        exceeded = self.limits.admit(request_id, limit_keys(self.plan, selection, pool), weight, now)
         if exceeded:
-            return LimitExceeded(exceeded.limit, self.retry_after(selection, exceeded.come_back))
+            return LimitExceeded(exceeded.limit, self.retry_after(selection, exceeded.retry_after))
         self.selections[request_id] = selection
         self.router_of[request_id] = self.pool_routers[pool]
         return None
@@ -197,7 +197,7 @@
 
         :param requested: by the client; 0: it named no time.
         """
-        timeout = requested or selection.vhost.client_timeout
+        timeout = requested or selection.traffic_class.client_timeout
         for name in selection.route.limits if self.longest_in_flight else ():
             timeout = min(timeout, self.longest_in_flight.get(name, timeout))
         return timeout
@@ -266,13 +266,13 @@
         limits = self.limits_on_retries.get(selection.route.name) if may_retry else None
         if not limits:
             return ask(router)
-        limit_keys = keys(self.plan, selection, self.router_of[request_id].pool.name, limits)
+        keys = limit_keys(self.plan, selection, self.router_of[request_id].pool.name, limits)
         spent_before = router.retries_spent
-        router.allow_retries(self.limits.may_repeat(limit_keys, now))
+        router.allow_retries(self.limits.may_retry(keys, now))
         answer = ask(router)
         router.allow_retries(True)
         if router.retries_spent > spent_before:
-            self.limits.repeated(limit_keys, now)
+            self.limits.record_retry(keys, now)
         return answer
 
     def _apply_plan(
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -16,7 +16,7 @@
 from quartzrouter.fleet_health.ejection import accepted_ejections
 from quartzrouter.fleet_health.reports import MAX_OBSERVATIONS
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
-from quartzrouter.pool_routing.route_selection import vhost_name
+from quartzrouter.pool_routing.route_selection import traffic_class_name
 from quartzrouter.purge_log.member_client import (
     CloseConnection,
     ConnectionOpened,
@@ -35,6 +35,7 @@
 )
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
 from quartzrouter.quota.messages import QuotaRefusal
+from quartzrouter.routing import LOGGER_NAME
 from quartzrouter.routing.model import AttemptStatus, HealthObservation, Idempotency, Request
 from quartzrouter.server import responses
 from quartzrouter.server.cache_protocol import HTTP_NOT_MODIFIED, HTTP_OK
@@ -43,7 +44,7 @@
 from quartzrouter.server.pending_request import PendingAttempt
 from quartzrouter.server.state_machine import RouterStateMachine
 
-log = logging.getLogger("quartzrouter.routing.router")  # what changes the decisions is logged with them
+log = logging.getLogger(f"{LOGGER_NAME}.router")  # what changes the decisions is logged with them
 
 MAX_PEERS_LOGGED = 5  # in the log line of an ejection
 MAX_REFUSALS_KEPT = 64  # until they are logged; beyond that the oldest are dropped
@@ -132,10 +133,10 @@
                 case EjectionVerdicts(verdicts, loads):
                     self._eject_by_peers(verdicts, now)
                     self._take_fleet_load(loads, now)
-                case SendMessage(said):
-                    effects.append(QueueMessage(said))
-                case EndConnection(reason, come_back):
-                    effects.append(CloseConnection(reason, come_back))
+                case SendMessage(reply):
+                    effects.append(QueueMessage(reply))
+                case EndConnection(reason, retry_after):
+                    effects.append(CloseConnection(reason, retry_after))
         return effects
 
     def _apply_purges(self, purges: ApplyPurges, now: int) -> None:
@@ -150,7 +151,7 @@
         for pending in self.in_flight.values():
             attempt = pending.attempt
             selection = pending.client_request.route_selection
-            if attempt and not attempt.is_sent and not selection.vhost.uncacheable:
+            if attempt and not attempt.is_sent and not selection.traffic_class.uncacheable:
                 attempt.is_outdated |= self.multi_pool_router.is_outdated(selection, attempt.decision, now)
 
     def _take_grants(self, grants: QuotaGrants) -> None:
@@ -228,7 +229,7 @@
             self.effects += self._request_quota(now)  # a budget that nothing is held of waits for no timer
         if exceeded is not None:
             self.rejected_by_limit[exceeded.limit] = self.rejected_by_limit.get(exceeded.limit, 0) + 1
-            self.effects.append(SendResponse(request_id, responses.overloaded(exceeded.come_back)))
+            self.effects.append(SendResponse(request_id, responses.overloaded(exceeded.retry_after)))
             return
         super()._request_received(request_id, client_request, now)
         if request_id not in self.in_flight:  # its correlation id is in use, or the process is closed
@@ -238,7 +239,7 @@
         selection = client_request.route_selection
         return Request(
             id=request_id,
-            traffic_class=vhost_name(selection.route),
+            traffic_class=traffic_class_name(selection.route),
             object_key=client_request.object_key.lower(),
             tag=client_request.tag,
             chunk=client_request.chunk,
@@ -251,7 +252,7 @@
 
     def _is_cacheable(self, client_request: ClientRequest) -> bool:
         """By the configuration that the request came under, which may have been replaced since."""
-        return not client_request.route_selection.vhost.uncacheable
+        return not client_request.route_selection.traffic_class.uncacheable
 
     def _extra_headers(self, client_request: ClientRequest) -> list[tuple[str, str]]:
         return [("X-Path", client_request.route_selection.path)]
@@ -268,7 +269,9 @@
     def _attempt_ended(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded, now: int) -> None:
         if self._is_copy_too_old(request_id, attempt, event):
             selection = self.in_flight[request_id].client_request.route_selection
-            may_run_again = selection.vhost.idempotency is Idempotency.IDEMPOTENT
+            # A request that may run again is retried as if nothing had been sent. Any other is treated as
+            # possibly executed: its connection is taken for lost.
+            may_run_again = selection.traffic_class.idempotency is Idempotency.IDEMPOTENT
             status = AttemptStatus.NOT_SENT if may_run_again else AttemptStatus.CONNECTION_LOST
             self._finish_attempt(request_id, attempt, status, now)
         else:
