--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -104,11 +104,11 @@
         self.last_sequence_number += 1
         number = self.last_sequence_number
         asks = tuple(
-            QuotaRequest(budget.name, f"r{router}", "t", number, 20.0, 1.0, 2, 5, budget.figures)
+            QuotaRequest(budget.name, f"r{router}", "t", number, 20.0, 1.0, 2, 5, budget.terms_checksum)
             for budget in BUDGETS
         )
         slow_start = tuple(
-            SlowStartRequest(f"n{cache}", "cache", number, SECOND, SECOND, 0, 50_000, TERMS.figures)
+            SlowStartRequest(f"n{cache}", "cache", number, SECOND, SECOND, 0, 50_000, TERMS.terms_checksum)
             for cache in range(STARTING_CACHES)
         )
         return encode_line(QuotaRequests(asks, slow_start))
--- a/quartzrouter/fault_harness/quota_mutations.py
+++ b/quartzrouter/fault_harness/quota_mutations.py
@@ -128,7 +128,7 @@
     """Replaces ``QuotaAllocator._refusal``: a router may have another plan."""
     budget = allocator.budgets.get(base_name(request.budget))
     if budget:
-        request = request._replace(figures=budget.figures)
+        request = request._replace(terms_checksum=budget.terms_checksum)
     return _refusal(allocator, request, now)
 
 
--- a/quartzrouter/quota/allocator.py
+++ b/quartzrouter/quota/allocator.py
@@ -264,9 +264,9 @@
         if budget is None or len(request.budget) > MAX_NAME_LENGTH:
             reason = f"there is no budget {request.budget!r:.60}"
             return QuotaRefusal(RefusedField.BUDGET, reason, "read the plan anew")
-        if request.figures != budget.figures:
+        if request.terms_checksum != budget.terms_checksum:
             reason = f"{budget.name} has other figures here"
-            return QuotaRefusal(RefusedField.FIGURES, reason, "give both the same plan")
+            return QuotaRefusal(RefusedField.TERMS_CHECKSUM, reason, "give both the same plan")
         if refusal := _amount_refusal(request):
             return refusal
         account = self._account(request.budget, now)
--- a/quartzrouter/quota/budget.py
+++ b/quartzrouter/quota/budget.py
@@ -26,7 +26,7 @@
 class Budget:
     """What all routers together may use.
 
-    The order of the fields counts: ``figures`` is computed from their values.
+    The order of the fields counts: ``terms_checksum`` is computed from their values.
 
     :param name: of the budget; with ``PARTITION_SEPARATOR`` and a tenant, route or pool where it is
         partitioned.
@@ -92,7 +92,7 @@
         return max(self.grant_ttl // MAX_REQUESTS_PER_TTL, min(usual, half_full))
 
     @property
-    def figures(self) -> int:
+    def terms_checksum(self) -> int:
         """Checksum of the terms, by which router and allocator notice that their plans differ.
 
         The name is left out: one budget has several partitions.
--- a/quartzrouter/quota/local_quota.py
+++ b/quartzrouter/quota/local_quota.py
@@ -206,7 +206,7 @@
             tokens_left=self.tokens_left(now),
             slots_kept=slots_kept,
             slots_wanted=slots_wanted if self.budget.slots else 0,
-            figures=self.budget.figures,
+            terms_checksum=self.budget.terms_checksum,
         )
 
     def _wanted_slots(self, guaranteed_slots: int) -> int:
--- a/quartzrouter/quota/messages.py
+++ b/quartzrouter/quota/messages.py
@@ -17,7 +17,7 @@
     TOKENS_LEFT = "left"
     SLOTS_KEPT = "keep"
     SLOTS_WANTED = "slots"
-    FIGURES = "figures"
+    TERMS_CHECKSUM = "figures"
 
 
 class QuotaRequest(NamedTuple):
@@ -31,7 +31,7 @@
     :param tokens_left: granted and not used.
     :param slots_kept: to which the router has confined itself, from this message on.
     :param slots_wanted: that it would use.
-    :param figures: checksum of the budget's terms in the router's plan.
+    :param terms_checksum: checksum of the budget's terms in the router's plan.
     """
 
     budget: str
@@ -42,7 +42,7 @@
     tokens_left: float = 0.0
     slots_kept: int = 0
     slots_wanted: int = 0
-    figures: int = 0
+    terms_checksum: int = 0
 
 
 class QuotaGrant(NamedTuple):
--- a/quartzrouter/quota/slow_start_allocator.py
+++ b/quartzrouter/quota/slow_start_allocator.py
@@ -176,9 +176,9 @@
         if terms is None:
             reason = f"no part of cold {request.tier!r:.20}s is shared"
             return QuotaRefusal(RefusedSlowStartField.TIER, reason, "read the plan anew")
-        if request.figures != terms.figures:
+        if request.terms_checksum != terms.terms_checksum:
             reason = f"cold {request.tier}s have others here"
-            return QuotaRefusal(RefusedSlowStartField.FIGURES, reason, "give both the same plan")
+            return QuotaRefusal(RefusedSlowStartField.TERMS_CHECKSUM, reason, "give both the same plan")
         if not 0 < len(request.endpoint) <= MAX_NAME_LENGTH:
             reason = f"{request.endpoint!r:.60} is no name"
             return QuotaRefusal(RefusedSlowStartField.ENDPOINT, reason, "mend the sender")
--- a/quartzrouter/quota/slow_start_client.py
+++ b/quartzrouter/quota/slow_start_client.py
@@ -169,7 +169,7 @@
             wanted=min(MAX_SENDING_TIME, max(allowance.request_time, int(allowance.wanted))),
             left=self.left.get(demand.endpoint, 0),
             request_time=allowance.request_time,
-            figures=terms.figures,
+            terms_checksum=terms.terms_checksum,
             returned=returned,
         )
 
--- a/quartzrouter/quota/slow_start_messages.py
+++ b/quartzrouter/quota/slow_start_messages.py
@@ -28,7 +28,7 @@
     WANTED = "want"
     LEFT = "left"
     REQUEST_TIME = "unit"
-    FIGURES = "figures"
+    TERMS_CHECKSUM = "figures"
     RETURNED = "back"
 
 
@@ -47,7 +47,7 @@
     grant_ttl: int
 
     @property
-    def figures(self) -> int:
+    def terms_checksum(self) -> int:
         """Checksum of the terms, by which router and allocator notice that their plans differ."""
         return crc32(repr(tuple(self)).encode())
 
@@ -79,7 +79,7 @@
     :param wanted: microseconds that this router would spend in a window, what it sent elsewhere included.
     :param left: microseconds that are granted and not used.
     :param request_time: microseconds of one request to the endpoint; less than that is of no use.
-    :param figures: checksum of the terms in the router's plan.
+    :param terms_checksum: checksum of the terms in the router's plan.
     :param returned: microseconds of grants that have expired unused, told once.
     """
 
@@ -90,7 +90,7 @@
     wanted: int
     left: int
     request_time: int
-    figures: int
+    terms_checksum: int
     returned: int = 0
 
 
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -67,7 +67,7 @@
 BUDGET = budget.Budget("origin", 250.0, 50.0, 40, 3 * S, 0.25, 4, 2 * S)
 COLD = slow_start_messages.SlowStartTerms(1 * S, 0.3, 4, 500_000)
 LEASES = lease_terms.LeaseTerms(("k1", "k2", "k3"), 2, 4 * S, 150, (("deliver", ("a", "b")), ("sweep", ())))
-FIGURES = {
+CHECKSUMMED_TERMS = {
     "budget all": BUDGET,
     "budget defaults": budget.Budget("origin"),
     "budget renamed": budget.Budget("parent", 250.0, 50.0, 40, 3 * S, 0.25, 4, 2 * S),
@@ -310,54 +310,57 @@
 
 
 def refused_budgets() -> list[Any]:
-    grants, figures, most = allocator.QuotaAllocator([BUDGET], 0), BUDGET.figures, float(2**80)
-    grants.ask(quota_messages.QuotaRequest("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, figures), S)
+    grants, terms_checksum, most = allocator.QuotaAllocator([BUDGET], 0), BUDGET.terms_checksum, float(2**80)
+    grants.ask(quota_messages.QuotaRequest("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, terms_checksum), S)
     return [
         grants.ask(quota_messages.QuotaRequest(*each), S)
         for each in (
-            ("fills", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, figures),
+            ("fills", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, terms_checksum),
             ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, 1),
-            ("origin", "t-0", "0123abcd", 6, most, 0.0, 0, 0, figures),
-            ("origin", "t-0", "0123abcd", 6, 1.0, most, 0, 0, figures),
-            ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, -1, 0, figures),
-            ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, 0, -1, figures),
-            ("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, figures),
+            ("origin", "t-0", "0123abcd", 6, most, 0.0, 0, 0, terms_checksum),
+            ("origin", "t-0", "0123abcd", 6, 1.0, most, 0, 0, terms_checksum),
+            ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, -1, 0, terms_checksum),
+            ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, 0, -1, terms_checksum),
+            ("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, terms_checksum),
         )
     ]
 
 
 def refused_colds() -> list[Any]:
-    grants, figures = slow_start_allocator.SlowStartAllocator({"cache": COLD}, 0), COLD.figures
+    grants, terms_checksum = slow_start_allocator.SlowStartAllocator({"cache": COLD}, 0), COLD.terms_checksum
     grants.ask(
-        slow_start_messages.SlowStartRequest("n1", "cache", 5, 9, 9, 0, 1, figures), "t-0", "0123abcd", S
+        slow_start_messages.SlowStartRequest("n1", "cache", 5, 9, 9, 0, 1, terms_checksum),
+        "t-0",
+        "0123abcd",
+        S,
     )
     return [
         grants.ask(slow_start_messages.SlowStartRequest(*each), "t-0", "0123abcd", S)
         for each in (
-            ("n1", "parent", 6, 9, 9, 0, 1, figures),
+            ("n1", "parent", 6, 9, 9, 0, 1, terms_checksum),
             ("n1", "cache", 6, 9, 9, 0, 1, 1),
-            ("", "cache", 6, 9, 9, 0, 1, figures),
-            ("n1", "cache", 6, -1, 9, 0, 1, figures),
-            ("n1", "cache", 6, 9, -1, 0, 1, figures),
-            ("n1", "cache", 6, 9, 9, -1, 1, figures),
-            ("n1", "cache", 6, 9, 9, 0, -1, figures),
-            ("n1", "cache", 6, 9, 9, 0, 1, figures, -1),
-            ("n1", "cache", 5, 9, 9, 0, 1, figures),
+            ("", "cache", 6, 9, 9, 0, 1, terms_checksum),
+            ("n1", "cache", 6, -1, 9, 0, 1, terms_checksum),
+            ("n1", "cache", 6, 9, -1, 0, 1, terms_checksum),
+            ("n1", "cache", 6, 9, 9, -1, 1, terms_checksum),
+            ("n1", "cache", 6, 9, 9, 0, -1, terms_checksum),
+            ("n1", "cache", 6, 9, 9, 0, 1, terms_checksum, -1),
+            ("n1", "cache", 5, 9, 9, 0, 1, terms_checksum),
         )
     ]
 
 
 def refused_votes() -> list[Any]:
-    keeper, figures = lease_keeper.Acceptor(LEASES, "k1", 0), LEASES.checksum
+    keeper, terms_checksum = lease_keeper.Acceptor(LEASES, "k1", 0), LEASES.checksum
     return [
         keeper.vote(lease_terms.VoteRequest(*each), 9 * S)
         for each in (
             ("deliver", "a", "0123abcd", 4, 6, 1),
-            ("", "a", "0123abcd", 4, 6, figures),
-            ("deliver", "", "0123abcd", 4, 6, figures),
-            ("deliver", "a", "", 4, 6, figures),
-            ("other", "a", "0123abcd", 4, 6, figures),
-            ("deliver", "a", "0123abcd", 4, 0, figures),
+            ("", "a", "0123abcd", 4, 6, terms_checksum),
+            ("deliver", "", "0123abcd", 4, 6, terms_checksum),
+            ("deliver", "a", "", 4, 6, terms_checksum),
+            ("other", "a", "0123abcd", 4, 6, terms_checksum),
+            ("deliver", "a", "0123abcd", 4, 0, terms_checksum),
         )
     ]
 
@@ -611,14 +614,14 @@
 
 def checksum_of(terms: Any) -> int:
     """Two parties compare it on the wire to see that they go by the same terms."""
-    return terms.checksum if isinstance(terms, lease_terms.LeaseTerms) else terms.figures
+    return terms.checksum if isinstance(terms, lease_terms.LeaseTerms) else terms.terms_checksum
 
 
-@pytest.mark.parametrize("name", FIGURES)
+@pytest.mark.parametrize("name", CHECKSUMMED_TERMS)
 def test_terms_checksum(name):
     recorded = json.loads((GOLDEN / "checksums.json").read_bytes())
-    assert set(recorded) == set(FIGURES)
-    assert checksum_of(FIGURES[name]) == recorded[name]
+    assert set(recorded) == set(CHECKSUMMED_TERMS)
+    assert checksum_of(CHECKSUMMED_TERMS[name]) == recorded[name]
 
 
 @pytest.mark.parametrize("name", REFUSALS)
@@ -694,8 +697,8 @@
             put(f"stored/{name}", Path(made, name).read_bytes())
         fault_schedule.write(Path(made, "faults"), FAULTS)
         put("stored/faults.jsonl", Path(made, "faults").read_bytes())
-    figures = {name: checksum_of(terms) for name, terms in FIGURES.items()}
-    put("checksums.json", json.dumps(figures, indent=2).encode() + b"\n")
+    checksums = {name: checksum_of(terms) for name, terms in CHECKSUMMED_TERMS.items()}
+    put("checksums.json", json.dumps(checksums, indent=2).encode() + b"\n")
     for name, make in EDGES.items():
         put(f"edges/{name}", make())
     for name in REFUSALS:
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -272,7 +272,7 @@
     [
         ({"budget": "other"}, "budget"),
         ({"budget": "fills/" + 300 * "x"}, "budget"),
-        ({"figures": 1}, "figures"),
+        ({"terms_checksum": 1}, "figures"),
         ({"wanted_rate": -1.0}, "want"),
         ({"wanted_rate": float("nan")}, "want"),
         ({"wanted_rate": 1e300}, "want"),
@@ -286,7 +286,7 @@
 def test_requests_that_an_allocator_refuses(changes, place):
     """Each is refused with the field's name, counted, and costs no token."""
     allocator = QuotaAllocator([RATE], 0, first_allocator=True)
-    valid = QuotaRequest("fills", "r", "t", 1, wanted_rate=5.0, figures=RATE.figures)
+    valid = QuotaRequest("fills", "r", "t", 1, wanted_rate=5.0, terms_checksum=RATE.terms_checksum)
     assert isinstance(allocator.ask(valid, SECOND), QuotaGrant)
     before = allocator.accounts["fills"].tokens
     answer = allocator.ask(valid._replace(**({"sequence_number": 2} | changes)), SECOND)
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -193,7 +193,9 @@
     allocator = QuotaAllocator([CALLS], 0, first_allocator=True)
 
     def ask(tenant):
-        request = QuotaRequest(f"calls/{tenant}", "r", "t", 1, wanted_rate=500.0, figures=CALLS.figures)
+        request = QuotaRequest(
+            f"calls/{tenant}", "r", "t", 1, wanted_rate=500.0, terms_checksum=CALLS.terms_checksum
+        )
         return allocator.ask(request, 100 * SECOND)
 
     assert ask("first").tokens > 15
@@ -263,7 +265,7 @@
     anyio.run(main)
 
 
-VALID = QuotaRequest("calls", "r", "t", 1, wanted_rate=5.0, figures=CALLS.figures)
+VALID = QuotaRequest("calls", "r", "t", 1, wanted_rate=5.0, terms_checksum=CALLS.terms_checksum)
 
 
 @pytest.mark.parametrize(
@@ -273,7 +275,7 @@
         (VALID._replace(wanted_rate=-1.0), "want"),
         (VALID._replace(tokens_left=1e12), "left"),
         (VALID._replace(slots_wanted=-3), "slots"),
-        (VALID._replace(figures=7), "figures"),
+        (VALID._replace(terms_checksum=7), "figures"),
         (VALID._replace(name="s"), "name"),
         (VALID._replace(process_token="other"), "name"),
     ],
--- a/tests/test_slow_start_quota.py
+++ b/tests/test_slow_start_quota.py
@@ -28,10 +28,12 @@
     left=0,
     request_time=REQUEST_TIME,
     endpoint="n0",
-    figures=TERMS.figures,
+    terms_checksum=TERMS.terms_checksum,
     tier="cache",
 ):
-    return SlowStartRequest(endpoint, tier, sequence_number, limit, wanted, left, request_time, figures)
+    return SlowStartRequest(
+        endpoint, tier, sequence_number, limit, wanted, left, request_time, terms_checksum
+    )
 
 
 class Allocator(SlowStartAllocator):
@@ -99,7 +101,7 @@
 @pytest.mark.parametrize(
     "invalid, place",
     [
-        (request(figures=1), "figures"),
+        (request(terms_checksum=1), "figures"),
         (request(tier="hub"), "tier"),
         (request(endpoint=""), "server"),
         (request(endpoint="x" * 65), "server"),
@@ -157,7 +159,7 @@
     short = TERMS._replace(grant_ttl=100 * MILLISECOND)
     changed_at = now + 2 * SECOND
     allocator.replace({"cache": short}, changed_at)
-    third = request(3, wanted=REQUEST_TIME, figures=short.figures)
+    third = request(3, wanted=REQUEST_TIME, terms_checksum=short.terms_checksum)
     assert allocator.sending_time(third, "b", changed_at + short.accounting_period) == 0
     fourth = third._replace(sequence_number=4)
     assert allocator.sending_time(fourth, "b", changed_at + TERMS.accounting_period) == REQUEST_TIME
