--- a/quartzrouter/server/byte_budget.py
+++ b/quartzrouter/server/byte_budget.py
@@ -28,7 +28,7 @@
         self.waiters: deque[Waiter] = deque()  # one an attempt at most
 
     async def take(self, count: int) -> None:
-        """Takes bytes, once they are free and nobody is before.
+        """Reserves bytes, once they are free and nobody waits before.
 
         :param count: at most the size of the budget, else it waits for ever.
         """
--- a/quartzrouter/server/client_connection.py
+++ b/quartzrouter/server/client_connection.py
@@ -185,7 +185,7 @@
             self.writer.queue(NO_REQUEST, [fastcgi.encode_unknown_type(record_type)])
 
     def _ignore_content(self, content: bytes) -> None:
-        """Drops what comes of a request behind its response; much of it closes the connection."""
+        """Ignores what comes of a request after its response; much of it closes the connection."""
         self.ignored_bytes += len(content)
         if self.ignored_bytes > MAX_IGNORED_BYTES and not self.closing:
             self.close_when_answered()
@@ -219,7 +219,7 @@
     def _handle_content(
         self, fastcgi_id: int, incoming: IncomingRequest, record_type: int, content: bytes
     ) -> None:
-        """Takes in a record of a request; one that can't be used is rejected now, whatever still comes."""
+        """Handles a record of a request; one that can't be used is rejected now, whatever still comes."""
         size_before = incoming.size
         try:
             if content:
--- a/quartzrouter/server/connection_pool.py
+++ b/quartzrouter/server/connection_pool.py
@@ -12,10 +12,11 @@
 from quartzrouter.server.errors import ServerError
 from quartzrouter.server.stream import connect
 
-# s until a connection carries its next request: what was written behind a response has come by then.
-REST = 0.005
-# s after a response that names no copy: sent once more, it couldn't be told from the next one.
-REST_AFTER_UNNAMED_COPY = 0.05
+# s for which a connection waits before it is used again, so that a stray second response is noticed in the
+# meantime and not taken for the next request's.
+REUSE_DELAY = 0.005
+# The same, after a response that names no copy: a second one could not be told from the next request's.
+REUSE_DELAY_AFTER_UNNAMED_COPY = 0.05
 IDLE_SHARE = 0.8  # of the configured idle time: then we close a pooled connection, before its cache does
 SWEEPS_PER_IDLE_TIME = 10
 
@@ -115,7 +116,7 @@
         """Keeps a connection for the next request, or closes it where it can't be used again.
 
         Guards against a second response: it would be taken for the next request's. So the connection
-        rests, for longer where nothing tells the responses apart.
+        waits before it is used again, for longer where nothing tells the responses apart.
 
         :param target: of the request whose response has come.
         :param copy: what that response named.
@@ -124,8 +125,8 @@
             self.discard(connection)
             return
         now = anyio.current_time()
-        rest = REST_AFTER_UNNAMED_COPY if copy is None else REST
-        connection.start_next_exchange(LastExchange(target, now, copy), now + rest)
+        reuse_delay = REUSE_DELAY_AFTER_UNNAMED_COPY if copy is None else REUSE_DELAY
+        connection.start_next_exchange(LastExchange(target, now, copy), now + reuse_delay)
         insort(self.idle.setdefault(endpoint, []), connection, key=by_ready_at)
 
     def discard(self, connection: CacheConnection) -> None:
--- a/quartzrouter/server/endpoint_watch.py
+++ b/quartzrouter/server/endpoint_watch.py
@@ -61,7 +61,7 @@
             self._scope.cancel()
 
     async def follow(self) -> None:
-        """Feeds every later event until it is cancelled; a connection that fails is made anew."""
+        """Feeds every later event until it is cancelled; a connection that fails is made again."""
         while True:
             with anyio.CancelScope() as scope:
                 self._scope = scope
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -67,7 +67,7 @@
     """One router: its state machine, its connections, and the tasks that move events between them.
 
     :param configuration: as it was read at start.
-    :param reread: reads the configuration anew at SIGHUP; raises ConfigurationError.
+    :param reread: reads the configuration again at SIGHUP; raises ConfigurationError.
     :param signals: those that are handled already; what came before the router runs is played once it does.
     """
 
@@ -280,7 +280,11 @@
             arrived = anyio.Event()
 
     def _reload(self) -> None:
-        """Reads the configuration anew; one that can't be used changes nothing."""
+        """Reads the configuration again and follows its discovery address, and nothing else of it.
+
+        All other settings stay as they were at the start. The log line names those of ``restart_only`` that
+        differ. A configuration that can't be used changes nothing.
+        """
         try:
             configuration = self._reread()
         except ConfigurationError as error:
--- a/quartzrouter/server/request_reader.py
+++ b/quartzrouter/server/request_reader.py
@@ -67,7 +67,7 @@
         return bytes(self._body)
 
     def add(self, record_type: int, content: bytes, free_memory: int) -> None:
-        """Takes in a piece of its parameters or of its body.
+        """Adds a piece of its parameters or of its body.
 
         :param free_memory: bytes that requests may still hold.
         :raises InvalidRequestError: it is longer than a request may be.
--- a/quartzrouter/server/response_writer.py
+++ b/quartzrouter/server/response_writer.py
@@ -116,7 +116,7 @@
                 self._sent_callbacks.pop(request_id)()
 
     def discard(self) -> None:
-        """Drops what is queued, for a client that has gone; the callbacks are called."""
+        """Removes what is queued, for a client that has gone; the callbacks are called."""
         self.queues.clear()
         for callback in self._sent_callbacks.values():
             callback()
--- a/quartzrouter/server/spin_guard.py
+++ b/quartzrouter/server/spin_guard.py
@@ -110,10 +110,16 @@
         self.loop.call_later(SAMPLE_DURATION, self._judge_sample, cpu, events)
 
     def _judge_sample(self, cpu: int, events: int) -> None:
-        """Decides by a sample whether the loop spins.
+        """Decides by a sample whether the loop spins; if so, says it in one line and slows the loop down.
 
-        :param cpu: ns that the check found, for the log.
-        :param events: that the check found, for the log.
+        The line's figures are of two intervals. "ms of CPU for ... events" is of the check interval
+        before the sample: CPU time of the loop's thread, and events that the state machine
+        handled. "ran ... times in ... ms for ..." is of the sample: runs of the callback that ran most
+        often, the length of the sample, and events handled during it. The rest is the remedy: the shortest
+        and the longest pause of an iteration, and for how long the loop is slowed down.
+
+        :param cpu: ns of CPU time in the check interval.
+        :param events: handled in the check interval, ticks without effects left out.
         """
         self.loop.stop_counting()
         events_in_sample = self._event_count() - self._events_at_check
--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -77,7 +77,7 @@
         self.now = 0  # of the step under way
 
     def step(self, event: Event, now: int) -> list[Effect]:
-        """Takes in one event.
+        """Handles one event.
 
         :param now: the time; never before that of the previous step.
         :returns: the effects that it brings about, in order.
@@ -380,7 +380,7 @@
                 pending.attempt.is_outdated = True
 
     def _update_addresses(self, addresses: dict[str, tuple[str, int]]) -> None:
-        """Takes in where endpoints are; connections to an endpoint's former address are closed."""
+        """Records where endpoints are; connections to an endpoint's former address are closed."""
         for name, address in addresses.items():
             if self.addresses.get(name, address) != address:
                 self.effects.append(CloseIdleConnections(name))
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -173,7 +173,7 @@
             if len(pool) < 2:
                 await client.send_request(id)
                 assert "200 OK" in await client.receive_response()
-        await anyio.sleep(2 * connection_pool.REST)
+        await anyio.sleep(2 * connection_pool.REUSE_DELAY)
         monkeypatch.setattr(stream.Stream, "receive", slow)
         await client.send_request(1)  # the reader comes back to the slow way after it
         await wait_until(lambda: request_count(world, 1))
@@ -304,7 +304,7 @@
         client = await connect()
         await client.send_request(1, path="/rpc/sale")
         assert "200 OK" in await client.receive_response()
-        await anyio.sleep(2 * connection_pool.REST_AFTER_UNNAMED_COPY)
+        await anyio.sleep(2 * connection_pool.REUSE_DELAY_AFTER_UNNAMED_COPY)
 
         async def late(self, ticket):
             if not ends:
@@ -337,7 +337,7 @@
         world.responses = {7: [FIRST_RESPONSE]}
         await client.send_request(1, **same)
         assert "first" in await client.receive_response()
-        await anyio.sleep(2 * connection_pool.REST)
+        await anyio.sleep(2 * connection_pool.REUSE_DELAY)
         world.responses = {7: [gate, FIRST_RESPONSE, OK_RESPONSE]}  # the cache has read the next req by then
         await client.send_request(2, HTTP_X_CHUNK="1", **same)
         await wait_until(lambda: request_count(world, 7) == 2)
@@ -365,7 +365,7 @@
         world.responses = {7: [FIRST_RESPONSE]}
         await client.send_request(1, **same)
         assert "first" in await client.receive_response()
-        await anyio.sleep(2 * connection_pool.REST)
+        await anyio.sleep(2 * connection_pool.REUSE_DELAY)
         if purged:
             world.router_process.feed(events.PurgeNotice(None, f"{7:016x}", world.router_process.clock()))
         world.responses = {7: [gate, FIRST_RESPONSE, OK_RESPONSE]}
@@ -385,7 +385,7 @@
     Taken for the next request's, it says that this one is done, or that it never ran. Nothing tells the two
     apart, so such a connection rests for longer before its next request.
     """
-    monkeypatch.setattr(connection_pool, "REST_AFTER_UNNAMED_COPY", 3_600.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_AFTER_UNNAMED_COPY", 3_600.0)
 
     async def scene(connect):
         client = await connect()
@@ -393,7 +393,7 @@
         for id in (1, 2, 3):
             await client.send_request(id, path="/rpc/sale")
             await client.receive_response()
-            await anyio.sleep(2 * connection_pool.REST)
+            await anyio.sleep(2 * connection_pool.REUSE_DELAY)
         attempts = sum(line.startswith("GET /x/sale/") for line in world.requests)
         assert world.accepted_connections == attempts >= 3
 
