--- a/quartzrouter/lease_service/token_storage.py
+++ b/quartzrouter/lease_service/token_storage.py
@@ -1,5 +1,12 @@
 """Fencing tokens that an acceptor knows, on its disk: written whole before it votes under a higher one."""
 
+# Field names in the file are kept for compatibility. Where they differ from the names here:
+#
+#     field    field here
+#     keeper   StoredTokens.acceptor
+#     sum      StoredTokens.checksum
+#     numbers  StoredTokens.tokens
+
 from collections.abc import Callable
 from pathlib import Path
 from zlib import crc32
--- a/quartzrouter/leases/messages.py
+++ b/quartzrouter/leases/messages.py
@@ -1,7 +1,22 @@
-"""The messages between proposers and acceptors: one JSON object a line, told apart by `say`.
-
-Tags and field names are part of the protocol: a field that has another name here keeps its name there.
-"""
+"""The messages between proposers and acceptors: one JSON object a line, told apart by `say`."""
+
+# Tags and field names on the wire are kept for compatibility. Where they differ from the names here:
+#
+#     tag        class
+#     "votes"    VoteRequests
+#     "frees"    VoteReleases
+#     "keeps"    StatusQuery
+#     "shun"     RevokeHolder
+#     "answers"  VoteReplies
+#     "free"     VoteAvailable
+#     "kept"     StatusReply
+#     "unheard"  MessageRejected
+#
+#     field      field here
+#     votes      VoteRequests.requests
+#     frees      VoteReleases.releases
+#     answers    VoteReplies.replies
+#     keeps      StatusReply.status
 
 from typing import TypeVar
 
--- a/quartzrouter/purges/client_messages.py
+++ b/quartzrouter/purges/client_messages.py
@@ -1,9 +1,35 @@
 """Messages to the purge log, from its members and from clients.
 
-Each has the name of its type in the field ``say``. Fields have other names on the wire than here where
-``msgspec.field(name=...)`` says so; those names are the protocol and don't change.
+Each has the name of its type in the field ``say``.
 """
 
+# Tags and field names on the wire are kept for compatibility. Where they differ from the names here:
+#
+#     tag        class
+#     "send"     PurgeRequest
+#     "hello"    MemberHello
+#     "ack"      MemberAck
+#     "leave"    MemberLeave
+#     "status"   StatusQuery
+#     "members"  MembersQuery
+#     "asks"     QuotaRequests
+#     "sights"   HealthReport
+#     "views"    HealthQuery
+#     "budgets"  QuotaQuery
+#
+#     field      field here
+#     held       MemberHello.applied_up_to
+#     life       MemberHello.purge_lifetime
+#     held       MemberAck.applied_up_to
+#     mark       MemberAck.ack_id
+#     away       MemberAck.is_unreachable
+#     number     StatusQuery.sequence_number
+#     asks       QuotaRequests.requests
+#     colds      QuotaRequests.slow_start_requests
+#     sights     HealthReport.observations
+#     caches     HealthReport.cache_count
+#     loads      HealthReport.wants_loads
+
 from typing import Literal
 
 import msgspec
@@ -30,7 +56,7 @@
     """Joins as a member and asks for every purge after ``applied_up_to``.
 
     :param token: of the process: another token under the same name is another process.
-    :param applied_up_to: the sequence number up to which every purge is in force at the member.
+    :param applied_up_to: the sequence number up to which every purge is applied at the member.
     :param epoch: the highest epoch of the purge log that the member knows of.
     :param purge_lifetime: microseconds for which a purge matters to the member; 0 for ever.
     """
@@ -44,7 +70,7 @@
 
 
 class MemberAck(msgspec.Struct, tag_field="say", tag="ack", omit_defaults=True):
-    """Acknowledges that every purge up to a sequence number is in force at the member.
+    """Acknowledges that every purge up to a sequence number is applied at the member.
 
     :param ack_id: counts the acknowledgements of a connection; heartbeats echo it.
     :param is_unreachable: the member stands for a cache that can't be reached, so purges don't wait for it.
--- a/quartzrouter/purges/server_messages.py
+++ b/quartzrouter/purges/server_messages.py
@@ -1,9 +1,57 @@
 """Messages from the purge log, to its members and to clients.
 
-Each has the name of its type in the field ``say``. Fields have other names on the wire than here where
-``msgspec.field(name=...)`` says so; those names are the protocol and don't change.
+Each has the name of its type in the field ``say``.
 """
 
+# Tags and field names on the wire are kept for compatibility. Where they differ from the names here:
+#
+#     tag         class
+#     "taken"     PurgeAccepted
+#     "refused"   RequestRejected
+#     "welcome"   Welcome
+#     "purges"    PurgeBatch
+#     "snapshot"  Snapshot
+#     "beat"      Heartbeat
+#     "caught"    CaughtUp
+#     "status"    PurgeStatus
+#     "members"   MembersReply
+#     "grants"    QuotaGrants
+#     "budgets"   QuotaStatus
+#     "judged"    EjectionVerdicts
+#     "views"     HealthReply
+#
+#     field       field here
+#     number      PurgeAccepted.sequence_number
+#     when        PurgeAccepted.purged_at
+#     promise     PurgeAccepted.promised_within
+#     again       PurgeAccepted.is_duplicate
+#     come_back   RequestRejected.retry_after
+#     now         Welcome.server_time
+#     lease       Welcome.lease_length
+#     grants      Welcome.grants_quota
+#     judges      Welcome.judges_health
+#     floor       Snapshot.low_watermark
+#     last        Snapshot.is_last_page
+#     echo        Heartbeat.echoed_ack
+#     now         Heartbeat.server_time
+#     number      PurgeStatus.sequence_number
+#     what        PurgeStatus.description
+#     when        PurgeStatus.purged_at
+#     complete    PurgeStatus.is_complete
+#     took        PurgeStatus.completed_after
+#     promise     PurgeStatus.promised_within
+#     missing     PurgeStatus.waiting_for
+#     held        MemberStatus.applied_up_to
+#     live        MemberStatus.is_live
+#     away        MemberStatus.is_unreachable
+#     heard       MemberStatus.silent_for
+#     colds       QuotaGrants.slow_start_grants
+#     colds       QuotaStatus.slow_starts
+#     judgements  EjectionVerdicts.verdicts
+#     judgements  StoreHealth.verdicts
+#     counts      StoreHealth.loads
+#     views       HealthReply.stores
+
 import msgspec
 
 from quartzrouter.fleet_health.messages import CacheLoad, EjectionVerdict
