--- a/quartzrouter/fleet_health/aggregator.py
+++ b/quartzrouter/fleet_health/aggregator.py
@@ -29,7 +29,7 @@
         now: int,
         known_caches: int,
     ) -> bool:
-        """Takes in a router's report; an invalid one is counted and ignored as a whole.
+        """Records a router's report; an invalid one is counted and ignored as a whole.
 
         Of a cache that isn't mentioned the router has no news, and nothing in flight there.
 
--- a/quartzrouter/fleet_health/reports.py
+++ b/quartzrouter/fleet_health/reports.py
@@ -102,7 +102,7 @@
 ) -> RouterReport:
     """Joins a router's report with what is left of its earlier ones.
 
-    Another process under the router's name starts anew: what the former one had in flight has ended.
+    Another process under the router's name starts from nothing: what the former one had in flight has ended.
 
     :param previous: the router's last report, if it is known.
     """
--- a/quartzrouter/lease_service/client.py
+++ b/quartzrouter/lease_service/client.py
@@ -252,7 +252,7 @@
         self._wake.set()
 
     def handle(self, acceptor: str, message: messages.FromAcceptor) -> None:
-        """Takes a message of an acceptor in."""
+        """Handles a message of an acceptor."""
         now = self.steady()
         match message:
             case messages.VoteReplies():
--- a/quartzrouter/lease_service/server.py
+++ b/quartzrouter/lease_service/server.py
@@ -160,7 +160,7 @@
             return True
 
     async def change_terms(self, terms: LeaseTerms, addresses: Addresses) -> VoteRefusal | None:
-        """Goes by terms that were read anew.
+        """Applies terms that were read again, if that is safe.
 
         :param addresses: of the acceptors of the current and the new list.
         :returns: why they aren't followed; None where they are.
--- a/quartzrouter/leases/acceptor.py
+++ b/quartzrouter/leases/acceptor.py
@@ -165,7 +165,7 @@
     # -- giving votes back ---------------------------------------------------------------------------------
 
     def release(self, request: VoteRelease, now: int) -> tuple[str, ...]:
-        """Takes a vote back from the proposer that gives it up.
+        """Frees the vote that a proposer gives up.
 
         Guards against a delayed release that undoes a later lease of the same process: it names an older
         fencing token.
@@ -201,7 +201,7 @@
     # -- membership ----------------------------------------------------------------------------------------
 
     def change_terms(self, terms: LeaseTerms, versions: dict[str, int]) -> VoteRefusal | None:
-        """Goes by another list of acceptors, if that is safe.
+        """Replaces the list of acceptors by another, if that is safe.
 
         Guards against two majorities that share no acceptor: lists one acceptor apart always do, lists two
         apart needn't, so no acceptor goes on to the next list before all others have the one before.
--- a/quartzrouter/leases/proposer.py
+++ b/quartzrouter/leases/proposer.py
@@ -135,7 +135,7 @@
     # -- replies -------------------------------------------------------------------------------------------
 
     def handle_reply(self, reply: VoteReply, now: int) -> list[Effect]:
-        """Takes an acceptor's reply in.
+        """Handles an acceptor's reply.
 
         :param reply: from the acceptor whose connection it came on.
         """
--- a/quartzrouter/purge_log/cache_connection.py
+++ b/quartzrouter/purge_log/cache_connection.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 connection over which a courier sends purges to one cache."""
+"""An HTTP/1.1 connection over which the delivery process sends purges to one cache."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -46,7 +46,7 @@
 
 
 class CacheConnection:
-    """One connection to a cache, one request at a time; opened anew after a failure."""
+    """One connection to a cache, one request at a time; opened again after a failure."""
 
     def __init__(self, address: tuple[str, int]):
         self.address = address
--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -1,4 +1,12 @@
-"""The courier: delivers purges to caches by HTTP PURGE, and is a member of the purge log for each of them."""
+"""The delivery process: sends purges to caches by HTTP PURGE, a member of the purge log for each of them.
+
+Operators' commands and pages call it the courier. It has to do with two leases, of different kinds:
+
+- the freshness lease of a member (``purges/freshness_lease.py``): while it runs, the member may rely on
+  having received every purge;
+- the task lease (``leases/``) of the delivery task: the right to deliver, which one delivery process has at a
+  time.
+"""
 
 import secrets
 import signal
@@ -36,7 +44,7 @@
     :param purge_logs: their addresses.
     :param grace: microseconds within which a purge must hold at every router.
     :param rate: purges a second.
-    :param lease_handle: of the task of delivering, where one of several processes does it.
+    :param lease_handle: of the task lease, where one of several processes does it.
     """
 
     def __init__(
@@ -54,11 +62,13 @@
         self.lease_handle = lease_handle
         self.queue = DeliveryQueue(name, rate)
         self.connections = [CacheConnection(address) for _ in range(CONNECTIONS_PER_CACHE)]
-        lease = lease_length(grace)
+        freshness_lease_length = lease_length(grace)
         self.replica = PurgeReplica(
-            name, "cache", secrets.token_hex(8), FreshnessLease(lease), acks_on_receipt=False
+            name, "cache", secrets.token_hex(8), FreshnessLease(freshness_lease_length), acks_on_receipt=False
+        )
+        self.client = MemberClient(
+            purge_logs, SILENCE_TIMEOUT_LEASES * freshness_lease_length, self._on_event, report
         )
-        self.client = MemberClient(purge_logs, SILENCE_TIMEOUT_LEASES * lease, self._on_event, report)
         self.queue_changed = anyio.Event()
         self.deliveries_started = 0
 
@@ -126,7 +136,7 @@
                 await self._poll_cache()
 
     async def _poll_cache(self) -> None:
-        """Asks the cache up to what it has purged; where it has lost something, receives that anew."""
+        """Asks the cache up to what it has purged; where it has lost something, receives that again."""
         was_up = self.queue.is_up
         try:
             purged_up_to = await self.connections[0].request("GET", "/purged", ())
@@ -149,8 +159,9 @@
     async def _deliver(self, delivery: Delivery) -> None:
         """Delivers one purge.
 
-        Guards against a courier whose lease is over and that goes on, as after a stall: it doesn't know
-        what its successor has delivered. Whoever has the lease next asks the cache where it stands.
+        Guards against a delivery process that goes on after its task lease is over, as after a stall: it
+        doesn't know what its successor has delivered. Whoever has the lease next asks the cache where it
+        stands.
         """
         if self.lease_handle and not self.lease_handle.may_act():
             return
--- a/quartzrouter/purge_log/disk.py
+++ b/quartzrouter/purge_log/disk.py
@@ -15,7 +15,7 @@
         """Makes what was written durable."""
 
     def truncate(self, size: int) -> None:
-        """Drops what stands behind a number of bytes."""
+        """Removes what stands behind a number of bytes."""
 
     def close(self) -> None:
         """Closes the file; what was not synced may be lost."""
@@ -71,7 +71,7 @@
         os.fdatasync(self.descriptor)
 
     def truncate(self, size: int) -> None:
-        """Drops what stands behind a number of bytes."""
+        """Removes what stands behind a number of bytes."""
         os.ftruncate(self.descriptor, size)
 
     def close(self) -> None:
--- a/quartzrouter/purge_log/health_service.py
+++ b/quartzrouter/purge_log/health_service.py
@@ -30,7 +30,7 @@
         self.next_full_at = 0  # us; verdicts of every store are sent then, changed or not
 
     def report(self, member: Member, report: HealthReport) -> None:
-        """Takes a router's report."""
+        """Records a router's report."""
         self.aggregator.record_report(
             member.name,
             member.token,
--- a/quartzrouter/purge_log/quota_service.py
+++ b/quartzrouter/purge_log/quota_service.py
@@ -118,7 +118,7 @@
         return QuotaStatus(epoch, tuple(budgets), refused, tuple(slow_starts))
 
     def replace(self, budgets: list[Budget], slow_start_terms: dict[str, SlowStartTerms]) -> None:
-        """Takes the budgets and terms of a plan that was read again."""
+        """Applies the budgets and terms of a plan that was read again."""
         if self.allocator:
             self.allocator.replace(budgets, self.steady_clock())
             self.slow_start.replace(slow_start_terms, self.steady_clock())
--- a/quartzrouter/purge_log/segments.py
+++ b/quartzrouter/purge_log/segments.py
@@ -4,8 +4,8 @@
     00000003-00000001.log         its first segment of purges
     0000000000000041.snapshot     the purges up to 41 that still matter
 
-A segment begins with a header that names the segment before it and how many of its bytes count. So nobody
-reads what a writer that was taken over from still appends, and a segment that is missing is missed.
+A segment begins with a header that names the segment before it and how many of that segment's bytes count.
+So what a former writer still appends after another took over is never read, and a missing segment is noticed.
 """
 
 import re
@@ -24,6 +24,7 @@
 SEGMENT_FILE = re.compile(r"\d{8}-\d{8}\.log")
 SNAPSHOT_FILE = re.compile(r"\d{16}\.snapshot")
 TEMPORARY_SUFFIX = ".new"  # of a snapshot that is being written
+# remedies, as operators read them
 RESTORE = "restore it from a copy, or start with an empty folder and purge all"
 REPAIR = "restore the file from a copy, or give up what follows with `quartzrouter ledger repair`"
 Content = TypeVar("Content")
@@ -65,7 +66,7 @@
     :param low_watermark: microseconds, the time of that purge.
     :param last_segment: name of the segment that was written last; empty where there is none.
     :param last_segment_length: bytes of it that count.
-    :param torn_bytes: behind those, of a write that was cut short.
+    :param torn_bytes: after those, left by a write that was cut short.
     :param obsolete_files: names of files that hold nothing that counts.
     """
 
@@ -158,7 +159,7 @@
 def read_log(disk: Disk, cut_at: FilePosition | None = None) -> LogContents:
     """Reads a folder whole.
 
-    :param cut_at: what stands there and behind is given up.
+    :param cut_at: records from there on are not read: `repair` gives them up.
     :raises LogDamagedError: where something that was promised can't be read.
     :raises OSError: where the disk fails.
     """
@@ -178,12 +179,14 @@
     for index, name in enumerate(chain):
         next_name = chain[index + 1] if index + 1 < len(chain) else None
         data = segments.data[name]
-        end = segments.headers[next_name].previous_length if next_name else len(data)
-        _check_segment(name, segments.headers[name], data, end, trimmed_up_to + len(purges))
-        stop = cut_at.byte if cut_at and cut_at.segment == name else None
-        last_length = _append_purges(name, data, end, next_name is None, stop, purges, trimmed_up_to)
+        counted_bytes = segments.headers[next_name].previous_length if next_name else len(data)
+        _check_segment(name, segments.headers[name], data, counted_bytes, trimmed_up_to + len(purges))
+        cut_at_byte = cut_at.byte if cut_at and cut_at.segment == name else None
+        last_length = _append_purges(
+            name, data, counted_bytes, next_name is None, cut_at_byte, purges, trimmed_up_to
+        )
         torn_bytes = len(data) - last_length
-        if stop is not None:
+        if cut_at_byte is not None:
             break
     last_segment = chain[-1] if chain else ""
     return LogContents(
@@ -215,9 +218,9 @@
 def _segment_chain(headers: dict[str, SegmentHeader], snapshot_head: int) -> list[str]:
     """The names of the segments that count, in their order.
 
-    Guards against a writer that was taken over from and still appends: its segments count only as far as
-    the newest writer has read them. So the chain is followed backwards from the newest writer's last
-    segment, and not in the order of the names.
+    Guards against a former writer that still appends after another took over: its segments count only
+    as far as the newest writer has read them. So the chain is followed backwards from the newest writer's
+    last segment, and not in the order of the names.
     """
     chain = []
     name = max(headers, default="")
@@ -233,10 +236,12 @@
     return chain[::-1]
 
 
-def _check_segment(name: str, header: SegmentHeader, data: bytes, end: int, head: int) -> None:
+def _check_segment(name: str, header: SegmentHeader, data: bytes, counted_bytes: int, head: int) -> None:
     """Checks that a segment is long enough, and goes on where the purges before it end."""
-    if end > len(data):
-        raise LogDamagedError(name, f"it ends at byte {len(data)}, and {end} were promised", RESTORE)
+    if counted_bytes > len(data):
+        raise LogDamagedError(
+            name, f"it ends at byte {len(data)}, and {counted_bytes} were promised", RESTORE
+        )
     if header.last_sequence_number > head:
         reason = f"purges {head + 1} to {header.last_sequence_number} stand in no file"
         raise LogDamagedError(name, reason, RESTORE)
@@ -245,21 +250,21 @@
 def _append_purges(
     name: str,
     data: bytes,
-    end: int,
+    counted_bytes: int,
     is_last_segment: bool,
-    stop: int | None,
+    cut_at_byte: int | None,
     purges: list[Purge],
     trimmed_up_to: int,
 ) -> int:
     """Adds a segment's purges to those before it.
 
-    :param end: bytes of the segment that count.
-    :param stop: the byte from which on it is given up.
-    :returns: the bytes that were read.
+    :param counted_bytes: of the segment, by the header of the next, or all of the last; no others are read.
+    :param cut_at_byte: records from there on are not read; None where all are.
+    :returns: the length of what was read, up to the end of the last whole record.
     """
     length = 0
-    for record in read_records(data, end):
-        if stop is not None and record.start >= stop:
+    for record in read_records(data, counted_bytes):
+        if cut_at_byte is not None and record.start >= cut_at_byte:
             break
         if isinstance(record, BrokenRecord):
             if is_last_segment and record.is_torn:
@@ -307,7 +312,7 @@
 
 
 def repair(disk: Disk) -> str:
-    """Gives up the first place that can't be read and all behind it; the files are kept under other names.
+    """Gives up the first place that can't be read and all after it; the files are kept under other names.
 
     :returns: what is kept and what is given up.
     :raises LogDamagedError: where the damage has no such place, as when a segment is missing.
--- a/quartzrouter/purge_log/sessions.py
+++ b/quartzrouter/purge_log/sessions.py
@@ -92,7 +92,7 @@
             session.wake()
 
     def update_caches_caught_up(self) -> None:
-        """Takes anew how far caches have caught up; routers are told with the next message."""
+        """Recomputes how far caches have caught up; routers are told with the next message."""
         caches_caught_up = self.registry.caches_caught_up(self.now())
         if caches_caught_up != self.caches_caught_up:
             self.caches_caught_up = caches_caught_up
--- a/quartzrouter/purges/delivery_plan.py
+++ b/quartzrouter/purges/delivery_plan.py
@@ -54,7 +54,7 @@
 
 
 class DeliveryQueue:
-    """The purges for one cache. All times are microseconds of the courier's wall clock.
+    """The purges for one cache. All times are microseconds of the delivery process's wall clock.
 
     :param name: of the cache; seeds the jitter of its backoff.
     :param rate: purges a second.
@@ -70,7 +70,7 @@
         self.retries: list[Retry] = []  # a heap
         self.failed_attempts: dict[int, int] = {}  # by sequence number, of refused purges
         self.purged_out_of_order: set[int] = set()  # sequence numbers beyond `purged_up_to`
-        self.purged_up_to = 0  # every purge up to it is in force at the cache
+        self.purged_up_to = 0  # every purge up to it is applied at the cache
         self.clock_offset = 0  # us to add to the purge log's clock for this process's
         self.is_up = False  # it has told what it has purged, and nothing failed since
         self.is_caught_up = False  # it lacks only what is on its way
@@ -79,7 +79,7 @@
         self.tokens = 1.0  # of the token bucket that paces deliveries
         self.tokens_at = 0  # us, when the bucket was filled last
         self.consecutive_failures = 0
-        self.widened = 0  # purges of everything that stood in for many
+        self.purges_of_everything = 0  # how many were added, each in place of many purges
 
     # -- purges to deliver ---------------------------------------------------------------------------------
 
@@ -91,7 +91,7 @@
         self.clock_offset = clock_offset
         self.pending += purges
         if len(self.pending) > MAX_PENDING:
-            self._widen_oldest(len(self.pending) - MAX_PENDING // 2)
+            self._replace_oldest_by_everything(len(self.pending) - MAX_PENDING // 2)
 
     def purge_everything_before(self, sequence_number: int, purged_at: int) -> None:
         """Purges all copies made before a time: some purges up to a number are no longer sent.
@@ -100,14 +100,19 @@
         """
         if sequence_number > self.purged_up_to:
             self.pending.appendleft(Purge(sequence_number, purged_at, "all"))
-            self.widened += 1
+            self.purges_of_everything += 1
 
-    def _widen_oldest(self, count: int) -> None:
-        """Replaces the oldest purges by one of everything: a cache that lacks more takes too long."""
+    def _replace_oldest_by_everything(self, count: int) -> None:
+        """Replaces the oldest pending purges by one purge of everything.
+
+        A cache that lacks more than ``MAX_PENDING`` would take too long to catch up one by one.
+
+        :param count: how many purges are replaced, at least one.
+        """
         for _ in range(count):
             newest_replaced = self.pending.popleft()
         self.pending.appendleft(Purge(newest_replaced.sequence_number, newest_replaced.purged_at, "all"))
-        self.widened += 1
+        self.purges_of_everything += 1
 
     def received_up_to(self, head: int) -> None:
         """Records that every purge up to the head has been added: the cache may have caught up."""
@@ -120,10 +125,10 @@
         """Records up to which sequence number the cache has purged without a gap.
 
         Guards against a cache that came back with an older disk: it lacks purges that it had confirmed,
-        also some that it had confirmed out of order. They are received and delivered anew.
+        also some that it had confirmed out of order. They are received and delivered again.
 
         :param received_up_to: the sequence number up to which purges were added.
-        :returns: False where every purge after ``purged_up_to`` must be received anew.
+        :returns: False where every purge after ``purged_up_to`` must be received again.
         """
         if self.is_up and purged_up_to == self.purged_up_to:
             return True
--- a/quartzrouter/purges/fleet_purges.py
+++ b/quartzrouter/purges/fleet_purges.py
@@ -31,7 +31,7 @@
     tags: tuple[str, ...] | None
 
 
-# A purge that is in force here, behind its time in microseconds of this router's clock. A plain tuple, as
+# A purge that is applied here, behind its time in microseconds of this router's clock. A plain tuple, as
 # thousands of them are handed to the writer of the file between two turns of the event loop, as they are.
 AppliedPurge = tuple[int, Purge]
 
@@ -71,9 +71,9 @@
     # -- applying purges -----------------------------------------------------------------------------------
 
     def apply(self, update: ApplyPurges, applied_up_to: int, now: int) -> None:
-        """Puts purges in force; what is in force stays so, whatever a snapshot leaves out.
+        """Applies purges; those applied before stay, whatever a snapshot leaves out.
 
-        :param applied_up_to: the sequence number up to which every purge is in force then.
+        :param applied_up_to: the sequence number up to which every purge is applied then.
         """
         for purge in update.purges:
             self._add(purge, min(now, purge.purged_at + update.clock_offset))
@@ -88,9 +88,9 @@
     def restore(
         self, recent: Iterable[AppliedPurge], applied_up_to: int, low_watermark: int, now: int
     ) -> None:
-        """Puts in force what was in force before a restart.
+        """Applies again what was applied before a restart.
 
-        :param applied_up_to: the sequence number up to which every purge was in force.
+        :param applied_up_to: the sequence number up to which every purge was applied.
         """
         first_number = applied_up_to + 1
         for purged_at, purge in recent:
--- a/quartzrouter/purges/freshness_lease.py
+++ b/quartzrouter/purges/freshness_lease.py
@@ -33,17 +33,17 @@
 
     def __init__(self, length: int):
         self.length = length
-        self.started_at: int | None = None  # us; every purge accepted before it is in force here
+        self.started_at: int | None = None  # us; every purge accepted before it is applied here
 
     def renew(self, started_at: int) -> None:
-        """Starts the lease anew; a late echo never moves it back.
+        """Starts the lease again; a late echo never moves it back.
 
         :param started_at: microseconds of the member's clock, when the echoed acknowledgement was sent.
         """
         self.started_at = started_at if self.started_at is None else max(started_at, self.started_at)
 
     def revoke(self) -> None:
-        """Ends the lease: the purge log lacks purges that are in force here, so its echo proves nothing."""
+        """Ends the lease: the purge log lacks purges that are applied here, so its echo proves nothing."""
         self.started_at = None
 
     def is_held(self, now: int) -> bool:
--- a/quartzrouter/purges/members.py
+++ b/quartzrouter/purges/members.py
@@ -66,7 +66,7 @@
         self.by_name: dict[str, Member] = {}
 
     def join(self, hello: MemberHello, now: int) -> Member | RequestRejected:
-        """Takes a member in, or back on a new connection."""
+        """Adds a member, or records that it is back on a new connection."""
         rejection = self._rejection_of(hello, now)
         if rejection:
             return rejection
--- a/quartzrouter/purges/registry.py
+++ b/quartzrouter/purges/registry.py
@@ -173,7 +173,7 @@
         self.update_completeness(now)
 
     def discard_pending(self) -> list[Purge]:
-        """Takes back the purges that could not be made durable; nobody was told of them."""
+        """Removes the purges that could not be made durable; nobody was told of them."""
         pending = self.purges_after(self.head, len(self.purges))
         del self.purges[self.head - self.trimmed_up_to :]
         for purge in pending:
@@ -227,7 +227,7 @@
     # -- members -------------------------------------------------------------------------------------------
 
     def join(self, hello: MemberHello, now: int) -> Member | RequestRejected:
-        """Takes a member in, or back on a new connection."""
+        """Adds a member, or records that it is back on a new connection."""
         return self.members.join(hello, now)
 
     def acknowledge(
--- a/quartzrouter/purges/replica.py
+++ b/quartzrouter/purges/replica.py
@@ -1,4 +1,7 @@
-"""A member's copy of the order of purges: what the purge log has sent, in order and once, and its lease."""
+"""A member's copy of the order of purges: what the purge log has sent, in order and once.
+
+It also keeps the member's freshness lease, see ``freshness_lease.py``.
+"""
 
 from collections import deque
 from typing import NamedTuple
@@ -26,7 +29,7 @@
 
 
 class ApplyPurges(NamedTuple):
-    """Effect: put these purges in force.
+    """Effect: apply these purges.
 
     :param clock_offset: microseconds to add to the purge log's clock for this member's; rather too late
         than too early.
@@ -63,8 +66,8 @@
     """Turns messages of a purge log into effects, one connection after the other.
 
     :param token: of this process.
-    :param lease: renewed by echoes.
-    :param applied_up_to: the sequence number up to which every purge is in force here.
+    :param lease: the freshness lease, renewed by echoes.
+    :param applied_up_to: the sequence number up to which every purge is applied here.
     :param purge_lifetime: microseconds for which a purge matters here; 0 for ever.
     :param acks_on_receipt: whether purges count as applied once they are received; otherwise the owner calls
         acknowledge().
@@ -119,7 +122,7 @@
         return min(self.clock_offsets, default=0)
 
     def receive(self, message: messages.FromPurgeLog, now: int) -> list[Effect]:
-        """Takes a message.
+        """Handles a message of the purge log.
 
         :param now: microseconds of this member's clock.
         :returns: what to do, in this order.
@@ -173,8 +176,8 @@
     def _lost_by_purge_log(self, head: int) -> EndConnection:
         """Guards against a purge log that was started with an older folder.
 
-        It gives numbers anew that are in force here for other purges, which would then be taken for
-        received. So the lease ends, and the next connection asks for everything.
+        It gives out numbers again under which other purges are applied here, so the new ones would be taken
+        for received. So the lease ends, and the next connection asks for everything.
         """
         applied_up_to = self.applied_up_to
         self.applied_up_to = 0
--- a/quartzrouter/purges/timer_wheel.py
+++ b/quartzrouter/purges/timer_wheel.py
@@ -56,7 +56,7 @@
         return slot
 
     def pop_ended(self, time: int) -> Iterator[Item]:
-        """Takes out the items of every slot that has ended at a time.
+        """Removes and returns the items of every slot that has ended at a time.
 
         :param time: microseconds.
         """
@@ -64,7 +64,7 @@
             yield from self.pop_oldest_slot()
 
     def pop_oldest_slot(self) -> list[Item]:
-        """Takes out the items of the oldest slot."""
+        """Removes and returns the items of the oldest slot."""
         items = self.slots.popleft().items
         self.count -= len(items)
         return items
--- a/quartzrouter/quota/allocator.py
+++ b/quartzrouter/quota/allocator.py
@@ -18,7 +18,7 @@
     RefusedField,
 )
 
-DEMAND_TTLS = 1  # times to live since a router's last request for which its demand counts
+DEMAND_TTLS = 1  # grant TTLs after a router's last request, for which its demand counts
 MAX_HOLDERS = (
     4_096  # routers per budget: beyond it the one silent for longest is forgotten, which bounds memory
 )
@@ -107,7 +107,8 @@
 
     :param budgets: of the plan.
     :param now: microseconds of the allocator's monotonic clock; so are all times.
-    :param first_allocator: none was there before; else what it may have granted is waited for.
+    :param first_allocator: no other allocator has granted from these budgets before. Otherwise no slot is
+        granted until all that an earlier one may have granted are free.
     """
 
     def __init__(self, budgets: list[Budget], now: int, first_allocator: bool = False):
@@ -117,14 +118,14 @@
         self.slots_blocked_until = {
             budget.name: now if first_allocator else budget.slots_free_at(now) for budget in budgets
         }
-        self.refused = 0  # requests
+        self.refused = 0  # number of requests
         for name in self.budgets:
             self._account(name, now)
 
     def replace(self, budgets: list[Budget], now: int) -> None:
-        """Takes the budgets of a new plan.
+        """Applies the budgets of a new plan.
 
-        Grants that are out keep their terms, so a budget made smaller is kept once they have expired.
+        Earlier grants keep their terms, so a budget made smaller is respected once they have expired.
         """
         previous = self.budgets
         self.budgets = {budget.name: budget for budget in budgets}
@@ -155,6 +156,11 @@
 
     @staticmethod
     def _change_terms(account: BudgetAccount, budget: Budget, now: int) -> None:
+        """Changes an account's budget.
+
+        Where slots would now count as free sooner than their grants said, none is granted until those are
+        over.
+        """
         account.refill(now)
         old = account.budget
         frees_slots_sooner = (
@@ -166,7 +172,7 @@
         account.tokens = min(account.tokens, budget.shared_burst)
 
     def _account(self, name: str, now: int) -> BudgetAccount | None:
-        """The account of a budget or partition; a new one is as if nobody had asked for it so far.
+        """The account of a budget or partition; made at the first request for it.
 
         :returns: None where there is no such budget, or no room for an account.
         """
@@ -185,7 +191,7 @@
     def _make_room(self, now: int) -> bool:
         """Evicts an unused account where there are too many.
 
-        Its bucket counts as empty from now on, or a partition that is evicted and made anew would have its
+        Its bucket counts as empty from now on, or a partition that is evicted and made again would have its
         burst again.
         """
         if len(self.accounts) < MAX_ACCOUNTS:
@@ -313,6 +319,8 @@
     ) -> float:
         """Tokens for one holder: its share of the rate until its next request is answered.
 
+        The share is its max-min fair part of what routers want, and an equal part of what nobody wants.
+
         :param since_last: microseconds since its last request, the time for which it is due its share.
         """
         budget = account.budget
@@ -359,13 +367,13 @@
 
     @staticmethod
     def _forget_former_processes(account: BudgetAccount, now: int) -> None:
-        """Drops the records of former processes whose requests are over."""
-        over = [
+        """Removes the records of former processes whose slots are free."""
+        finished = [
             name
             for name, holder in account.holders.items()
             if FORMER_PROCESS in name and holder.slots_free_at <= now
         ]
-        for name in over:
+        for name in finished:
             del account.holders[name]
 
 
--- a/quartzrouter/quota/client.py
+++ b/quartzrouter/quota/client.py
@@ -74,12 +74,12 @@
         ] = {}  # when a request last counted in it; only of those to be asked for
         self.next_request_at: dict[str, int] = {}
         self.guaranteed_since = steady_clock()  # what is forgotten must not gain guaranteed tokens by it
-        self.last_sequence_number = 0  # of forgotten quotas: one made anew must not count from 1 again
+        self.last_sequence_number = 0  # of forgotten quotas: one made later must not count from 1 again
         self.has_new_demand = False  # a budget has come into use that should be asked for at once
         self.unknown_grants = 0  # of budgets that are not in use here
 
     def replace(self, budgets: Sequence[Budget]) -> None:
-        """Takes a new plan: what stays the same keeps its grants, what changes starts at its guarantee."""
+        """Applies a new plan: what stays the same keeps its grants, what changes starts at its guarantee."""
         previous = self.budgets
         self.budgets = {budget.name: budget for budget in budgets}
         now = self.steady_clock()
@@ -193,7 +193,7 @@
         return max(MIN_INTERVAL, due_at - self.steady_clock())
 
     def apply_grants(self, grants: Sequence[QuotaGrant]) -> None:
-        """Takes in answers of the allocator."""
+        """Applies grants of the allocator."""
         now = self.steady_clock()
         for grant in grants:
             quota = self.quotas.get(grant.budget)
--- a/quartzrouter/quota/local_quota.py
+++ b/quartzrouter/quota/local_quota.py
@@ -102,7 +102,7 @@
     def use(self) -> None:
         """Begins a request that ``time_until_admitted`` has just admitted.
 
-        Takes a slot and a token; a guaranteed token first, as nobody else can use that.
+        Uses a slot and a token; a guaranteed token first, as nobody else can use that.
         """
         if self.budget.rate and self.guaranteed_tokens >= 1:
             self.guaranteed_tokens -= 1
@@ -159,7 +159,7 @@
         return is_full and not self.in_use and not has_grant and now >= self.guaranteed_slots_from
 
     def replace(self, budget: Budget, now: int) -> None:
-        """Takes a new plan's terms: grants of the old ones are given up, requests in flight count on."""
+        """Applies a new plan's terms: grants of the old ones are given up, requests in flight count on."""
         self._refill_guaranteed_tokens(now)
         self.guaranteed_tokens = min(self.guaranteed_tokens, budget.guaranteed_burst)
         self.budget = budget
@@ -169,7 +169,7 @@
         self.pending_requests.clear()
 
     def has_grant(self, now: int) -> bool:
-        """Whether a grant is in force."""
+        """Whether a grant is active: a token of it is left, or its slots have not expired."""
         has_slots = self.granted_slots > 0 and now < self.granted_slots_expire_at
         return self.tokens_left(now) >= 1 or has_slots
 
@@ -230,12 +230,12 @@
         self.demand_since = now
 
     def apply_grant(self, grant: QuotaGrant, now: int) -> bool:
-        """Takes in the answer to a request, once.
+        """Applies the answer to a request, once.
 
         Guards against doubled, reordered and foreign grants: only a pending request's grant counts, and slots
         only by the last request, as that one may have confined this router to fewer.
 
-        :returns: whether the grant is in force; one that can't be an answer is counted as invalid.
+        :returns: whether the grant was applied; one that can't be an answer is counted as invalid.
         """
         requested_at = None
         if self._is_plausible(grant):
--- a/quartzrouter/quota/slow_start_allocator.py
+++ b/quartzrouter/quota/slow_start_allocator.py
@@ -74,15 +74,16 @@
     demands: dict[str, RouterDemand] = field(default_factory=dict)
 
     def granted_since(self, since: int) -> int:
-        """Sending time granted after a time, microseconds; older grants are dropped."""
+        """Sending time granted after a time, microseconds; older grants are removed."""
         while self.grants and self.grants[0].granted_at <= since:
             self.grants.popleft()
         return sum(grant.sending_time for grant in self.grants)
 
     def take_back(self, router: str, process_token: str, sending_time: int) -> None:
-        """Takes back what has expired unused, out of the process's oldest grants.
+        """Subtracts sending time that expired unused from the process's oldest grants.
 
-        What was used counts for longer then, so that nothing is granted that may still be in use.
+        Which grants were used isn't known. With the oldest reduced, what was used counts as of the newest, so
+        for longer, and nothing is granted that may still be in use.
 
         :param sending_time: microseconds.
         """
@@ -96,7 +97,7 @@
                 remaining -= returned
 
     def record_demand(self, router: str, demand: RouterDemand) -> None:
-        """Takes in a router's last request; the router that is silent for longest makes room for it."""
+        """Records a router's last request; the router that is silent for longest makes room for it."""
         self.demands.pop(router, None)
         if len(self.demands) >= MAX_ROUTERS:
             del self.demands[next(iter(self.demands))]
@@ -120,11 +121,12 @@
     def __init__(self, terms: dict[str, SlowStartTerms], now: int):
         self.terms = dict(terms)
         self.accounts: dict[str, EndpointAccount] = {}  # by endpoint, the least recently requested first
+        # by tier: no sending time is granted before
         self.grants_from = {tier: now + each.accounting_period for tier, each in terms.items()}
-        self.refused = 0  # requests
+        self.refused = 0  # number of requests
 
     def replace(self, terms: dict[str, SlowStartTerms], now: int) -> None:
-        """Takes a new plan's terms: a tier that changes waits until all its grants are over."""
+        """Applies a new plan's terms: a changed tier grants nothing until its old grants are over."""
         for tier, new in terms.items():
             old = self.terms.get(tier)
             if old != new:
@@ -219,16 +221,21 @@
     def _sending_time(
         self, account: EndpointAccount, request: SlowStartRequest, router: str, now: int
     ) -> int:
-        """Microseconds for one router: its fair share, or one request where shares are less than that."""
+        """Microseconds for one router: its fair share, or one request's time where shares are less than that.
+
+        Less than one request's time is of no use, so nothing is granted then.
+        """
         terms = self.terms[request.tier]
         if now < self.grants_from[request.tier]:
             return 0
         demands = account.recent_demands(now)
         grantable = (1 - terms.guaranteed_share) * min(demand.limit for demand in demands)
         free = grantable - account.granted_since(now - terms.accounting_period)
-        has_already = sum(grant.sending_time for grant in account.grants if grant.router == router)
+        already_granted = sum(grant.sending_time for grant in account.grants if grant.router == router)
         fair_share = max_min_fair_share([float(demand.wanted) for demand in demands], grantable)
-        share = fair_share - has_already if has_already else max(float(request.request_time), fair_share)
+        share = (
+            fair_share - already_granted if already_granted else max(float(request.request_time), fair_share)
+        )
         granted = int(min(share, free, request.wanted - request.left))
         return granted if granted >= max(1, request.request_time) else 0
 
--- a/quartzrouter/quota/slow_start_client.py
+++ b/quartzrouter/quota/slow_start_client.py
@@ -52,7 +52,7 @@
     request_time: int = 1
 
     def measure(self, demand: SlowStartDemand, window: int, now: int) -> None:
-        """Takes in what the routing decisions would have sent since the last measurement.
+        """Records what the routing decisions would have sent since the last measurement.
 
         :param window: microseconds.
         """
@@ -68,7 +68,7 @@
         return self.wanted >= self.request_time * MIN_WANTED_REQUESTS or self.expired_unused > 0
 
     def spend(self, sending_time: int) -> None:
-        """Takes microseconds of sending time out of what expires first."""
+        """Subtracts microseconds of sending time from the grants that expire first."""
         while sending_time > 0 and self.grants:
             first = self.grants.popleft()
             if first.sending_time > sending_time:
@@ -107,7 +107,7 @@
             self._update_left(self.steady_clock())
 
     def _settle(self) -> None:
-        """Takes what was used since the last refresh out of the grants."""
+        """Subtracts what was used since the last refresh from the grants."""
         for endpoint, before in self.left_at_refresh.items():
             allowance = self.allowances.get(endpoint)
             if allowance:
@@ -174,7 +174,7 @@
         )
 
     def apply_grants(self, grants: Sequence[SlowStartGrant]) -> None:
-        """Takes in answers of the allocator, each once.
+        """Applies grants of the allocator, each once.
 
         Guards against doubled and foreign grants: only a pending request's grant counts.
         """
--- a/tests/test_purge_delivery.py
+++ b/tests/test_purge_delivery.py
@@ -133,7 +133,7 @@
 def test_too_many_pending_purges_become_one_of_everything():
     """A cache lacks more than can be delivered in time: the older half becomes one purge of everything."""
     queue = queue_of(*range(1, MAX_PENDING + 2))
-    assert len(queue.pending) == MAX_PENDING // 2 + 1 and queue.widened == 1
+    assert len(queue.pending) == MAX_PENDING // 2 + 1 and queue.purges_of_everything == 1
     first = queue.next_deliveries(START + 1 * SECOND)[0].purge
     newest_replaced = MAX_PENDING // 2 + 1
     assert (first.kind, first.sequence_number, first.purged_at) == ("all", newest_replaced, newest_replaced)
