--- a/quartzrouter/purges/fleet_purges.py
+++ b/quartzrouter/purges/fleet_purges.py
@@ -114,7 +114,7 @@
         return max(self.low_watermark, self.newest_dropped_at)
 
     def expire(self, now: int) -> None:
-        """Drops purges whose lifetime is over."""
+        """Removes purges whose lifetime is over."""
         self.index.expire(now)
         while self.recent:
             oldest_purged_at, _ = self.recent[0]
--- a/quartzrouter/purges/members.py
+++ b/quartzrouter/purges/members.py
@@ -111,7 +111,7 @@
         return None
 
     def _drop_silent_member(self, now: int) -> bool:
-        """Drops the member that has been silent for longest; False where all are live."""
+        """Removes the member that has been silent for longest; False where all are live."""
         silent = [member for member in self.by_name.values() if not member.is_live(now, self.lease_length)]
         if not silent:
             return False
--- a/quartzrouter/purges/pattern_trie.py
+++ b/quartzrouter/purges/pattern_trie.py
@@ -24,7 +24,7 @@
         self.newest = 0  # newest purge by any pattern at or below this node
 
     def drop_until(self, time: int) -> None:
-        """Drops purges at this node itself that are not newer than a time."""
+        """Forgets purges at this node itself that are not newer than a time."""
         if self.ends_here <= time:
             self.ends_here = 0
         if self.subtree <= time:
@@ -126,7 +126,7 @@
     def remove(self, pattern: str, purged_at: int) -> None:
         """Removes a purge, where every older one has been removed or is about to be.
 
-        A node without anything newer is dropped whole, so that no newest time need be computed anew.
+        A node without anything newer is removed whole, so that no newest time need be recomputed.
 
         :param purged_at: microseconds, as it was added with.
         """
--- a/quartzrouter/purges/registry.py
+++ b/quartzrouter/purges/registry.py
@@ -184,7 +184,7 @@
     # -- retention -----------------------------------------------------------------------------------------
 
     def trim(self, now: int) -> None:
-        """Drops the oldest purges that are too many or too old, as far as they are complete."""
+        """Removes the oldest purges that are too many or too old, as far as they are complete."""
         expired = 0
         while expired < len(self.purges) and now - self.purges[expired].purged_at > self.retention:
             expired += 1
--- a/quartzrouter/quota/slow_start_client.py
+++ b/quartzrouter/quota/slow_start_client.py
@@ -77,7 +77,7 @@
             sending_time -= first.sending_time
 
     def drop_expired(self, now: int) -> None:
-        """Drops expired grants, to be returned."""
+        """Removes expired grants and counts them as to be returned."""
         while self.grants and self.grants[0].expires_at <= now:
             self.expired_unused += self.grants.popleft().sending_time
 
--- a/quartzrouter/server/discovery_protocol.py
+++ b/quartzrouter/server/discovery_protocol.py
@@ -113,7 +113,7 @@
 
 
 def take_frame(buffer: RingBuffer) -> Frame | None:
-    """Takes the next frame out of a receive buffer.
+    """Removes and returns the next frame of a receive buffer.
 
     :returns: None where it hasn't come whole yet.
     :raises MalformedFrameError: where its length is none that a frame can have.
--- a/quartzrouter/server/fastcgi.py
+++ b/quartzrouter/server/fastcgi.py
@@ -111,7 +111,7 @@
         return Record(self._record_type, self._request_id, content)
 
     def _skip_padding(self) -> bool:
-        """Drops the padding behind the last record; False where some of it has yet to come."""
+        """Skips the padding after the last record; False where some of it has yet to come."""
         available = min(self._padding_left, len(self._ring))
         self._ring.drop(available)
         self._padding_left -= available
--- a/quartzrouter/server/timers.py
+++ b/quartzrouter/server/timers.py
@@ -88,7 +88,7 @@
         return timer
 
     def next_due(self, is_obsolete: Callable[[Timer], bool]) -> int:
-        """Drops obsolete timers at the head of the queue, so that nobody wakes up for them.
+        """Removes obsolete timers at the head of the queue, so that nobody wakes up for them.
 
         :returns: when the next timer is due; ``NEVER`` where there is none.
         """
