--- a/quartzrouter/purges/members.py
+++ b/quartzrouter/purges/members.py
@@ -66,7 +66,7 @@
         self.by_name: dict[str, Member] = {}
 
     def join(self, hello: MemberHello, now: int) -> Member | RequestRejected:
-        """Takes a member in, or back on a new connection."""
+        """Adds a member, or records that it is back on a new connection."""
         rejection = self._rejection_of(hello, now)
         if rejection:
             return rejection
@@ -111,7 +111,7 @@
         return None
 
     def _drop_silent_member(self, now: int) -> bool:
-        """Drops the member that has been silent for longest; False where all are live."""
+        """Removes the member that has been silent for longest; False where all are live."""
         silent = [member for member in self.by_name.values() if not member.is_live(now, self.lease_length)]
         if not silent:
             return False
--- a/quartzrouter/quota/slow_start_client.py
+++ b/quartzrouter/quota/slow_start_client.py
@@ -52,7 +52,7 @@
     request_time: int = 1
 
     def measure(self, demand: SlowStartDemand, window: int, now: int) -> None:
-        """Takes in what the routing decisions would have sent since the last measurement.
+        """Records what the routing decisions would have sent since the last measurement.
 
         :param window: microseconds.
         """
@@ -68,7 +68,7 @@
         return self.wanted >= self.request_time * MIN_WANTED_REQUESTS or self.expired_unused > 0
 
     def spend(self, sending_time: int) -> None:
-        """Takes microseconds of sending time out of what expires first."""
+        """Subtracts microseconds of sending time from the grants that expire first."""
         while sending_time > 0 and self.grants:
             first = self.grants.popleft()
             if first.sending_time > sending_time:
@@ -77,7 +77,7 @@
             sending_time -= first.sending_time
 
     def drop_expired(self, now: int) -> None:
-        """Drops expired grants, to be returned."""
+        """Removes expired grants and counts them as to be returned."""
         while self.grants and self.grants[0].expires_at <= now:
             self.expired_unused += self.grants.popleft().sending_time
 
@@ -107,7 +107,7 @@
             self._update_left(self.steady_clock())
 
     def _settle(self) -> None:
-        """Takes what was used since the last refresh out of the grants."""
+        """Subtracts what was used since the last refresh from the grants."""
         for endpoint, before in self.left_at_refresh.items():
             allowance = self.allowances.get(endpoint)
             if allowance:
@@ -169,12 +169,12 @@
             wanted=min(MAX_SENDING_TIME, max(allowance.request_time, int(allowance.wanted))),
             left=self.left.get(demand.endpoint, 0),
             request_time=allowance.request_time,
-            figures=terms.figures,
+            terms_checksum=terms.terms_checksum,
             returned=returned,
         )
 
     def apply_grants(self, grants: Sequence[SlowStartGrant]) -> None:
-        """Takes in answers of the allocator, each once.
+        """Applies grants of the allocator, each once.
 
         Guards against doubled and foreign grants: only a pending request's grant counts.
         """
