--- a/tests/test_spin_guard.py
+++ b/tests/test_spin_guard.py
@@ -226,18 +226,14 @@
 def test_a_busy_router_is_not_taken_for_one_that_spins(tmp_path):
     """Clients that send as fast as they are answered keep the event loop busy: the guard says nothing.
 
-    Six hundred requests in two seconds, whatever the machine does, had some rejected where it was short of
-    CPU: the router reads them late then, and rejects at once what can't meet its objective.  So each client
-    waits for its response, and sends a rejected request again.
+    Three hundred requests a second, whatever the machine does, had some rejected where it was short of CPU:
+    the router read them late, and rejects at once what can't meet its objective.  So each client waits for
+    its response before it sends the next request, and every response has to be 200 as before.
     """
 
     async def send_in_turn(router, client):
-        for number in range(1, 21):
-            for resend in range(5):
-                id = client * 20 + number + 1_000 * resend
-                await router.send_and_record(id, 3.0)
-                if " 200 " in router.outcomes[id].status:
-                    break
+        for number in range(20):
+            await router.send_and_record(1 + client * 20 + number, 3.0)
 
     async def scene(router):
         async with anyio.create_task_group() as clients:
@@ -246,9 +242,9 @@
 
     router = Process(tmp_path, ROUTER_WITH_FAULT.format(""))
     router.run_scene(scene, limits={"sockets": 1024})
-    statuses = [outcome.status for outcome in router.outcomes.values()]
-    assert sum(" 200 " in status for status in statuses) == 600
-    assert all(" 200 " in status or " 503 " in status for status in statuses)
+    assert len(router.outcomes) == 600 and all(
+        "200" in outcome.status for outcome in router.outcomes.values()
+    )
     assert ": event loop: " not in router.output
 
 
