--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -54,7 +54,7 @@
                         for name in keeper.release(effect.message, now):
                             next(
                                 c for c in claims if (c.name, c.task) == (name, effect.message.task)
-                            ).vote_available(now)
+                            ).handle_vote_available(now)
                     elif isinstance(answer := keeper.vote(effect.message, now), VoteReply):
                         todo += claim.handle_reply(answer, now)
     held = sum(claim.may_act(now) for claim in claims)
--- a/quartzrouter/fault_harness/mutations.py
+++ b/quartzrouter/fault_harness/mutations.py
@@ -33,7 +33,7 @@
 def votes_at_once(self, terms, name, now, highest_tokens=None):
     """An acceptor that forgets, in a restart, that it may have voted."""
     ACCEPTOR_INIT(self, terms, name, now, highest_tokens)
-    self.votes_from = now
+    self.voting_starts_at = now
 
 
 def from_the_answer(self, now):
--- a/quartzrouter/fault_harness/witness.py
+++ b/quartzrouter/fault_harness/witness.py
@@ -101,7 +101,7 @@
                 if answer == "fails":
                     raise Failing("the witness says so")
                 if answer == "no":
-                    hold.superseded(number)
+                    hold.handle_superseding_token(number)
                     return
                 await anyio.sleep(PAUSE)
 
--- a/quartzrouter/fault_scenarios/leases.py
+++ b/quartzrouter/fault_scenarios/leases.py
@@ -142,7 +142,9 @@
         with anyio.fail_after(VOTES_WITHIN):
             while True:
                 found = await ask_all(at)
-                if all(isinstance(each, AcceptorStatus) and not each.silent_for for each in found.values()):
+                if all(
+                    isinstance(each, AcceptorStatus) and not each.time_until_voting for each in found.values()
+                ):
                     return
                 await anyio.sleep(0.05)
 
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -275,7 +275,7 @@
             changes = service.multi_pool_router.pools.states["near"].changes
             held, where = (
                 len(service.multi_pool_router.limits.held_keys),
-                len(service.multi_pool_router.router_of),
+                len(service.multi_pool_router.routers_by_request),
             )
             os.kill(os.getpid(), signal.SIGTERM)
             await put(SITE.format(**told | {"crowd": 1}))  # a plan replaced during SIGTERM
--- a/quartzrouter/lease_service/client.py
+++ b/quartzrouter/lease_service/client.py
@@ -108,9 +108,9 @@
         is_same_lease = self._proposer.fencing_token == self.fencing_token
         return is_same_lease and self._proposer.may_act(self._client.steady())
 
-    def superseded(self, fencing_token: int) -> None:
+    def handle_superseding_token(self, fencing_token: int) -> None:
         """Whoever was acted on has seen that higher fencing token."""
-        effects = self._proposer.superseded(fencing_token, self._client.steady())
+        effects = self._proposer.handle_superseding_token(fencing_token, self._client.steady())
         self._client.carry_out(self._proposer, effects)
 
 
@@ -198,7 +198,7 @@
                 await anyio.sleep(self.terms.max_action_time / MICROSECONDS_PER_SECOND)
             elif lease.is_current:
                 self.report.say("lease", f"{task}: {failure or 'done here'}; given up")
-                self.carry_out(proposer, proposer.task_failed(self.steady()))
+                self.carry_out(proposer, proposer.handle_task_failure(self.steady()))
 
     async def _work(self, task: str, lease: HeldLease, work: Callable[[HeldLease], Awaitable[None]]) -> str:
         """Runs the work until it ends or the lease is lost; returns why it failed, or nothing."""
@@ -259,7 +259,7 @@
                 self._handle_replies(acceptor, message, now)
             case messages.VoteAvailable(task):
                 if proposer := self.proposers.get(task):
-                    proposer.vote_available(now)
+                    proposer.handle_vote_available(now)
             case messages.MessageRejected(reason, remedy):
                 self.report.say("lease", f"keeper {acceptor} can't read this: {reason}; {remedy}")
         self._wake.set()
@@ -272,7 +272,7 @@
         for task, refusal in message.refused.items():
             if proposer := self.proposers.get(task):
                 reason = f"{acceptor}: {refusal.field}: {refusal.reason}; {refusal.remedy}"
-                proposer.refused(reason, now)
+                proposer.handle_refusal(reason, now)
                 self.report.say("lease", f"{task}: {reason}")
 
     def carry_out(self, proposer: Proposer, effects: Sequence[Effect]) -> None:
--- a/quartzrouter/lease_service/server.py
+++ b/quartzrouter/lease_service/server.py
@@ -220,7 +220,7 @@
     async with anyio.create_task_group() as tasks:
         host, port = addresses[name]
         listeners = await anyio.create_tcp_listener(local_host=host, local_port=port)
-        silent_for = (server.acceptor.votes_from - steady()) / MICROSECONDS_PER_SECOND
+        silent_for = (server.acceptor.voting_starts_at - steady()) / MICROSECONDS_PER_SECOND
         report.say("process", f"keeper {name} at {host}:{port}, votes in {silent_for:.1f} s")
         for listener in listeners.listeners:
             tasks.start_soon(listener.serve, server.serve)
--- a/quartzrouter/leases/acceptor.py
+++ b/quartzrouter/leases/acceptor.py
@@ -72,7 +72,7 @@
     ):
         self.terms = terms
         self.name = name
-        self.votes_from = terms.votes_from(now)
+        self.voting_starts_at = terms.voting_starts_at(now)
         self.votes: dict[str, TaskVote] = {}
         self.refusals_by_field: dict[str, int] = {}
         for task, token in (highest_tokens or {}).items():
@@ -95,12 +95,12 @@
         is_taken = vote.expires_at > now and vote.owner != proposer
         is_outdated = _is_outdated(vote, request)
         is_revoked = vote.revoked_holder == request.proposer and now < vote.revoked_until
-        is_denied = is_taken or is_outdated or is_revoked or now < self.votes_from
+        is_denied = is_taken or is_outdated or is_revoked or now < self.voting_starts_at
         if not is_outdated and (request.is_holder or not is_denied):
             vote.highest_token = request.fencing_token
             vote.highest_token_owner = proposer
         if is_denied:
-            free_at = vote.revoked_until if is_revoked else self.votes_from
+            free_at = vote.revoked_until if is_revoked else self.voting_starts_at
             return self._turn_away(vote, request, is_taken, free_at, now)
         self._grant(vote, request, now)
         return VoteReply(
@@ -257,8 +257,10 @@
             self._vote_status(task, vote, now) for task, vote in list(self.votes.items())[:MAX_TASKS]
         )
         refused = sum(self.refusals_by_field.values())
-        silent_for = max(0, self.votes_from - now)
-        return AcceptorStatus(self.name, self.terms.version, self.terms.checksum, silent_for, refused, votes)
+        time_until_voting = max(0, self.voting_starts_at - now)
+        return AcceptorStatus(
+            self.name, self.terms.version, self.terms.checksum, time_until_voting, refused, votes
+        )
 
     @staticmethod
     def _vote_status(task: str, vote: TaskVote, now: int) -> VoteStatus:
--- a/quartzrouter/leases/handle.py
+++ b/quartzrouter/leases/handle.py
@@ -18,7 +18,7 @@
         """Whether an action may start; read right before each."""
         ...
 
-    def superseded(self, fencing_token: int) -> None:
+    def handle_superseding_token(self, fencing_token: int) -> None:
         """Whoever was acted on has seen that higher fencing token."""
         ...
 
--- a/quartzrouter/leases/proposer.py
+++ b/quartzrouter/leases/proposer.py
@@ -211,13 +211,13 @@
         self.held_by_other_until = 0
         return self._release_votes() if self.granted_by else []
 
-    def vote_available(self, now: int) -> None:
+    def handle_vote_available(self, now: int) -> None:
         """An acceptor tells that its vote is free: those of the others soon are, too."""
         if not self.is_holder and self.is_wanted:
             delay = self._preference_delay() // NOTIFICATION_DIVISOR + self._failure_penalty()
             self.next_request_at = min(self.next_request_at, now + delay)
 
-    def refused(self, reason: str, now: int) -> None:
+    def handle_refusal(self, reason: str, now: int) -> None:
         """An acceptor didn't obey a request."""
         self.refusal = reason
         if not self.is_holder:
@@ -225,14 +225,14 @@
 
     # -- letting go ----------------------------------------------------------------------------------------
 
-    def superseded(self, fencing_token: int, now: int) -> list[Effect]:
+    def handle_superseding_token(self, fencing_token: int, now: int) -> list[Effect]:
         """Whoever was acted on has seen a higher fencing token: this lease is over."""
         self.highest_token_seen = max(self.highest_token_seen, min(fencing_token, MAX_FENCING_TOKEN))
         if not self.is_holder or fencing_token <= self.fencing_token:
             return []
         return self._give_up("a higher number has acted", now)
 
-    def task_failed(self, now: int) -> list[Effect]:
+    def handle_task_failure(self, now: int) -> list[Effect]:
         """The task fails here: another proposer may have it, and this one waits longer each time."""
         self.failures = min(MAX_FAILURES, self.failures + 1)
         return self._give_up("the task failed here", now) if self.is_holder else []
--- a/quartzrouter/leases/status.py
+++ b/quartzrouter/leases/status.py
@@ -101,8 +101,8 @@
         text = f"voted for {vote.holder}, {time_left:.0f} ms left"
     if answer.terms_checksum != terms.checksum:
         text += f"; goes by version {answer.version}, this plan is {terms.version}"
-    if answer.silent_for:
-        text += f"; has just begun, votes in {answer.silent_for / MICROSECONDS_PER_SECOND:.1f} s"
+    if answer.time_until_voting:
+        text += f"; has just begun, votes in {answer.time_until_voting / MICROSECONDS_PER_SECOND:.1f} s"
     return text
 
 
@@ -115,7 +115,7 @@
     of_same_terms = [answer for answer in answered if answer.terms_checksum == terms.checksum]
     if len(of_same_terms) < terms.majority:
         return "keepers go by other plans than this: send them SIGHUP with it"
-    if sum(not answer.silent_for for answer in of_same_terms) < terms.majority:
+    if sum(not answer.time_until_voting for answer in of_same_terms) < terms.majority:
         return "keepers have just begun and vote once earlier votes must be over: wait"
     if any(vote and vote.holder for vote in votes.values()):
         return "votes are split, or a holder has gone: wait for a lease"
--- a/quartzrouter/leases/terms.py
+++ b/quartzrouter/leases/terms.py
@@ -72,7 +72,7 @@
         """
         return requested_at + self.ttl - self.clock_slack(self.ttl)
 
-    def votes_from(self, started_at: int) -> int:
+    def voting_starts_at(self, started_at: int) -> int:
         """Until when an acceptor that has just started votes for nobody, on its own clock.
 
         Guards against two holders: before its restart it may have voted, and it has forgotten for whom.
@@ -167,13 +167,13 @@
 class AcceptorStatus(NamedTuple):
     """An acceptor, as it tells operators.
 
-    :param silent_for: microseconds until it votes.
+    :param time_until_voting: microseconds until it votes.
     :param refused_requests: how many were not obeyed.
     """
 
     acceptor: str
     version: int
     terms_checksum: int
-    silent_for: int
+    time_until_voting: int
     refused_requests: int
     votes: tuple[VoteStatus, ...]
--- a/quartzrouter/model_checking/lease_model.py
+++ b/quartzrouter/model_checking/lease_model.py
@@ -207,7 +207,7 @@
             world.seen = number
         elif self.checks:
             claim = world.claimants[n].claim
-            self._do(world, n, claim.superseded(world.seen, _slow(world.now)))
+            self._do(world, n, claim.handle_superseding_token(world.seen, _slow(world.now)))
         else:
             world.fell = f"an act of number {number} comes after one of {world.seen}"
 
@@ -232,7 +232,7 @@
 
         def keeper(k: int, it: Acceptor) -> tuple:
             task_vote = it.votes.get("t")
-            silent = max(0, it.votes_from - fast)
+            silent = max(0, it.voting_starts_at - fast)
             left = max(0, task_vote.expires_at - fast) if task_vote else 0
             vote = (task_vote.process_token, task_vote.fencing_token, left) if left else ()
             known = (task_vote.highest_token, task_vote.highest_token_owner) if task_vote else ()
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -56,26 +56,26 @@
     """Stands where one ``Router`` stands, and decides under a plan.
 
     :ivar pool_routers: by pool.
-    :ivar leaving: routers of pools that are gone, with requests in flight.
-    :ivar router_of: the router of each request in flight, by request id.
-    :ivar selections: the route of each request in flight, by request id.
+    :ivar draining_pool_routers: routers of pools that are gone, with requests in flight.
+    :ivar routers_by_request: the router of each request in flight, by request id.
+    :ivar selections_by_request: the route of each request in flight, by request id.
     """
 
     def __init__(
         self,
         plan: Plan,
-        arguments: Mapping[str, Any],
+        router_arguments: Mapping[str, Any],
         fleet_purges: FleetPurges | None = None,
         quota_client: QuotaClient | None = None,
         slow_start_client: SlowStartClient | None = None,
     ) -> None:
-        """:param arguments: those of a ``Router``, for the deployment as a whole.
+        """:param router_arguments: those of a ``Router``, for the deployment as a whole.
         :param fleet_purges: the fleet's purges, where there is a purge log.
         :param quota_client: what this router has of limits that routers share.
         :param slow_start_client: what it has of slow-start budgets that routers share.
         """
-        self.arguments = dict(arguments)
-        self.home_location: str = arguments["home_location"]
+        self.router_arguments = dict(router_arguments)
+        self.home_location: str = router_arguments["home_location"]
         self.fleet_purges = fleet_purges
         self.quota_client = quota_client
         self.slow_start_client = slow_start_client
@@ -83,12 +83,12 @@
         self.pools = PoolSelector(plan.pools, plan.splits)
         self.policy_budgets = PolicyBudgets()
         self.purge_bounds = PurgeBounds(fleet_purges)
-        self.freshness = Freshness(arguments["purge_lifetime"])  # for routers that are made later
+        self.freshness = Freshness(router_arguments["purge_lifetime"])  # for routers that are made later
         self.endpoints: dict[str, Endpoint] = {}
         self.pool_routers: dict[str, PoolRouter] = {}
-        self.leaving: list[PoolRouter] = []
-        self.router_of: dict[int, PoolRouter] = {}
-        self.selections: dict[int, RouteSelection] = {}
+        self.draining_pool_routers: list[PoolRouter] = []
+        self.routers_by_request: dict[int, PoolRouter] = {}
+        self.selections_by_request: dict[int, RouteSelection] = {}
         self.needs_maintenance: set[PoolRouter] = set()
         self._take_in(plan)
         self._assign_routers(0)
@@ -133,11 +133,13 @@
         self.needs_maintenance.update(self.pool_routers.values())
 
     def _retire(self, gone: Iterable[PoolRouter]) -> None:
-        candidates = [*self.leaving, *gone]
-        self.leaving = [pool_router for pool_router in candidates if pool_router.router.has_requests()]
+        candidates = [*self.draining_pool_routers, *gone]
+        self.draining_pool_routers = [
+            pool_router for pool_router in candidates if pool_router.router.has_requests()
+        ]
 
     def _new_router(self) -> Router:
-        arguments = self.arguments | {"traffic_classes": list(self.traffic_classes.values())}
+        arguments = self.router_arguments | {"traffic_classes": list(self.traffic_classes.values())}
         router = Router(**arguments)
         router.set_purges(self.freshness)
         if self.slow_start_client:
@@ -146,9 +148,9 @@
 
     def _share_budgets(self, pool_router: PoolRouter, pools: int) -> None:
         """Divides slow-start budgets and limits of fill sources by all routers, and by the pools of each."""
-        everyone = self.arguments["parent_slow_start"].routers
+        everyone = self.router_arguments["parent_slow_start"].routers
         for key, tier in (("cache_slow_start", Tier.CACHE), ("parent_slow_start", Tier.PARENT)):
-            slow_start: SlowStart = self.arguments[key]
+            slow_start: SlowStart = self.router_arguments[key]
             is_at_home = pool_router.pool.stores == (self.home_location,)
             routers = slow_start.routers if is_at_home else everyone
             terms = self.slow_start_client.terms.get(tier.value) if self.slow_start_client else None
@@ -161,7 +163,7 @@
         return pool.stores or tuple({self.plan.caches[name]["at"] for name in pool.caches})
 
     def _all(self) -> list[PoolRouter]:
-        return [*self.pool_routers.values(), *self.leaving]
+        return [*self.pool_routers.values(), *self.draining_pool_routers]
 
     # -- before a request is taken in --------------------------------------------------------------------
 
@@ -177,13 +179,13 @@
         if selection.policy.deny:
             return LimitExceeded("", self.retry_after(selection, 0))
         wanted = self.pools.resolve_split(selection.route.pool, selection.object_key, selection.client)
-        pool = self.pools.serving(wanted, lambda name: self._count_caches(name, now), now)
+        pool = self.pools.select_serving_pool(wanted, lambda name: self._count_caches(name, now), now)
         weight = self.traffic_classes[traffic_class_name(selection.route)].priority_weight
         exceeded = self.limits.admit(request_id, limit_keys(self.plan, selection, pool), weight, now)
         if exceeded:
             return LimitExceeded(exceeded.limit, self.retry_after(selection, exceeded.retry_after))
-        self.selections[request_id] = selection
-        self.router_of[request_id] = self.pool_routers[pool]
+        self.selections_by_request[request_id] = selection
+        self.routers_by_request[request_id] = self.pool_routers[pool]
         return None
 
     def _count_caches(self, pool: str, now: int) -> CacheCount:
@@ -204,7 +206,7 @@
 
     def retry_after(self, selection: RouteSelection, time: int) -> int:
         """:returns: the time that a rejection names: the policy's or the given one, as far as allowed."""
-        max_retry_after: int = self.arguments["capabilities"].max_retry_after
+        max_retry_after: int = self.router_arguments["capabilities"].max_retry_after
         return min(selection.policy.come_back or time, max_retry_after)
 
     def max_attempts(self, selection: RouteSelection) -> int:
@@ -218,14 +220,14 @@
     def forget(self, request_id: int) -> None:
         """Drops a request that was admitted, and refused before any router heard of it."""
         self.release(request_id)
-        self.router_of.pop(request_id, None)
-        self.selections.pop(request_id, None)
+        self.routers_by_request.pop(request_id, None)
+        self.selections_by_request.pop(request_id, None)
 
     # -- requests, as with a Router ------------------------------------------------------------------------
 
     def route(self, request: Request, now: int) -> Decision | None:
         """Decides on a request that was admitted; see ``Router.route()``."""
-        was_deferred = self.router_of[request.id].router.is_in_flight(request.id)
+        was_deferred = self.routers_by_request[request.id].router.is_in_flight(request.id)
         answer = self._ask(request.id, was_deferred, lambda router: router.route(request, now), now)
         answer = self._apply_plan(request.id, answer, False, now)
         self._forget_if_over(request.id)
@@ -233,7 +235,7 @@
 
     def attempt_finished(self, request_id: int, result: AttemptResult, now: int) -> Decision | None:
         """Takes in the result of an attempt; see ``Router.attempt_finished()``."""
-        if request_id not in self.router_of:
+        if request_id not in self.routers_by_request:
             return None
         may_retry = not result.final and result.status is not AttemptStatus.SUCCEEDED
         answer = self._ask(
@@ -245,11 +247,11 @@
 
     def response_deadline(self, request_id: int, size_kb: float) -> int:
         """See ``Router.response_deadline()``."""
-        return self.router_of[request_id].router.response_deadline(request_id, size_kb)
+        return self.routers_by_request[request_id].router.response_deadline(request_id, size_kb)
 
     def cancel_request(self, request_id: int) -> int | None:
         """See ``Router.cancel_request()``."""
-        pool_router = self.router_of.get(request_id)
+        pool_router = self.routers_by_request.get(request_id)
         if pool_router is None:
             return None
         attempt_number = pool_router.router.cancel_request(request_id)
@@ -260,13 +262,13 @@
         self, request_id: int, may_retry: bool, ask: Callable[[Router], Decision | None], now: int
     ) -> Decision | None:
         """Asks a request's router, with what others leave to this one as it stands right now."""
-        router, selection = self.router_of[request_id].router, self.selections[request_id]
+        router, selection = self.routers_by_request[request_id].router, self.selections_by_request[request_id]
         if self.slow_start_client:
             self.slow_start_client.refresh()
         limits = self.limits_on_retries.get(selection.route.name) if may_retry else None
         if not limits:
             return ask(router)
-        keys = limit_keys(self.plan, selection, self.router_of[request_id].pool.name, limits)
+        keys = limit_keys(self.plan, selection, self.routers_by_request[request_id].pool.name, limits)
         spent_before = router.retries_spent
         router.allow_retries(self.limits.may_retry(keys, now))
         answer = ask(router)
@@ -279,7 +281,7 @@
         self, request_id: int, answer: Decision | None, is_retry: bool, now: int
     ) -> Decision | None:
         """Bounds a router's answer by the request's policy and by the fleet's purges."""
-        selection = self.selections[request_id]
+        selection = self.selections_by_request[request_id]
         if isinstance(answer, Reject):
             return replace(answer, retry_after=self.retry_after(selection, answer.retry_after))
         if not isinstance(answer, Forward):
@@ -299,14 +301,14 @@
 
     def _forget_if_over(self, request_id: int) -> None:
         """Drops a request that its router has ended, and a leaving router with its last request."""
-        pool_router = self.router_of[request_id]
+        pool_router = self.routers_by_request[request_id]
         self.needs_maintenance.add(pool_router)
         if pool_router.router.is_in_flight(request_id):
             return
-        del self.router_of[request_id]
-        del self.selections[request_id]
-        if pool_router in self.leaving and not pool_router.router.has_requests():
-            self.leaving.remove(pool_router)
+        del self.routers_by_request[request_id]
+        del self.selections_by_request[request_id]
+        if pool_router in self.draining_pool_routers and not pool_router.router.has_requests():
+            self.draining_pool_routers.remove(pool_router)
 
     def is_outdated(self, selection: RouteSelection, answer: Forward, now: int) -> bool:
         """:returns: whether an attempt would now be sent with a lower maximal age, by the fleet's purges."""
--- a/quartzrouter/pool_routing/pools.py
+++ b/quartzrouter/pool_routing/pools.py
@@ -65,7 +65,7 @@
         pool, _ = max(split.parts, key=lambda part: _score(split.name, part[0], key, part[1]))
         return pool
 
-    def serving(self, name: str, count_caches: CountCaches, now: int) -> str:
+    def select_serving_pool(self, name: str, count_caches: CountCaches, now: int) -> str:
         """Finds the pool that serves in place of another.
 
         :returns: the pool itself, or the first of its fallbacks that has enough caches, else the first that
--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -194,7 +194,7 @@
             else:
                 self.queue.unreachable(wall_clock())
             if isinstance(error, CourierFencedError) and self.lease_handle:
-                self.lease_handle.superseded(error.highest_token)
+                self.lease_handle.handle_superseding_token(error.highest_token)
         else:
             self.queue.confirmed(sequence_number)
         self._acknowledge(wall_clock())
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -209,7 +209,7 @@
             entry = _since(before.get(name), observation)
             if entry.ejected or entry.succeeded or entry.failed or entry.in_flight:
                 entries.append(entry)
-        home = self.multi_pool_router.arguments["home_location"]
+        home = self.multi_pool_router.router_arguments["home_location"]
         wants_load = self.multi_pool_router.plan.deployment["counts"]
         report = HealthReport(home, tuple(entries[:MAX_OBSERVATIONS]), len(observations), wants_load)
         return [QueueMessage(report)]
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -78,7 +78,7 @@
     made = Acceptor(TERMS, "k0", 0)
     no = made.vote(vote(number=7, holds=True), LENGTH)
     assert not no.granted and 0 < no.time_left <= TERMS.clock_slack(LENGTH) and no.holder == ""
-    free = TERMS.votes_from(0)
+    free = TERMS.voting_starts_at(0)
     assert not made.vote(vote("b", number=7), free).granted  # the number was another's
     assert made.vote(vote("b", number=8), free).granted
 
@@ -169,7 +169,9 @@
                     continue
                 if isinstance(effect.message, VoteRelease):
                     for name in made.release(effect.message, self.now):
-                        next(each for each in self.claims if each.name == name).vote_available(self.now)
+                        next(each for each in self.claims if each.name == name).handle_vote_available(
+                            self.now
+                        )
                 elif isinstance(answer := made.vote(effect.message, self.now), VoteReply):
                     self.do(claim, claim.handle_reply(answer, self.now))
 
@@ -240,7 +242,7 @@
     three.wall = 500  # and where the clock was set back, whoever is acted on says so
     claim = three.claims[0]
     claim.fencing_token = number - 1
-    three.do(claim, claim.superseded(number, three.now))
+    three.do(claim, claim.handle_superseding_token(number, three.now))
     three.pass_(2 * LENGTH)
     assert three.holders() == ["b"] and claim.fencing_token > number
 
@@ -250,7 +252,7 @@
     three.pass_(LENGTH)
     (first,) = three.holders()
     holder = next(claim for claim in three.claims if claim.name == first)
-    three.do(holder, holder.task_failed(three.now))
+    three.do(holder, holder.handle_task_failure(three.now))
     three.pass_(LENGTH)
     assert three.holders() not in ([], [first])
     assert holder.next_request_at > three.now - LENGTH // 2 and holder.failures == 1
@@ -370,7 +372,7 @@
     said = []
     numbers = TokenStorage(str(tmp_path), "k0", said.append)
     service = LeaseServer(TERMS, "k0", RateLimitedLog("k0", net.wall_clock), numbers, lambda: 100 * S)
-    service.acceptor.votes_from = 0
+    service.acceptor.voting_starts_at = 0
 
     def fails(found):
         raise OSError(28, "No space left on device")
@@ -391,7 +393,7 @@
 class KeeperHere(Server):
     def __init__(self, name, terms, storage=None):
         self.service = LeaseServer(terms, name, RateLimitedLog(name, net.wall_clock), storage)
-        self.service.acceptor.votes_from = 0
+        self.service.acceptor.voting_starts_at = 0
 
     async def serve(self, stream):
         await self.service.serve(stream)
@@ -696,7 +698,7 @@
     def may_act(self):
         return self.holds
 
-    def superseded(self, fencing_token):
+    def handle_superseding_token(self, fencing_token):
         self.told.append(fencing_token)
 
 
--- a/tests/test_pool_routing.py
+++ b/tests/test_pool_routing.py
@@ -114,14 +114,14 @@
         now += 20 * MS
         up = chance.choice([1, 2, 2, 3])  # around at_least all the time
         served.append(
-            pools.serving(
+            pools.select_serving_pool(
                 "first", lambda name, up=up: CacheCount(up, 4) if name == "first" else CacheCount(3, 3), now
             )
         )
     assert pools.states["first"].changes == 1 and served[-1] == "second"
     for _ in range(40):
         now += 50 * MS
-        served.append(pools.serving("first", lambda name: CacheCount(4, 4), now))
+        served.append(pools.select_serving_pool("first", lambda name: CacheCount(4, 4), now))
     assert pools.states["first"].changes == 2 and served[-1] == "first"
     back = served.index("first", served.index("second")) - 2_000
     assert back * 50 * MS >= S - 50 * MS
@@ -130,17 +130,21 @@
 def test_the_first_pool_with_any_cache_serves_where_all_are_short():
     pools = fallback()
     assert (
-        pools.serving("first", lambda name: {"first": CacheCount(1, 4), "second": CacheCount(0, 3)}[name], 0)
+        pools.select_serving_pool(
+            "first", lambda name: {"first": CacheCount(1, 4), "second": CacheCount(0, 3)}[name], 0
+        )
         == "first"
     )
-    assert pools.serving(
+    assert pools.select_serving_pool(
         "first", lambda name: {"first": CacheCount(0, 4), "second": CacheCount(0, 3)}[name], 0
     ) in (
         "first",
         "second",
     )
     assert (
-        pools.serving("first", lambda name: {"first": CacheCount(0, 4), "second": CacheCount(1, 3)}[name], 0)
+        pools.select_serving_pool(
+            "first", lambda name: {"first": CacheCount(0, 4), "second": CacheCount(1, 3)}[name], 0
+        )
         == "second"
     )
 
@@ -339,7 +343,7 @@
         "south",
     )
     assert isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST, 1), Forward)
-    assert scenario.finish(AttemptStatus.SUCCEEDED, 1) is None and not scenario.router.router_of
+    assert scenario.finish(AttemptStatus.SUCCEEDED, 1) is None and not scenario.router.routers_by_request
     assert answer.endpoint.startswith("n")
 
 
@@ -352,10 +356,14 @@
     text = text.replace('pool: "far"', 'pool: "near"')
     for _ in range(2):  # twice within a second
         scenario.router.replace(scenario.load(text), scenario.now)
-    assert scenario.router.leaving == [far]
+    assert scenario.router.draining_pool_routers == [far]
     assert isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST, 1), Forward)
     assert scenario.finish(AttemptStatus.SUCCEEDED, 1) is None
-    assert scenario.router.leaving == [] and not scenario.router.router_of and not scenario.router.selections
+    assert (
+        scenario.router.draining_pool_routers == []
+        and not scenario.router.routers_by_request
+        and not scenario.router.selections_by_request
+    )
     assert scenario.request("/far/a").endpoint.startswith("n")
 
 
@@ -399,4 +407,7 @@
     text = PLAN.replace('far: { stores: "south" },', 'other: { stores: "south" },')
     text = text.replace('"far"', '"other"')
     scenario.router.replace(scenario.load(text), scenario.now)
-    assert scenario.router.leaving == [] and set(scenario.router.pool_routers) == {"near", "other"}
+    assert scenario.router.draining_pool_routers == [] and set(scenario.router.pool_routers) == {
+        "near",
+        "other",
+    }
--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -186,7 +186,7 @@
             await reload()
         assert len(responses) == 240 and set(responses) <= {"200", "503"} and responses.count("200") > 150
         assert (
-            not world.router_process.multi_pool_router.router_of
+            not world.router_process.multi_pool_router.routers_by_request
             and not world.router_process.multi_pool_router.limits.held_keys
         )
 
@@ -372,13 +372,13 @@
         await client.send_request(1, path="/a")
         await client.send_request(2, path="/b", HTTP_X_CORRELATION_ID=f"{1:016x}")
         assert status(await client.receive_response()) == "409"
-        assert len(world.router_process.multi_pool_router.router_of) == 1
+        assert len(world.router_process.multi_pool_router.routers_by_request) == 1
         assert status(await client.receive_response()) == "200"
 
     world.run_scene(scene)
     multi_pool_router = world.router_process.multi_pool_router
     assert (
-        not multi_pool_router.router_of
-        and not multi_pool_router.selections
+        not multi_pool_router.routers_by_request
+        and not multi_pool_router.selections_by_request
         and not multi_pool_router.limits.held_keys
     )
