--- a/quartzrouter/lease_service/client.py
+++ b/quartzrouter/lease_service/client.py
@@ -72,7 +72,7 @@
             self._client.connected()
             async for line in read_lines(stream):
                 self._unanswered = 0
-                self._backoff.succeeded()
+                self._backoff.record_success()
                 self._client.handle(self.name, messages.decode_from_acceptor(line))
             raise anyio.EndOfStream("it has closed the connection")
 
--- a/quartzrouter/model_checking/crossing_fill_model.py
+++ b/quartzrouter/model_checking/crossing_fill_model.py
@@ -99,8 +99,8 @@
         parents = [parent_queue] if self.bounds.waits_for_parents else []
         cache_queue = DeliveryQueue(CACHE, settle_time=self.bounds.settle_time, parents=parents)
         for queue in (parent_queue, cache_queue):
-            queue.reported(0, 0, START - STEP)
-            queue.received_up_to(0)
+            queue.record_purged_up_to(0, 0, START - STEP)
+            queue.record_head(0)
         parent = CacheState(parent_queue, fill=Fill(START, START))
         caches = {CACHE: CacheState(cache_queue), PARENT: parent}
         fleet_purges = FleetPurges(GRACE, max(self.bounds.settle_time, STEP), 100, 10)
@@ -164,7 +164,7 @@
         world.purged_at = world.now
         for state in world.caches.values():
             state.queue.add([self._purge_of(world)], 0)
-            state.queue.received_up_to(1)
+            state.queue.record_head(1)
 
     @staticmethod
     def _purge_of(world: World) -> Purge:
@@ -180,7 +180,7 @@
         state = world.caches[name]
         for delivery in state.queue.next_deliveries(world.now):
             self._take(world, state, delivery)
-            state.queue.confirmed(delivery.purge.sequence_number)
+            state.queue.record_confirmation(delivery.purge.sequence_number)
 
     @staticmethod
     def _take(world: World, state: CacheState, delivery: Delivery) -> None:
@@ -250,7 +250,7 @@
                 (
                     state.copy_made_at,
                     fill and (fill.began_at, fill.made_at, fill.is_purged),
-                    (queue.taken_up_to, queue.purged_up_to, len(queue.pending), len(queue.settled)),
+                    (queue.delivered_up_to, queue.purged_up_to, len(queue.pending), len(queue.settled)),
                     tuple(queue.settling.checkpoints),
                 )
             )
--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -109,7 +109,7 @@
                 case SendMessage(message):
                     self.client.send(message)
         if isinstance(event.message, Heartbeat):
-            self.queue.received_up_to(event.message.head)
+            self.queue.record_head(event.message.head)
         self._acknowledge(now)
 
     def _add(self, update: ApplyPurges) -> None:
@@ -117,7 +117,7 @@
             first_number = (
                 update.purges[0].sequence_number if update.purges else self.replica.applied_up_to + 1
             )
-            self.queue.purge_everything_before(first_number - 1, update.low_watermark)
+            self.queue.add_full_purge(first_number - 1, update.low_watermark)
         unconfirmed = [purge for purge in update.purges if purge.sequence_number > self.queue.purged_up_to]
         self.queue.add(unconfirmed, update.clock_offset)
         self.queue_changed.set()
@@ -130,7 +130,7 @@
         """
         if self.replica.is_welcomed:
             acknowledgement = self.replica.acknowledge(
-                self.queue.taken_up_to,
+                self.queue.delivered_up_to,
                 now,
                 is_unreachable=not self.queue.is_caught_up,
                 settled_up_to=self.queue.purged_up_to,
@@ -158,13 +158,15 @@
         except DeliveryError as error:
             if was_up:
                 self.report.say("cache", f"{self.name}: {error}; unreachable until it answers")
-            self.queue.unreachable(wall_clock())
+            self.queue.record_unreachable(wall_clock())
         else:
             if not was_up:
                 self.report.say("cache", f"{self.name} answers, and has purged up to {purged_up_to}")
             if was_up and self.deliveries_started != deliveries_before:
                 return
-            lacks_nothing = self.queue.reported(purged_up_to, self.replica.applied_up_to, wall_clock())
+            lacks_nothing = self.queue.record_purged_up_to(
+                purged_up_to, self.replica.applied_up_to, wall_clock()
+            )
             if not lacks_nothing:
                 self.replica.applied_up_to = purged_up_to
                 self.client.reconnect(
@@ -190,13 +192,13 @@
         except DeliveryError as error:
             self.report.say("cache", f"{self.name}: purge {sequence_number}: {error}")
             if isinstance(error, DeliveryRefusedError):
-                self.queue.refused(sequence_number, wall_clock())
+                self.queue.record_refusal(sequence_number, wall_clock())
             else:
-                self.queue.unreachable(wall_clock())
+                self.queue.record_unreachable(wall_clock())
             if isinstance(error, CourierFencedError) and self.lease_handle:
                 self.lease_handle.superseded(error.highest_token)
         else:
-            self.queue.confirmed(sequence_number)
+            self.queue.record_confirmation(sequence_number)
         self._acknowledge(wall_clock())
         self.queue_changed.set()
 
--- a/quartzrouter/purge_log/member_client.py
+++ b/quartzrouter/purge_log/member_client.py
@@ -107,5 +107,5 @@
                     raise anyio.EndOfStream("the ledger has closed the connection")
                 message = messages.decode_from_purge_log(line)
                 if isinstance(message, messages.Heartbeat):
-                    self.backoff.succeeded()
+                    self.backoff.record_success()
                 self.on_event(MessageReceived(message))
--- a/quartzrouter/purge_log/sessions.py
+++ b/quartzrouter/purge_log/sessions.py
@@ -153,7 +153,7 @@
             self.now(),
             registry.lease_length,
             self.quota.is_enabled,
-            judges_health=True,
+            aggregates_health=True,
         )
         await _send(stream, welcome)
         if registry.needs_snapshot(session.sent_up_to, hello.purge_lifetime, self.now()):
--- a/quartzrouter/purges/delivery_plan.py
+++ b/quartzrouter/purges/delivery_plan.py
@@ -11,7 +11,7 @@
 
 from quartzrouter.purges.messages import Purge
 from quartzrouter.purges.sequence_progress import SequenceProgress
-from quartzrouter.purges.settling_purges import SettlingPurges, replace_oldest_by_everything
+from quartzrouter.purges.settling_purges import SettlingPurges, replace_oldest_with_full_purge
 
 SECOND = 1_000_000  # us
 MAX_IN_FLIGHT = 8  # purges to one cache: its worker threads
@@ -85,7 +85,7 @@
         self.settle_time = settle_time
         self.parents = parents
         self.settling = SettlingPurges(settle_time, MAX_PENDING)
-        self.taken = SequenceProgress()  # the cache has taken each of them once or twice
+        self.delivered = SequenceProgress()  # the cache has taken each of them once or twice
         self.purged = SequenceProgress()  # and holds no copy that they make stale, nor will
         self.pending: deque[Purge] = deque()
         self.settled: deque[Purge] = deque()  # to be delivered again, behind those that are pending
@@ -100,12 +100,12 @@
         self.tokens = 1.0  # of the token bucket that paces deliveries
         self.tokens_at = 0  # us, when the bucket was filled last
         self.consecutive_failures = 0
-        self.purges_of_everything = 0  # how many were added, each in place of many purges
+        self.full_purge_count = 0  # how many were added, each in place of many purges
 
     @property
-    def taken_up_to(self) -> int:
+    def delivered_up_to(self) -> int:
         """Every purge up to it was delivered; of the last, older copies may still come in by a fill."""
-        return self.taken.up_to
+        return self.delivered.up_to
 
     @property
     def purged_up_to(self) -> int:
@@ -122,33 +122,33 @@
         self.clock_offset = clock_offset
         self.pending += purges
         if len(self.pending) > MAX_PENDING:
-            self._replace_oldest_by_everything(self.pending)
+            self._replace_oldest_with_full_purge(self.pending)
 
-    def purge_everything_before(self, sequence_number: int, purged_at: int) -> None:
+    def add_full_purge(self, sequence_number: int, purged_at: int) -> None:
         """Purges all copies made before a time: some purges up to a number are no longer sent.
 
         :param purged_at: microseconds of the purge log's clock.
         """
         if sequence_number > self.purged_up_to:
             self.pending.appendleft(Purge(sequence_number, purged_at, "all"))
-            self.purges_of_everything += 1
+            self.full_purge_count += 1
 
-    def _replace_oldest_by_everything(self, purges: deque[Purge]) -> None:
+    def _replace_oldest_with_full_purge(self, purges: deque[Purge]) -> None:
         """Replaces the oldest of too many purges by one of everything.
 
         A cache that lacks more than ``MAX_PENDING`` would take too long to catch up one by one.
         """
-        replace_oldest_by_everything(purges, len(purges) - MAX_PENDING // 2)
-        self.purges_of_everything += 1
+        replace_oldest_with_full_purge(purges, len(purges) - MAX_PENDING // 2)
+        self.full_purge_count += 1
 
-    def received_up_to(self, head: int) -> None:
+    def record_head(self, head: int) -> None:
         """Records that every purge up to the head has been added: the cache may have caught up."""
-        if self.is_up and self.taken_up_to + MAX_LAG_CAUGHT_UP >= head:
+        if self.is_up and self.delivered_up_to + MAX_LAG_CAUGHT_UP >= head:
             self.is_caught_up = True
 
     # -- what the cache answers ----------------------------------------------------------------------------
 
-    def reported(self, purged_up_to: int, received_up_to: int, now: int) -> bool:
+    def record_purged_up_to(self, purged_up_to: int, received_up_to: int, now: int) -> bool:
         """Records up to which sequence number the cache has purged without a gap.
 
         Guards against a cache that came back with an older disk: it lacks purges that it had confirmed,
@@ -169,7 +169,7 @@
         self.not_before = now
         self._take_back_unconfirmed()
         self.purged.restart_from(purged_up_to)
-        self.taken.restart_from(purged_up_to)
+        self.delivered.restart_from(purged_up_to)
         if lacks_nothing:
             while self.pending and self.pending[0].sequence_number <= purged_up_to:
                 self.pending.popleft()
@@ -177,7 +177,7 @@
             self.pending.clear()
         return lacks_nothing
 
-    def refused(self, sequence_number: int, now: int) -> None:
+    def record_refusal(self, sequence_number: int, now: int) -> None:
         """Records that the cache answered and did not purge: this purge is retried, the others go on."""
         purge = self.in_flight.pop(sequence_number, None)
         if purge is None:
@@ -187,7 +187,7 @@
         due_at = now + self._backoff(attempts, sequence_number)
         heapq.heappush(self.retries, Retry(due_at, sequence_number, purge))
 
-    def confirmed(self, sequence_number: int) -> None:
+    def record_confirmation(self, sequence_number: int) -> None:
         """Records that the cache has purged."""
         purge = self.in_flight.pop(sequence_number, None)
         if purge is None:
@@ -198,13 +198,13 @@
             self.purged.add(sequence_number, covers_all_before=is_of_everything)
         else:
             self.settling.add(purge)
-        self.taken.add(sequence_number, covers_all_before=is_of_everything)
+        self.delivered.add(sequence_number, covers_all_before=is_of_everything)
 
     def _counts(self, purge: Purge) -> bool:
         """Whether the next delivery of a purge is the one that counts."""
-        return not self.settle_time or self.taken.includes(purge.sequence_number)
+        return not self.settle_time or self.delivered.includes(purge.sequence_number)
 
-    def unreachable(self, now: int) -> None:
+    def record_unreachable(self, now: int) -> None:
         """Records that the cache doesn't answer: it isn't trusted before it tells what it has purged."""
         self.is_up = False
         self.is_caught_up = False
@@ -229,7 +229,7 @@
         self.in_flight.clear()
         self.retries.clear()
         self.failed_attempts.clear()
-        self.taken.restart_from(self.purged_up_to)
+        self.delivered.restart_from(self.purged_up_to)
 
     def _unconfirmed(self) -> list[Purge]:
         return [*self.in_flight.values(), *(retry.purge for retry in self.retries)]
@@ -278,11 +278,11 @@
 
         A parent that is away or catching up is not waited for: routers don't trust its old copies.
         """
-        taken_by_parents = [parent.taken_up_to for parent in self.parents if parent.is_caught_up]
-        self.settling.taken_everywhere(min([self.taken_up_to, *taken_by_parents]), now)
+        delivered_to_parents = [parent.delivered_up_to for parent in self.parents if parent.is_caught_up]
+        self.settling.record_delivered_everywhere(min([self.delivered_up_to, *delivered_to_parents]), now)
         self.settled += self.settling.pop_settled(now)
         if len(self.settled) > MAX_PENDING:
-            self._replace_oldest_by_everything(self.settled)
+            self._replace_oldest_with_full_purge(self.settled)
 
     def _fill_tokens(self, now: int) -> None:
         """Fills the token bucket at the rate, more slowly right after the cache came back."""
--- a/quartzrouter/purges/pattern_trie.py
+++ b/quartzrouter/purges/pattern_trie.py
@@ -64,7 +64,7 @@
 
     def __init__(self) -> None:
         self.root = PatternNode()
-        self.widened = 0  # patterns that became `**` of a node that has too many globs
+        self.widened_patterns = 0  # patterns that became `**` of a node that has too many globs
 
     def add(self, pattern: str, purged_at: int) -> None:
         """Adds a purge.
@@ -80,7 +80,7 @@
             node.newest = max(node.newest, purged_at)
             child = node.add_child(part)
             if child is None:  # taking too much is safe: more copies are renewed, none is missed
-                self.widened += 1
+                self.widened_patterns += 1
                 purges_subtree = True
                 break
             node = child
--- a/quartzrouter/purges/purge_index.py
+++ b/quartzrouter/purges/purge_index.py
@@ -126,7 +126,7 @@
         self.max_entries = max_entries
         self.scopes: dict[ScopeKey, PurgeScope] = {}
         self.expiry: TimerWheel[IndexEntry] = TimerWheel(max(1, lifetime // SLOTS_PER_LIFETIME))
-        self.merged = 0  # entries that became part of a purge of their whole scope
+        self.merged_entries = 0  # entries that became part of a purge of their whole scope
         self.expired_up_to = 0  # the highest sequence number among expired purges
 
     def __len__(self) -> int:
@@ -199,7 +199,7 @@
                 newest = newest_by_scope.get(entry.scope, (0, 0))
                 newest_by_scope[entry.scope] = max(newest, (entry.purged_at, entry.sequence_number))
                 self._remove(entry)
-                self.merged += 1
+                self.merged_entries += 1
         for scope, (purged_at, sequence_number) in newest_by_scope.items():
             self._add(IndexEntry(scope, "all", "", purged_at, sequence_number))
 
--- a/quartzrouter/purges/reconnect_backoff.py
+++ b/quartzrouter/purges/reconnect_backoff.py
@@ -28,7 +28,7 @@
         """The address to try next."""
         return self.addresses[0]
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Records that a server answered: the next delay is the shortest again."""
         self.failed_attempts = 0
 
--- a/quartzrouter/purges/registry.py
+++ b/quartzrouter/purges/registry.py
@@ -16,7 +16,7 @@
     first_page,
 )
 from quartzrouter.purges.propagation_delays import PropagationDelays
-from quartzrouter.purges.validation import rejection_of
+from quartzrouter.purges.validation import validate_request
 
 RETENTION = 7 * 86_400_000_000  # us: a cache may be away for a week and still receive each purge
 MAX_RETAINED = 200_000  # purges, 60 MB; a member that lacks older ones gets a snapshot
@@ -113,7 +113,7 @@
 
         Times only grow, also where the clock is set back: a member bounds the age of copies by them.
         """
-        rejection = rejection_of(request)
+        rejection = validate_request(request)
         if rejection:
             return rejection
         if request.key and self.sequence_by_key.get(request.key, 0) > self.trimmed_up_to:
--- a/quartzrouter/purges/replica.py
+++ b/quartzrouter/purges/replica.py
@@ -97,7 +97,7 @@
     def _reset_connection(self) -> None:
         self.is_welcomed = False
         self.grants_quota = False  # whether this purge log does
-        self.judges_health = False  # whether this purge log does
+        self.aggregates_health = False  # whether this purge log does
         self.last_ack_id = 0
         self.unechoed_acks: dict[int, int] = {}  # us when each was sent, by its id
         self.partial_snapshot: list[Purge] = []
@@ -170,7 +170,7 @@
         self.epoch = welcome.epoch
         self.is_welcomed = True
         self.grants_quota = welcome.grants_quota
-        self.judges_health = welcome.judges_health
+        self.aggregates_health = welcome.aggregates_health
         if welcome.lease_length:
             self.lease.length = min(self.lease.length, welcome.lease_length)
         self.clock_offsets.append(now - welcome.server_time)
--- a/quartzrouter/purges/server_messages.py
+++ b/quartzrouter/purges/server_messages.py
@@ -29,7 +29,7 @@
 #     now         Welcome.server_time
 #     lease       Welcome.lease_length
 #     grants      Welcome.grants_quota
-#     judges      Welcome.judges_health
+#     judges      Welcome.aggregates_health
 #     floor       Snapshot.low_watermark
 #     last        Snapshot.is_last_page
 #     echo        Heartbeat.echoed_ack
@@ -95,7 +95,7 @@
     :param server_time: microseconds of the purge log's wall clock.
     :param lease_length: microseconds from the sending of an acknowledgement that has been echoed.
     :param grants_quota: whether it grants shares of budgets; an older purge log doesn't say.
-    :param judges_health: whether it aggregates health reports into verdicts; an older one doesn't say.
+    :param aggregates_health: whether it aggregates health reports into verdicts; an older one doesn't say.
     """
 
     epoch: int
@@ -103,7 +103,7 @@
     server_time: int = msgspec.field(name="now")
     lease_length: int = msgspec.field(name="lease")
     grants_quota: bool = msgspec.field(default=False, name="grants")
-    judges_health: bool = msgspec.field(default=False, name="judges")
+    aggregates_health: bool = msgspec.field(default=False, name="judges")
 
 
 class PurgeBatch(msgspec.Struct, tag_field="say", tag="purges"):
--- a/quartzrouter/purges/settling_purges.py
+++ b/quartzrouter/purges/settling_purges.py
@@ -24,7 +24,7 @@
     due_at: int
 
 
-def replace_oldest_by_everything(purges: deque[Purge], count: int) -> None:
+def replace_oldest_with_full_purge(purges: deque[Purge], count: int) -> None:
     """Replaces the oldest of some purges by one purge of everything, which removes no fewer copies.
 
     :param purges: in their order.
@@ -59,9 +59,9 @@
         self.waiting.append(purge)
         self.waiting.extend(reversed(later))
         if len(self.waiting) > self.max_waiting:
-            replace_oldest_by_everything(self.waiting, self.max_waiting // 2)
+            replace_oldest_with_full_purge(self.waiting, self.max_waiting // 2)
 
-    def taken_everywhere(self, up_to: int, now: int) -> None:
+    def record_delivered_everywhere(self, up_to: int, now: int) -> None:
         """Records up to which sequence number the cache and its parents have taken every purge."""
         if up_to > self.checkpointed_up_to and now >= self.next_checkpoint_at:
             self.checkpoints.append(Checkpoint(up_to, now + self.settle_time))
--- a/quartzrouter/purges/validation.py
+++ b/quartzrouter/purges/validation.py
@@ -15,20 +15,15 @@
 VALUE = re.compile(rf"[\x21-\x7e]{{1,{MAX_VALUE_CHARACTERS}}}")
 
 
-def rejection_of(request: PurgeRequest) -> RequestRejected | None:
+def validate_request(request: PurgeRequest) -> RequestRejected | None:
     """Checks a purge that a client sends.
 
     :returns: what is wrong with it; None where it can be accepted.
     """
-    return (
-        _rejection_of_count(request)
-        or _rejection_of_values(request)
-        or _rejection_of_scope(request)
-        or _rejection_of_key(request)
-    )
+    return _check_count(request) or _check_values(request) or _check_scope(request) or _check_key(request)
 
 
-def _rejection_of_count(request: PurgeRequest) -> RequestRejected | None:
+def _check_count(request: PurgeRequest) -> RequestRejected | None:
     if request.kind == "all":
         if request.values:
             return RequestRejected(
@@ -47,7 +42,7 @@
     return None
 
 
-def _rejection_of_values(request: PurgeRequest) -> RequestRejected | None:
+def _check_values(request: PurgeRequest) -> RequestRejected | None:
     for value in request.values:
         if not VALUE.fullmatch(value):
             return RequestRejected(
@@ -61,7 +56,7 @@
     return None
 
 
-def _rejection_of_scope(request: PurgeRequest) -> RequestRejected | None:
+def _check_scope(request: PurgeRequest) -> RequestRejected | None:
     for place, name in (("vhost", request.vhost), ("store", request.store)):
         if name and not NAME.fullmatch(name):
             return RequestRejected(
@@ -70,7 +65,7 @@
     return None
 
 
-def _rejection_of_key(request: PurgeRequest) -> RequestRejected | None:
+def _check_key(request: PurgeRequest) -> RequestRejected | None:
     if request.key and not KEY.fullmatch(request.key):
         return RequestRejected(
             "key", f"{request.key!r:.60} is no key", "use 1 to 64 characters without blanks"
--- a/quartzrouter/standalone/fleet_tasks.py
+++ b/quartzrouter/standalone/fleet_tasks.py
@@ -67,11 +67,11 @@
             new_stale_copies = self._fleet.stale_copies - stale_copies
             if new_stale_copies > 0:
                 self._log.say("purges", f"{new_stale_copies} responses were older than a purge, and retried")
-            new_merged = self._fleet.index.merged - merged
+            new_merged = self._fleet.index.merged_entries - merged
             if new_merged > 0:
                 self._log.say("purges", f"{new_merged} purges were widened to their scope: too many to keep")
             stale_copies = self._fleet.stale_copies
-            merged = self._fleet.index.merged
+            merged = self._fleet.index.merged_entries
 
     async def _request_quota(self) -> None:
         """Requests shares of limits and of slow starts when they are due."""
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -197,7 +197,7 @@
 
     def _report_health(self, only_failures: bool, now: int) -> list[QueueMessage]:
         """Tells other routers what this one has seen of endpoints since its last report."""
-        if not (self.replica and self.replica.judges_health):
+        if not (self.replica and self.replica.aggregates_health):
             return []
         observations = self.multi_pool_router.health_observations(now)
         if only_failures and not self._has_new_failure(observations):
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -368,7 +368,7 @@
 
 def refused_purges() -> list[Any]:
     return [
-        validation.rejection_of(each)
+        validation.validate_request(each)
         for each in (
             messages_module.PurgeRequest("all", ("rose",)),
             messages_module.PurgeRequest("tag", ("rose",), "/"),
--- a/tests/test_purge_delivery.py
+++ b/tests/test_purge_delivery.py
@@ -33,7 +33,7 @@
 def queue_of(*numbers, value=None):
     """The queue of a cache that is up, and has purged nothing yet."""
     queue = DeliveryQueue("c1")
-    queue.reported(0, 0, START)
+    queue.record_purged_up_to(0, 0, START)
     queue.add([purge(number, value) for number in numbers], 0)
     return queue
 
@@ -53,9 +53,9 @@
         for number in numbers(queue.next_deliveries(now)):
             sent.append((now, number))
             if is_confirmed(number):
-                queue.confirmed(number)
+                queue.record_confirmation(number)
             else:
-                queue.refused(number, now)
+                queue.record_refusal(number, now)
         now += step
     return sent
 
@@ -65,11 +65,11 @@
     queue = queue_of(1, 2, value="same")
     queue.add([purge(3)], 0)
     assert numbers(queue.next_deliveries(START + 1 * SECOND)) == [1, 3]
-    queue.confirmed(3)
+    queue.record_confirmation(3)
     assert queue.purged_up_to == 0 and queue.next_deliveries(START + 2 * SECOND) == []
-    queue.confirmed(1)
+    queue.record_confirmation(1)
     assert queue.purged_up_to == 1 and numbers(queue.next_deliveries(START + 3 * SECOND)) == [2]
-    queue.confirmed(2)
+    queue.record_confirmation(2)
     assert queue.purged_up_to == 3
 
 
@@ -104,11 +104,11 @@
     for _ in range(12):
         queue.next_deliveries(queue.not_before + 1)
         now = queue.not_before + 1
-        queue.unreachable(now)
+        queue.record_unreachable(now)
         backoffs.append(queue.not_before - now)
         assert queue.next_deliveries(queue.not_before + 1) == []
     assert backoffs[0] >= 50_000 and max(backoffs) <= MAX_BACKOFF and backoffs[-1] >= MAX_BACKOFF // 2
-    queue.reported(0, 1, now + 9 * SECOND)
+    queue.record_purged_up_to(0, 1, now + 9 * SECOND)
     assert numbers(queue.next_deliveries(now + 10 * SECOND)) == [1]
 
 
@@ -116,11 +116,11 @@
     """A cache had confirmed three purges and returns with the first only: the others are received anew."""
     queue = queue_of(1, 2, 3)
     deliver(queue, START + 1 * SECOND, START + 2 * SECOND)
-    queue.received_up_to(3)
+    queue.record_head(3)
     assert queue.purged_up_to == 3 and queue.is_caught_up
-    queue.unreachable(START + 3 * SECOND)
+    queue.record_unreachable(START + 3 * SECOND)
     assert not queue.is_caught_up
-    assert not queue.reported(1, 3, START + 10 * SECOND)
+    assert not queue.record_purged_up_to(1, 3, START + 10 * SECOND)
     assert queue.purged_up_to == 1 and not queue.pending
     queue.add([purge(2), purge(3)], 0)
     assert numbers(queue.next_deliveries(START + 11 * SECOND)) == [2, 3]
@@ -128,23 +128,23 @@
 
 def test_a_cache_counts_as_caught_up_once_it_lacks_little():
     queue = queue_of(*range(1, 1_001))
-    queue.received_up_to(1_000)
+    queue.record_head(1_000)
     assert not queue.is_caught_up
     deliver(queue, START + 1 * SECOND, START + 10 * SECOND)
-    queue.received_up_to(1_000 + MAX_LAG_CAUGHT_UP)
+    queue.record_head(1_000 + MAX_LAG_CAUGHT_UP)
     assert queue.is_caught_up
 
 
 def test_too_many_pending_purges_become_one_of_everything():
     """A cache lacks more than can be delivered in time: the older half becomes one purge of everything."""
     queue = queue_of(*range(1, MAX_PENDING + 2))
-    assert len(queue.pending) == MAX_PENDING // 2 + 1 and queue.purges_of_everything == 1
+    assert len(queue.pending) == MAX_PENDING // 2 + 1 and queue.full_purge_count == 1
     first = queue.next_deliveries(START + 1 * SECOND)[0].purge
     newest_replaced = MAX_PENDING // 2 + 1
     assert (first.kind, first.sequence_number, first.purged_at) == ("all", newest_replaced, newest_replaced)
-    queue.confirmed(first.sequence_number)
+    queue.record_confirmation(first.sequence_number)
     assert queue.purged_up_to == first.sequence_number
-    queue.purge_everything_before(MAX_PENDING * 3, 77)
+    queue.add_full_purge(MAX_PENDING * 3, 77)
     assert queue.pending[0] == Purge(MAX_PENDING * 3, 77, "all")
 
 
@@ -154,10 +154,10 @@
 def settling_queue(count, parents=()):
     """The queue of a cache that fills from parents, with the first purges taken once."""
     queue = DeliveryQueue("c1", settle_time=SETTLE_TIME, parents=parents)
-    queue.reported(0, 0, START)
+    queue.record_purged_up_to(0, 0, START)
     queue.add([purge(number) for number in range(1, count + 1)], 0)
     deliver(queue, START, START + SECOND)
-    assert (queue.taken_up_to, queue.purged_up_to) == (count, 0)
+    assert (queue.delivered_up_to, queue.purged_up_to) == (count, 0)
     return queue
 
 
@@ -167,9 +167,9 @@
     again = queue.next_deliveries(START + SETTLE_TIME + SECOND)
     assert [(delivery.purge.sequence_number, delivery.counts) for delivery in again] == [(1, True), (2, True)]
     assert all(delivery.age > SETTLE_TIME for delivery in again)
-    queue.confirmed(2)
+    queue.record_confirmation(2)
     assert queue.purged_up_to == 0
-    queue.confirmed(1)
+    queue.record_confirmation(1)
     assert queue.purged_up_to == 2
 
 
@@ -177,8 +177,8 @@
     """A cache's fill may join one that began at a parent before the parent had purged."""
     parent, absent_parent = queue_of(1), queue_of(1)
     for each in (parent, absent_parent):
-        each.received_up_to(1)
-    absent_parent.unreachable(START)
+        each.record_head(1)
+    absent_parent.record_unreachable(START)
     queue = settling_queue(1, [parent, absent_parent])
     assert deliver(queue, START + SECOND, START + 2 * SETTLE_TIME) == []
     deliver(parent, START + 2 * SETTLE_TIME, START + 2 * SETTLE_TIME + SECOND)
@@ -189,9 +189,9 @@
 def test_a_cache_that_was_away_while_purges_settled_gets_them_twice_again():
     """It may have lost what it had taken once, as that doesn't count in what it tells."""
     queue = settling_queue(3)
-    queue.unreachable(START + SECOND)
-    assert queue.taken_up_to == 0
-    assert queue.reported(0, 3, START + 2 * SECOND)
+    queue.record_unreachable(START + SECOND)
+    assert queue.delivered_up_to == 0
+    assert queue.record_purged_up_to(0, 3, START + 2 * SECOND)
     sent = deliver(queue, START + 2 * SECOND, START + 3 * SETTLE_TIME)
     assert [number for _, number in sent] == [1, 2, 3, 1, 2, 3] and queue.purged_up_to == 3
 
@@ -208,7 +208,7 @@
     settling = SettlingPurges(SETTLE_TIME, max_waiting=10)
     for number in (2, 1, *range(3, 12)):
         settling.add(purge(number))
-    settling.taken_everywhere(11, START)
+    settling.record_delivered_everywhere(11, START)
     assert len(settling.waiting) == 7 and settling.pop_settled(START + SETTLE_TIME - 1) == []
     first, *others = settling.pop_settled(START + SETTLE_TIME)
     assert first == Purge(5, 5, "all") and [each.sequence_number for each in others] == [*range(6, 12)]
@@ -218,7 +218,7 @@
     """Client timeouts of half an hour, a purge each 100 ms: one for each of them would fill the memory."""
     settling = SettlingPurges(3_600 * SECOND, max_waiting=10)
     for number in range(1, 40_000):
-        settling.taken_everywhere(number, START + number * SECOND // 10)
+        settling.record_delivered_everywhere(number, START + number * SECOND // 10)
         settling.pop_settled(START + number * SECOND // 10)
     assert 100 < len(settling.checkpoints) < 140
 
@@ -245,7 +245,7 @@
     report = RateLimitedLog("courier", wall_clock)
     worker = DeliveryWorker("c1", ("127.0.0.1", 1), [("127.0.0.1", 1)], 300_000, report, RATE)
     queue = worker.queue
-    queue.reported(0, 0, wall_clock() - SECOND)
+    queue.record_purged_up_to(0, 0, wall_clock() - SECOND)
     queue.add([purge(1)], 0)
     worker.replica.applied_up_to = 1
 
@@ -278,7 +278,7 @@
         purged_up_to = 0
         while purged_up_to + 1 in purged_by_cache:
             purged_up_to += 1
-        if not queue.reported(purged_up_to, head, now):
+        if not queue.record_purged_up_to(purged_up_to, head, now):
             queue.add(purges(purged_up_to + 1, head), 0)
 
     for _ in range(400):
@@ -289,7 +289,7 @@
             queue.add(purges(head + 1, head + count), 0)
             head += count
         elif event < 0.4:
-            queue.unreachable(now)
+            queue.record_unreachable(now)
         elif event < 0.6 and not queue.is_up:
             report(now)
         else:
@@ -298,11 +298,11 @@
                 if chance.random() < 0.7:
                     if delivery.counts:
                         purged_by_cache.add(number)
-                    queue.confirmed(number)
+                    queue.record_confirmation(number)
                 elif chance.random() < 0.5:
-                    queue.refused(number, now)
+                    queue.record_refusal(number, now)
         assert set(range(1, queue.purged_up_to + 1)) <= purged_by_cache
-    queue.unreachable(now)
+    queue.record_unreachable(now)
     report(now)
     deliver(queue, now + 10 * SECOND, now + 50 * SECOND, step=20_000)
     assert queue.purged_up_to == head
--- a/tests/test_purge_index.py
+++ b/tests/test_purge_index.py
@@ -76,7 +76,7 @@
     for n in range(500):  # more than one node may hold: the node takes all below it
         trie.add(f"/x*{n}/**", 2)
     began = time.perf_counter()
-    assert trie.newest("x", path, 0) == 2 and trie.widened == 500 - (MAX_GLOBS_PER_NODE - 60)
+    assert trie.newest("x", path, 0) == 2 and trie.widened_patterns == 500 - (MAX_GLOBS_PER_NODE - 60)
     assert time.perf_counter() - began < 0.1
 
 
@@ -84,7 +84,7 @@
     trie = PatternTrie()
     for n in range(100):
         trie.add(f"*.h{n}/a", n + 1)
-    assert trie.widened == 100 - MAX_GLOBS_PER_NODE
+    assert trie.widened_patterns == 100 - MAX_GLOBS_PER_NODE
     for n in range(100):
         assert trie.newest(f"www.h{n}", "/a") >= n + 1
     for n in range(100):
@@ -157,7 +157,7 @@
     for n in range(1, 5_001):
         index.add(Purge(n, n, "object", (f"o{n}",), "page"), n * SECOND // 2)
         assert len(index) <= 1_000
-    assert index.merged > 4_000
+    assert index.merged_entries > 4_000
     for n in (1, 2_000, 4_999, 5_000):
         newest = index.newest(PurgeLookup("page", f"o{n}", "x", "/"), (), "north")
         assert newest >= n * SECOND // 2
--- a/tests/test_purge_registry.py
+++ b/tests/test_purge_registry.py
@@ -21,7 +21,7 @@
 from quartzrouter.purges.reconnect_backoff import FIRST_DELAY, MAX_DELAY, PrimaryWatch, ReconnectBackoff
 from quartzrouter.purges.registry import AdmittedPurge, PurgeRegistry
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
-from quartzrouter.purges.validation import MAX_VALUES, rejection_of
+from quartzrouter.purges.validation import MAX_VALUES, validate_request
 
 MILLISECOND = 1_000  # us
 SECOND = 1_000_000  # us
@@ -207,7 +207,7 @@
     ],
 )
 def test_an_invalid_purge_is_rejected_with_place_reason_and_remedy(request_, place, reason):
-    rejection = rejection_of(request_)
+    rejection = validate_request(request_)
     assert rejection.place == place and reason in rejection.reason
     assert rejection.remedy and not rejection.retry_after
 
@@ -293,7 +293,7 @@
     assert addresses[:4] == ["a", "b", "a", "b"]
     assert delays[0] <= FIRST_DELAY and max(delays) <= MAX_DELAY
     assert min(delays[-4:]) >= MAX_DELAY // 2
-    backoff.succeeded()
+    backoff.record_success()
     backoff.wait_at_least(3_000_000)
     assert backoff.next_delay() == 3_000_000 and backoff.next_delay() < FIRST_DELAY * 2
     assert delays != [ReconnectBackoff(["a"], "r2").next_delay() for _ in delays]
