--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -208,7 +208,7 @@
         if purge.kind == "object":  # caches know objects by the keys in their targets
             values = tuple(key for name in values for key in object_keys(name))
         headers = [
-            ("X-Purge-Number", str(purge.sequence_number if delivery.counts else NOT_COUNTED)),
+            ("X-Purge-Number", str(purge.sequence_number if delivery.is_final else NOT_COUNTED)),
             ("X-Purge-Kind", purge.kind),
             ("X-Purge-Values", " ".join(values)),
             ("X-Purge-Older-Ms", str(delivery.age // MICROSECONDS_PER_MILLISECOND)),
--- a/quartzrouter/purges/delivery_plan.py
+++ b/quartzrouter/purges/delivery_plan.py
@@ -32,12 +32,12 @@
     """Send this purge to the cache.
 
     :param age: microseconds; copies that are older are to go.
-    :param counts: whether the cache may count it as purged: it will not be delivered again.
+    :param is_final: whether the cache may count it as purged: it will not be delivered again.
     """
 
     purge: Purge
     age: int
-    counts: bool = True
+    is_final: bool = True
 
 
 class ValueKey(NamedTuple):
--- a/tests/test_purge_delivery.py
+++ b/tests/test_purge_delivery.py
@@ -165,7 +165,10 @@
     queue = settling_queue(2)
     assert deliver(queue, START + SECOND, START + SETTLE_TIME) == []
     again = queue.next_deliveries(START + SETTLE_TIME + SECOND)
-    assert [(delivery.purge.sequence_number, delivery.counts) for delivery in again] == [(1, True), (2, True)]
+    assert [(delivery.purge.sequence_number, delivery.is_final) for delivery in again] == [
+        (1, True),
+        (2, True),
+    ]
     assert all(delivery.age > SETTLE_TIME for delivery in again)
     queue.record_confirmation(2)
     assert queue.purged_up_to == 0
@@ -296,7 +299,7 @@
             for delivery in queue.next_deliveries(now):
                 number = delivery.purge.sequence_number
                 if chance.random() < 0.7:
-                    if delivery.counts:
+                    if delivery.is_final:
                         purged_by_cache.add(number)
                     queue.record_confirmation(number)
                 elif chance.random() < 0.5:
