--- a/quartzrouter/lease_service/client.py
+++ b/quartzrouter/lease_service/client.py
@@ -17,7 +17,7 @@
 from quartzrouter.leases import messages
 from quartzrouter.leases.proposer import Effect, LeaseAcquired, LeaseLost, Proposer, SendToAcceptors
 from quartzrouter.leases.terms import MAX_NAME_LENGTH, LeaseTerms, VoteRelease, VoteRequest
-from quartzrouter.purge_log.line_connection import LineQueue, connect, describe, first_error, read_lines
+from quartzrouter.purge_log.line_connection import LineQueue, connect, describe_error, first_error, read_lines
 from quartzrouter.purges.messages import encode_line
 from quartzrouter.purges.reconnect_backoff import ReconnectBackoff
 from quartzrouter.server.clock import steady_clock, wall_clock
@@ -57,7 +57,7 @@
             try:
                 await self._follow()
             except* Exception as group:
-                reason = describe(first_error(group))
+                reason = describe_error(first_error(group))
                 self._client.report.say("lease", f"keeper {self.name}: {reason}; reconnecting")
             self.outgoing.close()
             await anyio.sleep(self._backoff.next_delay() / MICROSECONDS_PER_SECOND)
--- a/quartzrouter/lease_service/queries.py
+++ b/quartzrouter/lease_service/queries.py
@@ -5,7 +5,7 @@
 from quartzrouter.lease_service.plan_terms import Addresses
 from quartzrouter.leases import messages
 from quartzrouter.leases.terms import AcceptorStatus
-from quartzrouter.purge_log.line_connection import connect, describe, read_lines
+from quartzrouter.purge_log.line_connection import connect, describe_error, read_lines
 from quartzrouter.purges.messages import MalformedMessageError, encode_line
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 
@@ -32,7 +32,7 @@
                         return answer.status
         return "it hung up"
     except (*CONNECTION_LOST, TimeoutError, MalformedMessageError, messages.MalformedMessageError) as error:
-        return describe(error)
+        return describe_error(error)
 
 
 async def ask_all(
--- a/quartzrouter/lease_service/token_storage.py
+++ b/quartzrouter/lease_service/token_storage.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from quartzrouter.leases.terms import FencingToken
-from quartzrouter.purge_log.disk import write_whole
+from quartzrouter.purge_log.disk import write_atomically
 
 FILE_NAME = "numbers"
 FORMAT = 1
@@ -85,4 +85,4 @@
         """
         encoded = msgspec.json.encode(tokens)
         stored = StoredTokens(FORMAT, self.acceptor, crc32(encoded), msgspec.Raw(encoded))
-        write_whole(self.path, msgspec.json.encode(stored))
+        write_atomically(self.path, msgspec.json.encode(stored))
--- a/quartzrouter/purge_log/cache_connection.py
+++ b/quartzrouter/purge_log/cache_connection.py
@@ -7,7 +7,7 @@
 import h11
 
 from quartzrouter.purge_log.errors import PurgeLogError
-from quartzrouter.purge_log.line_connection import connect, describe
+from quartzrouter.purge_log.line_connection import connect, describe_error
 from quartzrouter.purges.delivery_plan import DELIVERY_TIMEOUT
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 
@@ -73,7 +73,7 @@
                 raise
             except EXCHANGE_ERRORS as error:
                 host, port = self.address
-                raise DeliveryError(f"{host}:{port}: {describe(error)}") from None
+                raise DeliveryError(f"{host}:{port}: {describe_error(error)}") from None
             finally:
                 if not is_reusable:  # nobody knows what is still to come on it
                     await self.close()
--- a/quartzrouter/purge_log/disk.py
+++ b/quartzrouter/purge_log/disk.py
@@ -79,7 +79,7 @@
         os.close(self.descriptor)
 
 
-def write_whole(path: str | Path, data: bytes) -> None:
+def write_atomically(path: str | Path, data: bytes) -> None:
     """Replaces a file; after a crash either the old contents or the new are found, whole.
 
     :raises OSError: where it can't be written; the old contents stay.
--- a/quartzrouter/purge_log/line_connection.py
+++ b/quartzrouter/purge_log/line_connection.py
@@ -57,7 +57,7 @@
     return error
 
 
-def describe(error: BaseException) -> str:
+def describe_error(error: BaseException) -> str:
     """Returns the text of an error, or its type where it has none."""
     return str(error) or type(error).__name__
 
--- a/quartzrouter/purge_log/member_client.py
+++ b/quartzrouter/purge_log/member_client.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from quartzrouter.purge_log.line_connection import LineQueue, connect, describe, first_error, read_lines
+from quartzrouter.purge_log.line_connection import LineQueue, connect, describe_error, first_error, read_lines
 from quartzrouter.purges import messages
 from quartzrouter.purges.reconnect_backoff import ReconnectBackoff
 from quartzrouter.server.rate_limited_log import RateLimitedLog
@@ -88,7 +88,7 @@
                 with anyio.CancelScope() as self.scope:
                     await self._follow(host, port)
             except* Exception as group:  # what ends a connection ends nothing else
-                failure = describe(first_error(group))
+                failure = describe_error(first_error(group))
                 self.report.say("ledger", f"{host}:{port}: {failure}; reconnecting")
             self.outgoing.close()
             await anyio.sleep(self.backoff.next_delay() / MICROSECONDS_PER_SECOND)
--- a/quartzrouter/purge_log/query_client.py
+++ b/quartzrouter/purge_log/query_client.py
@@ -5,7 +5,7 @@
 import anyio
 
 from quartzrouter.purge_log.errors import UnreachableError
-from quartzrouter.purge_log.line_connection import CONNECTION_ENDED, connect, describe, read_lines
+from quartzrouter.purge_log.line_connection import CONNECTION_ENDED, connect, describe_error, read_lines
 from quartzrouter.purges import messages
 from quartzrouter.purges.messages import MalformedMessageError
 
@@ -42,7 +42,7 @@
                     return await self._ask_once(message)
             except RETRIED_ERRORS as error:
                 host, port = self.addresses[0]
-                failure = f"{host}:{port}: {describe(error)}"
+                failure = f"{host}:{port}: {describe_error(error)}"
                 await self.close()
                 self.addresses.append(self.addresses.pop(0))
         raise UnreachableError(failure)
--- a/quartzrouter/standalone/purge_membership.py
+++ b/quartzrouter/standalone/purge_membership.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from quartzrouter.config.model import Plan
-from quartzrouter.purge_log.disk import write_whole
+from quartzrouter.purge_log.disk import write_atomically
 from quartzrouter.purges.fleet_purges import AppliedPurge, CachedCopy, FleetPurges
 from quartzrouter.purges.replica import PurgeReplica
 from quartzrouter.purges.surrogate_tags import parse_tags
@@ -86,7 +86,7 @@
 
     :raises OSError: where it can't be written.
     """
-    write_whole(path, _encode(stored))
+    write_atomically(path, _encode(stored))
 
 
 def restore(path: str, fleet_purges: FleetPurges, replica: PurgeReplica, now: int) -> str:
