--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -138,9 +138,9 @@
                 encode_line(answer)
 
     def _grants(self, router: int, message: QuotaRequests) -> QuotaGrants:
-        grants = tuple(self.quota.ask(request, self.now) for request in message.requests)
+        grants = tuple(self.quota.handle_request(request, self.now) for request in message.requests)
         slow_start = tuple(
-            self.slow_start.ask(request, f"r{router}", "t", self.now)
+            self.slow_start.handle_request(request, f"r{router}", "t", self.now)
             for request in message.slow_start_requests
         )
         return QuotaGrants(grants, {}, slow_start)
--- a/quartzrouter/fault_harness/quota_mutations.py
+++ b/quartzrouter/fault_harness/quota_mutations.py
@@ -175,7 +175,7 @@
 def slow_start_granted_at_once(allocator, terms, now):
     """Replaces ``SlowStartAllocator.__init__``: an earlier allocator's grants are not waited for."""
     _start_slow_start_allocator(allocator, terms, now)
-    allocator.grants_from = dict.fromkeys(allocator.grants_from, now)
+    allocator.grants_blocked_until = dict.fromkeys(allocator.grants_blocked_until, now)
 
 
 def granted_time_forgotten(_account, _since):
--- a/quartzrouter/model_checking/quota_model.py
+++ b/quartzrouter/model_checking/quota_model.py
@@ -240,7 +240,7 @@
         has_successor = allocator < len(world.allocators) - 1
         if self.checks_takeover and has_successor:
             return
-        answer = world.allocators[allocator].ask(request, world.now)
+        answer = world.allocators[allocator].handle_request(request, world.now)
         if isinstance(answer, QuotaGrant):
             router.to_router.append(answer)
 
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -141,7 +141,7 @@
         router = Router(**arguments)
         router.set_purges(self.freshness)
         if self.slow_start_client:
-            router.share_slow_start_grants(self.slow_start_client.left)
+            router.share_slow_start_grants(self.slow_start_client.sending_time_left)
         return router
 
     def _share_budgets(self, pool_router: PoolRouter, pools: int) -> None:
--- a/quartzrouter/purge_log/quota_service.py
+++ b/quartzrouter/purge_log/quota_service.py
@@ -72,7 +72,7 @@
                 self._report_refusal(member, request.budget, reply)
         slow_start_grants: list[SlowStartGrant] = []
         for slow_start_request in requests.slow_start_requests[:MAX_REQUESTS_PER_MESSAGE]:
-            slow_start_reply = self.slow_start.ask(
+            slow_start_reply = self.slow_start.handle_request(
                 slow_start_request, member.name, member.token, self.steady_clock()
             )
             if not isinstance(slow_start_reply, QuotaRefusal):
@@ -102,7 +102,7 @@
             self.impersonations += 1
             return QuotaRefusal("name", f"{request.name!r:.40} asks on another's line", "mend the sender")
         assert self.allocator is not None  # the caller looked whether quota is granted at all
-        return self.allocator.ask(request, self.steady_clock())
+        return self.allocator.handle_request(request, self.steady_clock())
 
     def _report_refusal(self, member: Member, requested: str, refusal: QuotaRefusal) -> None:
         self.report.say("shares", f"{member.name}: {requested:.60}: {refusal.place}: {refusal.reason}")
--- a/quartzrouter/quota/allocator.py
+++ b/quartzrouter/quota/allocator.py
@@ -233,7 +233,7 @@
             )
         return states
 
-    def ask(self, request: QuotaRequest, now: int) -> QuotaGrant | QuotaRefusal:
+    def handle_request(self, request: QuotaRequest, now: int) -> QuotaGrant | QuotaRefusal:
         """Grants what the budget has for one request.
 
         :param now: microseconds; the caller has just made sure that no other allocator has begun.
--- a/quartzrouter/quota/slow_start_allocator.py
+++ b/quartzrouter/quota/slow_start_allocator.py
@@ -122,7 +122,7 @@
         self.terms = dict(terms)
         self.accounts: dict[str, EndpointAccount] = {}  # by endpoint, the least recently requested first
         # by tier: no sending time is granted before
-        self.grants_from = {tier: now + each.accounting_period for tier, each in terms.items()}
+        self.grants_blocked_until = {tier: now + each.accounting_period for tier, each in terms.items()}
         self.refused = 0  # number of requests
 
     def replace(self, terms: dict[str, SlowStartTerms], now: int) -> None:
@@ -131,10 +131,10 @@
             old = self.terms.get(tier)
             if old != new:
                 longest = max(new.accounting_period, old.accounting_period if old else 0)
-                self.grants_from[tier] = max(self.grants_from.get(tier, 0), now + longest)
+                self.grants_blocked_until[tier] = max(self.grants_blocked_until.get(tier, 0), now + longest)
         self.terms = dict(terms)
 
-    def ask(
+    def handle_request(
         self, request: SlowStartRequest, router: str, process_token: str, now: int
     ) -> SlowStartGrant | QuotaRefusal:
         """Grants what is free for one request.
@@ -187,7 +187,7 @@
         durations = (
             (RefusedSlowStartField.LIMIT, request.limit),
             (RefusedSlowStartField.WANTED, request.wanted),
-            (RefusedSlowStartField.LEFT, request.left),
+            (RefusedSlowStartField.SENDING_TIME_LEFT, request.sending_time_left),
             (RefusedSlowStartField.REQUEST_TIME, request.request_time),
             (RefusedSlowStartField.RETURNED, request.returned),
         )
@@ -226,7 +226,7 @@
         Less than one request's time is of no use, so nothing is granted then.
         """
         terms = self.terms[request.tier]
-        if now < self.grants_from[request.tier]:
+        if now < self.grants_blocked_until[request.tier]:
             return 0
         demands = account.recent_demands(now)
         grantable = (1 - terms.guaranteed_share) * min(demand.limit for demand in demands)
@@ -236,7 +236,7 @@
         share = (
             fair_share - already_granted if already_granted else max(float(request.request_time), fair_share)
         )
-        granted = int(min(share, free, request.wanted - request.left))
+        granted = int(min(share, free, request.wanted - request.sending_time_left))
         return granted if granted >= max(1, request.request_time) else 0
 
     def states(self, now: int) -> list[SlowStartState]:
--- a/quartzrouter/quota/slow_start_client.py
+++ b/quartzrouter/quota/slow_start_client.py
@@ -95,32 +95,32 @@
         self.steady_clock = steady_clock
         self.allowances: dict[str, EndpointAllowance] = {}
         # Microseconds by endpoint.  The routing decisions take from it, and refresh() settles what they took.
-        self.left: dict[str, int] = {}
-        self.left_at_refresh: dict[str, int] = {}
+        self.sending_time_left: dict[str, int] = {}
+        self.sending_time_at_refresh: dict[str, int] = {}
         self.last_sequence_number = 0
         self.invalid_grants = 0
 
     def refresh(self) -> None:
         """To be called before each decision: what has expired is there no more."""
-        if self.allowances or self.left:
+        if self.allowances or self.sending_time_left:
             self._settle()
-            self._update_left(self.steady_clock())
+            self._update_sending_time_left(self.steady_clock())
 
     def _settle(self) -> None:
         """Subtracts what was used since the last refresh from the grants."""
-        for endpoint, before in self.left_at_refresh.items():
+        for endpoint, before in self.sending_time_at_refresh.items():
             allowance = self.allowances.get(endpoint)
             if allowance:
-                allowance.spend(before - self.left.get(endpoint, 0))
-        self.left_at_refresh = {}
+                allowance.spend(before - self.sending_time_left.get(endpoint, 0))
+        self.sending_time_at_refresh = {}
 
-    def _update_left(self, now: int) -> None:
-        self.left.clear()
+    def _update_sending_time_left(self, now: int) -> None:
+        self.sending_time_left.clear()
         for endpoint, allowance in self.allowances.items():
             allowance.drop_expired(now)
             if allowance.grants:
-                self.left[endpoint] = sum(grant.sending_time for grant in allowance.grants)
-        self.left_at_refresh = dict(self.left)
+                self.sending_time_left[endpoint] = sum(grant.sending_time for grant in allowance.grants)
+        self.sending_time_at_refresh = dict(self.sending_time_left)
 
     def due_requests(self, demands: Sequence[SlowStartDemand]) -> tuple[SlowStartRequest, ...]:
         """The requests to send now.
@@ -167,7 +167,7 @@
             sequence_number=self.last_sequence_number,
             limit=min(MAX_SENDING_TIME, demand.limit),
             wanted=min(MAX_SENDING_TIME, max(allowance.request_time, int(allowance.wanted))),
-            left=self.left.get(demand.endpoint, 0),
+            sending_time_left=self.sending_time_left.get(demand.endpoint, 0),
             request_time=allowance.request_time,
             terms_checksum=terms.terms_checksum,
             returned=returned,
@@ -192,7 +192,7 @@
             expires_at = self.terms[allowance.tier].grant_expiry(requested_at)
             if grant.sending_time and expires_at > now:
                 allowance.grants.append(SendingTimeGrant(expires_at, grant.sending_time))
-        self._update_left(now)
+        self._update_sending_time_left(now)
 
     def request_interval(self) -> int | None:
         """Microseconds until the next look for demand; None where no slow start is shared."""
--- a/quartzrouter/quota/slow_start_messages.py
+++ b/quartzrouter/quota/slow_start_messages.py
@@ -26,7 +26,7 @@
     SEQUENCE_NUMBER = "number"
     LIMIT = "most"
     WANTED = "want"
-    LEFT = "left"
+    SENDING_TIME_LEFT = "left"
     REQUEST_TIME = "unit"
     TERMS_CHECKSUM = "figures"
     RETURNED = "back"
@@ -77,7 +77,7 @@
     :param sequence_number: counts the requests of the router's process from 1.
     :param limit: microseconds of sending time that all routers together may spend on it in a window now.
     :param wanted: microseconds that this router would spend in a window, what it sent elsewhere included.
-    :param left: microseconds that are granted and not used.
+    :param sending_time_left: microseconds that are granted and not used.
     :param request_time: microseconds of one request to the endpoint; less than that is of no use.
     :param terms_checksum: checksum of the terms in the router's plan.
     :param returned: microseconds of grants that have expired unused, told once.
@@ -88,7 +88,7 @@
     sequence_number: int
     limit: int
     wanted: int
-    left: int
+    sending_time_left: int
     request_time: int
     terms_checksum: int
     returned: int = 0
--- a/tests/quota_simulation.py
+++ b/tests/quota_simulation.py
@@ -215,7 +215,7 @@
         self.messages = [message for message in self.messages if message.arrives_at > self.true_time]
         for _, router, to_allocator, content in arrived:
             if to_allocator:
-                answer = self.allocator.ask(content, self.allocator_now())
+                answer = self.allocator.handle_request(content, self.allocator_now())
                 if isinstance(answer, QuotaGrant):
                     self._send(router, False, answer)
             elif self.true_time >= self.stopped_until[router]:
@@ -239,7 +239,7 @@
 
     def ask(self, quota: LocalQuota):
         """Asks for quota; gives the answer, which isn't delivered."""
-        return self.allocator.ask(quota.next_request(self.now), self.now)
+        return self.allocator.handle_request(quota.next_request(self.now), self.now)
 
     def begin_all(self, quota: LocalQuota) -> None:
         """Begins all requests that it admits now."""
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -312,9 +312,11 @@
 
 def refused_budgets() -> list[Any]:
     grants, terms_checksum, most = allocator.QuotaAllocator([BUDGET], 0), BUDGET.terms_checksum, float(2**80)
-    grants.ask(quota_messages.QuotaRequest("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, terms_checksum), S)
+    grants.handle_request(
+        quota_messages.QuotaRequest("origin", "t-0", "0123abcd", 5, 1.0, 0.0, 0, 0, terms_checksum), S
+    )
     return [
-        grants.ask(quota_messages.QuotaRequest(*each), S)
+        grants.handle_request(quota_messages.QuotaRequest(*each), S)
         for each in (
             ("fills", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, terms_checksum),
             ("origin", "t-0", "0123abcd", 6, 1.0, 0.0, 0, 0, 1),
@@ -329,14 +331,14 @@
 
 def refused_colds() -> list[Any]:
     grants, terms_checksum = slow_start_allocator.SlowStartAllocator({"cache": COLD}, 0), COLD.terms_checksum
-    grants.ask(
+    grants.handle_request(
         slow_start_messages.SlowStartRequest("n1", "cache", 5, 9, 9, 0, 1, terms_checksum),
         "t-0",
         "0123abcd",
         S,
     )
     return [
-        grants.ask(slow_start_messages.SlowStartRequest(*each), "t-0", "0123abcd", S)
+        grants.handle_request(slow_start_messages.SlowStartRequest(*each), "t-0", "0123abcd", S)
         for each in (
             ("n1", "parent", 6, 9, 9, 0, 1, terms_checksum),
             ("n1", "cache", 6, 9, 9, 0, 1, 1),
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -741,7 +741,7 @@
             return None
         now[0] += S
         said = QuotaRequest("calls", "r", token, 1, wanted_rate=50.0, terms_checksum=budget.terms_checksum)
-        return ledger.quota.allocator.ask(said, now[0]).tokens
+        return ledger.quota.allocator.handle_request(said, now[0]).tokens
 
     assert granted("a") is None
     number[0] = 5
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -199,7 +199,7 @@
     pair = RouterPair()
     pair.begin_all(pair.first)
     grant = pair.ask(pair.first)
-    pair.allocator.ask(pair.rest(pair.first), pair.now)
+    pair.allocator.handle_request(pair.rest(pair.first), pair.now)
     pair.serve(pair.second)
     pair.first.apply_grant(grant, pair.now)
     pair.begin_all(pair.first)
@@ -210,7 +210,7 @@
     """A router asks for fewer slots, the answer is lost, and its demand comes back."""
     pair = RouterPair()
     pair.serve(pair.first)
-    pair.allocator.ask(pair.rest(pair.first), pair.now)
+    pair.allocator.handle_request(pair.rest(pair.first), pair.now)
     pair.serve(pair.second)
     pair.begin_all(pair.first)
     return pair.in_flight()
@@ -221,7 +221,7 @@
     pair = RouterPair()
     late = pair.rest(pair.first)
     pair.serve(pair.first)
-    pair.allocator.ask(late, pair.now)
+    pair.allocator.handle_request(late, pair.now)
     pair.serve(pair.second)
     return pair.in_flight()
 
@@ -242,7 +242,7 @@
     late = pair.first.next_request(pair.now)
     successor = pair.restarted_first()
     pair.ask(successor)
-    pair.allocator.ask(late, pair.now)
+    pair.allocator.handle_request(late, pair.now)
     pair.serve(successor)
     pair.serve(pair.second)
     assert pair.in_flight() <= 3
@@ -288,9 +288,9 @@
     """Each is refused with the field's name, counted, and costs no token."""
     allocator = QuotaAllocator([RATE], 0, first_allocator=True)
     valid = QuotaRequest("fills", "r", "t", 1, wanted_rate=5.0, terms_checksum=RATE.terms_checksum)
-    assert isinstance(allocator.ask(valid, SECOND), QuotaGrant)
+    assert isinstance(allocator.handle_request(valid, SECOND), QuotaGrant)
     before = allocator.accounts["fills"].tokens
-    answer = allocator.ask(valid._replace(**({"sequence_number": 2} | changes)), SECOND)
+    answer = allocator.handle_request(valid._replace(**({"sequence_number": 2} | changes)), SECOND)
     assert isinstance(answer, QuotaRefusal) and answer.place == place
     assert allocator.refused == 1 and allocator.accounts["fills"].tokens == before
 
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -91,7 +91,7 @@
     def request_grants(self, allocator):
         """Sends the due requests, and takes in what is granted; gives the requests."""
         requests = self.quota_client.due_requests()
-        answers = [allocator.ask(request, self.now) for request in requests]
+        answers = [allocator.handle_request(request, self.now) for request in requests]
         self.quota_client.apply_grants([answer for answer in answers if isinstance(answer, QuotaGrant)])
         return requests
 
@@ -196,7 +196,7 @@
         request = QuotaRequest(
             f"calls/{tenant}", "r", "t", 1, wanted_rate=500.0, terms_checksum=CALLS.terms_checksum
         )
-        return allocator.ask(request, 100 * SECOND)
+        return allocator.handle_request(request, 100 * SECOND)
 
     assert ask("first").tokens > 15
     for tenant in range(MAX_ACCOUNTS):
--- a/tests/test_slow_start_quota.py
+++ b/tests/test_slow_start_quota.py
@@ -25,14 +25,14 @@
     sequence_number=1,
     limit=LIMIT,
     wanted=LIMIT,
-    left=0,
+    sending_time_left=0,
     request_time=REQUEST_TIME,
     endpoint="n0",
     terms_checksum=TERMS.terms_checksum,
     tier="cache",
 ):
     return SlowStartRequest(
-        endpoint, tier, sequence_number, limit, wanted, left, request_time, terms_checksum
+        endpoint, tier, sequence_number, limit, wanted, sending_time_left, request_time, terms_checksum
     )
 
 
@@ -45,7 +45,7 @@
 
     def sending_time(self, asked, router, now, process_token="t"):
         """What is granted for one request."""
-        return self.ask(asked, router, process_token, now).sending_time
+        return self.handle_request(asked, router, process_token, now).sending_time
 
 
 # -- allocator ---------------------------------------------------------------------------------------------
@@ -54,7 +54,7 @@
 def test_an_allocator_waits_until_what_was_granted_before_it_is_over():
     """Another allocator may have granted everything right before this one began."""
     allocator = Allocator()
-    early = allocator.ask(request(), "a", "t", allocator.ready_at - 1)
+    early = allocator.handle_request(request(), "a", "t", allocator.ready_at - 1)
     assert early == SlowStartGrant("n0", 1, 0)
     assert allocator.sending_time(request(2), "a", allocator.ready_at) == GRANTABLE
 
@@ -107,13 +107,13 @@
         (request(endpoint="x" * 65), "server"),
         (request(limit=-1), "most"),
         (request(wanted=10**13), "want"),
-        (request(left=-5), "left"),
+        (request(sending_time_left=-5), "left"),
         (request(request_time=-1), "unit"),
     ],
 )
 def test_invalid_requests_are_counted_and_refused(invalid, place):
     allocator = Allocator()
-    refusal = allocator.ask(invalid, "a", "t", allocator.ready_at)
+    refusal = allocator.handle_request(invalid, "a", "t", allocator.ready_at)
     assert isinstance(refusal, QuotaRefusal) and refusal.place == place
     assert allocator.refused == 1 and not allocator.accounts
 
@@ -125,7 +125,7 @@
     assert allocator.sending_time(request(5, wanted=REQUEST_TIME), "a", now) == REQUEST_TIME
     for sequence_number in (5, 4):
         late = request(sequence_number, wanted=REQUEST_TIME)
-        assert allocator.ask(late, "a", "t", now).place == "number"
+        assert allocator.handle_request(late, "a", "t", now).place == "number"
     first = request(1, wanted=REQUEST_TIME)
     assert allocator.sending_time(first, "a", now + 1, process_token="another") == 0
     assert allocator.sending_time(first, "b", now + 1) == REQUEST_TIME
@@ -141,10 +141,10 @@
         asked = request(endpoint=f"n{index}", wanted=REQUEST_TIME)
         assert allocator.sending_time(asked, "a", now) == REQUEST_TIME
     fourth = request(endpoint="n3", wanted=REQUEST_TIME)
-    assert allocator.ask(fourth, "a", "t", now).place == "server"
+    assert allocator.handle_request(fourth, "a", "t", now).place == "server"
     assert allocator.sending_time(fourth, "a", now + TERMS.accounting_period) == REQUEST_TIME
     for router in "abc":
-        allocator.ask(request(2, endpoint="n1", wanted=REQUEST_TIME), router, "t", now + 1)
+        allocator.handle_request(request(2, endpoint="n1", wanted=REQUEST_TIME), router, "t", now + 1)
     assert set(allocator.accounts["n1"].demands) == {"b", "c"}
 
 
@@ -152,7 +152,7 @@
     """The same terms change nothing; shorter grants wait until the longer ones before them are over."""
     allocator = Allocator()
     now = allocator.ready_at
-    allocator.ask(request(), "a", "t", now)
+    allocator.handle_request(request(), "a", "t", now)
     allocator.replace({"cache": TERMS}, now)
     second = request(2, wanted=REQUEST_TIME)
     assert allocator.sending_time(second, "b", now + TERMS.accounting_period + 1) == REQUEST_TIME
@@ -189,13 +189,13 @@
     (asked,) = client.due_requests(demand_of(2 * REQUEST_TIME))
     clock.now += 300 * MILLISECOND
     client.apply_grants([SlowStartGrant("n0", asked.sequence_number, 2 * REQUEST_TIME)])
-    assert client.left == {"n0": 2 * REQUEST_TIME}
-    client.left["n0"] -= REQUEST_TIME  # as the routing decisions do
+    assert client.sending_time_left == {"n0": 2 * REQUEST_TIME}
+    client.sending_time_left["n0"] -= REQUEST_TIME  # as the routing decisions do
     client.refresh()
-    assert client.left == {"n0": REQUEST_TIME}
+    assert client.sending_time_left == {"n0": REQUEST_TIME}
     clock.now += 200 * MILLISECOND
     client.refresh()
-    assert client.left == {}
+    assert client.sending_time_left == {}
 
 
 def test_a_grant_counts_once_and_only_where_it_was_asked_for():
@@ -207,9 +207,9 @@
     unasked = SlowStartGrant("n0", 99, REQUEST_TIME)
     elsewhere = SlowStartGrant("n9", asked.sequence_number, REQUEST_TIME)
     client.apply_grants([grant, grant, unasked, elsewhere])
-    assert client.left == {"n0": REQUEST_TIME} and client.invalid_grants == 3
+    assert client.sending_time_left == {"n0": REQUEST_TIME} and client.invalid_grants == 3
     assert client.due_requests([]) == ()  # the endpoint has warmed up
-    assert client.left == {} and not client.allowances
+    assert client.sending_time_left == {} and not client.allowances
 
 
 def test_a_demand_that_ends_is_asked_for_no_more():
@@ -333,7 +333,9 @@
             if not to_allocator:
                 self.clients[router].apply_grants([content])
                 continue
-            answer = self.allocator.ask(content, f"r{router}", self.process_tokens[router], self.now)
+            answer = self.allocator.handle_request(
+                content, f"r{router}", self.process_tokens[router], self.now
+            )
             if isinstance(answer, SlowStartGrant):
                 self._send(router, False, answer)
 
@@ -360,8 +362,8 @@
     def _spend(self, router, client):
         """Sends all waiting requests that grants admit; gives the sending time."""
         spent = 0
-        while self.waiting_requests[router] >= 1 and client.left.get("n0", 0) >= REQUEST_TIME:
-            client.left["n0"] -= REQUEST_TIME
+        while self.waiting_requests[router] >= 1 and client.sending_time_left.get("n0", 0) >= REQUEST_TIME:
+            client.sending_time_left["n0"] -= REQUEST_TIME
             self.waiting_requests[router] -= 1
             spent += REQUEST_TIME
             self.spent.append(SpentTime(self.now, REQUEST_TIME))
