--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -143,7 +143,7 @@
         router = Router(**arguments)
         router.copy_purges_from(self.freshness)
         if self.slow_start_client:
-            router.share_slow_start_grants(self.slow_start_client.left)
+            router.share_slow_start_grants(self.slow_start_client.sending_time_left)
         return router
 
     def _share_budgets(self, pool_router: PoolRouter, pools: int) -> None:
