--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -1,4 +1,4 @@
-"""What many routers, which don't talk to each other, send one cold cache or hub together, in every window."""
+"""The load that independent routers together put on a cache or parent in slow start, in every window."""
 
 import math
 import random
@@ -21,10 +21,10 @@
 )
 from quartzrouter.routing.router import Router
 
-SENDING = 25 * MS  # of a req, at full pace
-LINKS = {"c1": 6.0, "p1": 20.0}  # transfers at once, as the list rates a cache and a hub
-LENGTH, BURST = 3 * S, 100 * MS
-PERMITS = Capabilities(
+SENDING_TIME = 25 * MS  # of one request, at full transfer rate
+CAPACITIES = {"c1": 6.0, "p1": 20.0}  # concurrent transfers, as the endpoint list rates a cache and a parent
+DURATION, BURST = 3 * S, 100 * MS
+CAPABILITIES = Capabilities(
     max_attempts=4,
     pass_through=True,
     request_collapsing=True,
@@ -36,72 +36,85 @@
 )
 
 
-def fleet(routers, cold, at, fresh):
-    """Independent routers; a server has started when they hear of it.
+def independent_routers(routers, slow_start, endpoint, unmeasured):
+    """Creates routers that don't communicate, and have all received the same endpoint list.
 
-    :param fresh: one in so many has just started itself, and has not measured any req; 0: none.
+    :param endpoint: the endpoint that has just started.
+    :param unmeasured: one router in this many has no samples of sending times, as after a start; 0: none.
     """
-    found = []
-    for me in range(routers):
+    created = []
+    for number in range(routers):
         router = Router(
-            router_number=me,
-            seed=7 + me,
+            router_number=number,
+            seed=7 + number,
             home_location="north",
-            capabilities=PERMITS,
-            cache_slow_start=cold,
-            parent_slow_start=cold,
+            capabilities=CAPABILITIES,
+            cache_slow_start=slow_start,
+            parent_slow_start=slow_start,
             purge_lifetime=6 * S,
             transfer_rate=1000.0,
             has_capacity_ratings=True,
             traffic_classes=[traffic_class("page")],
         )
         router.update_endpoints(listed(dict.fromkeys(["c1", "c2", "c3", "p1", "o"], "up")), True, 10 * S)
-        router.update_endpoints(listed({at: "up"}, started=10 * S), False, 10 * S)
-        if not fresh or me % fresh:
+        router.update_endpoints(listed({endpoint: "up"}, started=10 * S), False, 10 * S)
+        if not unmeasured or number % unmeasured:
             for _ in range(MIN_SAMPLES):
-                router.sending_times.by_class["page"].add(SENDING)
-        found.append(router)
-    return found
+                router.sending_times.by_class["page"].add(SENDING_TIME)
+        created.append(router)
+    return created
 
 
-def arrivals(routers, cold, demand, burst, draw):
-    """When a req comes, and to which router: of two, one sees up to four times the other's.
+def arrivals(routers, slow_start, demand, burst, rng):
+    """Returns the time of each request and the router that receives it.
 
-    :param demand: reqs a second of all routers; in bursts all of a window's come about its edge.
+    One router receives up to four times as many requests as another.
+
+    :param demand: requests per second of all routers.
+    :param burst: whether all requests of a window arrive around its start.
     """
-    times = [draw.randrange(LENGTH) for _ in range(demand * LENGTH // S)]
+    times = [rng.randrange(DURATION) for _ in range(demand * DURATION // S)]
     if burst:
-        times = [at // cold.window * cold.window + draw.randrange(BURST) - BURST // 2 for at in times]
-    shares = [1 + 3 * draw.random() for _ in range(routers)]
-    return zip(sorted(times), draw.choices(range(routers), shares, k=len(times)), strict=True)
-
-
-def sent_to_cold(routers, cold, at, demand, draw, burst=False, fresh=0):
-    """Plays seconds of traffic; gives the times at which the cold server was sent a req, or a fill."""
-    several, times, over = fleet(routers, cold, at, fresh), [], deque()
-    for id, (due, mine) in enumerate(arrivals(routers, cold, demand, burst, draw)):
-        now = 10 * S + max(0, due)
-        while over and over[0][0] <= now:
-            _, router, req, hop = over.popleft()
-            told = FillStatus.HIT if at == "c1" else FillStatus.FROM_PARENT
+        times = [
+            time // slow_start.window * slow_start.window + rng.randrange(BURST) - BURST // 2
+            for time in times
+        ]
+    shares = [1 + 3 * rng.random() for _ in range(routers)]
+    return zip(sorted(times), rng.choices(range(routers), shares, k=len(times)), strict=True)
+
+
+def sent_to_cold(routers, slow_start, endpoint, demand, rng, burst=False, unmeasured=0):
+    """Simulates traffic, and returns the times at which the endpoint was sent a request or a fill."""
+    fleet, times, in_flight = independent_routers(routers, slow_start, endpoint, unmeasured), [], deque()
+    for id, (arrived_at, receiver) in enumerate(arrivals(routers, slow_start, demand, burst, rng)):
+        now = 10 * S + max(0, arrived_at)
+        while in_flight and in_flight[0][0] <= now:
+            _, router, request_id, attempt_number = in_flight.popleft()
+            fill_status = FillStatus.HIT if endpoint == "c1" else FillStatus.FROM_PARENT
             router.attempt_finished(
-                req, AttemptResult(hop, AttemptStatus.SUCCEEDED, SENDING, told, True), now
+                request_id,
+                AttemptResult(attempt_number, AttemptStatus.SUCCEEDED, SENDING_TIME, fill_status, True),
+                now,
             )
-        req = Request(id, "page", f"{draw.randrange(200)}", 1, 0, SENDING / MS, 3 * S)
-        answer = several[mine].route(req, now)
-        if isinstance(answer, Forward):
-            over.append((now + SENDING, several[mine], id, answer.attempt_number))
-            if at in (answer.endpoint, answer.fill_source if at == "p1" else None):
+        request = Request(id, "page", f"{rng.randrange(200)}", 1, 0, SENDING_TIME / MS, 3 * S)
+        decision = fleet[receiver].route(request, now)
+        if isinstance(decision, Forward):
+            in_flight.append((now + SENDING_TIME, fleet[receiver], id, decision.attempt_number))
+            if endpoint in (decision.endpoint, decision.fill_source if endpoint == "p1" else None):
                 times.append(now)
     return times
 
 
-def budget(cold, at, began, now):
-    """Reqs that the settings allow in the window from there on, N of the operators' page."""
-    can = cold.initial_share + (1 - cold.initial_share) * max(0, now - began) / cold.ramp_time
-    return LINKS[at] * can * cold.overload_factor * cold.window / SENDING
+def budget(slow_start, endpoint, started_at, now):
+    """Returns the requests that the settings allow in the window from ``now``; N of the operators' page."""
+    share = (
+        slow_start.initial_share
+        + (1 - slow_start.initial_share) * max(0, now - started_at) / slow_start.ramp_time
+    )
+    return CAPACITIES[endpoint] * share * slow_start.overload_factor * slow_start.window / SENDING_TIME
 
 
+# Hypothesis derives the examples of this test from its source and name: renaming anything in it changes them.
 @pytest.mark.parametrize("routers", [1, 7, 20, 30, 200])
 @settings(max_examples=60, derandomize=True, deadline=None)
 @given(
@@ -122,7 +135,7 @@
     )
     times = sent_to_cold(routers, cold, at, demand, random.Random(seed), burst, fresh)
     first = 0
-    for last, now in enumerate(times):  # windows that end with a req, wherever they begin
+    for last, now in enumerate(times):  # every window that ends with a request
         while times[first] <= now - window:
             first += 1
         n = budget(cold, at, 10 * S, max(10 * S, now - window))
@@ -132,10 +145,14 @@
 @pytest.mark.parametrize("routers", [20, 30, 200])
 @pytest.mark.parametrize("floor", [0.06, 0.25])
 @pytest.mark.parametrize("fresh", [0, 1])
-def test_no_cold_cache_is_left_without_any_req(routers, floor, fresh):
-    """Parts of less than one req were none, for seconds; a router that has measured nothing takes reqs for
-    longer than they are, so that its part is small: then some come, not many."""
-    cold = SlowStart(initial_share=floor, ramp_time=16 * S, overload_factor=2.0, window=S, routers=routers)
-    times = sent_to_cold(routers, cold, "c1", 600, random.Random(7), fresh=fresh)
-    print(f"{routers} routers, floor {floor}, fresh {fresh}: {len(times)} reqs in {LENGTH // S} s")
+def test_no_cache_in_slow_start_is_left_without_requests(routers, floor, fresh):
+    """A part of the budget smaller than one request allowed no requests for seconds.
+
+    A router without samples overestimates sending times, so that its part allows only a few requests.
+    """
+    slow_start = SlowStart(
+        initial_share=floor, ramp_time=16 * S, overload_factor=2.0, window=S, routers=routers
+    )
+    times = sent_to_cold(routers, slow_start, "c1", 600, random.Random(7), unmeasured=fresh)
+    print(f"{routers} routers, floor {floor}, fresh {fresh}: {len(times)} requests in {DURATION // S} s")
     assert len(times) >= (1 if fresh else 10)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""Each test plays a short scene; its decisions must be those of tests/traces/, which are there to be read."""
+"""Each test runs a short scenario, whose decisions must equal the trace of its name in tests/traces/."""
 
 import pytest
 from conftest import S
@@ -19,8 +19,8 @@
 
 
 def test_fills_of_an_object_meet_at_one_parent_and_skip_a_failing_one(scenario):
-    """A parent rejects fills for capacity. Fills of its objects go to the next parent, and return soon
-    after."""
+    """After a parent has rejected a fill for lack of capacity, fills of its objects go to the next parent,
+    and soon return to it."""
     for n, obj in enumerate("abcdef"):
         scenario.request(n, "clip", obj)
         scenario.finish(n, AttemptStatus.SUCCEEDED, FillStatus.FROM_PARENT, quiet=True)
@@ -32,8 +32,8 @@
 
 
 def test_a_cache_that_answers_with_errors_is_ejected_and_returns(scenario):
-    """A cache answers at once, but with errors, and so would draw the most requests. It is ejected, then
-    gets one request at a time until one succeeds."""
+    """A cache that responds at once, but with errors, would attract the most requests.  It is ejected, and
+    then receives one request at a time until one succeeds."""
     first = scenario.request(0, "clip", "a").endpoint
     scenario.finish(0, AttemptStatus.ERROR, FillStatus.HIT)
     for n in range(1, 4):
@@ -47,7 +47,7 @@
 
 
 def test_an_unreachable_cache_is_health_checked_and_returns_in_slow_start(scenario):
-    """A cache refuses connections.  It is ejected, checked, and once it answers treated as restarted."""
+    """A cache that refuses connections is ejected and checked; once it responds, it counts as restarted."""
     lost = scenario.request(0, "clip", "a").endpoint
     scenario.finish(0, AttemptStatus.CONNECTION_REFUSED)
     scenario.advance(600)
@@ -58,8 +58,8 @@
 
 
 def test_a_cache_in_slow_start_gets_its_budget_and_a_draining_one_nothing(scenario):
-    """A cache has just started and can do little. It gets no more than its budget, also where no other is
-    left."""
+    """A cache that has just started has little capacity.  It receives no more than its budget, even if no
+    other cache is left."""
     scenario.update_endpoints(c1="draining", c2="draining")
     scenario.update_endpoints(c3="up", started=scenario.now)
     for n in range(6):
@@ -81,8 +81,8 @@
 
 
 def test_a_non_idempotent_request_is_never_executed_twice(scenario):
-    """An attempt fails and may have been executed. A request without a key is not sent again; one with a
-    key only as long as the key is remembered. A rejection proves that nothing was executed."""
+    """An attempt fails, and may have been executed.  A request without a key is not sent again, and one with
+    a key only while the key is remembered.  A rejection proves that nothing was executed."""
     scenario.request(0, "vote")
     scenario.finish(0, AttemptStatus.OVERLOADED)
     scenario.advance(300)
@@ -99,7 +99,7 @@
 
 
 def test_late_results_of_a_cancelled_request_settle_the_counts(scenario):
-    """A client leaves while an attempt is in flight. Its result still has to come off the endpoint's load."""
+    """A client leaves while an attempt is in flight.  Its result must still reduce the endpoint's load."""
     scenario.request(0, "clip", "a")
     attempt_number = scenario.router.cancel_request(0)
     load = sorted(scenario.router.load.in_flight.values())
@@ -116,8 +116,8 @@
 
 
 def test_a_request_that_cannot_meet_its_objective_is_rejected_at_once(scenario):
-    """More requests come than caches can send in time. What would be late is rejected before it makes
-    others late."""
+    """More requests arrive than caches can serve in time.  Those that would be late are rejected before they
+    delay others."""
     for n in range(24):
         scenario.request(n, "clip", "a", size_kb=500, quiet=True)
     scenario.request(30, "clip", "a", size_kb=500)
@@ -125,8 +125,8 @@
 
 
 def test_while_fills_are_late_caches_are_looked_up_before_a_fill(scenario):
-    """Fills come late. Caches are asked for what they hold first, and what none holds waits for a fill
-    slot."""
+    """While fills are late, caches are first asked for copies that they hold.  A request for an object that
+    none holds waits until its fill is allowed."""
     for n in range(3):
         scenario.request(n, "clip", "abc"[n])
         scenario.advance(1_500)
@@ -149,8 +149,8 @@
 
 
 def test_a_parent_whose_fills_hang_is_suspected_and_ejected_when_its_health_checks_hang(scenario):
-    """Fills of one parent hang. That alone may be large objects, so it is checked; it is ejected when
-    checks hang."""
+    """Fills of one parent hang.  They may just be large objects, so the parent is health-checked, and ejected
+    when the health checks hang too."""
     for n in range(4):
         parent = scenario.request(n, "clip", "a").fill_source
         scenario.advance(1_400)
@@ -168,20 +168,19 @@
         fills = FillLimiter(routers)
         for n in range(9):
             fills.fill_failed(0, n * S)
-        taken = 0
+        allowed = 0
         for router in range(routers):
             fills.in_flight[0] = 0
             while fills.allows_fill(0, router / routers):
                 fills.in_flight[0] += 1
-            taken += fills.in_flight[0]
+            allowed += fills.in_flight[0]
         scenario.print(
-            f"{routers} routers: limit {fills.limits[0]:.1f}, {taken} requests of all routers are filled"
+            f"{routers} routers: limit {fills.limits[0]:.1f}, {allowed} requests of all routers are filled"
         )
 
 
 def test_unexplained_rejections_eject_the_parent_they_share(scenario):
-    """Caches reject requests without saying why. What they share is the parent that is overloaded: it is
-    ejected."""
+    """Caches reject requests without a reason.  They share the overloaded parent, which is ejected."""
     for n, obj in enumerate("abcdefgh"):
         scenario.advance(300)
         if scenario.request(n, "clip", obj).fill_source == "p2":
@@ -190,7 +189,8 @@
 
 
 def test_a_cache_that_accepts_no_connection_is_suspected_and_nothing_was_executed(scenario):
-    """A connection does not come up in time.  The cache is checked, and the request may be sent elsewhere."""
+    """A connection is not established in time.  The cache is health-checked, and the request may be sent to
+    another endpoint."""
     scenario.request(1, "vote")
     scenario.request(2, "page", object_key="b")
     scenario.advance(500)
@@ -200,7 +200,7 @@
 
 
 def test_late_answers_without_a_fill_do_not_limit_fills(scenario):
-    """Hits come late as well as fills: it isn't the fills that are to be limited."""
+    """If hits are as late as fills, the lateness isn't due to fills, and they must not be limited."""
     for n in range(8):
         scenario.request(n, "clip", f"h{n}", quiet=True)
         scenario.advance(1_500)
@@ -220,8 +220,7 @@
 
 
 def test_errors_of_every_cache_are_the_fault_of_the_request(scenario):
-    """A request makes every cache answer with an error. It must not eject healthy caches one after the
-    other."""
+    """A request that every cache responds to with an error must not eject healthy caches one by one."""
     for n in range(6):
         scenario.request(n, "page", f"bad{n}", quiet=n > 0)
         for _ in range(3):
@@ -236,7 +235,7 @@
 
 
 def test_endpoints_that_have_gone_are_forgotten(scenario):
-    """A thousand endpoints come and go, one of them with a request in flight: nothing is kept of them."""
+    """A thousand endpoints come and go, one of them with a request in flight: their state is removed."""
     for n in range(1_000):
         scenario.update_endpoints(**{f"c{n + 10}": "up"}, started=scenario.now)
         if not n:
@@ -255,7 +254,7 @@
         scenario.update_endpoints(**{f"c{n + 10}": "gone"})
     scenario.lines[:] = [line for line in scenario.lines if "log" not in line]
     router = scenario.router
-    parts = {
+    kept = {
         "listed": router.endpoints.by_index,
         "index": router.endpoints.index_of,
         "started": router.endpoints.started_at,
@@ -267,7 +266,7 @@
         "requests": router.in_flight,
     }
     scenario.print(
-        f"{held} has a request; kept: {', '.join(f'{name} {len(part)}' for name, part in parts.items())}"
+        f"{held} has a request; kept: {', '.join(f'{name} {len(state)}' for name, state in kept.items())}"
     )
 
 
@@ -287,7 +286,7 @@
 
 def test_a_cache_that_reports_low_load_is_not_saturated(scenario_with_reports):
     """A router's own requests times the number of routers overestimate a cache's load.  Without the cache's
-    report, 6% of the requests of a quiet day were rejected that caches had room for."""
+    report, 6% of the requests of a quiet day were rejected although caches had capacity for them."""
     for age in (0, 2_100):
         for n in range(20):
             scenario_with_reports.request(n, "clip", f"o{n}", quiet=True)
@@ -295,19 +294,19 @@
                 n, AttemptStatus.SUCCEEDED, FillStatus.HIT, elapsed=300, quiet=True, utilization=0.3
             )
         scenario_with_reports.advance(age)
-        taken = [
+        served = [
             n
             for n in range(30, 60)
             if isinstance(scenario_with_reports.request(n, "clip", f"a{n}", 900, quiet=True), Forward)
         ]
-        scenario_with_reports.print(f"with reports {age} ms old {len(taken)} of 30 requests are forwarded")
-        for n in taken:
+        scenario_with_reports.print(f"with reports {age} ms old {len(served)} of 30 requests are forwarded")
+        for n in served:
             scenario_with_reports.finish(n, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True)
 
 
 def test_with_load_reports_an_answer_of_unknown_size_has_the_client_timeout(scenario_with_reports):
-    """A large object takes as long as a hang. With a timeout by the latency objective, whatever is much
-    larger than the mean was cut off and sent again, for ever."""
+    """A large object takes as long as a hang.  With a timeout based on the latency objective, responses much
+    larger than the mean were cut off and requested again, without end."""
     for kb in (0, 200):
         decision = scenario_with_reports.request(kb, "clip", f"o{kb}", size_kb=kb)
         scenario_with_reports.print(f"{kb} KB: {decision.timeout // 1000} ms")
@@ -330,8 +329,8 @@
 
 
 def test_without_health_checks_a_cache_that_returns_is_in_slow_start(scenario_with_reports):
-    """A cache restarts, and the endpoint list does not tell. All routers sent to it at once, and it fell
-    over (cartes-bretagne, big-1). It returns in slow start."""
+    """A cache restarts, and the endpoint list does not report it.  All routers sent to it at once, and it
+    failed (cartes-bretagne, big-1).  It must return in slow start."""
     lost = scenario_with_reports.request(0, "clip", "a").endpoint
     scenario_with_reports.finish(0, AttemptStatus.CONNECTION_REFUSED, quiet=True)
     scenario_with_reports.advance(2_000)
@@ -343,7 +342,7 @@
 
 
 def test_without_health_checks_a_cache_that_hangs_is_ejected_by_its_timeouts(scenario_with_reports):
-    """A cache hangs where nothing may be health-checked: its timeouts have to count as failures."""
+    """If a cache hangs and nothing may be health-checked, its timeouts must count as failures."""
     for n in range(6):
         if scenario_with_reports.request(n, "clip", "a", size_kb=0).endpoint == "c2":
             scenario_with_reports.finish(n, AttemptStatus.TIMED_OUT, quiet=True)
@@ -351,25 +350,25 @@
 
 
 def test_known_misses_are_filled_as_far_as_the_location_link_allows(scenario_with_reports):
-    """The location's link is overloaded, and first bytes still come soon, so that nothing but the reports
-    shows it (cartes-bretagne, overload). Known misses are then filled only as far as the link bears."""
+    """The location's link is overloaded, but first bytes still arrive early, so that only the reports show it
+    (cartes-bretagne, overload).  Known misses must then be filled only as far as the link allows."""
     for link in (0.5, 4.0):
         for n in range(20):
             scenario_with_reports.request(n, "clip", f"h{n}", quiet=True)
             scenario_with_reports.finish(
                 n, AttemptStatus.SUCCEEDED, FillStatus.HIT, quiet=True, utilization=0.3, link_utilization=link
             )
-        looked = filled = 0
+        lookups = filled = 0
         for n in range(100, 200):
-            answer = scenario_with_reports.request(n, "page", f"o{link}{n}", quiet=True)
-            while isinstance(answer, Forward):
-                look = answer.fill_source == answer.endpoint
-                looked, filled = looked + look, filled + (not look)
-                answer = scenario_with_reports.finish(
-                    n, AttemptStatus.NOT_FOUND if look else AttemptStatus.SUCCEEDED, quiet=True
+            decision = scenario_with_reports.request(n, "page", f"o{link}{n}", quiet=True)
+            while isinstance(decision, Forward):
+                is_lookup = decision.fill_source == decision.endpoint
+                lookups, filled = lookups + is_lookup, filled + (not is_lookup)
+                decision = scenario_with_reports.finish(
+                    n, AttemptStatus.NOT_FOUND if is_lookup else AttemptStatus.SUCCEEDED, quiet=True
                 )
         scenario_with_reports.print(
-            f"reported link {link}: {looked} lookups, {filled} of 100 requests filled"
+            f"reported link {link}: {lookups} lookups, {filled} of 100 requests filled"
         )
 
 
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -1,4 +1,4 @@
-"""Large objects take longer, and are answered as often: what bounds time and room knows their size."""
+"""Requests for large objects succeed as often as others: timeouts and memory limits allow for their size."""
 
 import heapq
 import random
@@ -13,26 +13,26 @@
 from quartzrouter.routing.model import FillStatus
 from quartzrouter.server import cache_responses, effects, events, responses, state_machine
 
-PACE = 300  # KB a second
+TRANSFER_RATE = 300  # KB/s
 LARGE, SMALL = 240_000, 5_000  # bytes
-MIN_RELATIVE_SHARE = 2 / 3  # of its class's answered share that the largest requests get on a quiet day
+MIN_RELATIVE_SHARE = 2 / 3  # answered share of the largest requests, divided by that of all in their class
 
 
 FIRST_BYTE_DELAY = 30 * MS
-SHARED_LINK = 1.5  # times as long as a response takes alone
+SHARED_LINK_SLOWDOWN = 1.5  # factor on the sending time, as responses share the link
 
 
 def settings_with(**page):
-    """Settings of one traffic class, changed by ``page``, and caches that send at ``PACE``."""
+    """Returns settings with one traffic class, changed by ``page``, and with ``TRANSFER_RATE``."""
     category = SETUP["categories"][0] | {"aim_us": 400 * MS, "aim_stretch": 2.0, "deadline_us": 5 * S} | page
-    family = SETUP["family_info"] | {"flow_kb_per_s": PACE, "never_kept": [False]}
+    family = SETUP["family_info"] | {"flow_kb_per_s": TRANSFER_RATE, "never_kept": [False]}
     return SETUP | {"categories": [category], "family_info": family}
 
 
 class PacedCaches:
-    """A state machine, and caches that send at a pace; which requests are answered, by size.
+    """Simulates one state machine and caches with a limited transfer rate; records the answered requests.
 
-    :param head_first: False where caches send nothing until they have all of a response.
+    :param head_first: False if caches send nothing until they have the whole response.
     """
 
     def __init__(self, head_first=True, **page):
@@ -40,24 +40,24 @@
         settings = DeploymentSettings(settings_with(**page), 7)
         self.state_machine = state_machine.RouterStateMachine(router.Router(**settings.router_arguments))
         self.now = 10 * S
-        self.events = []  # heap of when, a number that keeps the order, and the event
+        self.events = []  # heap of (time, sequence number that keeps the order, event)
         self.scheduled = 0
         self.sizes = {}  # by request id
         self.answered = set()  # request ids
         self.responded_at = {}  # by request id
-        self.sending = set()  # attempts: request id and number
-        self.stuck = set()  # ids of requests whose response stops in the middle
+        self.sending = set()  # attempts, as (request id, attempt number)
+        self.stuck = set()  # ids of requests whose responses stop halfway
         names = dict.fromkeys(["c1", "c2", "c3", "p1", "o"], "up")
         addresses = {name: (f"127.0.0.{number}", 80) for number, name in enumerate(names, 1)}
         self.step(events.EndpointUpdate(listed(names), addresses, True))
 
     def schedule(self, when, event):
-        """Has an event played at a time."""
+        """Schedules an event."""
         self.scheduled += 1
         heapq.heappush(self.events, (when, self.scheduled, event))
 
     def step(self, event):
-        """Plays an event now, and its effects on the caches."""
+        """Passes an event to the state machine, and applies its effects to the caches."""
         for effect in self.state_machine.step(event, self.now):
             match effect:
                 case effects.OpenConnection(request_id, attempt_number):
@@ -72,10 +72,10 @@
                         self.answered.add(request_id)
 
     def respond(self, request_id, attempt_number):
-        """Schedules a cache's response."""
+        """Schedules the events of a cache's response."""
         self.sending.add((request_id, attempt_number))
         size = self.sizes[request_id]
-        duration = int(size / 1000 / PACE * S * SHARED_LINK)
+        duration = int(size / 1000 / TRANSFER_RATE * S * SHARED_LINK_SLOWDOWN)
         first_byte_at = self.now + FIRST_BYTE_DELAY
         end_at = first_byte_at + duration
         head = events.ResponseHead(request_id, attempt_number, 200, size, False, True, FillStatus.HIT)
@@ -84,13 +84,13 @@
             self.schedule(end_at, events.AttemptEnded(request_id, attempt_number, None, b""))
 
     def schedule_request(self, when, request_id, size):
-        """Has a request arrive at a time."""
+        """Schedules the arrival of a request."""
         self.sizes[request_id] = size
         request = events.ClientRequest(f"{request_id:016x}", "page", f"{request_id % 50:016x}", 0, 1, 5 * S)
         self.schedule(when, events.RequestReceived(request_id, request))
 
     def run_until(self, end):
-        """Plays all events and timers that are due before a time."""
+        """Processes all events and timers that are due before a time."""
         while True:
             next_event_at = self.events[0][0] if self.events else end
             due = min(self.state_machine.due, next_event_at)
@@ -106,13 +106,13 @@
                 self.step(events.TimerFired())
 
     def answered_share(self, size):
-        """The share of requests for this size that were answered."""
+        """Returns the share of requests for this size that were answered."""
         of_size = [request_id for request_id, each in self.sizes.items() if each == size]
         return sum(request_id in self.answered for request_id in of_size) / len(of_size)
 
 
 def test_large_responses_that_have_begun_are_not_taken_for_hangs():
-    """Timeouts went by the mean size: the largest tenth was given up in the middle, each time."""
+    """With timeouts based on the mean size, the largest tenth of responses was always given up halfway."""
     caches, draw = PacedCaches(), random.Random(5)
     for request_id in range(400):
         caches.schedule_request(
@@ -127,9 +127,9 @@
 
 
 def test_large_responses_announced_at_their_end_are_not_taken_for_hangs():
-    """Caches say nothing until they have all of a response.
+    """Caches send nothing until they have the whole response, so its size is unknown meanwhile.
 
-    Timeouts went by the mean size; now by what was seen of the class.
+    Timeouts were based on the mean size; now they are based on the sending times of the traffic class.
     """
     caches, draw = PacedCaches(head_first=False, aim_us=100 * MS), random.Random(5)
     for request_id in range(400):
@@ -145,26 +145,26 @@
 
 
 def test_a_large_response_that_stops_in_the_middle_is_given_up_in_time():
-    """A cache stops in the middle of a large response: it is given up before its client gives up."""
+    """A large response that stops halfway is given up before its client's timeout."""
     caches = PacedCaches()
     for request_id in range(40):
         caches.schedule_request(10 * S + request_id * 100 * MS, request_id, SMALL)
     caches.stuck.add(41)
     caches.schedule_request(15 * S, 41, LARGE)
     caches.run_until(30 * S)
-    send_time = LARGE / 1_000 / PACE * S
-    objective = 400 * MS + 2.0 * send_time
-    patience = timeouts.OBJECTIVE_MULTIPLE * objective  # 3 s, where its client waits for 5
-    assert 15 * S + patience <= caches.responded_at[41] <= 15 * S + patience + 10 * MS
+    sending_time = LARGE / 1_000 / TRANSFER_RATE * S
+    objective = 400 * MS + 2.0 * sending_time
+    timeout = timeouts.OBJECTIVE_MULTIPLE * objective  # 3 s; the client waits for 5 s
+    assert 15 * S + timeout <= caches.responded_at[41] <= 15 * S + timeout + 10 * MS
     assert (41, 0) not in caches.sending
 
 
 @pytest.mark.parametrize("memory", [1, 4])
 def test_large_responses_are_sent_where_response_memory_is_small(world, memory):
-    """At most one large response fits at once: small ones that come all the while don't pass it by."""
+    """At most one large response fits in memory, and a steady stream of small ones must not starve it."""
     answered, sizes = {}, {}
 
-    async def scene(connect):
+    async def run_clients(connect):
         async def send_all(client, ids):
             for id in ids:
                 await client.send_request(id, HTTP_X_DEADLINE_MS="3000")
@@ -180,9 +180,9 @@
                 tasks.start_soon(send_all, client, range(number, 97, 12))
         response_memory = world.router_process.cache_connections.response_memory
         size = max((memory << 20) // 8, cache_responses.MAX_BODY_SIZE)
-        assert response_memory.free == size  # all of it was given back
+        assert response_memory.free == size  # all memory was released
 
-    world.run_scene(scene, limits={"sockets": 128, "memory_mb": memory})
+    world.run_scene(run_clients, limits={"sockets": 128, "memory_mb": memory})
     counts = {
         size: sum(good for id, good in answered.items() if sizes[id] == size) for size in (LARGE, SMALL)
     }
