--- a/quartzrouter/routing/failure_attribution.py
+++ b/quartzrouter/routing/failure_attribution.py
@@ -1,8 +1,8 @@
 """Attribution of failed attempts to the endpoint, its fill source or the request.  No I/O.
 
 If a result doesn't say which side failed, an error, a timeout or a rejection counts against both the endpoint
-and its fill source.  Each is compared with its peers, so a failure that all caches share is attributed to the
-source, and one that all sources share to the cache.
+and its fill source.  Each is compared with its peers, so failures that all caches share are attributed to
+their source, and vice versa.
 """
 
 from quartzrouter.routing.endpoints import EndpointList
@@ -19,6 +19,7 @@
 # second one to use in its place.
 SOURCE_SATURATED_TIME = 250 * MILLISECOND
 
+# These say nothing about the endpoint.
 NO_ENDPOINT_FAILURE = frozenset({AttemptStatus.CANCELLED, AttemptStatus.NOT_SENT})
 AMBIGUOUS_STATUSES = frozenset({AttemptStatus.ERROR, AttemptStatus.TIMED_OUT, AttemptStatus.OVERLOADED})
 FAILED_AT_SOURCE = frozenset(
--- a/quartzrouter/routing/in_flight.py
+++ b/quartzrouter/routing/in_flight.py
@@ -6,8 +6,8 @@
 from quartzrouter.routing.slow_start import Charge
 from quartzrouter.routing.units import MILLISECOND
 
-# Time, in microseconds, by which the final response is sent before the client's timeout.  It allows for a few
-# event batches.
+# Time, in microseconds, between the latest final response and the client's timeout.  It allows for a few
+# batches of events.
 RESPONSE_MARGIN = 6 * MILLISECOND
 
 
--- a/quartzrouter/routing/load.py
+++ b/quartzrouter/routing/load.py
@@ -24,7 +24,8 @@
 LOCATION_LINK_WEIGHT = 0.3
 # Weight, from 0 to 1, of one response in the moving average of slowdowns.  It is low, as sizes vary widely.
 SLOWDOWN_WEIGHT = 0.1
-# Transfers on the location's link, divided by those that fit, above which fills are late.
+# Transfers on the location's link, divided by those that fit, from which it is full.  Above that, fills are
+# late.
 LOCATION_LINK_FULL = 1.5
 
 
--- a/quartzrouter/routing/outlier_detection.py
+++ b/quartzrouter/routing/outlier_detection.py
@@ -17,8 +17,8 @@
 MIN_FAILURES = 3
 # Share of an endpoint's recent responses, from 0 to 1, that failures must exceed for it to be an outlier.
 MIN_FAILURE_SHARE = 0.25
-# An outlier's failure share also exceeds that of its peers by more than this factor.  A smaller difference
-# may be caused by something that all of them share.
+# An outlier's failure share is also more than this multiple of its peers' share.  A smaller difference may be
+# caused by something that all of them share.
 PEER_FAILURE_RATIO = 2
 # Number of an endpoint's recent responses at which its counts of recent successes and failures are both
 # halved, so that only the last few seconds count.
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -48,11 +48,11 @@
 
 def test_an_unreachable_cache_is_health_checked_and_returns_in_slow_start(scenario):
     """A cache that refuses connections is ejected and checked; once it responds, it counts as restarted."""
-    lost = scenario.request(0, "clip", "a").endpoint
+    cache = scenario.request(0, "clip", "a").endpoint
     scenario.finish(0, AttemptStatus.CONNECTION_REFUSED)
     scenario.advance(600)
     scenario.print(f"health checks {scenario.router.maintenance(scenario.now).health_checks}")
-    scenario.router.record_health_check(lost, AttemptStatus.SUCCEEDED, scenario.now)
+    scenario.router.record_health_check(cache, AttemptStatus.SUCCEEDED, scenario.now)
     for n in range(1, 4):
         scenario.request(n, "clip", "a")
 
@@ -240,11 +240,11 @@
         scenario.update_endpoints(**{f"c{n + 10}": "up"}, started=scenario.now)
         if not n:
             held = scenario.request(0, "clip", "t").endpoint
-        for req in range(2):
-            scenario.request(2 * n + req + 1, "clip", f"o{2 * n + req}", quiet=True)
+        for offset in range(2):
+            scenario.request(2 * n + offset + 1, "clip", f"o{2 * n + offset}", quiet=True)
             scenario.finish(
-                2 * n + req + 1,
-                AttemptStatus.SUCCEEDED if req else AttemptStatus.CONNECTION_LOST,
+                2 * n + offset + 1,
+                AttemptStatus.SUCCEEDED if offset else AttemptStatus.CONNECTION_LOST,
                 FillStatus.UNKNOWN,
                 quiet=True,
             )
@@ -331,12 +331,12 @@
 def test_without_health_checks_a_cache_that_returns_is_in_slow_start(scenario_with_reports):
     """A cache restarts, and the endpoint list does not report it.  All routers sent to it at once, and it
     failed (cartes-bretagne, big-1).  It must return in slow start."""
-    lost = scenario_with_reports.request(0, "clip", "a").endpoint
+    cache = scenario_with_reports.request(0, "clip", "a").endpoint
     scenario_with_reports.finish(0, AttemptStatus.CONNECTION_REFUSED, quiet=True)
     scenario_with_reports.advance(2_000)
     for n in range(1, 8):
         decision = scenario_with_reports.request(n, "clip", "a", quiet=True)
-        target = "it" if decision.endpoint == lost else "another"
+        target = "it" if decision.endpoint == cache else "another"
         scenario_with_reports.print(f"request {n} to {target}")
         scenario_with_reports.finish(n, AttemptStatus.SUCCEEDED, FillStatus.FROM_PARENT, quiet=True)
 
--- a/tests/test_warming.py
+++ b/tests/test_warming.py
@@ -9,9 +9,8 @@
 
 def scenario_without_parents(router_number=0):
     scenario = RouterScenario([], router_number=router_number)
-    scenario.update_endpoints(
-        is_snapshot=True, c1="up", c2="up", c3="up", o="up"
-    )  # no parents, so that only caches have budgets
+    # Without parents, only caches have slow-start budgets.
+    scenario.update_endpoints(is_snapshot=True, c1="up", c2="up", c3="up", o="up")
     return scenario
 
 
@@ -32,9 +31,8 @@
 
     assert sent_with({})[0] == []
     caches, router = sent_with({"c1": 900 * MS})
-    assert (
-        set(caches) == {"c1"} and len(caches) == 2 and router.slow_start.granted["c1"] == 100 * MS
-    )  # 400 ms for each request
+    # Each request is charged with 400 ms.
+    assert set(caches) == {"c1"} and len(caches) == 2 and router.slow_start.granted["c1"] == 100 * MS
     demands = {each.endpoint: each for each in router.slow_start_demand(10 * S)}
     assert set(demands) == {"c1", "c2", "c3"} and any(
         each.demand >= each.largest_request > 0 for each in demands.values()
@@ -64,9 +62,8 @@
         router.set_ejected_by_peers({"c1": now + S}, now)
         health = router.health.by_index[router.endpoints.index_of["c1"]]
         turns.add(health.ejected_by_peers_until - now - S)
-        router.set_ejected_by_peers(
-            {}, now + S
-        )  # the ejection has ended, but it is not this router's turn yet
+        # The ejection has ended, but it is not this router's turn yet.
+        router.set_ejected_by_peers({}, now + S)
         assert health.ejected_by_peers_until > now + S
         router.set_ejected_by_peers({}, now + 3 * S)
         assert health.ejected_by_peers_until == 0
@@ -77,8 +74,7 @@
     scenario = scenario_without_parents()
     router, now = scenario.router, scenario.now
     router.set_ejected_by_peers({"c1": now + 10 * MS}, now)
-    router.set_ejected_by_peers(
-        {"c2": now + S}, now + 10 * MS
-    )  # two of four would be unavailable by other routers' reports
+    # By other routers' reports, two of the four endpoints would be unavailable.
+    router.set_ejected_by_peers({"c2": now + S}, now + 10 * MS)
     health = {name: router.health.by_index[router.endpoints.index_of[name]] for name in ("c1", "c2")}
     assert health["c1"].ejected_by_peers_until == 0 and health["c2"].ejected_by_peers_until > now
