--- a/quartzrouter/purges/registry.py
+++ b/quartzrouter/purges/registry.py
@@ -1,4 +1,4 @@
-"""The purge log's decisions: the order of purges, idempotency keys, retention, completeness and promises."""
+"""The state of the purge log: the order of purges, idempotency keys, retention, completeness and promises."""
 
 from typing import NamedTuple
 
@@ -18,21 +18,21 @@
 from quartzrouter.purges.propagation_delays import PropagationDelays
 from quartzrouter.purges.validation import validate_request
 
-RETENTION = 7 * 86_400_000_000  # us: a cache may be away for a week and still receive each purge
+RETENTION = 7 * 86_400_000_000  # microseconds: a cache may be away for a week and still get each purge
 MAX_RETAINED = 200_000  # purges, 60 MB; a member that lacks older ones gets a snapshot
-MAX_KEYS = 100_000  # idempotency keys remembered; a client repeats a request within minutes
-MAX_PENDING = 20_000  # purges not yet durable: a second of work for the disk
-RETRY_AFTER_FULL = 1_000_000  # us, where too many are pending
-PROMISE_FACTOR = 1.5  # times the 99th percentile of what was reached: a promise is to be kept
+MAX_KEYS = 100_000  # idempotency keys; a client repeats a request within minutes
+MAX_PENDING = 20_000  # purges that are not yet durable: one second of work for the disk
+RETRY_AFTER_FULL = 1_000_000  # microseconds until a client may retry if MAX_PENDING is reached
+PROMISE_FACTOR = 1.5  # margin over the measured PROMISED_PERCENTILE, so that promises are kept
 PROMISED_PERCENTILE = 99
-HEARTBEATS_IN_PROMISE = 2  # beside a lease: one to carry the purge, one that may be late
-MAX_COMPLETIONS = 10_000  # purges whose own delay is still told
+HEARTBEATS_IN_PROMISE = 2  # added to a lease: one that carries the purge, and one that may be late
+MAX_COMPLETIONS = 10_000  # of the latest purges, whose own delays are still reported
 
 
 class AdmittedPurge(NamedTuple):
     """A purge that was admitted.
 
-    :param is_duplicate: it was admitted before, under its idempotency key.
+    :param is_duplicate: True if it had been admitted before under its idempotency key.
     """
 
     purge: Purge
@@ -40,10 +40,10 @@
 
 
 class Completion(NamedTuple):
-    """What became of a purge.
+    """How long a purge took to complete.
 
     :param delay: microseconds from its acceptance until the last live member had applied it.
-    :param promised_within: microseconds.
+    :param promised_within: microseconds, as promised when it was accepted.
     """
 
     delay: int
@@ -51,12 +51,12 @@
 
 
 class PurgeRegistry:
-    """The order of all purges and what has become of each. All times are microseconds of the wall clock.
+    """The order of all purges, and the progress of each. All times are microseconds of the wall clock.
 
-    :param epoch: of this writer of the purge log.
-    :param grace: microseconds within which a purge must hold at every router.
-    :param retention: microseconds for which a purge is sent one by one.
-    :param max_retained: purges that are sent one by one.
+    :param epoch: the epoch of this writer of the purge log.
+    :param grace: microseconds within which a purge must take effect at every router.
+    :param retention: microseconds for which a purge is kept and can be sent individually.
+    :param max_retained: the maximum number of such purges.
     """
 
     def __init__(
@@ -73,23 +73,27 @@
         self.retention = retention
         self.max_retained = max_retained
         self.members = MemberDirectory(epoch, self.lease_length)
-        self.purges: list[Purge] = []  # in their order; those behind the head are not durable yet
+        self.purges: list[Purge] = []  # by sequence number; those after the head are not durable yet
         self.trimmed_up_to = 0  # the sequence number of the last purge that is no longer retained
-        self.low_watermark = 0  # its time: some purges accepted before it are no longer retained
+        self.low_watermark = 0  # time of that purge: only later purges are retained
         self.head = 0  # the sequence number of the last durable purge
         self.last_purged_at = 0
         self.sequence_by_key: dict[str, int] = {}
         self.complete_up_to = 0
-        self.recovered_up_to = 0  # purges that stood in the log at the start
-        self.older_leases_end = now + self.lease_length  # leases that an earlier process has renewed
-        self.promises: dict[int, int] = {}  # us by sequence number, of purges that are not complete
-        self.completions: dict[int, Completion] = {}  # by sequence number, of the last purges
+        self.recovered_up_to = 0  # purges up to this one were in the log when the process started
+        self.older_leases_end = now + self.lease_length  # of leases that an earlier process renewed
+        self.promises: dict[int, int] = {}  # microseconds by sequence number, for incomplete purges
+        self.completions: dict[int, Completion] = {}  # of the latest purges, by sequence number
         self.delays = PropagationDelays()
         self.missed_promises = 0
-        self.current_promise = self._compute_promise()  # us, for a purge that is accepted now
+        self.current_promise = self._compute_promise()  # microseconds, for a purge that is accepted now
 
     def recover(self, purges: list[Purge], trimmed_up_to: int, low_watermark: int) -> None:
-        """Starts from what the log holds; all of it is durable."""
+        """Restores the state from the purges in the log, all of which are durable.
+
+        :param trimmed_up_to: the sequence number of the last purge that is no longer retained.
+        :param low_watermark: the time of that purge in microseconds.
+        """
         self.purges = list(purges)
         self.trimmed_up_to = trimmed_up_to
         self.low_watermark = low_watermark
@@ -109,18 +113,18 @@
     # -- the order of purges -------------------------------------------------------------------------------
 
     def admit(self, request: PurgeRequest, now: int) -> AdmittedPurge | RequestRejected:
-        """Gives a purge its sequence number and time; it counts once it is durable.
+        """Assigns a sequence number and a time to a purge, which counts as accepted once it is durable.
 
-        Times only grow, also where the clock is set back: a member bounds the age of copies by them.
+        Times increase strictly even if the clock is set back: members bound the age of copies by them.
         """
         rejection = validate_request(request)
         if rejection:
             return rejection
         if request.key and self.sequence_by_key.get(request.key, 0) > self.trimmed_up_to:
-            return self._repeated(request)
+            return self._admit_repeated(request)
         if self.last_admitted - self.head >= MAX_PENDING:
             return RequestRejected(
-                "ledger", f"{MAX_PENDING} purges wait for the disk", "send it again", RETRY_AFTER_FULL
+                "ledger", f"{MAX_PENDING} purges wait for the disk", "send it again later", RETRY_AFTER_FULL
             )
         self.last_purged_at = max(self.last_purged_at + 1, now)
         purge = Purge(
@@ -137,13 +141,13 @@
         self.promises[purge.sequence_number] = self.current_promise
         return AdmittedPurge(purge, is_duplicate=False)
 
-    def _repeated(self, request: PurgeRequest) -> AdmittedPurge | RequestRejected:
-        """The purge that was admitted under a key, where it is the same."""
+    def _admit_repeated(self, request: PurgeRequest) -> AdmittedPurge | RequestRejected:
+        """Returns the purge that was admitted under the same key, or a rejection if its content differs."""
         known = self.purge(self.sequence_by_key[request.key])
         known_content = (known.kind, known.values, known.vhost, known.store)
         if known_content == (request.kind, request.values, request.vhost, request.store):
             return AdmittedPurge(known, is_duplicate=True)
-        reason = f"{request.key!r} stands for purge {known.sequence_number}, {known.description()}"
+        reason = f"key {request.key!r} was used for purge {known.sequence_number}, {known.description()}"
         return RequestRejected("key", reason, "use another key")
 
     def _remember_key(self, purge: Purge) -> None:
@@ -158,12 +162,12 @@
         return self.purges[sequence_number - self.trimmed_up_to - 1]
 
     def purges_after(self, sequence_number: int, limit: int) -> list[Purge]:
-        """Returns the first purges behind a sequence number, durable or not."""
+        """Returns the first purges after a sequence number, durable or not."""
         start = sequence_number - self.trimmed_up_to
         return self.purges[start : start + limit]
 
     def next_batch(self, sequence_number: int) -> list[Purge]:
-        """Returns the durable purges behind a sequence number, as many as go into one line."""
+        """Returns the durable purges after a sequence number, as many as fit into one line."""
         limit = min(MAX_PURGES_PER_LINE, self.head - sequence_number)
         return list(first_page(self.purges_after(sequence_number, limit)))
 
@@ -173,7 +177,7 @@
         self.update_completeness(now)
 
     def discard_pending(self) -> list[Purge]:
-        """Removes the purges that could not be made durable; nobody was told of them."""
+        """Removes and returns the purges that could not be made durable; none of them was acknowledged."""
         pending = self.purges_after(self.head, len(self.purges))
         del self.purges[self.head - self.trimmed_up_to :]
         for purge in pending:
@@ -184,7 +188,7 @@
     # -- retention -----------------------------------------------------------------------------------------
 
     def trim(self, now: int) -> None:
-        """Removes the oldest purges that are too many or too old, as far as they are complete."""
+        """Removes the oldest complete purges if there are too many or they are too old."""
         expired = 0
         while expired < len(self.purges) and now - self.purges[expired].purged_at > self.retention:
             expired += 1
@@ -197,10 +201,11 @@
             del self.purges[:dropped]
 
     def needs_snapshot(self, applied_up_to: int, purge_lifetime: int, now: int) -> bool:
-        """Tells whether a member gets a snapshot in place of every purge that it lacks.
+        """Returns True if a member gets a snapshot in place of every purge that it lacks.
+
+        That is so if some of these purges are no longer retained, or are older than the member's lifetime.
 
-        :param purge_lifetime: microseconds for which a purge matters to it; 0 for ever.
-        :returns: True where some of what it lacks is no longer retained, or matters to it no more.
+        :param purge_lifetime: microseconds for which the member needs a purge; 0 for no limit.
         """
         if applied_up_to < self.trimmed_up_to:
             return True
@@ -209,9 +214,9 @@
         return self.purge(applied_up_to + 1).purged_at < now - purge_lifetime
 
     def snapshot_pages(self, purge_lifetime: int, now: int) -> list[Snapshot]:
-        """Returns the durable purges that still matter to a member, in pages, at least one.
+        """Returns the durable purges that a member still needs, in one or more pages.
 
-        :param purge_lifetime: microseconds for which a purge matters to it; 0 for ever.
+        :param purge_lifetime: microseconds for which the member needs a purge; 0 for no limit.
         """
         since = now - purge_lifetime if purge_lifetime else 0
         durable = self.purges[: self.head - self.trimmed_up_to]
@@ -227,7 +232,7 @@
     # -- members -------------------------------------------------------------------------------------------
 
     def join(self, hello: MemberHello, now: int) -> Member | RequestRejected:
-        """Adds a member, or records that it is back on a new connection."""
+        """Adds a member, or records that it has reconnected."""
         return self.members.join(hello, now)
 
     def acknowledge(
@@ -254,17 +259,18 @@
         self.update_completeness(now)
 
     def leave(self, member: Member, now: int) -> None:
-        """Records that a member has stopped on purpose."""
+        """Records that a member has left, so that purges no longer wait for it."""
         member.has_left = True
         self.update_completeness(now)
 
     def ack_to_echo(self, member: Member) -> int:
         """Returns the id of the member's newest acknowledgement that a heartbeat may echo; 0 for none.
 
-        An echo lets a member rely on having received every purge that was accepted before the
-        acknowledgement was sent. A purge holds from its acceptance on, and is not sent before it is
-        durable. So an acknowledgement that came after a purge which is still pending is not echoed:
-        otherwise a member would serve copies that this purge makes stale, under a lease that holds.
+        An echo assures a member that it has received every purge that was accepted before the
+        acknowledgement was sent. A purge takes effect from the time that admit() assigned to it, and is not
+        sent before it is durable. So an acknowledgement that was received after that time of a pending
+        purge is not echoed: otherwise the member would hold a valid lease and serve copies that this purge
+        makes stale.
         """
         has_pending = self.last_admitted > self.head
         pending_since = self.purge(self.head + 1).purged_at if has_pending else None
@@ -276,11 +282,11 @@
     # -- completeness --------------------------------------------------------------------------------------
 
     def update_completeness(self, now: int) -> None:
-        """Finds the purges that have become complete: every live member has applied them.
+        """Records the purges that have become complete, that is, applied by every live member.
 
-        Guards against what an earlier process had promised: for one lease after the start, members that
-        are not connected yet may still hold leases of that process and serve what a purge makes stale. So
-        nothing is complete before those leases are over.
+        Guards against leases that an earlier process renewed: for one lease length after the start, members
+        that are not connected yet may hold such leases and serve copies that a purge makes stale. So no purge
+        becomes complete before those leases have expired.
         """
         if now <= self.older_leases_end or self.complete_up_to >= self.head:
             return
@@ -288,7 +294,7 @@
         applied_by_all = min((member.applied_up_to for member in live_members), default=self.head)
         completed = self.purges_after(self.complete_up_to, max(0, applied_by_all - self.complete_up_to))
         for purge in completed:
-            if purge.sequence_number > self.recovered_up_to:  # the delay of the others is not known
+            if purge.sequence_number > self.recovered_up_to:  # the delays of recovered purges are not known
                 self._record_completion(purge, now)
         self.complete_up_to = max(self.complete_up_to, applied_by_all)
         if completed:
@@ -305,21 +311,24 @@
             del self.completions[next(iter(self.completions))]
 
     def _compute_promise(self) -> int:
-        """Microseconds until a purge accepted now is complete; a member that vanishes costs a lease."""
-        for_a_vanished_member = self.lease_length + HEARTBEATS_IN_PROMISE * heartbeat_interval(self.grace)
-        by_experience = int(PROMISE_FACTOR * self.delays.percentile(PROMISED_PERCENTILE))
-        return max(for_a_vanished_member, by_experience)
+        """Returns the microseconds within which a purge accepted now is expected to be complete.
+
+        If a member fails, the purge waits until the member's lease has expired.
+        """
+        delay_with_failed_member = self.lease_length + HEARTBEATS_IN_PROMISE * heartbeat_interval(self.grace)
+        measured_delay = int(PROMISE_FACTOR * self.delays.percentile(PROMISED_PERCENTILE))
+        return max(delay_with_failed_member, measured_delay)
 
     # -- queries -------------------------------------------------------------------------------------------
 
     def caches_caught_up(self, now: int) -> dict[str, int]:
-        """Returns the sequence number up to which each reachable cache has purged for good, by its name."""
+        """Returns the sequence number up to which each reachable cache's purges have settled, by its name."""
         return {
             member.name: member.settled_up_to for member in self.members.live(now) if member.kind == "cache"
         }
 
     def status(self, sequence_number: int, now: int) -> PurgeStatus | RequestRejected:
-        """Returns how far a purge has come.
+        """Returns the progress of a purge, or a rejection if it is not retained.
 
         :param sequence_number: 0 for the last durable purge.
         """
@@ -327,8 +336,8 @@
         if sequence_number and not self.trimmed_up_to < sequence_number <= self.head:
             return RequestRejected(
                 "number",
-                f"there is no purge {sequence_number}",
-                f"numbers go from {self.trimmed_up_to + 1} to {self.head}",
+                f"purge {sequence_number} is not among the retained purges",
+                f"use a number from {self.trimmed_up_to + 1} to {self.head}",
             )
         purge = self.purge(sequence_number) if sequence_number else None
         not_completed = Completion(0, self.promises.get(sequence_number, 0))
@@ -349,10 +358,10 @@
         )
 
     def delay_summary(self) -> dict[str, int]:
-        """Returns delays in microseconds by percentile, the count of purges, and that of missed promises."""
+        """Returns delays in microseconds by percentile, and the numbers of purges and missed promises."""
         counts = {"purges": self.delays.count, "missed": self.missed_promises}
         return counts | self.delays.summary()
 
     def members_reply(self, now: int) -> MembersReply:
-        """Returns all members and what each has applied."""
+        """Returns all members and the sequence number up to which each has applied purges."""
         return MembersReply(self.epoch, self.head, self.members.statuses(now))
--- a/quartzrouter/purges/replica.py
+++ b/quartzrouter/purges/replica.py
@@ -1,6 +1,6 @@
-"""A member's copy of the order of purges: what the purge log has sent, in order and once.
+"""A member's replica of the purge log: it passes on each received purge once and in order.
 
-It also keeps the member's freshness lease, see ``freshness_lease.py``.
+It also renews the member's freshness lease, see ``freshness_lease.py``.
 """
 
 from collections import deque
@@ -23,18 +23,18 @@
     Welcome,
 )
 
-CLOCK_READINGS = 64  # heartbeats over which the nearest clock reading is taken; 2 s at a grace of 300 ms
-MAX_UNECHOED_ACKS = 256  # sent and not echoed yet: an older one than a lease proves nothing
-RECONNECT_AFTER = 100_000  # us until the next connection, where the purge log names no other time
+CLOCK_READINGS = 64  # the least of so many offsets is used; 2 s of heartbeats at a grace of 300 ms
+MAX_UNECHOED_ACKS = 256  # older ones are dropped: an echo of one older than a lease renews nothing
+RECONNECT_AFTER = 100_000  # microseconds until the next connection, unless the purge log names another time
 
 
 class ApplyPurges(NamedTuple):
     """Effect: apply these purges.
 
-    :param clock_offset: microseconds to add to the purge log's clock for this member's; rather too late
-        than too early.
+    :param clock_offset: microseconds to add to a time of the purge log's clock to get this member's; never
+        too small, so no purge is dated too early.
     :param low_watermark: microseconds of the purge log's clock; some purges accepted before it are missing.
-    :param is_snapshot: they stand for every purge up to the replica's ``applied_up_to``.
+    :param is_snapshot: True if the purges replace every purge up to the replica's ``applied_up_to``.
     """
 
     purges: tuple[Purge, ...]
@@ -44,7 +44,7 @@
 
 
 class SendMessage(NamedTuple):
-    """Effect: send this to the purge log."""
+    """Effect: send a message to the purge log."""
 
     message: messages.ToPurgeLog
 
@@ -52,7 +52,7 @@
 class EndConnection(NamedTuple):
     """Effect: close this connection.
 
-    :param reconnect_after: microseconds until the next.
+    :param reconnect_after: microseconds until the next connection.
     """
 
     reason: str
@@ -63,13 +63,13 @@
 
 
 class PurgeReplica:
-    """Turns messages of a purge log into effects, one connection after the other.
+    """Turns messages of the purge log into effects, over one connection at a time.
 
-    :param token: of this process.
-    :param lease: the freshness lease, renewed by echoes.
+    :param token: identifies this process.
+    :param lease: the freshness lease, renewed by echoes of acknowledgements.
     :param applied_up_to: the sequence number up to which every purge is applied here.
-    :param purge_lifetime: microseconds for which a purge matters here; 0 for ever.
-    :param acks_on_receipt: whether purges count as applied once they are received; otherwise the owner calls
+    :param purge_lifetime: microseconds for which this member needs a purge; 0 for no limit.
+    :param acks_on_receipt: True if purges count as applied once they are received; otherwise the owner calls
         acknowledge().
     """
 
@@ -90,20 +90,20 @@
         self.applied_up_to = applied_up_to
         self.purge_lifetime = purge_lifetime
         self.acks_on_receipt = acks_on_receipt
-        self.epoch = 0  # the highest that was heard of
+        self.epoch = 0  # the highest epoch in any Welcome
         self.clock_offsets: deque[int] = deque(maxlen=CLOCK_READINGS)
         self._reset_connection()
 
     def _reset_connection(self) -> None:
         self.is_welcomed = False
-        self.grants_quota = False  # whether this purge log does
-        self.aggregates_health = False  # whether this purge log does
+        self.grants_quota = False  # as in the Welcome
+        self.aggregates_health = False  # as in the Welcome
         self.last_ack_id = 0
-        self.unechoed_acks: dict[int, int] = {}  # us when each was sent, by its id
+        self.unechoed_acks: dict[int, int] = {}  # sending times in microseconds, by id
         self.partial_snapshot: list[Purge] = []
 
     def start_connection(self) -> MemberHello:
-        """Starts a connection: nothing that came on the last one counts any more.
+        """Starts a connection and discards the state of the previous one.
 
         :returns: the first message to send.
         """
@@ -114,10 +114,10 @@
 
     @property
     def clock_offset(self) -> int:
-        """Microseconds to add to the purge log's clock for this member's.
+        """The microseconds to add to a time of the purge log's clock to get this member's.
 
-        A reading is too great by the time that its message took, so the least is the nearest; it is still
-        not too small, so a purge counts as a little later than it was, which makes more copies stale.
+        Each reading is too large by the transit time of its message, so the smallest is the most accurate. It
+        is never too small, so a purge is dated a little late, which makes more copies stale and never fewer.
         """
         return min(self.clock_offsets, default=0)
 
@@ -125,13 +125,13 @@
         """Handles a message of the purge log.
 
         :param now: microseconds of this member's clock.
-        :returns: what to do, in this order.
+        :returns: the effects, to be carried out in this order.
         """
         if isinstance(message, RequestRejected):
             reason = f"{message.place}: {message.reason}; {message.remedy}"
             return [EndConnection(reason, message.retry_after or RECONNECT_AFTER)]
         if not self.is_welcomed and not isinstance(message, Welcome):
-            return [EndConnection(f"a {type(message).__name__} before a Welcome")]
+            return [EndConnection(f"received {type(message).__name__} before Welcome")]
         match message:
             case Welcome():
                 return self._welcomed(message, now)
@@ -143,14 +143,14 @@
                 return self._received_heartbeat(message, now)
             case CaughtUp() | QuotaGrants() | EjectionVerdicts():
                 return [message]
-        return [EndConnection(f"an unexpected {type(message).__name__}")]
+        return [EndConnection(f"received an unexpected {type(message).__name__}")]
 
     def acknowledge(
         self, applied_up_to: int, now: int, is_unreachable: bool = False, settled_up_to: int | None = None
     ) -> SendMessage:
         """Acknowledges every purge up to a sequence number.
 
-        :param now: microseconds of this member's clock, from which a lease counts once it is echoed.
+        :param now: microseconds of this member's clock; the lease starts then if the id is echoed.
         :param settled_up_to: as in MemberAck.
         """
         self.last_ack_id += 1
@@ -163,10 +163,10 @@
 
     def _welcomed(self, welcome: Welcome, now: int) -> list[Effect]:
         if welcome.epoch < self.epoch:
-            # Guards against a writer that was taken over from: it lacks the purges of the newer epoch.
-            return [EndConnection(f"epoch {welcome.epoch} is over, {self.epoch} has begun")]
+            # Guards against a writer that another has replaced: it lacks the purges of the newer epoch.
+            return [EndConnection(f"epoch {welcome.epoch} is outdated, the current epoch is {self.epoch}")]
         if welcome.epoch > self.epoch:
-            self.clock_offsets.clear()  # another process, perhaps with another clock
+            self.clock_offsets.clear()  # another process may have another clock
         self.epoch = welcome.epoch
         self.is_welcomed = True
         self.grants_quota = welcome.grants_quota
@@ -175,27 +175,27 @@
             self.lease.length = min(self.lease.length, welcome.lease_length)
         self.clock_offsets.append(now - welcome.server_time)
         if welcome.head < self.applied_up_to:
-            return [self._lost_by_purge_log(welcome.head)]
+            return [self._handle_lost_purges(welcome.head)]
         return self._acks(now)
 
-    def _lost_by_purge_log(self, head: int) -> EndConnection:
-        """Guards against a purge log that was started with an older folder.
+    def _handle_lost_purges(self, head: int) -> EndConnection:
+        """Revokes the lease and requests all purges again on the next connection.
 
-        It gives out numbers again under which other purges are applied here, so the new ones would be taken
-        for received. So the lease ends, and the next connection asks for everything.
+        Guards against a purge log that was started with an older folder. It reassigns sequence numbers of
+        purges that are applied here, so its new purges would be mistaken for ones already received.
         """
         applied_up_to = self.applied_up_to
         self.applied_up_to = 0
         self.lease.revoke()
         return EndConnection(
-            f"the ledger ends at {head} and lacks what was in force here up to {applied_up_to}"
+            f"the ledger ends at purge {head}, but purges up to {applied_up_to} are applied here"
         )
 
     def _received_batch(self, batch: PurgeBatch, now: int) -> list[Effect]:
         new_purges = tuple(purge for purge in batch.purges if purge.sequence_number > self.applied_up_to)
         for expected, purge in enumerate(new_purges, self.applied_up_to + 1):
             if purge.sequence_number != expected:
-                return [EndConnection(f"purge {purge.sequence_number} came after {expected - 1}")]
+                return [EndConnection(f"received purge {purge.sequence_number} after {expected - 1}")]
         if not new_purges:
             return []
         self.applied_up_to = new_purges[-1].sequence_number
@@ -203,7 +203,9 @@
 
     def _received_snapshot_page(self, page: Snapshot, now: int) -> list[Effect]:
         if page.head < self.applied_up_to:
-            return [EndConnection(f"a snapshot of {page.head} after {self.applied_up_to}")]
+            return [
+                EndConnection(f"received a snapshot up to purge {page.head} after purge {self.applied_up_to}")
+            ]
         self.partial_snapshot += page.purges
         if not page.is_last_page:
             return []
@@ -214,16 +216,16 @@
         return [apply, *self._acks(now)]
 
     def _received_heartbeat(self, heartbeat: Heartbeat, now: int) -> list[Effect]:
-        """Renews the lease from the sending of the echoed acknowledgement.
+        """Renews the lease from the time at which the echoed acknowledgement was sent.
 
-        Guards against lost and reordered lines: where the heartbeat's head is not what was received here,
-        purges are missing, and a renewed lease would vouch for them.
+        Guards against lost and reordered lines: if the heartbeat's head is not the last purge received here,
+        purges are missing, and a renewed lease would claim that they had been received.
         """
         if heartbeat.epoch != self.epoch:
-            return [EndConnection(f"a heartbeat of epoch {heartbeat.epoch} in epoch {self.epoch}")]
+            return [EndConnection(f"received a heartbeat of epoch {heartbeat.epoch} in epoch {self.epoch}")]
         if heartbeat.head > self.applied_up_to:
             return [
-                EndConnection(f"the head is {heartbeat.head}, and purges came up to {self.applied_up_to}")
+                EndConnection(f"the head is {heartbeat.head}, but purges came up to {self.applied_up_to}")
             ]
         self.clock_offsets.append(now - heartbeat.server_time)
         ack_sent_at = self.unechoed_acks.get(heartbeat.echoed_ack)
--- a/quartzrouter/purges/settling_purges.py
+++ b/quartzrouter/purges/settling_purges.py
@@ -1,8 +1,8 @@
-"""Purges that a cache has taken once, and that are delivered again when older copies can't come in any more.
+"""Purges that were delivered to a cache once, and are delivered again once no fill can bring older copies.
 
-Guards against a fill that crosses a purge: it began at a parent before the purge, a cache that has purged
-joins it, and keeps the old copy as one of a fill that it began itself after the purge. Nothing names that
-copy any more once the purge has left the routers' indexes.
+Guards against a fill that crosses a purge: it began at a parent before the purge, a cache that has already
+purged joins it, and keeps the old copy because its own fill began after the purge. Once the purge has
+expired from the routers' indexes, nothing marks that copy as stale any more.
 """
 
 from collections import deque
@@ -10,12 +10,12 @@
 
 from quartzrouter.purges.purge import Purge
 
-MIN_CHECKPOINT_INTERVAL = 50_000  # us between two checkpoints; a purge settles an interval late at most
-MAX_CHECKPOINTS = 128  # within a settle time; where that is long, the interval is longer
+MIN_CHECKPOINT_INTERVAL = 50_000  # microseconds between two checkpoints; a purge settles at most this late
+MAX_CHECKPOINTS = 128  # within one settle time; a long settle time has a longer interval
 
 
 class Checkpoint(NamedTuple):
-    """Purges up to a sequence number settle at a time.
+    """The time at which all purges up to a sequence number settle.
 
     :param due_at: microseconds.
     """
@@ -25,9 +25,9 @@
 
 
 def replace_oldest_with_full_purge(purges: deque[Purge], count: int) -> None:
-    """Replaces the oldest of some purges by one purge of everything, which removes no fewer copies.
+    """Replaces the oldest purges with one full purge, which removes at least the same copies.
 
-    :param purges: in their order.
+    :param purges: purges in the order of their sequence numbers.
     :param count: how many are replaced, at least one.
     """
     for _ in range(count):
@@ -36,23 +36,23 @@
 
 
 class SettlingPurges:
-    """Purges of one cache that wait for their last delivery. All times are microseconds of one wall clock.
+    """Purges of one cache that wait for their second delivery. All times are microseconds of one wall clock.
 
-    :param settle_time: from when the cache and its parents have taken a purge.
-    :param max_waiting: purges; beyond, the older half becomes one of everything.
+    :param settle_time: microseconds, counted from when a purge was delivered to the cache and its parents.
+    :param max_waiting: the maximum number of purges; beyond it, the older half becomes one full purge.
     """
 
     def __init__(self, settle_time: int, max_waiting: int):
         self.settle_time = settle_time
         self.max_waiting = max_waiting
-        self.waiting: deque[Purge] = deque()  # in their order
+        self.waiting: deque[Purge] = deque()  # in the order of their sequence numbers
         self.checkpoints: deque[Checkpoint] = deque()
         self.checkpoint_interval = max(MIN_CHECKPOINT_INTERVAL, settle_time // MAX_CHECKPOINTS)
         self.checkpointed_up_to = 0
         self.next_checkpoint_at = 0
 
     def add(self, purge: Purge) -> None:
-        """Adds a purge that the cache has taken for the first time."""
+        """Adds a purge after its first delivery."""
         later = []
         while self.waiting and self.waiting[-1].sequence_number > purge.sequence_number:
             later.append(self.waiting.pop())
@@ -62,14 +62,14 @@
             replace_oldest_with_full_purge(self.waiting, self.max_waiting // 2)
 
     def record_delivered_everywhere(self, up_to: int, now: int) -> None:
-        """Records up to which sequence number the cache and its parents have taken every purge."""
+        """Records the sequence number up to which every purge was delivered to the cache and its parents."""
         if up_to > self.checkpointed_up_to and now >= self.next_checkpoint_at:
             self.checkpoints.append(Checkpoint(up_to, now + self.settle_time))
             self.checkpointed_up_to = up_to
             self.next_checkpoint_at = now + self.checkpoint_interval
 
     def pop_settled(self, now: int) -> list[Purge]:
-        """Removes and returns the purges to be delivered again now, in their order."""
+        """Removes and returns the purges that are due for their second delivery, in order."""
         settled_up_to = 0
         while self.checkpoints and self.checkpoints[0].due_at <= now:
             settled_up_to = self.checkpoints.popleft().up_to
@@ -79,7 +79,7 @@
         return settled
 
     def pop_all(self) -> list[Purge]:
-        """Removes and returns all, in their order: the cache may have lost what it had taken."""
+        """Removes and returns all purges in order, as the cache may have lost what was delivered to it."""
         waiting = list(self.waiting)
         self.waiting.clear()
         self.checkpoints.clear()
@@ -87,5 +87,8 @@
         return waiting
 
     def next_due_at(self, otherwise: int) -> int:
-        """Returns when the next purges settle, or a given time where none do, in microseconds."""
+        """Returns when the next purges settle, in microseconds.
+
+        :param otherwise: the time to return if no purge is due to settle.
+        """
         return self.checkpoints[0].due_at if self.checkpoints else otherwise
--- a/tests/test_purge_registry.py
+++ b/tests/test_purge_registry.py
@@ -186,7 +186,7 @@
     lifetime = 10 * MILLISECOND
     assert registry.needs_snapshot(25, lifetime, NOW + 28 + lifetime)
     assert registry.snapshot_pages(lifetime, 1 << 50)[0].purges == ()
-    assert registry.status(3, 0).remedy == "numbers go from 21 to 30"
+    assert registry.status(3, 0).remedy == "use a number from 21 to 30"
 
 
 @pytest.mark.parametrize(
@@ -263,7 +263,7 @@
     assert replica.receive(batch_of(1, 2), 5_000) == []
     assert numbers(replica.receive(batch_of(2, 3), 5_000)[0].purges) == [3]
     (end,) = replica.receive(batch_of(5), 6_000)
-    assert isinstance(end, EndConnection) and "5 came after 3" in end.reason and replica.applied_up_to == 3
+    assert isinstance(end, EndConnection) and "purge 5 after 3" in end.reason and replica.applied_up_to == 3
 
 
 def test_a_lease_starts_when_the_echoed_acknowledgement_was_sent():
@@ -316,12 +316,12 @@
     replica.lease.renew(1)
     replica.start_connection()
     (end,) = replica.receive(Welcome(1, 2, 0, LEASE), 0)
-    assert "lacks what was in force here up to 4" in end.reason
+    assert "purges up to 4 are applied here" in end.reason
     assert not replica.lease.is_held(1) and replica.applied_up_to == 0
     replica = welcomed_replica()
     replica.epoch = 3
     replica.start_connection()
-    assert "epoch 2 is over" in replica.receive(Welcome(2, 9, 0, LEASE), 0)[0].reason
+    assert "epoch 2 is outdated" in replica.receive(Welcome(2, 9, 0, LEASE), 0)[0].reason
 
 
 def test_a_snapshot_counts_once_its_last_page_is_there():
