--- a/quartzrouter/purges/members.py
+++ b/quartzrouter/purges/members.py
@@ -1,4 +1,4 @@
-"""The members of a purge log: who has joined, what each has applied, and whose lease may still run."""
+"""The members of a purge log: what each has applied, and whether its lease may still be valid."""
 
 from collections import deque
 from typing import NamedTuple
@@ -6,8 +6,8 @@
 from quartzrouter.purges.messages import MemberHello, MemberKind, MemberStatus, RequestRejected
 from quartzrouter.purges.validation import NAME
 
-MAX_MEMBERS = 4_096  # names; those that left or fell silent are dropped first
-MAX_ECHOABLE_ACKS = 64  # of one member; the echo of an older one would start a lease that is over
+MAX_MEMBERS = 4_096  # names; beyond them, the member without a valid lease that is silent longest is dropped
+MAX_ECHOABLE_ACKS = 64  # per member; an echo of an older one would start a lease that has already expired
 
 
 class Acknowledgement(NamedTuple):
@@ -21,9 +21,9 @@
 
 
 class Member:
-    """One member.
+    """The state of one member.
 
-    :param token: of its process.
+    :param token: identifies the member's process.
     :param now: microseconds of the purge log's clock.
     """
 
@@ -32,7 +32,7 @@
         self.kind = kind
         self.token = token
         self.applied_up_to = 0
-        self.settled_up_to = 0  # of a cache: it holds no copy that these purges make stale, nor will
+        self.settled_up_to = 0  # of a cache: it neither holds nor gets copies that these purges make stale
         self.acks: deque[Acknowledgement] = deque(maxlen=MAX_ECHOABLE_ACKS)
         self.last_heard_at = now
         self.has_acknowledged = False
@@ -40,14 +40,14 @@
         self.has_left = False
 
     def record_ack(self, ack_id: int, now: int) -> None:
-        """Keeps an acknowledgement for its echo."""
+        """Stores an acknowledgement, so that a heartbeat can echo it."""
         self.acks.append(Acknowledgement(ack_id, now))
 
     def is_live(self, now: int, lease_length: int) -> bool:
-        """Tells whether its lease may still run, so that purges wait for it.
+        """Returns True if the member's lease may still be valid, so that purges wait for it.
 
-        Its lease started when it sent an acknowledgement that came here later, so it ends before a lease
-        after the last message has passed here.
+        The lease started when the member sent an acknowledgement, before it was received here. So it expires
+        at the latest one lease length after the member's last message was received.
         """
         if not self.has_acknowledged or self.is_unreachable or self.has_left:
             return False
@@ -57,7 +57,7 @@
 class MemberDirectory:
     """All members by name.
 
-    :param epoch: of this writer of the purge log.
+    :param epoch: the epoch of this writer of the purge log.
     :param lease_length: microseconds.
     """
 
@@ -67,8 +67,8 @@
         self.by_name: dict[str, Member] = {}
 
     def join(self, hello: MemberHello, now: int) -> Member | RequestRejected:
-        """Adds a member, or records that it is back on a new connection."""
-        rejection = self._rejection_of(hello, now)
+        """Adds a member, or records that it has reconnected."""
+        rejection = self._check_hello(hello, now)
         if rejection:
             return rejection
         member = self.by_name.get(hello.name)
@@ -78,41 +78,50 @@
         member.kind = hello.kind
         member.has_left = False
         member.last_heard_at = now
-        member.acks.clear()  # ids count from one again on a new connection
+        member.acks.clear()  # ids start from one on each connection
         return member
 
-    def _rejection_of(self, hello: MemberHello, now: int) -> RequestRejected | None:
+    def _check_hello(self, hello: MemberHello, now: int) -> RequestRejected | None:
+        """Returns the reason why a member can't join, if there is one."""
         if not NAME.fullmatch(hello.name) or not NAME.fullmatch(hello.token):
             return RequestRejected(
-                "name", f"{hello.name!r:.60} is no name", "use letters, digits, '_', '-', ':' and '.'"
+                "name",
+                f"{hello.name!r:.60} or its token is not a valid name",
+                "use letters, digits, '_', '-', ':' and '.'",
             )
         if hello.epoch > self.epoch:
-            # Guards against a writer that was taken over from and doesn't know it yet: it lacks purges.
+            # Guards against a writer that another has replaced without its knowledge: it lacks purges.
             return RequestRejected(
                 "epoch",
-                f"{hello.name} has heard of epoch {hello.epoch}, this ledger writes {self.epoch}",
-                "ask the ledger that took over",
+                f"{hello.name} knows epoch {hello.epoch}, but this ledger writes epoch {self.epoch}",
+                "connect to the ledger that took over",
             )
         member = self.by_name.get(hello.name)
         if member is None:
             if len(self.by_name) >= MAX_MEMBERS and not self._drop_silent_member(now):
                 return RequestRejected(
-                    "members", f"{MAX_MEMBERS} are there", "let some leave", self.lease_length
+                    "members",
+                    f"there are {MAX_MEMBERS} members, which is the maximum",
+                    "let some of them leave",
+                    self.lease_length,
                 )
             return None
         is_other_process = member.token != hello.token and not member.has_left
         if is_other_process and now - member.last_heard_at <= self.lease_length:
-            # Guards against two processes with one name: each would acknowledge what the other lacks.
+            # Guards against two processes with one name: each would acknowledge purges that the other lacks.
             return RequestRejected(
                 "name",
-                f"another process is the member {hello.name!r}",
-                "give each its own name, or wait until the other's lease is over",
+                f"another process uses the member name {hello.name!r}",
+                "give each process its own name, or wait until the other's lease has expired",
                 self.lease_length,
             )
         return None
 
     def _drop_silent_member(self, now: int) -> bool:
-        """Removes the member that has been silent for longest; False where all are live."""
+        """Removes the member that is not live and has been silent longest.
+
+        :returns: False if all members are live.
+        """
         silent = [member for member in self.by_name.values() if not member.is_live(now, self.lease_length)]
         if not silent:
             return False
@@ -120,7 +129,7 @@
         return True
 
     def live(self, now: int) -> list[Member]:
-        """Returns the members that purges wait for: live routers and caches, and no watchers."""
+        """Returns the members that purges wait for: live routers and caches, but not watchers."""
         return [
             member
             for member in self.by_name.values()
@@ -128,7 +137,7 @@
         ]
 
     def statuses(self, now: int) -> tuple[MemberStatus, ...]:
-        """Returns what is known of each member that has not left, by name."""
+        """Returns the status of each member that has not left, sorted by name."""
         statuses = [
             MemberStatus(
                 member.name,
--- a/tests/test_purge_registry.py
+++ b/tests/test_purge_registry.py
@@ -193,8 +193,8 @@
     ("request_", "place", "reason"),
     [
         (PurgeRequest("tag"), "values", "no tag is named"),
-        (PurgeRequest("all", ("x",)), "values", "names no values"),
-        (PurgeRequest("tag", ("a b",)), "values", "is no tag"),
+        (PurgeRequest("all", ("x",)), "values", "takes no values"),
+        (PurgeRequest("tag", ("a b",)), "values", "is not a valid tag"),
         (PurgeRequest("tag", tuple("t" * n for n in range(1, MAX_VALUES + 2))), "values", "in one purge"),
         (PurgeRequest("tag", ("t" * 512,) * 9), "values", "characters in one purge"),
         (PurgeRequest("pattern", ("rose",)), "values", "begins with '/'"),
@@ -202,8 +202,8 @@
         (PurgeRequest("pattern", ("/**a",)), "values", "only at the end"),
         (PurgeRequest("pattern", ("/" + "*a" * 17,)), "values", "wildcards"),
         (PurgeRequest("pattern", ("/a" * 33,)), "values", "parts"),
-        (PurgeRequest("tag", ("a",), vhost="a/b"), "vhost", "is no name"),
-        (PurgeRequest("tag", ("a",), key="k k"), "key", "is no key"),
+        (PurgeRequest("tag", ("a",), vhost="a/b"), "vhost", "is not a valid name"),
+        (PurgeRequest("tag", ("a",), key="k k"), "key", "is not a valid key"),
     ],
 )
 def test_an_invalid_purge_is_rejected_with_place_reason_and_remedy(request_, place, reason):
