--- a/quartzrouter/purges/__init__.py
+++ b/quartzrouter/purges/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about cache purges, without I/O: their order, who has applied them, which copies are stale."""
+"""The logic of cache purges, without I/O: their order, which members applied them, which copies are stale."""
--- a/quartzrouter/purges/client_messages.py
+++ b/quartzrouter/purges/client_messages.py
@@ -1,6 +1,6 @@
 """Messages to the purge log, from its members and from clients.
 
-Each has the name of its type in the field ``say``.
+The field ``say`` of each message holds its tag.
 """
 
 # Tags and field names on the wire are kept for compatibility. Where they differ from the names here:
@@ -43,7 +43,7 @@
 
 
 class PurgeRequest(msgspec.Struct, tag_field="say", tag="send", omit_defaults=True):
-    """Asks for a purge; the fields are those of a Purge."""
+    """Requests a purge; the fields are those of a Purge."""
 
     kind: PurgeKind
     values: tuple[str, ...] = ()
@@ -53,12 +53,12 @@
 
 
 class MemberHello(msgspec.Struct, tag_field="say", tag="hello", omit_defaults=True):
-    """Joins as a member and asks for every purge after ``applied_up_to``.
+    """Joins as a member and requests every purge after ``applied_up_to``.
 
-    :param token: of the process: another token under the same name is another process.
+    :param token: identifies the process: another token with the same name is another process.
     :param applied_up_to: the sequence number up to which every purge is applied at the member.
-    :param epoch: the highest epoch of the purge log that the member knows of.
-    :param purge_lifetime: microseconds for which a purge matters to the member; 0 for ever.
+    :param epoch: the highest epoch of the purge log that the member knows.
+    :param purge_lifetime: microseconds for which the member needs a purge; 0 for no limit.
     """
 
     name: str
@@ -73,9 +73,11 @@
     """Acknowledges that every purge up to a sequence number is applied at the member.
 
     :param ack_id: counts the acknowledgements of a connection; heartbeats echo it.
-    :param is_unreachable: the member stands for a cache that can't be reached, so purges don't wait for it.
-    :param settled_up_to: of a member that stands for a cache: no fill can bring what these purges make stale;
-        None: as far as they are applied. An older purge log ignores it.
+    :param is_unreachable: True if the member represents a cache that can't be reached, so that purges don't
+        wait for it.
+    :param settled_up_to: for a member that represents a cache, the sequence number up to which no fill can
+        bring copies that the purges make stale; None if it equals ``applied_up_to``. An older purge log
+        ignores it.
     """
 
     applied_up_to: int = msgspec.field(name="held")
@@ -85,11 +87,11 @@
 
 
 class MemberLeave(msgspec.Struct, tag_field="say", tag="leave"):
-    """The member stops on purpose: no purge waits for it any more."""
+    """Announces that the member stops, so that no purge waits for it any more."""
 
 
 class StatusQuery(msgspec.Struct, tag_field="say", tag="status", omit_defaults=True):
-    """Asks how far a purge has come.
+    """Asks for the progress of a purge.
 
     :param sequence_number: 0 for the last purge.
     """
@@ -98,11 +100,11 @@
 
 
 class MembersQuery(msgspec.Struct, tag_field="say", tag="members"):
-    """Asks which members there are, and what each has applied."""
+    """Asks for all members and the purges that each has applied."""
 
 
 class QuotaRequests(msgspec.Struct, tag_field="say", tag="asks", omit_defaults=True):
-    """A member asks for shares of budgets; sent only where the Welcome offers quota.
+    """Requests shares of budgets for a member; sent only if the Welcome offers quota.
 
     :param slow_start_requests: requests for shares of slow-start budgets; an older purge log ignores them.
     """
@@ -112,11 +114,11 @@
 
 
 class HealthReport(msgspec.Struct, tag_field="say", tag="sights", omit_defaults=True):
-    """A router reports its observations of its store's caches; sent only where the Welcome offers verdicts.
+    """Reports a router's observations of its store's caches; sent only if the Welcome offers verdicts.
 
-    :param observations: a cache without one is not ejected, and nothing new is known of it.
+    :param observations: a cache without an observation is not ejected, and has no new results.
     :param cache_count: how many caches the router knows.
-    :param wants_loads: whether it wants to know how many requests all routers have in flight at each cache.
+    :param wants_loads: True if the router asks how many requests all routers have in flight at each cache.
     """
 
     store: str
@@ -126,7 +128,7 @@
 
 
 class HealthQuery(msgspec.Struct, tag_field="say", tag="views"):
-    """Asks for the health of all caches, as aggregated from routers' reports."""
+    """Asks for the health of all caches, as aggregated from the reports of routers."""
 
 
 class QuotaQuery(msgspec.Struct, tag_field="say", tag="budgets"):
--- a/quartzrouter/purges/errors.py
+++ b/quartzrouter/purges/errors.py
@@ -1,5 +1,5 @@
-"""The base of the errors of this package and of the purge log."""
+"""The base class of the errors of this package and of the purge log."""
 
 
 class PurgeError(Exception):
-    """Something about purges failed; the message says what, where, and what to do."""
+    """An operation on purges failed; the message says what failed, where, and what to do."""
--- a/quartzrouter/purges/glob.py
+++ b/quartzrouter/purges/glob.py
@@ -1,11 +1,11 @@
-"""Wildcard matching for one path or host part of a purge pattern, in time linear in the text."""
+"""Wildcard matching for one path or host part of a purge pattern, in linear time."""
 
 
 class Glob:
-    """One part of a pattern in which ``*`` occurs at least once and stands for any number of characters.
+    """One part of a pattern in which ``*`` occurs at least once and matches any number of characters.
 
-    The part is split at its wildcards into literal pieces, each of which is searched for once. So a pattern
-    that is made to be slow (``*a*a*a*b``) costs no more than its pieces, unlike a regular expression.
+    The part is split at its wildcards into literal pieces, each of which is searched for once. So a hostile
+    pattern (``*a*a*a*b``) costs one search per piece, unlike a regular expression with backtracking.
 
     :param text: the part, with at least one ``*``.
     """
@@ -18,12 +18,11 @@
         self.min_length = len(self.prefix) + len(self.suffix)
 
     def matches(self, text: str) -> bool:
-        """Tells whether the whole text matches.
+        """Returns True if the whole text matches.
 
-        Each middle piece is matched at its first occurrence: a later one could only leave less room.
+        Each middle piece is matched at its first occurrence, which leaves the most text for the next pieces.
 
         :param text: one part of a path or a host name.
-        :returns: True where the text matches.
         """
         if len(text) < self.min_length:
             return False
--- a/quartzrouter/purges/messages.py
+++ b/quartzrouter/purges/messages.py
@@ -1,8 +1,8 @@
-"""The protocol of the purge log: one JSON object a line, told apart by the field ``say``.
+"""The protocol of the purge log: one JSON object per line, with its type in the field ``say``.
 
-The messages themselves are in client_messages (to the purge log) and server_messages (from it); this module
-names them all, and turns them into lines and back. Times are whole microseconds of the clock that is named
-with them.
+The messages are defined in client_messages (to the purge log) and server_messages (from it); this module
+exports all of them, and encodes and decodes lines. Times are whole microseconds of the clock that the field's
+description names.
 """
 
 from collections.abc import Sequence
@@ -91,10 +91,10 @@
 
 MAX_LINE_BYTES = 1 << 18  # a page of MAX_PURGES_PER_LINE purges of a few hundred bytes each
 MAX_PURGES_PER_LINE = 512
-MAX_QUOTA_REQUESTS = 512  # in one message
-MAX_BYTES_PER_CHARACTER = 2  # of a value in JSON: a quote or backslash is escaped
-MAX_OTHER_BYTES_PER_PURGE = 400  # of its scope, its key, its numbers and field names
-MAX_OTHER_BYTES_PER_VALUE = 4  # its quotes and comma
+MAX_QUOTA_REQUESTS = 512  # per message
+MAX_BYTES_PER_CHARACTER = 2  # of a value in JSON: quotes and backslashes are escaped
+MAX_OTHER_BYTES_PER_PURGE = 400  # for its scope, key, numbers and field names
+MAX_OTHER_BYTES_PER_VALUE = 4  # for its quotes and comma
 
 _encoder = msgspec.json.Encoder()
 _to_purge_log = msgspec.json.Decoder(ToPurgeLog)
@@ -103,28 +103,28 @@
 
 
 class MalformedMessageError(PurgeError, ValueError):
-    """A line that no member or purge log of this version writes."""
+    """A line is not a valid message of this version of the protocol."""
 
 
 def encode_line(message: msgspec.Struct) -> bytes:
-    """Returns the line of a message, with its end."""
+    """Returns a message as a line, including the newline."""
     return _encoder.encode(message) + b"\n"
 
 
 def decode_to_purge_log(line: bytes) -> ToPurgeLog:
-    """Reads a message to the purge log.
+    """Decodes a message to the purge log.
 
-    :param line: without its end.
-    :raises MalformedMessageError: where it is none.
+    :param line: without the newline.
+    :raises MalformedMessageError: if the line is not such a message.
     """
     return _decode(_to_purge_log, line)
 
 
 def decode_from_purge_log(line: bytes) -> FromPurgeLog:
-    """Reads a message from the purge log.
+    """Decodes a message from the purge log.
 
-    :param line: without its end.
-    :raises MalformedMessageError: where it is none.
+    :param line: without the newline.
+    :raises MalformedMessageError: if the line is not such a message.
     """
     return _decode(_from_purge_log, line)
 
@@ -137,7 +137,7 @@
 
 
 def first_page(purges: Sequence[Purge]) -> Sequence[Purge]:
-    """Returns as many of the first purges as certainly fit into one line, at least one."""
+    """Returns as many of the first purges as are sure to fit into one line, at least one."""
     size = 0
     for count, purge in enumerate(purges[:MAX_PURGES_PER_LINE]):
         for value in purge.values:
--- a/quartzrouter/purges/pattern_trie.py
+++ b/quartzrouter/purges/pattern_trie.py
@@ -1,30 +1,30 @@
-"""Purge patterns over hosts and paths, as a trie by their parts.
+"""A trie of purge patterns over hosts and paths, with one level for each part.
 
-A pattern is HOST/PATH: ``*`` is any number of characters of one part, ``**`` at the end is everything below,
-and an empty host is any host. Every node knows the newest purge below it, so that a lookup skips all that
-can't be newer than what it has found already.
+A pattern is HOST/PATH: ``*`` matches any number of characters of one part, ``**`` at the end matches
+everything below, and an empty host matches any host. Every node stores the time of the newest purge at or
+below it, so that a lookup skips nodes that can't contain a newer purge than the one already found.
 """
 
 from quartzrouter.purges.glob import Glob
 
-MAX_GLOBS_PER_NODE = 64  # tried one by one; a node with more takes everything below it
-MAX_VISITED_NODES = 1_024  # of one lookup, 0.3 ms; after that the newest purge not yet ruled out is taken
+MAX_GLOBS_PER_NODE = 64  # they are tried one by one; further patterns become `**` of their node
+MAX_VISITED_NODES = 1_024  # per lookup, 0.3 ms; beyond them, all purges not yet ruled out count as matches
 
 
 class PatternNode:
-    """The patterns that share their first parts; all times are microseconds of the router's clock."""
+    """The patterns with the same leading parts. All times are microseconds of the router's clock."""
 
     __slots__ = ("ends_here", "globs", "literals", "newest", "subtree")
 
     def __init__(self) -> None:
         self.literals: dict[str, PatternNode] = {}
         self.globs: dict[str, tuple[Glob, PatternNode]] = {}
-        self.ends_here = 0  # newest purge by a pattern that ends at this node
-        self.subtree = 0  # newest purge by a pattern that goes on with `**`
-        self.newest = 0  # newest purge by any pattern at or below this node
+        self.ends_here = 0  # time of the newest purge by a pattern that ends at this node
+        self.subtree = 0  # time of the newest purge by a pattern that continues with `**`
+        self.newest = 0  # time of the newest purge by any pattern at or below this node
 
     def drop_until(self, time: int) -> None:
-        """Forgets purges at this node itself that are not newer than a time."""
+        """Removes the purges at this node itself that are not newer than a time."""
         if self.ends_here <= time:
             self.ends_here = 0
         if self.subtree <= time:
@@ -45,7 +45,10 @@
             del self.literals[part]
 
     def add_child(self, part: str) -> "PatternNode | None":
-        """Returns the child for a part of a pattern; None where this node can't hold another glob."""
+        """Returns the child for a part of a pattern, adding it if necessary.
+
+        :returns: None if this node can't hold another glob.
+        """
         child = self.child(part)
         if child is not None:
             return child
@@ -60,11 +63,11 @@
 
 
 class PatternTrie:
-    """Purge patterns with the time of the newest purge by each."""
+    """Purge patterns, each with the time of its newest purge."""
 
     def __init__(self) -> None:
         self.root = PatternNode()
-        self.widened_patterns = 0  # patterns that became `**` of a node that has too many globs
+        self.widened_patterns = 0  # patterns that became `**` of a node with too many globs
 
     def add(self, pattern: str, purged_at: int) -> None:
         """Adds a purge.
@@ -79,7 +82,7 @@
         for part in parts:
             node.newest = max(node.newest, purged_at)
             child = node.add_child(part)
-            if child is None:  # taking too much is safe: more copies are renewed, none is missed
+            if child is None:  # a wider pattern is safe: more copies are renewed, and none is missed
                 self.widened_patterns += 1
                 purges_subtree = True
                 break
@@ -91,13 +94,13 @@
             node.ends_here = max(node.ends_here, purged_at)
 
     def newest(self, host: str, path: str, newer_than: int = 0) -> int:
-        """Finds the newest purge that matches a path.
+        """Returns the time of the newest purge that matches a path.
 
-        The number of visited nodes is bounded, as patterns come from outside: a lookup that would take
-        longer counts every purge not yet ruled out as a match, which renews more copies and misses none.
+        The number of visited nodes is bounded because patterns come from clients: a lookup that would visit
+        more counts every purge not yet ruled out as a match, which renews more copies and misses none.
 
         :param path: begins with a ``/``.
-        :returns: its time in microseconds, or ``newer_than`` where there is none newer.
+        :returns: microseconds, or ``newer_than`` if no matching purge is newer.
         """
         parts = [host.lower(), *path.split("/")[1:]]
         newest = newer_than
@@ -124,11 +127,11 @@
         return newest
 
     def remove(self, pattern: str, purged_at: int) -> None:
-        """Removes a purge, where every older one has been removed or is about to be.
+        """Removes a purge; every older one must have been removed or be removed next.
 
-        A node without anything newer is removed whole, so that no newest time need be recomputed.
+        A node that contains no newer purge is removed with its subtree, so no newest time is recomputed.
 
-        :param purged_at: microseconds, as it was added with.
+        :param purged_at: microseconds, the same time as in add().
         """
         if self.root.newest <= purged_at:
             self.root = PatternNode()
@@ -148,7 +151,7 @@
 
 
 def _parts(pattern: str) -> list[str]:
-    """The host, or ``*`` for any, and the parts of the path."""
+    """Returns the host, or ``*`` for any host, and the parts of the path."""
     parts = pattern.split("/")
     parts[0] = parts[0].lower() or "*"
     return parts
--- a/quartzrouter/purges/purge.py
+++ b/quartzrouter/purges/purge.py
@@ -1,4 +1,4 @@
-"""A purge, as it stands in the log and travels to members."""
+"""A purge, as it is stored in the log and sent to members."""
 
 from typing import Literal
 
@@ -8,14 +8,14 @@
 
 
 class Purge(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One purge: copies made before ``purged_at`` are stale where one of the values names them.
+    """One purge: copies made before ``purged_at`` are stale if one of the values matches them.
 
-    :param sequence_number: its place in the order of all purges, from 1.
+    :param sequence_number: its position in the order of all purges, from 1.
     :param purged_at: microseconds of the purge log's wall clock.
-    :param values: objects, tags or patterns; none where the kind is ``all``.
-    :param vhost: limits it to a vhost; empty for all.
-    :param store: limits it to copies in caches of a store; empty for all.
-    :param key: idempotency key: the same purge sent twice with it counts once.
+    :param values: objects, tags or patterns; empty if the kind is ``all``.
+    :param vhost: limits the purge to a vhost; empty for all.
+    :param store: limits the purge to copies in caches of a store; empty for all.
+    :param key: the idempotency key: a purge that is sent twice with the same key is accepted once.
     """
 
     sequence_number: int = msgspec.field(name="number")
@@ -27,7 +27,7 @@
     key: str = ""
 
     def description(self) -> str:
-        """Returns the purge in words, for people."""
+        """Returns a readable description of the purge."""
         text = f"{self.kind} {' '.join(self.values)}".strip()
         if self.vhost:
             text += f" of {self.vhost}"
--- a/quartzrouter/purges/purge_index.py
+++ b/quartzrouter/purges/purge_index.py
@@ -1,7 +1,7 @@
-"""The purges that a router must still know: by object, tag and pattern, within a scope, bounded and expiring.
+"""A bounded index of recent purges by scope and by object, tag or pattern.
 
-An entry is the time of a purge: copies made before it are stale. Where there are more entries than may be
-held, the oldest become one purge of their whole scope, which makes more copies stale and never fewer.
+An entry is the time of a purge: copies made before it are stale. Entries expire. If there are too many, the
+oldest are merged into one purge of their whole scope, which makes more copies stale and never fewer.
 """
 
 from collections.abc import Iterable
@@ -13,31 +13,34 @@
 from quartzrouter.purges.pattern_trie import PatternTrie
 from quartzrouter.purges.timer_wheel import TimerWheel
 
-SLOTS_PER_LIFETIME = 64  # of the timer wheel: entries live at most this part of their lifetime too long
-MAX_SCOPES = 256  # pairs of a vhost and a store; beyond, a purge counts for every scope
-MERGE_DOWN_TO = 0.9  # of the entries held at most: merging handles a tenth of them at a time
-ANY_STORE = "*"  # a cache whose store is not known
+SLOTS_PER_LIFETIME = 64  # slots of the timer wheel: entries expire at most 1/64 of their lifetime late
+MAX_SCOPES = 256  # pairs of a vhost and a store; beyond them, a purge applies to every scope
+MERGE_DOWN_TO = 0.9  # share of the maximum that is left after merging, so a tenth is merged at a time
+ANY_STORE = "*"  # stands for the store of a cache if that is not known
 
 
 class ScopeKey(NamedTuple):
-    """What a purge is limited to; an empty field is no limit."""
+    """The vhost and store that a purge is limited to; an empty field means no limit."""
 
     vhost: str
     store: str
 
 
-EVERYWHERE = ScopeKey("", "")
+GLOBAL_SCOPE = ScopeKey("", "")
 
 
 @lru_cache(MAX_SCOPES)
 def _scopes_of(vhost: str, store: str) -> tuple[ScopeKey, ...]:
-    """The scopes that hold for a vhost and a store; cached, as every request asks for them twice."""
-    scopes = (ScopeKey(vhost, store), ScopeKey(vhost, ""), ScopeKey("", store), EVERYWHERE)
+    """Returns the scopes that apply to a vhost and a store.
+
+    The result is cached, as every request asks for it twice.
+    """
+    scopes = (ScopeKey(vhost, store), ScopeKey(vhost, ""), ScopeKey("", store), GLOBAL_SCOPE)
     return tuple(dict.fromkeys(scopes))
 
 
 class PurgeLookup(NamedTuple):
-    """What purges are matched against: one request, as the router sees it."""
+    """The properties of one request that purges are matched against."""
 
     vhost: str
     object_key: str
@@ -46,7 +49,7 @@
 
 
 class IndexEntry(NamedTuple):
-    """One purged value, as the timer wheel holds it until its lifetime is over.
+    """One purged value, which the timer wheel holds until its lifetime ends.
 
     :param purged_at: microseconds of this router's clock.
     """
@@ -59,19 +62,22 @@
 
 
 class PurgeScope:
-    """The purges of one vhost, one store, both or neither. Times are microseconds of the router's clock."""
+    """The purges of one scope. All times are microseconds of the router's clock."""
 
     __slots__ = ("all", "newest_tag", "objects", "patterns", "tags")
 
     def __init__(self) -> None:
-        self.all = 0  # newest purge of everything in the scope
-        self.newest_tag = 0  # newest purge by any tag
+        self.all = 0  # time of the newest purge of everything in the scope
+        self.newest_tag = 0  # time of the newest purge by any tag
         self.objects: dict[str, int] = {}
         self.tags: dict[str, int] = {}
         self.patterns = PatternTrie()
 
     def newest(self, lookup: PurgeLookup, tags: Iterable[str] | None, newer_than: int) -> int:
-        """Returns the time of the newest purge that matches; ``newer_than`` where there is none newer."""
+        """Returns the time of the newest purge that matches, or ``newer_than`` if none is newer.
+
+        :param tags: None if they are not known, so that any purge by tag matches.
+        """
         newest = max(newer_than, self.all, self.objects.get(lookup.object_key, 0))
         if tags is None:
             newest = max(newest, self.newest_tag)
@@ -95,7 +101,7 @@
             self.objects[value] = max(purged_at, self.objects.get(value, 0))
 
     def remove(self, kind: str, value: str, purged_at: int) -> None:
-        """Removes one purged value, unless a later purge has named it again."""
+        """Removes one purged value, unless a newer purge names the same value."""
         if kind == "all":
             if self.all <= purged_at:
                 self.all = 0
@@ -110,7 +116,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is purged in this scope."""
+        """True if the scope contains no purge."""
         return not (self.all or self.objects or self.tags or self.patterns.root.newest)
 
 
@@ -118,7 +124,7 @@
     """The purges of all scopes.
 
     :param lifetime: microseconds for which a purge is held.
-    :param max_entries: purged values held at once.
+    :param max_entries: the maximum number of purged values.
     """
 
     def __init__(self, lifetime: int, max_entries: int):
@@ -126,7 +132,7 @@
         self.max_entries = max_entries
         self.scopes: dict[ScopeKey, PurgeScope] = {}
         self.expiry: TimerWheel[IndexEntry] = TimerWheel(max(1, lifetime // SLOTS_PER_LIFETIME))
-        self.merged_entries = 0  # entries that became part of a purge of their whole scope
+        self.merged_entries = 0  # entries that were merged into a purge of their whole scope
         self.expired_up_to = 0  # the highest sequence number among expired purges
 
     def __len__(self) -> int:
@@ -135,22 +141,22 @@
     def add(self, purge: Purge, purged_at: int) -> None:
         """Adds a purge.
 
-        :param purged_at: its time in microseconds of this router's clock.
+        :param purged_at: the time of the purge in microseconds of this router's clock.
         """
         scope = ScopeKey(purge.vhost, purge.store)
         if scope not in self.scopes and len(self.scopes) >= MAX_SCOPES:
-            scope = EVERYWHERE
+            scope = GLOBAL_SCOPE
         for value in _indexed_values(purge):
             self._add(IndexEntry(scope, purge.kind, value, purged_at, purge.sequence_number))
         if self.expiry.count > self.max_entries:
             self._merge_oldest()
 
     def newest(self, lookup: PurgeLookup, tags: Iterable[str] | None, store: str, newer_than: int = 0) -> int:
-        """Finds the newest purge that makes a copy stale.
+        """Returns the time of the newest purge that makes a copy stale.
 
-        :param tags: of the copy; None where they are not known, so that it may carry any.
-        :param store: of the cache that holds the copy; ANY_STORE where it is not known.
-        :returns: its time in microseconds, or ``newer_than`` where there is none newer.
+        :param tags: the tags of the copy; None if they are not known, so that it may have any tag.
+        :param store: the store of the cache that holds the copy; ANY_STORE if it is not known.
+        :returns: microseconds, or ``newer_than`` if no matching purge is newer.
         """
         newest = newer_than
         if store == ANY_STORE:
@@ -159,13 +165,13 @@
                     newest = scope.newest(lookup, tags, newest)
             return newest
         for key in _scopes_of(lookup.vhost, store):
-            scope_or_none = self.scopes.get(key)
-            if scope_or_none:
-                newest = scope_or_none.newest(lookup, tags, newest)
+            matching_scope = self.scopes.get(key)
+            if matching_scope:
+                newest = matching_scope.newest(lookup, tags, newest)
         return newest
 
     def expire(self, now: int) -> None:
-        """Removes purges whose lifetime is over.
+        """Removes purges whose lifetime has ended.
 
         :param now: microseconds of this router's clock.
         """
@@ -192,7 +198,7 @@
             scope.remove(entry.kind, entry.value, entry.purged_at)
 
     def _merge_oldest(self) -> None:
-        """Replaces the oldest tenth of the entries by one purge of everything for each of their scopes."""
+        """Replaces the oldest tenth of the entries with one purge of everything in each of their scopes."""
         newest_by_scope: dict[ScopeKey, tuple[int, int]] = {}  # purged_at and sequence number
         while self.expiry.slots and self.expiry.count > self.max_entries * MERGE_DOWN_TO:
             for entry in self.expiry.pop_oldest_slot():
@@ -205,7 +211,7 @@
 
 
 def _indexed_values(purge: Purge) -> list[str]:
-    """What a purge is found by."""
+    """Returns the values under which a purge is indexed."""
     if purge.kind == "all":
         return [""]
     if purge.kind == "object":
--- a/quartzrouter/purges/reconnect_backoff.py
+++ b/quartzrouter/purges/reconnect_backoff.py
@@ -1,27 +1,27 @@
-"""When and where to reconnect, and when a standby takes over from its primary."""
+"""Backoff of reconnections over several addresses, and the takeover by a standby."""
 
 import zlib
 from collections.abc import Sequence
 
-FIRST_DELAY = 20_000  # us until the second attempt: a server that restarts is back within some of these
-MAX_DELAY = 1_000_000  # us between attempts at most, so that a member is back a second after its server
-MAX_DOUBLINGS = 8  # of the first delay; beyond them MAX_DELAY holds anyway
-MISSES_BEFORE_TAKEOVER = 3  # queries in a row without an answer, each a lease long
+FIRST_DELAY = 20_000  # microseconds until the second attempt; a restart takes only a few of these
+MAX_DELAY = 1_000_000  # microseconds; a member is back at most a second after its server
+MAX_DOUBLINGS = 8  # of FIRST_DELAY; further ones would exceed MAX_DELAY anyway
+MISSES_BEFORE_TAKEOVER = 3  # consecutive queries without an answer; each waits for one lease length
 
 
 class ReconnectBackoff:
-    """Addresses in turn, with exponential backoff and jitter between attempts.
+    """Rotates through addresses, with exponential backoff and jitter between attempts.
 
     :param addresses: host and port of each server.
-    :param name: seeds the jitter, so that members which lost a server at the same time don't return at the
+    :param name: seeds the jitter, so that members that lost a server at the same time don't reconnect at the
         same time.
     """
 
     def __init__(self, addresses: Sequence[tuple[str, int]], name: str):
         self.addresses = list(addresses)
         self.name = name
-        self.failed_attempts = 0  # in a row
-        self.requested_delay = 0  # us, as the server asked for
+        self.failed_attempts = 0  # since the last success
+        self.requested_delay = 0  # microseconds, as requested by the server
 
     @property
     def address(self) -> tuple[str, int]:
@@ -29,11 +29,11 @@
         return self.addresses[0]
 
     def record_success(self) -> None:
-        """Records that a server answered: the next delay is the shortest again."""
+        """Records that a server answered, which resets the backoff."""
         self.failed_attempts = 0
 
     def wait_at_least(self, delay: int) -> None:
-        """Sets the least delay before the next attempt, in microseconds; it holds for that attempt only."""
+        """Sets the minimum delay before the next attempt only, in microseconds."""
         self.requested_delay = delay
 
     def next_delay(self) -> int:
@@ -51,11 +51,11 @@
 
 
 class PrimaryWatch:
-    """Decides when a standby takes over.
+    """Decides when a standby takes over from its primary.
 
-    It waits until the primary has been silent for some leases, so that every lease that the primary has
-    renewed is over. An earlier takeover would be safe as well, as epochs fence the primary; it would only
-    end members' leases without need.
+    It waits until the primary has not answered for several lease lengths, so that every lease that the
+    primary renewed has expired. An earlier takeover would also be safe, as epochs fence the primary, but it
+    would end members' leases unnecessarily.
     """
 
     def __init__(self) -> None:
@@ -64,7 +64,7 @@
     def record(self, answered: bool) -> bool:
         """Records the outcome of one query to the primary.
 
-        :returns: True where the standby is to take over.
+        :returns: True if the standby must take over.
         """
         self.misses = 0 if answered else self.misses + 1
         return self.misses >= MISSES_BEFORE_TAKEOVER
--- a/quartzrouter/purges/sequence_progress.py
+++ b/quartzrouter/purges/sequence_progress.py
@@ -1,17 +1,17 @@
-"""Which purges are done, where they are done out of order."""
+"""Tracking of purges that are completed out of order."""
 
 
 class SequenceProgress:
-    """Sequence numbers that are done: all up to one, and some beyond it."""
+    """The completed sequence numbers: all up to ``up_to``, and some after it in ``out_of_order``."""
 
     def __init__(self) -> None:
         self.up_to = 0
         self.out_of_order: set[int] = set()
 
     def add(self, sequence_number: int, *, covers_all_before: bool = False) -> None:
-        """Records that one is done.
+        """Records that a sequence number is completed.
 
-        :param covers_all_before: it stands for every purge before it, as one of everything does.
+        :param covers_all_before: True if it replaces every purge before it, as a full purge does.
         """
         if covers_all_before:
             self.up_to = max(self.up_to, sequence_number)
@@ -23,10 +23,10 @@
             self.out_of_order.remove(self.up_to)
 
     def includes(self, sequence_number: int) -> bool:
-        """Whether one is done."""
+        """Returns True if a sequence number is completed."""
         return sequence_number <= self.up_to or sequence_number in self.out_of_order
 
     def restart_from(self, sequence_number: int) -> None:
-        """Records that exactly those up to a sequence number are done."""
+        """Records that exactly the numbers up to a sequence number are completed."""
         self.up_to = sequence_number
         self.out_of_order.clear()
--- a/quartzrouter/purges/server_messages.py
+++ b/quartzrouter/purges/server_messages.py
@@ -1,6 +1,6 @@
 """Messages from the purge log, to its members and to clients.
 
-Each has the name of its type in the field ``say``.
+The field ``say`` of each message holds its tag.
 """
 
 # Tags and field names on the wire are kept for compatibility. Where they differ from the names here:
@@ -62,11 +62,11 @@
 
 
 class PurgeAccepted(msgspec.Struct, tag_field="say", tag="taken", omit_defaults=True):
-    """The purge is durable.
+    """Confirms that a purge is durable.
 
     :param purged_at: microseconds of the purge log's wall clock.
-    :param promised_within: microseconds until every live member has applied it.
-    :param is_duplicate: it had been accepted before, under its idempotency key.
+    :param promised_within: microseconds within which every live member is expected to apply it.
+    :param is_duplicate: True if it had been accepted before under its idempotency key.
     """
 
     sequence_number: int = msgspec.field(name="number")
@@ -76,10 +76,10 @@
 
 
 class RequestRejected(msgspec.Struct, tag_field="say", tag="refused", omit_defaults=True):
-    """Nothing was done.
+    """Rejects a request, which had no effect.
 
     :param place: the field or part that is wrong.
-    :param retry_after: microseconds after which to send it again; 0 where it will never do as it is.
+    :param retry_after: microseconds after which to retry; 0 if the request can't succeed unchanged.
     """
 
     place: str
@@ -93,9 +93,10 @@
 
     :param head: the sequence number of the last durable purge.
     :param server_time: microseconds of the purge log's wall clock.
-    :param lease_length: microseconds from the sending of an acknowledgement that has been echoed.
-    :param grants_quota: whether it grants shares of budgets; an older purge log doesn't say.
-    :param aggregates_health: whether it aggregates health reports into verdicts; an older one doesn't say.
+    :param lease_length: microseconds, counted from when an echoed acknowledgement was sent.
+    :param grants_quota: True if the purge log grants shares of budgets; an older one omits the field.
+    :param aggregates_health: True if the purge log aggregates health reports into verdicts; an older one
+        omits the field.
     """
 
     epoch: int
@@ -107,17 +108,17 @@
 
 
 class PurgeBatch(msgspec.Struct, tag_field="say", tag="purges"):
-    """Purges in their order, without a gap."""
+    """Consecutive purges in the order of their sequence numbers."""
 
     purges: tuple[Purge, ...]
 
 
 class Snapshot(msgspec.Struct, tag_field="say", tag="snapshot"):
-    """One page of the purges that still matter, in place of all purges up to ``head``.
+    """One page of the purges that a member still needs, in place of all purges up to ``head``.
 
     :param low_watermark: microseconds of the purge log's wall clock; some purges accepted before it are
         no longer sent.
-    :param is_last_page: no page of this snapshot follows.
+    :param is_last_page: True if no further page of this snapshot follows.
     """
 
     head: int
@@ -127,9 +128,9 @@
 
 
 class Heartbeat(msgspec.Struct, tag_field="say", tag="beat"):
-    """The purge log lives, and has sent every purge up to ``head`` on this connection.
+    """Shows that the purge log is alive and has sent every purge up to ``head`` on this connection.
 
-    :param echoed_ack: id of the last acknowledgement that was read before the head was read.
+    :param echoed_ack: the id of the last acknowledgement that was read before the head was read.
     :param server_time: microseconds of the purge log's wall clock.
     """
 
@@ -140,22 +141,22 @@
 
 
 class CaughtUp(msgspec.Struct, tag_field="say", tag="caught"):
-    """How far each cache has caught up.
+    """The progress of each cache.
 
-    :param caches: the sequence number up to which each has purged; one that is unreachable is not named.
+    :param caches: the sequence number up to which each cache has purged; unreachable ones are omitted.
     """
 
     caches: dict[str, int]
 
 
 class PurgeStatus(msgspec.Struct, tag_field="say", tag="status"):
-    """How far a purge has come.
+    """The progress of a purge.
 
     :param purged_at: microseconds of the purge log's wall clock.
-    :param is_complete: every live member has applied it.
-    :param completed_after: microseconds until the last acknowledgement; 0 where it is not complete.
+    :param is_complete: True if every live member has applied it.
+    :param completed_after: microseconds until the last acknowledgement; 0 if it is not complete.
     :param promised_within: microseconds, as promised when it was accepted.
-    :param waiting_for: names of the members that haven't acknowledged it.
+    :param waiting_for: names of the live members that haven't acknowledged it.
     :param head: the sequence number of the last durable purge.
     :param delays: microseconds by percentile since the start, and the counts ``purges`` and ``missed``.
     """
@@ -172,11 +173,11 @@
 
 
 class MemberStatus(msgspec.Struct):
-    """One member.
+    """The status of one member.
 
     :param applied_up_to: the sequence number that it acknowledged last.
-    :param is_live: its lease may still run, so purges wait for it.
-    :param is_unreachable: it stands for a cache that can't be reached.
+    :param is_live: True if its lease may still be valid, so that purges wait for it.
+    :param is_unreachable: True if it represents a cache that can't be reached.
     :param silent_for: microseconds since its last message.
     """
 
@@ -189,7 +190,7 @@
 
 
 class MembersReply(msgspec.Struct, tag_field="say", tag="members"):
-    """All members, and the head of the purge log."""
+    """All members and the head of the purge log."""
 
     epoch: int
     head: int
@@ -199,7 +200,7 @@
 class QuotaGrants(msgspec.Struct, tag_field="say", tag="grants", omit_defaults=True):
     """Answers QuotaRequests.
 
-    :param refused: requests that were not granted, by their budgets or endpoints.
+    :param refused: refusals, by the budget or endpoint of the request.
     :param slow_start_grants: shares of slow-start budgets.
     """
 
@@ -209,10 +210,10 @@
 
 
 class QuotaStatus(msgspec.Struct, tag_field="say", tag="budgets"):
-    """The state of the budgets: at most a page of them, the most recently requested.
+    """The state of the most recently requested budgets, limited to one page.
 
-    :param refused: requests that were not granted since the start.
-    :param slow_starts: endpoints that have started lately, and what was granted of them; likewise a page.
+    :param refused: the number of requests that were refused since the start.
+    :param slow_starts: recently started endpoints and their grants; also limited to one page.
     """
 
     epoch: int
@@ -222,10 +223,10 @@
 
 
 class EjectionVerdicts(msgspec.Struct, tag_field="say", tag="judged", omit_defaults=True):
-    """The caches that are to be ejected for now; those not named are not.
+    """The caches to eject at present; caches that are not named are not ejected.
 
-    :param loads: requests that all routers have in flight at each cache, -1 where it isn't known; a cache
-        that is not named has none. None where it was not asked for.
+    :param loads: how many requests all routers have in flight at each cache, or -1 if that is not known; a
+        cache that is not named has none. None if the loads were not requested.
     """
 
     verdicts: tuple[EjectionVerdict, ...] = msgspec.field(name="judgements")
@@ -241,7 +242,7 @@
 
 
 class HealthReply(msgspec.Struct, tag_field="say", tag="views"):
-    """The health of all caches, by store."""
+    """The health of all caches by store."""
 
     epoch: int
     stores: tuple[StoreHealth, ...] = msgspec.field(name="views")
--- a/quartzrouter/purges/surrogate_tags.py
+++ b/quartzrouter/purges/surrogate_tags.py
@@ -1,27 +1,28 @@
-"""Surrogate tags: how responses carry them, and which tags the last response of each object carried.
+"""Surrogate tags: their parsing from response headers, and the tags of the last response of each object.
 
-The remembered tags are a hint that saves attempts, and never a proof: another cache may hold a copy with
-other tags, so every response is judged by its own.
+The remembered tags are only a hint that saves attempts: another cache may hold a copy with other tags, so
+every response is checked by its own tags.
 """
 
-MAX_TAGS = 32  # of one response; one with more is taken to carry any tag
+MAX_TAGS = 32  # per response; a response with more is treated as having any tag
 
 
 class ObjectTags:
-    """The tags of the last response of each object; the least recently answered object is dropped first.
+    """The tags of the last response of each object; the least recently updated object is dropped first.
 
-    :param max_objects: objects held; 100 bytes each, and every set of tags once for all its objects.
+    :param max_objects: the maximum number of objects; each takes 100 bytes, and objects with the same tags
+        share one tuple.
     """
 
     def __init__(self, max_objects: int):
         self.max_objects = max_objects
         self.by_object: dict[str, tuple[str, ...] | None] = {}
-        self.interned: dict[tuple[str, ...], tuple[str, ...]] = {}  # one tuple for all with the same tags
+        self.interned: dict[tuple[str, ...], tuple[str, ...]] = {}  # shared by objects with the same tags
 
     def learn(self, object_key: str, tags: tuple[str, ...] | None) -> None:
         """Records the tags of a response.
 
-        :param tags: None where it named none, so that the object may carry any.
+        :param tags: None if the response named no tags, so that the object may have any tag.
         """
         self.by_object.pop(object_key, None)
         if tags is not None:
@@ -33,9 +34,9 @@
             del self.by_object[next(iter(self.by_object))]
 
     def known(self, object_key: str) -> tuple[str, ...] | None:
-        """Returns the tags of the last response.
+        """Returns the tags of an object's last response.
 
-        :returns: no tags where the object was never seen; None where its response named none.
+        :returns: an empty tuple if the object is not known; None if its response named no tags.
         """
         return self.by_object.get(object_key, ())
 
@@ -43,12 +44,13 @@
 def parse_tags(
     cache_tag: str | None, surrogate_key: str | None, cache_groups: str | None
 ) -> tuple[str, ...] | None:
-    """Reads the tags of a response.
+    """Parses the tags of a response from its header fields, each of which is None if it is absent.
 
-    :param cache_tag: value of ``Cache-Tag``, separated by commas; None where there is no such field.
-    :param surrogate_key: value of ``Surrogate-Key``, separated by blanks.
-    :param cache_groups: value of ``Cache-Groups`` (RFC 9875), quoted strings separated by commas.
-    :returns: the tags in alphabetical order; None where there is no such field, or more than MAX_TAGS tags.
+    :param cache_tag: the value of ``Cache-Tag``, separated by commas.
+    :param surrogate_key: the value of ``Surrogate-Key``, separated by blanks.
+    :param cache_groups: the value of ``Cache-Groups`` (RFC 9875), quoted strings separated by commas.
+    :returns: the tags in alphabetical order; None if all fields are absent or there are more than MAX_TAGS
+        tags.
     """
     if cache_tag is None and surrogate_key is None and cache_groups is None:
         return None
--- a/quartzrouter/purges/timer_wheel.py
+++ b/quartzrouter/purges/timer_wheel.py
@@ -1,17 +1,17 @@
-"""A wheel of time slots: items come out once their slot has passed, in constant time each."""
+"""A timer wheel: items are grouped into time slots and removed with their slot, in constant time each."""
 
 from collections import deque
 from collections.abc import Iterator
 from typing import Generic, NamedTuple, TypeVar
 
-NEVER = 1 << 62  # us, later than any clock
+NEVER = 1 << 62  # microseconds, later than any clock reading
 Item = TypeVar("Item")
 
 
 class TimerSlot(NamedTuple):
-    """The items of one slot.
+    """The items of one time slot.
 
-    :param number: of the slot; it begins at this many slot widths.
+    :param number: the slot begins at this multiple of the slot width.
     """
 
     number: int
@@ -19,9 +19,9 @@
 
 
 class TimerWheel(Generic[Item]):
-    """Items with a time, which are put in almost in the order of their times.
+    """Items with a time; adding one is fast if items come almost in the order of their times.
 
-    :param slot_width: microseconds; an item comes out at most this late.
+    :param slot_width: microseconds; an item is removed at most this late.
     """
 
     def __init__(self, slot_width: int):
@@ -31,13 +31,13 @@
 
     @property
     def oldest_slot_end(self) -> int:
-        """Microseconds; NEVER where the wheel is empty."""
+        """The end of the oldest slot in microseconds; NEVER if the wheel is empty."""
         if not self.slots:
             return NEVER
         return (self.slots[0].number + 1) * self.slot_width
 
     def put(self, time: int, item: Item) -> None:
-        """Puts an item in.
+        """Adds an item.
 
         :param time: microseconds.
         """
@@ -45,7 +45,10 @@
         self.count += 1
 
     def _slot(self, number: int) -> TimerSlot:
-        """The slot with a number, added where there is none; most times it is the newest."""
+        """Returns the slot with a number, and adds it if necessary.
+
+        The search starts at the newest slot, which is usually the right one.
+        """
         index = len(self.slots)
         while index > 0 and self.slots[index - 1].number > number:
             index -= 1
@@ -56,7 +59,7 @@
         return slot
 
     def pop_ended(self, time: int) -> Iterator[Item]:
-        """Removes and returns the items of every slot that has ended at a time.
+        """Removes and yields the items of every slot that has ended by a time.
 
         :param time: microseconds.
         """
