--- a/tests/test_purge_index.py
+++ b/tests/test_purge_index.py
@@ -1,4 +1,4 @@
-"""The purge index: what makes a copy stale, compared with a plain list; bounds, expiry, hostile patterns."""
+"""Tests of the purge index: comparison with a plain list of purges, bounds, expiry, hostile patterns."""
 
 import re
 import time
@@ -13,13 +13,13 @@
 from quartzrouter.purges.purge_index import PurgeIndex, PurgeLookup
 from quartzrouter.purges.surrogate_tags import ObjectTags, parse_tags
 
-SECOND = 1_000_000  # us
+SECOND = 1_000_000  # in microseconds
 PARTS = ["a", "b", "ab", "*", "a*", "*b", "a*b", "*a*"]
 HOSTS = ["", "x", "y", "*", "x*"]
 
 
 def matches(pattern, host, path):
-    """The same question, as a regular expression over the whole."""
+    """Returns True if a pattern matches, decided by a regular expression for the whole pattern."""
     host_pattern, _, path_pattern = pattern.partition("/")
     expression = "[^/]*".join(map(re.escape, host_pattern.split("*"))) if host_pattern else "[^/]*"
     for part in path_pattern.split("/"):
@@ -28,7 +28,9 @@
 
 
 patterns = st.builds(
-    lambda host, parts, deep: host + "/" + "/".join(parts) + ("/**" if deep and parts else "**" * deep),
+    lambda host, parts, is_subtree: (
+        host + "/" + "/".join(parts) + ("/**" if is_subtree and parts else "**" * is_subtree)
+    ),
     st.sampled_from(HOSTS),
     st.lists(st.sampled_from(PARTS), max_size=3),
     st.booleans(),
@@ -45,18 +47,18 @@
     st.lists(hosts_and_paths, min_size=1, max_size=5),
     st.integers(0, 12),
 )
-def test_a_trie_finds_what_a_list_finds_before_and_after_the_oldest_expire(purged, lookups, removed):
+def test_a_trie_finds_what_a_list_finds_before_and_after_the_oldest_expire(purged_patterns, lookups, removed):
     """Patterns are purged one after the other, and the oldest of them expire."""
     trie = PatternTrie()
-    timed = list(enumerate(purged, 1))
-    for purged_at, pattern in timed:
+    timed_patterns = list(enumerate(purged_patterns, 1))
+    for purged_at, pattern in timed_patterns:
         trie.add(pattern, purged_at)
-    for purged_at, pattern in timed[:removed]:
+    for purged_at, pattern in timed_patterns[:removed]:
         trie.remove(pattern, purged_at)
     for host, path in lookups:
-        times = [time for time, pattern in timed if time > removed and matches(pattern, host, path)]
+        times = [time for time, pattern in timed_patterns if time > removed and matches(pattern, host, path)]
         assert trie.newest(host, path) == max(times, default=0)
-    for purged_at, pattern in timed[removed:]:
+    for purged_at, pattern in timed_patterns[removed:]:
         trie.remove(pattern, purged_at)
     assert not trie.root.newest
 
@@ -68,16 +70,16 @@
 
 
 def test_hostile_patterns_are_not_slow():
-    """Somebody purges patterns on which a regular expression would take for ever."""
+    """A client purges patterns for which a backtracking regular expression would take extremely long."""
     trie = PatternTrie()
     path = "/" + "a" * 2_000 + "/" + "a" * 2_000
     for n in range(60):
         trie.add("/" + "*a" * 15 + "b" + f"{n}/" + "*a" * 15, 1)
-    for n in range(500):  # more than one node may hold: the node takes all below it
+    for n in range(500):  # more than a node can hold, so the rest become `**` of that node
         trie.add(f"/x*{n}/**", 2)
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     assert trie.newest("x", path, 0) == 2 and trie.widened_patterns == 500 - (MAX_GLOBS_PER_NODE - 60)
-    assert time.perf_counter() - began < 0.1
+    assert time.perf_counter() - started_at < 0.1
 
 
 def test_too_many_globs_in_a_node_purge_more_and_never_less():
@@ -93,7 +95,7 @@
 
 
 def test_a_lookup_is_bounded_and_then_matches_too_much():
-    """Four thousand patterns share their parts, so that a lookup would visit most nodes: it is given up."""
+    """Four thousand patterns share their parts: a lookup would visit most nodes, and stops at its limit."""
     trie = PatternTrie()
     for a in range(16):
         for b in range(16):
@@ -114,7 +116,7 @@
 
 
 def newest_of_list(all_purges, first_number, tags, store, vhost="page", path="/a"):
-    """The time of the newest purge that makes a copy stale, among those from a number on."""
+    """Returns the time of the newest purge from a sequence number on that makes a copy stale."""
     newest = 0
     for number, (kind, values, purged_vhost, purged_store) in enumerate(all_purges, 1):
         is_in_vhost = purged_vhost in ("", vhost)
@@ -165,8 +167,8 @@
     assert index.newest(PurgeLookup("clip", "other", "x", "/"), (), "north") == 0
 
 
-def test_a_purge_beyond_the_limit_of_scopes_holds_for_all():
-    """Purges name more vhosts than are kept apart: the rest count for every vhost."""
+def test_a_purge_beyond_the_limit_of_scopes_applies_to_all():
+    """Purges name more vhosts than the index has scopes for: the rest apply to every vhost."""
     index = PurgeIndex(3_600 * SECOND, 10_000)
     for n in range(1, 400):
         index.add(Purge(n, n, "all", (), f"v{n}"), n)
@@ -180,10 +182,10 @@
     assert parse_tags(None, "rose  care", None) == ("care", "rose")
     assert parse_tags(None, None, '"rose", "care";x') == ("care", "rose")
     assert parse_tags("", None, None) == ()
-    assert parse_tags(",".join(f"t{n}" for n in range(40)), None, None) is None  # may carry any
+    assert parse_tags(",".join(f"t{n}" for n in range(40)), None, None) is None  # it may have any tag
 
 
-def test_object_tags_are_bounded_and_the_least_recent_go():
+def test_object_tags_are_bounded_and_the_least_recent_are_dropped():
     object_tags = ObjectTags(100)
     for n in range(1_000):
         object_tags.learn(f"o{n}", (f"t{n}",))
@@ -196,9 +198,9 @@
 
 def test_a_lease_starts_at_the_newest_echoed_acknowledgement():
     lease = FreshnessLease(lease_length(300_000))
-    assert lease.max_age(0) == 150_000  # nothing was echoed yet
+    assert lease.max_age(0) == 150_000  # no acknowledgement has been echoed
     lease.renew(1_000_000)
-    lease.renew(900_000)  # a late echo takes nothing back
+    lease.renew(900_000)  # a late echo doesn't shorten the lease
     assert lease.max_age(1_150_000) == 0 and lease.max_age(1_150_001) == 150_000
     lease.revoke()
     assert not lease.is_held(1_000_001)
--- a/tests/test_purge_registry.py
+++ b/tests/test_purge_registry.py
@@ -1,4 +1,4 @@
-"""Decisions of the purge log, its members and a router, without I/O: order, leases, completeness, copies."""
+"""Tests of the purge log, its members and a router without I/O: order, leases, completeness, copies."""
 
 import pytest
 
@@ -23,11 +23,11 @@
 from quartzrouter.purges.replica import ApplyPurges, EndConnection, PurgeReplica, SendMessage
 from quartzrouter.purges.validation import MAX_VALUES, validate_request
 
-MILLISECOND = 1_000  # us
-SECOND = 1_000_000  # us
+MILLISECOND = 1_000  # in microseconds
+SECOND = 1_000_000  # in microseconds
 GRACE = 300 * MILLISECOND
 LEASE = lease_length(GRACE)
-NOW = 10 * LEASE  # leases of an earlier process are over
+NOW = 10 * LEASE  # leases of an earlier process have expired
 
 # -- the registry --------------------------------------------------------------------------------------------
 
@@ -37,7 +37,7 @@
 
 
 def join(registry, name, now, kind="router"):
-    """A member that has acknowledged what there is."""
+    """Adds a member that has acknowledged everything up to now."""
     member = registry.join(MemberHello(name, kind, f"t-{name}"), now)
     acknowledge(registry, member, 0, 1, now)
     return member
@@ -48,7 +48,7 @@
 
 
 def admit(registry, now, *values, key="", durable=True):
-    """A purge by tags, which is durable at once."""
+    """Admits a purge by tags, and marks it as durable unless told otherwise."""
     admitted = registry.admit(PurgeRequest("tag", values or ("a",), key=key), now)
     if durable and isinstance(admitted, AdmittedPurge):
         registry.mark_durable(admitted.purge.sequence_number, now)
@@ -56,7 +56,7 @@
 
 
 def test_a_purge_sent_twice_counts_once_and_another_under_its_key_is_rejected():
-    """A client didn't see the answer and sends its purge again: under the key it counts once."""
+    """A client misses the reply and sends its purge again with the same key: it is admitted once."""
     registry = new_registry()
     first = admit(registry, 1_000, key="k")
     repeated = admit(registry, 9_000, key="k")
@@ -66,8 +66,8 @@
     assert admit(registry, 9_000).purge.sequence_number == 2
 
 
-def test_a_key_survives_a_restart_and_not_the_loss_of_its_purge():
-    """The disk didn't take a purge, and then the process restarts: the lost purge may be sent again."""
+def test_a_key_is_kept_over_a_restart_and_dropped_with_a_lost_purge():
+    """A purge can't be written to disk, and then the process restarts: the lost purge may be sent again."""
     registry = new_registry()
     kept = admit(registry, 1_000, key="k").purge
     admit(registry, 2_000, key="gone", durable=False)
@@ -78,15 +78,15 @@
     assert not admit(restarted, 9_000, key="gone").is_duplicate
 
 
-def test_purge_times_only_grow_also_where_the_clock_is_set_back():
-    """The clock stands still and is set back: members bound copies by times, so times only grow."""
+def test_purge_times_increase_even_if_the_clock_is_set_back():
+    """The clock stops and is set back: members bound the age of copies by purge times, so these increase."""
     registry = new_registry()
     times = [admit(registry, now).purge.purged_at for now in (5_000, 5_000, 1_000, 9_000)]
     assert times == [5_000, 5_001, 5_002, 9_000]
 
 
 def test_a_purge_is_complete_once_every_live_member_has_it():
-    """Two routers acknowledge one after the other; the status names the one that is waited for."""
+    """Two routers acknowledge one after the other; the status names the one that the purge waits for."""
     registry = new_registry()
     first, second = join(registry, "r1", NOW), join(registry, "r2", NOW)
     admit(registry, NOW)
@@ -99,8 +99,8 @@
     assert status.promised_within >= LEASE and status.delays["highest"] >= 2 * MILLISECOND
 
 
-def test_a_member_that_vanishes_is_waited_for_its_lease_and_no_longer():
-    """A router vanishes before a purge: until its lease is over it may serve, so the purge isn't complete."""
+def test_a_purge_waits_for_a_silent_member_until_its_lease_expires():
+    """A router fails before a purge: until its lease expires it may serve, so the purge isn't complete."""
     registry = new_registry()
     staying, _ = join(registry, "r1", NOW), join(registry, "gone", NOW)
     admit(registry, NOW + MILLISECOND)
@@ -111,7 +111,7 @@
 
 
 def test_purges_do_not_wait_for_members_that_left_or_are_unreachable():
-    """A cache can't be reached and a router stops on purpose: no purge waits for either."""
+    """A cache can't be reached and a router leaves: no purge waits for either."""
     registry = new_registry()
     router, cache = join(registry, "r1", NOW), join(registry, "c1", NOW, "cache")
     assert registry.caches_caught_up(NOW) == {"c1": 0}
@@ -122,8 +122,8 @@
     assert registry.complete_up_to == 1
 
 
-def test_after_a_restart_nothing_is_complete_until_older_leases_are_over():
-    """A process starts: members of the one before it may hold leases, and are not connected yet."""
+def test_after_a_restart_nothing_is_complete_until_older_leases_expire():
+    """A process starts: members may hold leases of the previous process, and are not connected yet."""
     registry = PurgeRegistry(2, GRACE, 1_000_000)
     admit(registry, 1_000_001)
     registry.update_completeness(1_000_000 + LEASE)
@@ -132,8 +132,8 @@
     assert registry.complete_up_to == 1
 
 
-def test_recovered_purges_are_not_complete_before_older_leases_are_over():
-    """A purge stood in the log at the start: nobody knows who has applied it, or how long that took."""
+def test_recovered_purges_are_not_complete_before_older_leases_expire():
+    """A purge is in the log at the start: it isn't known which members applied it, or how long that took."""
     registry = PurgeRegistry(2, GRACE, 1_000_000)
     registry.recover([Purge(1, 999_999, "all")], 0, 0)
     assert not registry.status(1, 1_000_001).is_complete
@@ -142,8 +142,8 @@
     assert (status.is_complete, status.completed_after, status.delays["purges"]) == (True, 0, 0)
 
 
-def test_a_name_in_use_is_rejected_until_its_lease_is_over():
-    """Two processes have one name: the second waits until the first one's lease is over."""
+def test_a_name_in_use_is_rejected_until_its_lease_expires():
+    """Two processes have the same name: the second waits until the first one's lease expires."""
     registry = new_registry()
     first = join(registry, "r1", NOW)
     other_process = MemberHello("r1", "router", "other")
@@ -156,11 +156,11 @@
     assert rejection.place == "epoch"
 
 
-def test_no_echo_vouches_for_a_purge_that_is_not_durable():
-    """An acknowledgement comes while a purge waits for the disk.
+def test_an_acknowledgement_after_a_purge_that_is_not_durable_is_not_echoed():
+    """An acknowledgement is received while a purge is being written to disk.
 
-    The purge holds from its acceptance on and hasn't been sent, so an echo of that acknowledgement would
-    start a lease under which the purge is missing.
+    The purge takes effect from its admission and hasn't been sent, so an echo of that acknowledgement would
+    start a lease although the member lacks the purge.
     """
     registry = new_registry()
     member = join(registry, "r1", 1_000)
@@ -173,7 +173,7 @@
 
 
 def test_trimmed_purges_leave_a_low_watermark():
-    """More purges come than are retained: the time of the last one dropped stays as the low watermark."""
+    """More purges are admitted than retained: the time of the last one dropped becomes the low watermark."""
     registry = new_registry(max_retained=10)
     for n in range(30):
         admit(registry, NOW + n)
@@ -213,7 +213,7 @@
 
 
 def test_the_largest_purges_fit_into_lines():
-    """Six hundred purges of the greatest size, of characters that JSON escapes: batches and pages fit."""
+    """Six hundred purges of the maximum size, of characters that JSON escapes: batches and pages fit."""
     registry = new_registry()
     for n in range(600):
         largest = PurgeRequest("tag", ('"' * 512,) * 8, key=f"k{n}")
@@ -239,7 +239,7 @@
 
 
 def welcomed_replica(applied_up_to=0):
-    """A replica whose clock is ahead by less than 2 ms."""
+    """Returns a replica whose clock is ahead of the purge log's by at most 2 ms."""
     replica = PurgeReplica("r1", "router", "t", FreshnessLease(LEASE), applied_up_to)
     replica.start_connection()
     replica.receive(Welcome(1, applied_up_to, 1_000, LEASE), 3_000)
@@ -254,8 +254,8 @@
     return [purge.sequence_number for purge in purges]
 
 
-def test_purges_are_applied_in_order_and_once_whatever_the_connection_does():
-    """A line is doubled, one overlaps the last, and one is lost: only the loss ends the connection."""
+def test_purges_are_applied_in_order_and_once_despite_repeated_and_lost_lines():
+    """A line is repeated, one overlaps the previous, and one is lost: only the loss ends the connection."""
     replica = welcomed_replica()
     applied, ack = replica.receive(batch_of(1, 2), 4_000)
     assert numbers(applied.purges) == [1, 2] and applied.clock_offset == 2_000
@@ -267,9 +267,9 @@
 
 
 def test_a_lease_starts_when_the_echoed_acknowledgement_was_sent():
-    """Echoes come late and out of order: a lease counts from the sending of the newest echoed one."""
+    """Echoes come late and out of order: a lease starts when the newest echoed acknowledgement was sent."""
     replica = welcomed_replica()
-    replica.receive(Heartbeat(1, 0, 0, 2_000), 10_000)  # answered by acknowledgement 2 at 10 ms
+    replica.receive(Heartbeat(1, 0, 0, 2_000), 10_000)  # the replica sends acknowledgement 2 at 10 ms
     assert replica.lease.started_at is None
     replica.receive(Heartbeat(1, 0, 2, 9_000), 90_000)
     assert replica.lease.started_at == 10_000
@@ -278,14 +278,14 @@
 
 
 def test_a_heartbeat_with_a_later_head_renews_nothing():
-    """Purges were lost on the way: the heartbeat's head shows it, and the connection ends."""
+    """Purges are lost in transit: the heartbeat's head shows it, and the connection ends."""
     replica = welcomed_replica()
     (end,) = replica.receive(Heartbeat(1, 3, 1, 2_000), 10_000)
     assert isinstance(end, EndConnection) and replica.lease.started_at is None
 
 
 def test_addresses_are_tried_in_turn_with_backoff():
-    """No purge log answers for a dozen attempts; then one does, and asks to wait before the next."""
+    """No purge log answers a dozen attempts; then one does, and requests a delay before the next."""
     backoff, delays, addresses = ReconnectBackoff(["a", "b"], "r1"), [], []
     for _ in range(12):
         addresses.append(backoff.address)
@@ -300,17 +300,17 @@
 
 
 def test_a_standby_takes_over_after_misses_in_a_row():
-    """The primary misses two queries, answers one, and then misses three: only then is it gone."""
+    """The primary misses two queries, answers one, and misses three: only then the standby takes over."""
     watch = PrimaryWatch()
     outcomes = [watch.record(answered) for answered in (False, False, True, False, False, False)]
     assert outcomes == [False] * 5 + [True]
 
 
-def test_an_older_epoch_and_a_purge_log_that_lost_purges_are_left():
-    """A purge log starts with an older folder; later one answers that was taken over from.
+def test_a_replica_disconnects_from_an_older_epoch_and_from_a_purge_log_that_lost_purges():
+    """A purge log starts with an older folder; later, one answers that another has replaced.
 
-    The first lacks what is in force here, so the lease ends and everything is asked for anew. The second
-    lacks what its successor has accepted, so the connection ends.
+    The first lacks purges that are applied here, so the lease ends and all purges are requested again. The
+    second lacks purges that its successor has accepted, so the connection ends.
     """
     replica = welcomed_replica(applied_up_to=4)
     replica.lease.renew(1)
@@ -324,8 +324,8 @@
     assert "epoch 2 is outdated" in replica.receive(Welcome(2, 9, 0, LEASE), 0)[0].reason
 
 
-def test_a_snapshot_counts_once_its_last_page_is_there():
-    """A connection ends in the middle of a snapshot: half of one is none."""
+def test_a_snapshot_is_applied_when_its_last_page_arrives():
+    """A connection ends in the middle of a snapshot: the received pages are discarded."""
     replica = welcomed_replica()
     first_page = Snapshot(40, 7, batch_of(30).purges, False)
     last_page = Snapshot(40, 7, batch_of(39).purges, True)
@@ -345,24 +345,24 @@
 
 
 def new_fleet_purges():
-    """With a lease from START on."""
+    """Returns the purges of a router whose lease starts at START."""
     fleet_purges = FleetPurges(GRACE, 60 * SECOND, 1_000, 100, max_clock_skew=SECOND, keeps_recent=True)
     fleet_purges.lease.renew(START)
     return fleet_purges
 
 
 def apply(fleet_purges, *tagged, first_number=1, is_snapshot=False, low_watermark=0):
-    """Puts purges by tags in force at START, given as their times and tags."""
+    """Applies purges by tags at START, given as their times and tags."""
     purges = tuple(Purge(first_number + n, time, "tag", tags) for n, (time, tags) in enumerate(tagged))
     applied_up_to = first_number + len(tagged) - 1
     fleet_purges.apply(ApplyPurges(purges, 0, low_watermark, is_snapshot), applied_up_to, START)
 
 
-def test_a_copy_with_unknown_tags_is_judged_when_it_comes():
-    """A purge by tag names an object that this router has never seen, so no age is asked for.
+def test_a_copy_with_unknown_tags_is_checked_when_it_is_received():
+    """A purge by tag matches an object that this router has never seen, so no maximum age is requested.
 
-    The copy that comes is older than the purge and carries the tag: it is not passed on, and now the tags
-    are known. A copy without tags may carry any. One that is older than was asked for came by a joined fill.
+    The received copy is older than the purge and has the tag: it is not forwarded, and its tags are known
+    from then on. A copy without tags may have any. One that is older than requested came by a joined fill.
     """
     fleet_purges = new_fleet_purges()
     apply(fleet_purges, (START, ("care",)))
@@ -380,8 +380,8 @@
     assert not fleet_purges.accepts(ROSE, "north", new_copy, late, 99 * MILLISECOND)
 
 
-def test_without_an_age_the_origins_time_counts_less_the_clock_skew():
-    """A cache doesn't tell a copy's age: the origin's time counts, less what its clock may be ahead."""
+def test_without_an_age_the_origins_time_minus_the_clock_skew_is_used():
+    """A cache doesn't report a copy's age: the origin's time minus the maximum clock skew is used."""
     fleet_purges = new_fleet_purges()
     apply(fleet_purges, (START, ("care",)))
     late = START + 5 * SECOND
@@ -391,8 +391,8 @@
     assert fleet_purges.accepts(ROSE, "north", behind_skew, late, 0)
 
 
-def test_a_router_that_is_cut_off_takes_copies_no_older_than_a_lease():
-    """A router hears nothing for longer than a lease: a purge may have come that it can't know of."""
+def test_a_router_that_is_cut_off_accepts_copies_no_older_than_a_lease():
+    """A router receives nothing for longer than a lease: it may have missed a purge."""
     fleet_purges = new_fleet_purges()
     assert fleet_purges.max_age(ROSE, "north", (), 0, START + LEASE) == 0
     assert fleet_purges.max_age(ROSE, "north", (), 0, START + LEASE + 1) == LEASE
@@ -401,7 +401,7 @@
 
 
 def test_copies_of_a_cache_that_lacks_expired_purges_are_bounded_by_the_index_lifetime():
-    """A cache was away for longer than the index holds purges: its copies must be younger than that."""
+    """A cache was unreachable for longer than the index holds purges: its copies must be younger."""
     fleet_purges = new_fleet_purges()
     apply(fleet_purges, (START, ("care",)), (START, ("x",)))
     later = START + 70 * SECOND
@@ -428,8 +428,8 @@
     assert not fleet_purges.accepts(ROSE, "north", CachedCopy(0, 3 * SECOND, ()), START, 0)
 
 
-def test_stored_purges_hold_after_a_restart():
-    """A router restarts with its stored purges: they hold, and until it has a lease it counts as cut off."""
+def test_stored_purges_apply_after_a_restart():
+    """A router restarts with its stored purges: they apply, and until it has a lease it counts as cut off."""
     fleet_purges = new_fleet_purges()
     apply(fleet_purges, (START, ("care",)), (START, ("x",)))
     restarted = FleetPurges(GRACE, 60 * SECOND, 1_000, 100)
