--- a/quartzrouter/purges/members.py
+++ b/quartzrouter/purges/members.py
@@ -6,7 +6,7 @@
 from quartzrouter.purges.messages import MemberHello, MemberKind, MemberStatus, RequestRejected
 from quartzrouter.purges.validation import NAME
 
-MAX_MEMBERS = 4_096  # names; beyond them, the member without a valid lease that is silent longest is dropped
+MAX_MEMBERS = 4_096  # names; if there are more, members that left or are silent longest are dropped first
 MAX_ECHOABLE_ACKS = 64  # per member; an echo of an older one would start a lease that has already expired
 
 
--- a/quartzrouter/purges/purge_index.py
+++ b/quartzrouter/purges/purge_index.py
@@ -16,7 +16,7 @@
 SLOTS_PER_LIFETIME = 64  # slots of the timer wheel: entries expire at most 1/64 of their lifetime late
 MAX_SCOPES = 256  # pairs of a vhost and a store; beyond them, a purge applies to every scope
 MERGE_DOWN_TO = 0.9  # share of the maximum that is left after merging, so a tenth is merged at a time
-ANY_STORE = "*"  # stands for the store of a cache if that is not known
+ANY_STORE = "*"  # used for a cache whose store is not known
 
 
 class ScopeKey(NamedTuple):
--- a/quartzrouter/purges/reconnect_backoff.py
+++ b/quartzrouter/purges/reconnect_backoff.py
@@ -4,9 +4,9 @@
 from collections.abc import Sequence
 
 FIRST_DELAY = 20_000  # microseconds until the second attempt; a restart takes only a few of these
-MAX_DELAY = 1_000_000  # microseconds; a member is back at most a second after its server
+MAX_DELAY = 1_000_000  # microseconds between attempts; a member is back at most a second after its server
 MAX_DOUBLINGS = 8  # of FIRST_DELAY; further ones would exceed MAX_DELAY anyway
-MISSES_BEFORE_TAKEOVER = 3  # consecutive queries without an answer; each waits for one lease length
+MISSES_BEFORE_TAKEOVER = 3  # consecutive queries without an answer, each with a timeout of one lease length
 
 
 class ReconnectBackoff:
--- a/quartzrouter/purges/replica.py
+++ b/quartzrouter/purges/replica.py
@@ -23,7 +23,7 @@
     Welcome,
 )
 
-CLOCK_READINGS = 64  # the least of so many offsets is used; 2 s of heartbeats at a grace of 300 ms
+CLOCK_READINGS = 64  # heartbeats over which the smallest offset is used; 2 s at a grace of 300 ms
 MAX_UNECHOED_ACKS = 256  # older ones are dropped: an echo of one older than a lease renews nothing
 RECONNECT_AFTER = 100_000  # microseconds until the next connection, unless the purge log names another time
 
@@ -31,8 +31,8 @@
 class ApplyPurges(NamedTuple):
     """Effect: apply these purges.
 
-    :param clock_offset: microseconds to add to a time of the purge log's clock to get this member's; never
-        too small, so no purge is dated too early.
+    :param clock_offset: microseconds to add to a time of the purge log's clock to get this member's; too
+        large rather than too small, so that purges are dated late rather than early.
     :param low_watermark: microseconds of the purge log's clock; some purges accepted before it are missing.
     :param is_snapshot: True if the purges replace every purge up to the replica's ``applied_up_to``.
     """
@@ -117,7 +117,7 @@
         """The microseconds to add to a time of the purge log's clock to get this member's.
 
         Each reading is too large by the transit time of its message, so the smallest is the most accurate. It
-        is never too small, so a purge is dated a little late, which makes more copies stale and never fewer.
+        is not too small either, so a purge is dated a little late, which makes more copies stale.
         """
         return min(self.clock_offsets, default=0)
 
