--- a/quartzrouter/fault_harness/quota_mutations.py
+++ b/quartzrouter/fault_harness/quota_mutations.py
@@ -21,8 +21,8 @@
 _start_local_quota = LocalQuota.__init__
 _start_client = QuotaClient.__init__
 _start_allocator = QuotaAllocator.__init__
-_refusal = QuotaAllocator._refusal
-_holder = QuotaAllocator._holder
+_check_request = QuotaAllocator._check_request
+_get_or_create_holder = QuotaAllocator._get_or_create_holder
 _apply_slow_start_grants = SlowStartClient.apply_grants
 _start_slow_start_allocator = SlowStartAllocator.__init__
 
@@ -117,27 +117,27 @@
 
 
 def late_request_is_granted(allocator, request, now):
-    """Replaces ``QuotaAllocator._refusal``: only a doubled request is refused by its number."""
+    """Replaces ``QuotaAllocator._check_request``: only a doubled request is refused by its number."""
     known = allocator.accounts[request.budget].holders.get(request.name)
     if known and request.sequence_number <= known.sequence_number:
         return None
-    return _refusal(allocator, request, now)
+    return _check_request(allocator, request, now)
 
 
 def terms_not_compared(allocator, request, now):
-    """Replaces ``QuotaAllocator._refusal``: a router may have another plan."""
+    """Replaces ``QuotaAllocator._check_request``: a router may have another plan."""
     budget = allocator.budgets.get(base_name(request.budget))
     if budget:
         request = request._replace(terms_checksum=budget.terms_checksum)
-    return _refusal(allocator, request, now)
+    return _check_request(allocator, request, now)
 
 
 def former_process_forgotten(allocator, account, request, now):
-    """Replaces ``QuotaAllocator._holder``: slots of a process that was restarted count as free."""
+    """Replaces ``QuotaAllocator._get_or_create_holder``: slots of a former process count as free."""
     known = account.holders.get(request.name)
     if known and known.process_token != request.process_token:
         del account.holders[request.name]
-    return _holder(allocator, account, request, now)
+    return _get_or_create_holder(allocator, account, request, now)
 
 
 QUOTA = {
@@ -153,9 +153,13 @@
     "a slot's req is over with its share": (Budget, "slots_free_at", slots_free_at_expiry),
     "a granter starts with a full bucket": (QuotaAllocator, "__init__", bucket_begins_full),
     "a granter grants slots at once": (QuotaAllocator, "__init__", slots_granted_at_once),
-    "a granter obeys a late ask": (QuotaAllocator, "_refusal", late_request_is_granted),
-    "a granter doesn't compare figures": (QuotaAllocator, "_refusal", terms_not_compared),
-    "a restarted router's slots are forgotten": (QuotaAllocator, "_holder", former_process_forgotten),
+    "a granter obeys a late ask": (QuotaAllocator, "_check_request", late_request_is_granted),
+    "a granter doesn't compare figures": (QuotaAllocator, "_check_request", terms_not_compared),
+    "a restarted router's slots are forgotten": (
+        QuotaAllocator,
+        "_get_or_create_holder",
+        former_process_forgotten,
+    ),
     "a granter doesn't look whether another has begun": (PurgeLog, "check_epoch", lambda _self: None),
 }
 
--- a/quartzrouter/quota/allocator.py
+++ b/quartzrouter/quota/allocator.py
@@ -1,7 +1,7 @@
-"""Grants quota to routers: one token bucket and one count of slots per budget. No I/O.
+"""Grants quota to routers, from one token bucket and one set of slots per budget. No I/O.
 
-The bucket bounds what is granted, however it is divided.  It starts empty, so that an allocator that
-restarts, or takes over from another one, grants nothing that the other may have granted too.
+The bucket limits the sum of all grants.  It starts empty, so an allocator that restarts or takes over grants
+no tokens that its predecessor may have granted already.
 """
 
 from collections import OrderedDict
@@ -18,29 +18,35 @@
     RefusedField,
 )
 
-DEMAND_TTLS = 1  # grant TTLs after a router's last request, for which its demand counts
-MAX_HOLDERS = (
-    4_096  # routers per budget: beyond it the one silent for longest is forgotten, which bounds memory
-)
-MAX_ACCOUNTS = 4_096  # budgets with their partitions: beyond it one that is unused is forgotten
-EVICTION_CANDIDATES = 16  # accounts, the least recently used, among which an unused one is looked for
-MAX_NAME_LENGTH = 256  # characters of a budget's name with its partition
-FORMER_PROCESS = "\n"  # between a router's name and the token of its former process; in no name
-MAX_AMOUNT = 1e9  # tokens per second, tokens or slots in a request: more can't be meant
+# A router's demand counts for this many grant TTLs after its last request.
+DEMAND_TTLS = 1
+# Holders per budget, to bound memory; the one that has been silent for longest is evicted.
+MAX_HOLDERS = 4_096
+# Accounts of budgets and their partitions, to bound memory; an unused one is evicted.
+MAX_ACCOUNTS = 4_096
+# Number of least recently used accounts that are searched for an unused one.
+EVICTION_CANDIDATES = 16
+# Characters in a budget's name, including its partition.
+MAX_NAME_LENGTH = 256
+# Separates a router's name from the token of its former process; no router's name contains it.
+FORMER_PROCESS = "\n"
+# Tokens per second, tokens or slots in one request; a larger value is invalid.
+MAX_AMOUNT = 1e9
 
 
 @dataclass(slots=True)
 class QuotaHolder:
-    """What the allocator knows of one process of a router.
-
-    :param process_token: of the process.
-    :param sequence_number: of its last request.
-    :param last_request_at: microseconds; 0 before the first.
-    :param wanted_rate: tokens per second.
-    :param token_debt: fractions of a token due to it and not granted yet: less than one admits no request.
-    :param slots_wanted: that it would use.
-    :param slots: that it may have in use, until ``slots_free_at``.
-    :param slots_free_at: microseconds, from which none of them is in use.
+    """The allocator's record of one router process.
+
+    :param process_token: identifies the process.
+    :param sequence_number: sequence number of its last request.
+    :param last_request_at: time of its last request, in microseconds; 0 before the first.
+    :param wanted_rate: tokens per second that it would use.
+    :param token_debt: fraction of a token that is due to it and not granted yet, as a request needs a whole
+        token.
+    :param slots_wanted: slots that it would use.
+    :param slots: slots that it may have in use until ``slots_free_at``.
+    :param slots_free_at: time from which none of its slots is in use, in microseconds.
     """
 
     process_token: str
@@ -57,13 +63,13 @@
 class BudgetAccount:
     """One budget's token bucket and its holders.
 
-    :param budget: named with its partition.
-    :param refilled_at: when the bucket was last refilled, microseconds.
-    :param slots_blocked_until: microseconds; slots that an earlier allocator granted may be in use until
-        then.
-    :param tokens: in the bucket.
-    :param tokens_granted: in all.
-    :param holders: by the router's name, former processes by ``former_process_key``.
+    :param budget: the budget; its name includes the partition.
+    :param refilled_at: time at which the bucket was last refilled, in microseconds.
+    :param slots_blocked_until: time until which slots that an earlier allocator granted may be in use, in
+        microseconds; no slot is granted before.
+    :param tokens: tokens in the bucket.
+    :param tokens_granted: sum of all tokens granted.
+    :param holders: current processes by the router's name, former ones by ``former_process_key``.
     """
 
     budget: Budget
@@ -74,19 +80,19 @@
     holders: dict[str, QuotaHolder] = field(default_factory=dict)
 
     def find_holder(self, request: QuotaRequest) -> QuotaHolder | None:
-        """The process that sent a request, also where another one has followed it under its name."""
+        """Returns the process that sent a request, even if a later process has taken over its name."""
         current = self.holders.get(request.name)
         if current and current.process_token == request.process_token:
             return current
         return self.holders.get(former_process_key(request.name, request.process_token))
 
     def recent_holders(self, now: int) -> list[QuotaHolder]:
-        """Those whose demand counts."""
+        """Returns the holders whose demand counts."""
         max_age = DEMAND_TTLS * self.budget.grant_ttl
         return [holder for holder in self.holders.values() if now - holder.last_request_at <= max_age]
 
     def refill(self, now: int) -> None:
-        """Adds the tokens that are due since the last refill; a clock that was set back adds none."""
+        """Adds the tokens due since the last refill; adds none if the clock has been set back."""
         if now <= self.refilled_at:
             return
         due = self.budget.shared_rate * (now - self.refilled_at) / SECOND
@@ -94,38 +100,38 @@
         self.refilled_at = now
 
     def is_unused(self, now: int) -> bool:
-        """Whether no slot of it can be in use, so that it can be forgotten."""
+        """Returns True if none of its slots can be in use, so that the account may be evicted."""
         return now >= self.slots_blocked_until and all(
             holder.slots_free_at <= now for holder in self.holders.values()
         )
 
 
 class QuotaAllocator:
-    """Grants out of a set of budgets.
+    """Grants tokens and slots from a set of budgets.
 
-    A partitioned budget has an account per partition, made at the first request for it.
+    A partitioned budget has an account per partition, created by the first request for it.
 
-    :param budgets: of the plan.
-    :param now: microseconds of the allocator's monotonic clock; so are all times.
-    :param first_allocator: no other allocator has granted from these budgets before. Otherwise no slot is
-        granted until all that an earlier one may have granted are free.
+    :param budgets: the budgets of the plan.
+    :param now: current time in microseconds of the allocator's monotonic clock, as are all times.
+    :param first_allocator: True if no other allocator has granted from these budgets before. Otherwise no
+        slot is granted until all slots that an earlier allocator may have granted are free.
     """
 
     def __init__(self, budgets: list[Budget], now: int, first_allocator: bool = False):
         self.budgets = {budget.name: budget for budget in budgets}
         self.accounts: OrderedDict[str, BudgetAccount] = OrderedDict()  # least recently requested first
-        self.bucket_empty_at = dict.fromkeys(self.budgets, now)  # new accounts fill from then on
+        self.bucket_empty_at = dict.fromkeys(self.budgets, now)  # start of refilling for a new account
         self.slots_blocked_until = {
             budget.name: now if first_allocator else budget.slots_free_at(now) for budget in budgets
         }
-        self.refused = 0  # number of requests
+        self.refused = 0  # number of refused requests
         for name in self.budgets:
-            self._account(name, now)
+            self._get_or_create_account(name, now)
 
     def replace(self, budgets: list[Budget], now: int) -> None:
         """Applies the budgets of a new plan.
 
-        Earlier grants keep their terms, so a budget made smaller is respected once they have expired.
+        Earlier grants keep their terms, so a reduced budget is respected once they have expired.
         """
         previous = self.budgets
         self.budgets = {budget.name: budget for budget in budgets}
@@ -137,10 +143,10 @@
             else:
                 self._change_terms(account, replace(budget, name=name), now)
         for name in self.budgets:
-            self._account(name, now)
+            self._get_or_create_account(name, now)
 
     def _block_changed_budgets(self, previous: dict[str, Budget], now: int) -> None:
-        """New accounts of a changed budget start empty, and without slots until the old grants are over."""
+        """Makes new accounts of a changed budget start empty, and without slots until old grants are over."""
         empty_before, blocked_before = self.bucket_empty_at, self.slots_blocked_until
         self.bucket_empty_at, self.slots_blocked_until = {}, {}
         for name, budget in self.budgets.items():
@@ -158,8 +164,8 @@
     def _change_terms(account: BudgetAccount, budget: Budget, now: int) -> None:
         """Changes an account's budget.
 
-        Where slots would now count as free sooner than their grants said, none is granted until those are
-        over.
+        If slots would count as free sooner under the new terms than under those of their grants, no slot is
+        granted until those grants are over.
         """
         account.refill(now)
         old = account.budget
@@ -171,28 +177,30 @@
         account.budget = budget
         account.tokens = min(account.tokens, budget.shared_burst)
 
-    def _account(self, name: str, now: int) -> BudgetAccount | None:
-        """The account of a budget or partition; made at the first request for it.
+    def _get_or_create_account(self, name: str, now: int) -> BudgetAccount | None:
+        """Returns the account of a budget or partition, creating it if necessary.
 
-        :returns: None where there is no such budget, or no room for an account.
+        :returns: the account, or None if there is no such budget or no room for another account.
         """
         account = self.accounts.get(name)
         if account is not None:
             self.accounts.move_to_end(name)
             return account
         base = base_name(name)
-        if base not in self.budgets or not self._make_room(now):
+        if base not in self.budgets or not self._evict_if_full(now):
             return None
         budget = replace(self.budgets[base], name=name)
         account = BudgetAccount(budget, self.bucket_empty_at[base], self.slots_blocked_until[base])
         self.accounts[name] = account
         return account
 
-    def _make_room(self, now: int) -> bool:
-        """Evicts an unused account where there are too many.
+    def _evict_if_full(self, now: int) -> bool:
+        """Evicts an unused account if the maximum is reached.
+
+        Accounts of the same budget that are created later start with an empty bucket now. Otherwise a
+        partition that is evicted and created again would have its burst twice.
 
-        Its bucket counts as empty from now on, or a partition that is evicted and made again would have its
-        burst again.
+        :returns: True if there is room for another account.
         """
         if len(self.accounts) < MAX_ACCOUNTS:
             return True
@@ -204,7 +212,7 @@
         return False
 
     def states(self, now: int) -> list[BudgetState]:
-        """Each account as it stands, for operators' commands."""
+        """Returns the state of each account, for operators' commands."""
         states = []
         for name, account in self.accounts.items():
             account.refill(now)
@@ -234,16 +242,17 @@
         return states
 
     def handle_request(self, request: QuotaRequest, now: int) -> QuotaGrant | QuotaRefusal:
-        """Grants what the budget has for one request.
+        """Grants what the budget allows for one request, or refuses the request.
 
-        :param now: microseconds; the caller has just made sure that no other allocator has begun.
+        :param now: current time in microseconds; the caller has just checked that no other allocator has
+            taken over.
         """
-        refusal = self._refusal(request, now)
+        refusal = self._check_request(request, now)
         if refusal:
             self.refused += 1
             return refusal
         account = self.accounts[request.budget]
-        holder = self._holder(account, request, now)
+        holder = self._get_or_create_holder(account, request, now)
         account.refill(now)
         budget = account.budget
         is_first_request = not holder.last_request_at
@@ -254,42 +263,45 @@
         holder.last_request_at = now
         holder.wanted_rate = request.wanted_rate
         holder.slots_wanted = request.slots_wanted
-        tokens = self._tokens(account, holder, request, min(since_last, budget.grant_ttl), now)
+        tokens = self._tokens_to_grant(account, holder, request, min(since_last, budget.grant_ttl), now)
         account.tokens -= tokens
         account.tokens_granted += tokens
-        slots = self._slots(account, holder, request, now)
+        slots = self._slots_to_grant(account, holder, request, now)
         return QuotaGrant(request.budget, request.process_token, request.sequence_number, tokens, slots)
 
-    def _refusal(self, request: QuotaRequest, now: int) -> QuotaRefusal | None:
-        """Why a request can't be granted, if it can't.
+    def _check_request(self, request: QuotaRequest, now: int) -> QuotaRefusal | None:
+        """Returns a refusal if the request is invalid, late or a duplicate, otherwise None.
 
-        Guards against requests that are late or doubled on their way: an old request would take back what a
-        newer one said of the slots in use.
+        A late or duplicated request would overwrite the slots in use that a newer request has reported.
         """
         budget = self.budgets.get(base_name(request.budget))
         if budget is None or len(request.budget) > MAX_NAME_LENGTH:
             reason = f"there is no budget {request.budget!r:.60}"
-            return QuotaRefusal(RefusedField.BUDGET, reason, "read the plan anew")
+            return QuotaRefusal(RefusedField.BUDGET, reason, "reload the plan")
         if request.terms_checksum != budget.terms_checksum:
-            reason = f"{budget.name} has other figures here"
-            return QuotaRefusal(RefusedField.TERMS_CHECKSUM, reason, "give both the same plan")
-        if refusal := _amount_refusal(request):
+            reason = f"{budget.name} has other terms in the ledger's plan"
+            return QuotaRefusal(
+                RefusedField.TERMS_CHECKSUM, reason, "load the same plan in the router and the ledger"
+            )
+        if refusal := _check_amounts(request):
             return refusal
-        account = self._account(request.budget, now)
+        account = self._get_or_create_account(request.budget, now)
         if account is None:
-            reason = f"{MAX_ACCOUNTS} budgets are in use"
-            return QuotaRefusal(RefusedField.BUDGET, reason, "count fewer by themselves")
+            reason = f"{MAX_ACCOUNTS} budgets and partitions are in use"
+            return QuotaRefusal(RefusedField.BUDGET, reason, "reduce the number of partitions")
         known = account.find_holder(request)
         if known and request.sequence_number <= known.sequence_number:
-            reason = f"ask {request.sequence_number} after {known.sequence_number}"
-            return QuotaRefusal(RefusedField.SEQUENCE_NUMBER, reason, "nothing: a late word")
+            reason = f"request {request.sequence_number} arrived after request {known.sequence_number}"
+            return QuotaRefusal(
+                RefusedField.SEQUENCE_NUMBER, reason, "none needed: the request was late or duplicated"
+            )
         return None
 
-    def _holder(self, account: BudgetAccount, request: QuotaRequest, now: int) -> QuotaHolder:
-        """The record of the process that asks, under its router's name.
+    def _get_or_create_holder(self, account: BudgetAccount, request: QuotaRequest, now: int) -> QuotaHolder:
+        """Returns the record of the requesting process and stores it under its router's name.
 
-        Guards against slots granted twice after a router's restart: requests of the former process may still
-        be in flight, so its record is kept under another key until its slots are free.
+        Prevents slots from being granted twice after a router's restart: requests of the former process may
+        still be in flight, so its record is kept under another key until its slots are free.
         """
         current = account.holders.get(request.name)
         if current and current.process_token == request.process_token:
@@ -305,7 +317,7 @@
 
     @staticmethod
     def _evict_holder(account: BudgetAccount, now: int) -> None:
-        """Forgets the holder without slots that has been silent for longest, if there is one."""
+        """Evicts the holder that has been silent for longest among those without slots, if there is one."""
         last_requests = {
             name: holder.last_request_at
             for name, holder in account.holders.items()
@@ -314,23 +326,23 @@
         if last_requests:
             del account.holders[min(last_requests, key=last_requests.__getitem__)]
 
-    def _tokens(
+    def _tokens_to_grant(
         self, account: BudgetAccount, holder: QuotaHolder, request: QuotaRequest, since_last: int, now: int
     ) -> float:
-        """Tokens for one holder: its share of the rate until its next request is answered.
+        """Returns the tokens to grant to a holder: its share of the rate until its next request is answered.
 
-        The share is its max-min fair part of what routers want, and an equal part of what nobody wants.
+        The share is its max-min fair share of what routers want, plus an equal part of what no router wants.
 
-        :param since_last: microseconds since its last request, the time for which it is due its share.
+        :param since_last: microseconds since its last request, for which its share is due.
         """
         budget = account.budget
         demands = [each.wanted_rate for each in account.recent_holders(now)]
-        bucket_rate = account.tokens * SECOND / budget.grant_ttl  # the bucket is handed out within a TTL
+        bucket_rate = account.tokens * SECOND / budget.grant_ttl  # the bucket is granted within one TTL
         fair_rate = min(holder.wanted_rate, max_min_fair_share(demands, budget.shared_rate + bucket_rate))
         spare_rate = max(0.0, budget.shared_rate - sum(demands)) / len(demands)
         rate = fair_rate + spare_rate
         needed = rate * (since_last + budget.grant_ttl // REQUESTS_PER_TTL) / SECOND
-        if needed < 1:  # less than a token admits no request: it is saved up until it is one
+        if needed < 1:  # a request needs a whole token, so fractions accumulate until they make one
             holder.token_debt += rate * since_last / SECOND
             if holder.token_debt < 1 or request.tokens_left >= 1:
                 holder.token_debt = min(1.0, holder.token_debt)
@@ -339,12 +351,14 @@
             needed = 1 + request.tokens_left
         return max(0.0, min(account.tokens, needed - request.tokens_left))
 
-    def _slots(self, account: BudgetAccount, holder: QuotaHolder, request: QuotaRequest, now: int) -> int:
-        """Slots in all for one holder: its share, of those that nobody else may have in use.
+    def _slots_to_grant(
+        self, account: BudgetAccount, holder: QuotaHolder, request: QuotaRequest, now: int
+    ) -> int:
+        """Returns the total slots to grant to one holder: its share of those that no other may have in use.
 
-        Guards against one slot in use at two routers: where a holder is granted fewer than it has, they count
-        as its own until a later request says that they are not in use.  So a router that holds all of them
-        makes room for others.
+        Prevents one slot from being used at two routers: if a holder is granted fewer slots than it has, the
+        difference counts as its own until a later request reports it as not in use.  This way a router that
+        holds all slots makes room for others.
         """
         budget = account.budget
         if holder.slots_free_at <= now:
@@ -378,20 +392,20 @@
 
 
 def former_process_key(router: str, process_token: str) -> str:
-    """The key of a process that another one has followed under its name."""
+    """Returns the key for a process whose name another process has taken over."""
     return router + FORMER_PROCESS + process_token
 
 
-def _amount_refusal(request: QuotaRequest) -> QuotaRefusal | None:
-    """Refuses an amount that is negative, too large or not a number."""
+def _check_amounts(request: QuotaRequest) -> QuotaRefusal | None:
+    """Returns a refusal if an amount is negative, too large or not a number, otherwise None."""
     amounts = (
-        (RefusedField.WANTED_RATE, request.wanted_rate, "figure of tokens"),
-        (RefusedField.TOKENS_LEFT, request.tokens_left, "figure of tokens"),
+        (RefusedField.WANTED_RATE, request.wanted_rate, "token rate"),
+        (RefusedField.TOKENS_LEFT, request.tokens_left, "number of tokens"),
         (RefusedField.SLOTS_KEPT, request.slots_kept, "number of slots"),
         (RefusedField.SLOTS_WANTED, request.slots_wanted, "number of slots"),
     )
     for place, amount, kind in amounts:
         is_valid = 0 <= amount <= MAX_AMOUNT  # false for NaN too
         if not is_valid:
-            return QuotaRefusal(place, f"{amount} is no {kind}", "mend the sender")
+            return QuotaRefusal(place, f"{amount} is not a valid {kind}", "fix the sender")
     return None
--- a/quartzrouter/quota/budget.py
+++ b/quartzrouter/quota/budget.py
@@ -7,37 +7,44 @@
 - *slots*, requests in flight at a time.  A grant is a number of slots in which no request may begin after the
   grant has expired.
 
-Part of each budget, the guaranteed minimum, is never granted: each router has an equal part of it without
-asking, so a router that reaches no allocator goes on at that rate.
+Part of each budget, the guaranteed minimum, is never granted: each router may use an equal part of it without
+a grant, so a router that cannot reach an allocator continues at that rate.
 """
 
 from dataclasses import astuple, dataclass
 from zlib import crc32
 
-SECOND = 1_000_000  # microseconds, the unit of all times here
-MAX_CLOCK_DRIFT = 200  # parts per million by which a clock may be fast or slow; crystals stay under 100
-DEFAULT_GRANT_TTL = 1 * SECOND  # a router that is cut off is at its guaranteed minimum after that
-REQUESTS_PER_TTL = 4  # requests for quota within a grant's time to live: two of them may be lost or late
-MAX_REQUESTS_PER_TTL = 32  # the same of a budget whose bucket overflows sooner because its burst is small
-PARTITION_SEPARATOR = "/"  # between a budget's name and whom it counts apart, a tenant say; in no name
+# In microseconds, the unit of all times in this package.
+SECOND = 1_000_000
+# Parts per million by which a clock may be fast or slow; crystal oscillators stay below 100.
+MAX_CLOCK_DRIFT = 200
+# A router that is cut off falls back to its guaranteed minimum after this time.
+DEFAULT_GRANT_TTL = 1 * SECOND
+# Requests for quota within a grant's time to live: two of them may be lost or late.
+REQUESTS_PER_TTL = 4
+# Limits the requests per TTL if a small burst makes the bucket overflow sooner.
+MAX_REQUESTS_PER_TTL = 32
+# Separates a budget's name from its partition, such as a tenant; no budget's name contains it.
+PARTITION_SEPARATOR = "/"
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What all routers together may use.
-
-    The order of the fields counts: ``terms_checksum`` is computed from their values.
-
-    :param name: of the budget; with ``PARTITION_SEPARATOR`` and a tenant, route or pool where it is
-        partitioned.
-    :param rate: tokens per second; 0: no limit by tokens.
-    :param burst: tokens at once.
-    :param slots: requests in flight at a time; 0: no limit by slots.
-    :param max_request_time: microseconds that a request may be in flight, so a slot that was taken right
-        before its grant expired is in use for as long after.
-    :param guaranteed_share: from 0 to 1, of the budget, which routers have without asking, in equal parts.
-    :param routers: the most that there may be.
-    :param grant_ttl: time to live of a grant, microseconds.
+    """The limit on what all routers together may use.
+
+    The order of the fields matters: ``terms_checksum`` is computed from their values.
+
+    :param name: the budget's name, followed by ``PARTITION_SEPARATOR`` and a tenant, route, pool or client
+        if it is partitioned.
+    :param rate: tokens per second; 0 if tokens are not limited.
+    :param burst: tokens that may be used at once.
+    :param slots: requests in flight at a time; 0 if slots are not limited.
+    :param max_request_time: the longest time for which a request may be in flight, in microseconds. A slot
+        that is taken right before its grant expires stays in use for that long.
+    :param guaranteed_share: share of the budget, from 0 to 1, that routers may use without a grant, in equal
+        parts.
+    :param routers: the maximum number of routers.
+    :param grant_ttl: time to live of a grant, in microseconds.
     """
 
     name: str
@@ -51,83 +58,84 @@
 
     @property
     def base_name(self) -> str:
-        """The budget's name in the plan, without the partition."""
+        """Returns the budget's name in the plan, without the partition."""
         return base_name(self.name)
 
     @property
     def shared_rate(self) -> float:
-        """Tokens per second that the allocator grants."""
+        """Returns the tokens per second that the allocator may grant."""
         return (1 - self.guaranteed_share) * self.rate
 
     @property
     def shared_burst(self) -> float:
-        """Tokens that the allocator's bucket holds."""
+        """Returns the capacity of the allocator's bucket, in tokens."""
         return (1 - self.guaranteed_share) * self.burst
 
     @property
     def guaranteed_rate(self) -> float:
-        """Tokens per second of one router."""
+        """Returns one router's guaranteed tokens per second."""
         return self.guaranteed_share * self.rate / self.routers
 
     @property
     def guaranteed_burst(self) -> float:
-        """Tokens of one router: at least one, or the guaranteed minimum would never admit a request."""
+        """Returns one router's guaranteed burst: at least 1 token, or it would never admit a request."""
         return max(1.0, self.guaranteed_share * self.burst / self.routers)
 
     @property
     def guaranteed_slots(self) -> int:
-        """Slots of one router, rounded down: none where there are more routers than guaranteed slots."""
+        """Returns one router's guaranteed slots, rounded down; 0 if there are fewer slots than routers."""
         return int(self.guaranteed_share * self.slots / self.routers)
 
     @property
     def shared_slots(self) -> int:
-        """Slots that the allocator grants."""
+        """Returns the slots that the allocator may grant."""
         return self.slots - self.routers * self.guaranteed_slots
 
     @property
     def request_interval(self) -> int:
-        """Microseconds between two requests of a router: the bucket must not overflow in the meantime."""
+        """Returns the microseconds between a router's requests, so that the bucket does not overflow."""
         usual = self.grant_ttl // REQUESTS_PER_TTL
         half_full = int(self.shared_burst / self.shared_rate * SECOND / 2) if self.shared_rate else usual
         return max(self.grant_ttl // MAX_REQUESTS_PER_TTL, min(usual, half_full))
 
     @property
     def terms_checksum(self) -> int:
-        """Checksum of the terms, by which router and allocator notice that their plans differ.
+        """Returns a checksum of the terms, so that router and allocator can detect different plans.
 
-        The name is left out: one budget has several partitions.
+        The name is left out, as all partitions of a budget have the same terms.
         """
         return crc32(repr(astuple(self)[1:]).encode())
 
     def grant_expiry(self, requested_at: int) -> int:
-        """When a grant expires at its holder, microseconds of the holder's clock.
+        """Returns when a grant expires at its holder, in microseconds of the holder's clock.
 
-        Guards against use of quota that the allocator has granted to another router meanwhile: counted from
-        the request, which was before the grant, and shortened by the clocks' drift, the grant expires at the
-        holder before it does at the allocator.
+        Prevents the use of quota that the allocator has granted to another router in the meantime: the time
+        to live counts from the request, which precedes the grant, and is shortened by the clock drift, so
+        the grant expires at the holder before it does at the allocator.
 
-        :param requested_at: when the holder asked for it, microseconds of the same clock.
+        :param requested_at: time of the holder's request, in microseconds of the same clock.
         """
         return requested_at + self.grant_ttl - clock_slack(self.grant_ttl)
 
     def slots_free_at(self, granted_at: int) -> int:
-        """From when no slot of a grant is in use, microseconds of the allocator's clock.
+        """Returns the time from which no slot of a grant is in use, in microseconds of the allocator's clock.
 
-        Guards against one slot in use twice: a request may begin right before the grant expires, and stays in
-        flight for ``max_request_time``.
+        Prevents one slot from being used twice: a request may begin right before the grant expires and stay
+        in flight for ``max_request_time``.
 
-        :param granted_at: microseconds of the same clock.
+        :param granted_at: time of the grant, in microseconds of the same clock.
         """
         longest_use = self.grant_ttl + self.max_request_time
         return granted_at + longest_use + clock_slack(longest_use)
 
     def max_use(self, window: int) -> float:
-        """The most tokens that all routers together may use within any window, whatever messages are lost.
+        """Returns the maximum tokens that all routers together may use within any window.
 
-        A token is used within a time to live of its grant; so what is used in a window was granted in it or
-        one time to live before, out of one bucket.  All routers' guaranteed minimums are counted.
+        The bound holds whichever messages are lost.  A token is used within one time to live of its grant,
+        so what is used in a window was granted from one bucket during the window or one time to live before
+        it.  The guaranteed minimums of all routers are included.
 
-        :param window: microseconds of true time.
+        :param window: length in microseconds of true time.
         """
         fastest_clock = 1 + MAX_CLOCK_DRIFT / 1e6
         granted = self.shared_rate * fastest_clock * (window + self.grant_ttl) / SECOND + self.shared_burst
@@ -136,10 +144,10 @@
 
 
 def base_name(name: str) -> str:
-    """The name in the plan of a budget or of one of its partitions."""
+    """Returns the name in the plan of a budget or of one of its partitions."""
     return name.partition(PARTITION_SEPARATOR)[0]
 
 
 def clock_slack(duration: int) -> int:
-    """Microseconds by which two clocks may differ after that duration, rounded up."""
+    """Returns the microseconds by which two clocks may diverge within a duration, rounded up."""
     return -(-2 * duration * MAX_CLOCK_DRIFT // 1_000_000)
--- a/quartzrouter/quota/client.py
+++ b/quartzrouter/quota/client.py
@@ -1,4 +1,4 @@
-"""All shared budgets at one router: which it uses, and when to ask for quota. No I/O."""
+"""All shared budgets at one router: which of them it uses, and when to request quota. No I/O."""
 
 import hashlib
 from collections import OrderedDict
@@ -9,27 +9,34 @@
 from quartzrouter.quota.local_quota import LocalQuota
 from quartzrouter.quota.messages import QuotaGrant, QuotaRequest
 
-MAX_QUOTAS = 4_096  # budgets with their partitions (tenants seen lately) that are kept: 6 MB
-EVICTION_CANDIDATES = 16  # quotas, the least recently used, among which one at rest is looked for
-MAX_REQUESTS_PER_MESSAGE = 512  # 70 KB; the others go with the next message
-IDLE_TTLS = 3  # times to live without a request after which a budget is asked for no more
-IDLE_INTERVAL = 250_000  # microseconds until the next look where no budget is in use
-MIN_INTERVAL = 5_000  # microseconds between two looks
+# Budgets and partitions (such as recently seen tenants) that are kept; they take 6 MB.
+MAX_QUOTAS = 4_096
+# Number of least recently used quotas that are searched for one in its initial state.
+EVICTION_CANDIDATES = 16
+# Limits a message to 70 KB; further requests are sent with the next message.
+MAX_REQUESTS_PER_MESSAGE = 512
+# Grant TTLs without use after which no quota is requested for a budget.
+IDLE_TTLS = 3
+# Microseconds until the next check for due requests while no budget is in use.
+IDLE_INTERVAL = 250_000
+# Minimum microseconds between two checks for due requests.
+MIN_INTERVAL = 5_000
 MICROSECONDS_PER_MILLISECOND = 1_000
-MAX_PLAIN_PARTITION = 64  # characters; longer names of tenants are hashed, which bounds the messages
+# Characters in a partition's name; a longer one is hashed to limit the size of messages.
+MAX_PLAIN_PARTITION = 64
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaCounters:
-    """What became of the requests since the start, over all partitions of a budget.
-
-    :param admitted_by_guarantee: requests that the guaranteed minimum admitted.
-    :param denied: requests.
-    :param invalid_grants: messages that were not obeyed.
-    :param cut_off: partitions in use for which no grant comes in time.
-    :param late_grants: messages that came after what they grant had expired.
-    :param answer_delay: microseconds from the last answered request to its grant, the longest of the
-        partitions'.
+    """Counters since the start, over all partitions of a budget.
+
+    :param admitted_by_guarantee: requests admitted by the guaranteed minimum.
+    :param denied: requests denied.
+    :param invalid_grants: grants that were ignored as invalid.
+    :param cut_off: partitions in use for which no grant arrives in time.
+    :param late_grants: grants that arrived after they had expired.
+    :param grant_delay: microseconds between the last answered request for quota and its grant, the longest
+        of all partitions.
     """
 
     admitted_by_guarantee: int = 0
@@ -37,38 +44,40 @@
     invalid_grants: int = 0
     cut_off: int = 0
     late_grants: int = 0
-    answer_delay: int = 0
+    grant_delay: int = 0
 
 
 def describe_changes(now: QuotaCounters, before: QuotaCounters) -> str:
-    """A log line on what has happened since; empty where there is nothing to say."""
+    """Returns a log line on what has changed between two readings; empty if there is nothing to report."""
     admitted = now.admitted_by_guarantee - before.admitted_by_guarantee
     denied = now.denied - before.denied
     invalid_grants = now.invalid_grants - before.invalid_grants
     late_grants = now.late_grants - before.late_grants
     parts = []
     if now.cut_off and admitted:
-        parts.append(f"no grants come: {admitted} requests admitted by the guaranteed minimum")
+        parts.append(f"no grants arrive in time: {admitted} requests admitted by the guaranteed minimum")
     if before.cut_off and not now.cut_off:
-        parts.append("grants come again")
+        parts.append("grants arrive in time again")
     if parts and denied:
         parts.append(f"{denied} denied")
     if late_grants:
-        delay_ms = now.answer_delay // MICROSECONDS_PER_MILLISECOND
-        parts.append(f"{late_grants} grants came after their end, the last grant after {delay_ms} ms")
+        delay_ms = now.grant_delay // MICROSECONDS_PER_MILLISECOND
+        parts.append(
+            f"{late_grants} grants arrived after they had expired, the last grant took {delay_ms} ms"
+        )
     if invalid_grants:
         parts.append(f"{invalid_grants} invalid grants ignored")
     return ", ".join(parts)
 
 
 class QuotaClient:
-    """A router's parts in the shared budgets.
+    """A router's shares of all shared budgets.
 
-    :param budgets: of the plan.
-    :param name: of the router.
-    :param process_token: of its process.
-    :param steady_clock: reads this machine's monotonic clock, microseconds.  It is read for each request: a
-        process that is stopped between two of them may wake after the end of all its grants.
+    :param budgets: the budgets of the plan.
+    :param name: the router's name.
+    :param process_token: identifies the router's process.
+    :param steady_clock: returns the time of this machine's monotonic clock in microseconds. It is read for
+        each request, as a process that is suspended may resume after all its grants have expired.
     """
 
     def __init__(
@@ -78,18 +87,19 @@
         self.process_token = process_token
         self.steady_clock = steady_clock
         self.budgets = {budget.name: budget for budget in budgets}
-        self.quotas: OrderedDict[str, LocalQuota] = OrderedDict()  # the least recently used first
-        self.last_used: dict[
-            str, int
-        ] = {}  # when a request last counted in it; only of those to be asked for
+        self.quotas: OrderedDict[str, LocalQuota] = OrderedDict()  # least recently used first
+        # Time of the last use, by the keys for which quota is requested.
+        self.last_used: dict[str, int] = {}
         self.next_request_at: dict[str, int] = {}
-        self.guaranteed_since = steady_clock()  # what is forgotten must not gain guaranteed tokens by it
-        self.last_sequence_number = 0  # of forgotten quotas: one made later must not count from 1 again
-        self.has_new_demand = False  # a budget has come into use that should be asked for at once
-        self.unknown_grants = 0  # of budgets that are not in use here
+        # A quota that is evicted and created again must not gain guaranteed tokens by it.
+        self.guaranteed_since = steady_clock()
+        # The highest of all removed quotas: a quota that is created later must not count from 1 again.
+        self.last_sequence_number = 0
+        self.has_new_demand = False  # True if quota should be requested at once for a budget newly in use
+        self.unknown_grants = 0  # grants for budgets that are not in use at this router
 
     def replace(self, budgets: Sequence[Budget]) -> None:
-        """Applies a new plan: what stays the same keeps its grants, what changes starts at its guarantee."""
+        """Applies a new plan: unchanged budgets keep grants, changed ones drop to the guaranteed minimum."""
         previous = self.budgets
         self.budgets = {budget.name: budget for budget in budgets}
         now = self.steady_clock()
@@ -101,9 +111,9 @@
                 quota.replace(replace(budget, name=key), now)
 
     def key(self, budget: str, partition: str) -> str:
-        """The name of a budget's part for one tenant, route, pool or client.
+        """Returns the name of a budget's partition for one tenant, route, pool or client.
 
-        :param partition: whom it counts apart; empty where the budget counts all together.
+        :param partition: what is counted separately; empty if the budget is not partitioned.
         """
         if not partition:
             return budget
@@ -119,9 +129,9 @@
         return f"{budget}{PARTITION_SEPARATOR}#{digest}"
 
     def time_until_admitted(self, key: str, kept_free: float = 0.0) -> int:
-        """Whether a request may begin now, as of ``LocalQuota.time_until_admitted``.
+        """Returns 0 if a request may begin now; see ``LocalQuota.time_until_admitted``.
 
-        :returns: 0 where it may begin; else microseconds after which to retry.
+        :returns: 0 if the request may begin, otherwise the microseconds after which to retry.
         """
         now = self.steady_clock()
         is_new_demand = key not in self.last_used and self.next_request_at.get(key, 0) <= now
@@ -132,7 +142,7 @@
     def use(self, key: str) -> LocalQuota:
         """Begins a request that ``time_until_admitted`` has just admitted.
 
-        :returns: the quota to release once the request is over.
+        :returns: the quota, whose ``release`` is to be called when the request ends.
         """
         quota = self.quotas[key]
         quota.use()
@@ -152,18 +162,18 @@
         return quota
 
     def _evict(self, now: int) -> None:
-        """Forgets a quota: best one at rest, else one without requests in flight.
+        """Evicts a quota in its initial state if there is one, otherwise one without requests in flight.
 
-        Guards against guaranteed tokens used twice: where none is at rest, the forgotten one may have used
-        its tokens a moment ago, so those of all quotas made from now on accrue from now.
+        Prevents guaranteed tokens from being used twice: a quota that is not in its initial state may have
+        used its tokens a moment ago, so the guaranteed tokens of quotas created later accrue from now on.
         """
         candidates = list(self.quotas)[:EVICTION_CANDIDATES]
-        at_rest = [key for key in candidates if self.quotas[key].is_at_rest(now)]
-        not_in_use = [key for key in candidates if not self.quotas[key].in_use]
-        if not at_rest:
+        in_initial_state = [key for key in candidates if self.quotas[key].is_in_initial_state(now)]
+        without_requests = [key for key in candidates if not self.quotas[key].in_use]
+        if not in_initial_state:
             self.guaranteed_since = now
-        if at_rest or not_in_use:
-            self._forget((at_rest or not_in_use)[0])
+        if in_initial_state or without_requests:
+            self._forget((in_initial_state or without_requests)[0])
 
     def _forget(self, key: str) -> None:
         quota = self.quotas.pop(key)
@@ -174,10 +184,10 @@
     # -- requests for quota ----------------------------------------------------------------------------
 
     def due_requests(self) -> tuple[QuotaRequest, ...]:
-        """The requests to send now: for each budget in use whose time has come, the longest due first."""
+        """Returns the requests for quota that are due, for budgets in use; the longest overdue come first."""
         now = self.steady_clock()
         self.has_new_demand = False
-        self._drop_idle(now)
+        self._stop_requesting_idle(now)
         due = sorted((self.next_request_at.get(key, 0), key) for key in self.last_used)
         requests = []
         for due_at, key in due[:MAX_REQUESTS_PER_MESSAGE]:
@@ -187,8 +197,8 @@
                 requests.append(quota.next_request(now))
         return tuple(requests)
 
-    def _drop_idle(self, now: int) -> None:
-        """Budgets without a request for a while, and with none in flight, are asked for no more."""
+    def _stop_requesting_idle(self, now: int) -> None:
+        """Stops requesting quota for budgets that are idle and have no request in flight."""
         for key, last_used in list(self.last_used.items()):
             quota = self.quotas[key]
             is_idle = now - last_used > IDLE_TTLS * quota.budget.grant_ttl
@@ -196,14 +206,14 @@
                 del self.last_used[key]
 
     def time_until_next_request(self) -> int:
-        """Microseconds until a request is due, where no other budget comes into use meanwhile."""
+        """Returns the microseconds until a request is due, unless another budget comes into use before."""
         due_at = min((self.next_request_at.get(key, 0) for key in self.last_used), default=None)
         if due_at is None:
             return IDLE_INTERVAL
         return max(MIN_INTERVAL, due_at - self.steady_clock())
 
     def apply_grants(self, grants: Sequence[QuotaGrant]) -> None:
-        """Applies grants of the allocator."""
+        """Applies the allocator's grants."""
         now = self.steady_clock()
         for grant in grants:
             quota = self.quotas.get(grant.budget)
@@ -215,17 +225,17 @@
     # -- reports ---------------------------------------------------------------------------------------
 
     def counters(self) -> dict[str, QuotaCounters]:
-        """Counters by the budgets of the plan, over their partitions."""
+        """Returns the counters of each budget in the plan, over all of its partitions."""
         now = self.steady_clock()
-        found = {}
+        counters_by_budget = {}
         for name in self.budgets:
             quotas = {key: quota for key, quota in self.quotas.items() if base_name(key) == name}
-            found[name] = QuotaCounters(
+            counters_by_budget[name] = QuotaCounters(
                 sum(quota.admitted_by_guarantee for quota in quotas.values()),
                 sum(quota.denied for quota in quotas.values()),
                 sum(quota.invalid_grants for quota in quotas.values()),
                 sum(key in self.last_used and quota.is_cut_off(now) for key, quota in quotas.items()),
                 sum(quota.late_grants for quota in quotas.values()),
-                max((quota.answer_delay for quota in quotas.values()), default=0),
+                max((quota.grant_delay for quota in quotas.values()), default=0),
             )
-        return found
+        return counters_by_budget
--- a/quartzrouter/quota/fairness.py
+++ b/quartzrouter/quota/fairness.py
@@ -1,15 +1,16 @@
-"""Max-min fairness: how a capacity is divided among demands of different size. No I/O."""
+"""Max-min fairness, which divides a capacity among demands of different size. No I/O."""
 
 from collections.abc import Sequence
 
 
 def max_min_fair_share(demands: Sequence[float], capacity: float) -> float:
-    """The most that any one demand is granted, so that together they use the whole capacity.
+    """Returns the max-min fair share: the most that any one demand is granted.
 
-    Demands below the result are met in full, those above it are granted the result (max-min fairness).
+    Demands below the share are met in full, those above it are granted the share, so that all demands
+    together use the whole capacity.
 
-    :param demands: in the unit of the capacity.
-    :returns: the share; the largest demand where the capacity meets all of them, 0 without any demand.
+    :param demands: demands in the unit of the capacity.
+    :returns: the share; the largest demand if the capacity meets all of them, 0 if there is no demand.
     """
     remaining = capacity
     for met, demand in enumerate(sorted(demands)):
--- a/quartzrouter/quota/local_quota.py
+++ b/quartzrouter/quota/local_quota.py
@@ -1,4 +1,4 @@
-"""One budget at one router: what it may use now by its own clock, and what it asks for. No I/O."""
+"""One budget at one router: what it may use now by its own clock, and what it requests. No I/O."""
 
 from collections import deque
 from typing import NamedTuple
@@ -6,15 +6,17 @@
 from quartzrouter.quota.budget import SECOND, Budget
 from quartzrouter.quota.messages import QuotaGrant, QuotaRequest
 
-MAX_PENDING_REQUESTS = 64  # requests for quota without an answer; the grant of an older one has expired
-MIN_RATE_SAMPLE = 4  # requests between two requests for quota: fewer of them show no rate by themselves
+# Unanswered requests for quota that are kept; the grant of an older one has expired.
+MAX_PENDING_REQUESTS = 64
+# Requests between two requests for quota; a rate measured from fewer is not representative.
+MIN_RATE_SAMPLE = 4
 
 
 class TokenGrant(NamedTuple):
-    """Tokens of one grant.
+    """The unused tokens of one grant.
 
-    :param expires_at: microseconds of this router's clock.
-    :param tokens: left of it.
+    :param expires_at: expiry in microseconds of this router's clock.
+    :param tokens: tokens that are not used yet.
     """
 
     expires_at: int
@@ -22,10 +24,10 @@
 
 
 class DemandSample(NamedTuple):
-    """Requests that the guaranteed minimum didn't suffice for between two requests for quota.
+    """The demand beyond the guaranteed minimum between two requests for quota.
 
-    :param since: microseconds of this router's clock, at which the sample begins.
-    :param requests: how many.
+    :param since: start of the sample, in microseconds of this router's clock.
+    :param requests: number of requests for which the guaranteed minimum did not suffice.
     """
 
     since: int
@@ -33,13 +35,13 @@
 
 
 class LocalQuota:
-    """A router's part in one budget.
+    """A router's share of one budget.
 
-    :param budget: of the plan, named with its partition.
-    :param name: of the router.
-    :param process_token: of its process.
-    :param now: microseconds of this router's monotonic clock; so are all times.
-    :param guaranteed_since: from when on guaranteed tokens accrue, where that was earlier than ``now``.
+    :param budget: the budget in the plan; its name includes the partition.
+    :param name: the router's name.
+    :param process_token: identifies the router's process.
+    :param now: current time in microseconds of this router's monotonic clock, as are all times.
+    :param guaranteed_since: time from which guaranteed tokens accrue, if that is earlier than ``now``.
     """
 
     def __init__(
@@ -49,15 +51,13 @@
         self.name = name
         self.process_token = process_token
         self.last_sequence_number = 0
-        self.pending_requests: dict[
-            int, int
-        ] = {}  # sequence number of an unanswered request: when it was made
-        self.token_grants: deque[TokenGrant] = deque()  # the next to expire first
+        self.pending_requests: dict[int, int] = {}  # time of each unanswered request, by sequence number
+        self.token_grants: deque[TokenGrant] = deque()  # ordered by expiry, earliest first
         guaranteed_since = now if guaranteed_since is None else guaranteed_since
-        # A restart must not give the guaranteed burst again: the bucket begins empty.
+        # The bucket starts empty, so that a restart does not provide the guaranteed burst again.
         self.guaranteed_tokens = 0.0
         self.guaranteed_refilled_at = guaranteed_since
-        # Requests of a former process may be in flight until then, in the same guaranteed slots.
+        # Until then, requests of a former process may be in flight in the same guaranteed slots.
         self.guaranteed_slots_from = guaranteed_since + budget.max_request_time
         self.granted_slots = 0
         self.granted_slots_expire_at = now
@@ -66,10 +66,10 @@
         self.denied_for_slots = 0  # since the last request for quota
         self.wanted_rate = 0.0  # tokens per second beyond the guaranteed minimum
         self.demand_since = now
-        self.demand = 0  # requests since then that the guaranteed minimum didn't suffice for
+        self.demand = 0  # requests since demand_since for which the guaranteed minimum did not suffice
         self.recent_demand: deque[DemandSample] = deque()
         self.last_grant_at = now
-        self.answer_delay = 0  # microseconds from a request for quota to its grant, of the last one
+        self.grant_delay = 0  # microseconds between the last answered request for quota and its grant
         self.admitted_by_guarantee = 0
         self.denied = 0
         self.invalid_grants = 0
@@ -78,13 +78,15 @@
     # -- use -------------------------------------------------------------------------------------------
 
     def time_until_admitted(self, now: int, kept_free: float = 0.0) -> int:
-        """Whether a request may begin now; the request counts as demand.
+        """Returns 0 if a request may begin now, otherwise the time until a retry; counts it as demand.
 
-        :param now: microseconds, read right before: a process that was stopped may wake after a grant's end.
-        :param kept_free: share of the slots, from 0 to 1, which a request of low priority leaves to others.
-        :returns: 0 where it may begin; else microseconds after which to retry: more may be granted by then.
+        :param now: current time in microseconds, read right before the call, as a process that was suspended
+            may resume after a grant has expired.
+        :param kept_free: share of the slots, from 0 to 1, that a low-priority request leaves to others.
+        :returns: 0 if the request may begin; otherwise the microseconds after which to retry, as more may be
+            granted by then.
         """
-        usable_slots = int(self._slots(now) * (1 - kept_free))
+        usable_slots = int(self._usable_slots(now) * (1 - kept_free))
         if self.budget.slots and self.in_use >= usable_slots:
             self.denied += 1
             self.denied_for_slots += 1
@@ -95,7 +97,7 @@
         return 0
 
     def try_use(self, now: int, kept_free: float = 0.0) -> int:
-        """Begins a request where it may begin; parameters and result as of ``time_until_admitted``."""
+        """Begins a request if it is admitted; parameters and result are those of ``time_until_admitted``."""
         retry_after = self.time_until_admitted(now, kept_free)
         if not retry_after:
             self.use()
@@ -104,7 +106,7 @@
     def use(self) -> None:
         """Begins a request that ``time_until_admitted`` has just admitted.
 
-        Uses a slot and a token; a guaranteed token first, as nobody else can use that.
+        Uses a slot and a token.  Guaranteed tokens are used first, as no other router can use them.
         """
         if self.budget.rate and self.guaranteed_tokens >= 1:
             self.guaranteed_tokens -= 1
@@ -116,11 +118,14 @@
         self.peak_in_use = max(self.peak_in_use, self.in_use)
 
     def release(self) -> None:
-        """Ends a request: its final answer has been sent."""
+        """Ends a request, once its final response has been sent."""
         self.in_use -= 1
 
     def _has_token(self, now: int) -> bool:
-        """Whether a token is there; fractions of two grants are joined, and expire with the earlier one."""
+        """Returns True if a token is available, and counts demand beyond the guaranteed tokens.
+
+        Fractions of two grants are added up and expire with the earlier grant.
+        """
         while self.token_grants and (
             self.token_grants[0].expires_at <= now or self.token_grants[0].tokens < 1
         ):
@@ -145,23 +150,26 @@
     def _guaranteed_slots(self, now: int) -> int:
         return self.budget.guaranteed_slots if now >= self.guaranteed_slots_from else 0
 
-    def _slots(self, now: int) -> int:
+    def _usable_slots(self, now: int) -> int:
         granted = self.granted_slots if now < self.granted_slots_expire_at else 0
         return self._guaranteed_slots(now) + granted
 
     def tokens_left(self, now: int) -> float:
-        """Tokens that are granted and not used."""
+        """Returns the tokens that are granted and neither used nor expired."""
         return sum(grant.tokens for grant in self.token_grants if grant.expires_at > now)
 
-    def is_at_rest(self, now: int) -> bool:
-        """Whether a new one would be the same: nothing in flight or granted, all guaranteed tokens there."""
+    def is_in_initial_state(self, now: int) -> bool:
+        """Returns True if a new quota would have the same state.
+
+        That is the case if nothing is in flight or granted and all guaranteed tokens and slots are available.
+        """
         self._refill_guaranteed_tokens(now)
         is_full = not self.budget.rate or self.guaranteed_tokens >= self.budget.guaranteed_burst
         has_grant = self.has_grant(now)
         return is_full and not self.in_use and not has_grant and now >= self.guaranteed_slots_from
 
     def replace(self, budget: Budget, now: int) -> None:
-        """Applies a new plan's terms: grants of the old ones are given up, requests in flight count on."""
+        """Applies a new plan's terms: drops grants under the old ones, but keeps requests in flight."""
         self._refill_guaranteed_tokens(now)
         self.guaranteed_tokens = min(self.guaranteed_tokens, budget.guaranteed_burst)
         self.budget = budget
@@ -171,21 +179,21 @@
         self.pending_requests.clear()
 
     def has_grant(self, now: int) -> bool:
-        """Whether a grant is active: a token of it is left, or its slots have not expired."""
+        """Returns True if a granted token is left or granted slots have not expired."""
         has_slots = self.granted_slots > 0 and now < self.granted_slots_expire_at
         return self.tokens_left(now) >= 1 or has_slots
 
     def is_cut_off(self, now: int) -> bool:
-        """Whether for a time to live no grant came in time: only the guaranteed minimum is left."""
+        """Returns True if no grant arrived in time for one TTL, so only the guaranteed minimum is left."""
         return now - self.last_grant_at > self.budget.grant_ttl
 
     # -- requests for quota ----------------------------------------------------------------------------
 
     def next_request(self, now: int) -> QuotaRequest:
-        """The next request for quota.
+        """Returns the next request for quota.
 
-        Guards against a slot in use at two routers: from now on this router uses no more slots than the
-        request says that it keeps, and the allocator may grant the others elsewhere.
+        Prevents a slot from being used at two routers: from now on this router uses no more slots than the
+        request reports as kept, so the allocator may grant the others to another router.
         """
         self._measure_demand(now)
         guaranteed_slots = self._guaranteed_slots(now)
@@ -197,7 +205,7 @@
         self.pending_requests[self.last_sequence_number] = now
         while len(self.pending_requests) > MAX_PENDING_REQUESTS:
             del self.pending_requests[next(iter(self.pending_requests))]
-        # Slots in use count, also where fewer are granted by now.
+        # Slots in use count even if fewer are granted by now.
         slots_kept = max(self.granted_slots, self.in_use - guaranteed_slots)
         return QuotaRequest(
             budget=self.budget.name,
@@ -212,13 +220,13 @@
         )
 
     def _wanted_slots(self, guaranteed_slots: int) -> int:
-        """Slots to ask for: a quarter more than were in use, up to twice as many where some were denied."""
+        """Returns the slots to request: 25% more than were in use, up to 100% more if some were denied."""
         peak = self.peak_in_use
         headroom = max(peak // 4 + 1, min(self.denied_for_slots, peak))
         return max(0, peak + headroom - guaranteed_slots)
 
     def _measure_demand(self, now: int) -> None:
-        """Sets the wanted rate: over a grant's time to live, or the latest one where that shows more."""
+        """Sets the wanted rate to the average over a grant's TTL, or to the latest rate if that is higher."""
         latest_rate = self.demand / max(1, now - self.demand_since) * SECOND
         self.recent_demand.append(DemandSample(self.demand_since, self.demand))
         oldest_allowed = now - self.budget.grant_ttl
@@ -232,12 +240,13 @@
         self.demand_since = now
 
     def apply_grant(self, grant: QuotaGrant, now: int) -> bool:
-        """Applies the answer to a request, once.
+        """Applies the grant that answers a pending request, once.
 
-        Guards against doubled, reordered and foreign grants: only a pending request's grant counts, and slots
-        only by the last request, as that one may have confined this router to fewer.
+        Duplicated, reordered and foreign grants are ignored: a grant counts only if its request is pending.
+        Its slots count only if it answers the last request, which may have confined this router to fewer.
 
-        :returns: whether the grant was applied; one that can't be an answer is counted as invalid.
+        :returns: True if the grant was applied. An implausible grant, or one that answers no pending request,
+            counts as invalid.
         """
         requested_at = None
         if self._is_plausible(grant):
@@ -245,7 +254,7 @@
         if requested_at is None:
             self.invalid_grants += 1
             return False
-        self.answer_delay = now - requested_at
+        self.grant_delay = now - requested_at
         self._forget_requests_before(grant.sequence_number)
         expires_at = self.budget.grant_expiry(requested_at)
         if expires_at <= now:
@@ -260,7 +269,7 @@
         return True
 
     def _is_plausible(self, grant: QuotaGrant) -> bool:
-        """Whether a grant is of this process and budget, with amounts that the budget has; NaN is none."""
+        """Returns True if a grant is for this process and budget and within the budget; False for NaN."""
         budget = self.budget
         max_tokens = budget.shared_rate * budget.grant_ttl / SECOND + budget.shared_burst
         is_ours = grant.budget == budget.name and grant.process_token == self.process_token
@@ -268,7 +277,7 @@
         return is_ours and has_amounts
 
     def _forget_requests_before(self, sequence_number: int) -> None:
-        """Answers come in the requests' order, so those of earlier requests are lost."""
+        """Removes earlier pending requests: as answers arrive in order, theirs are lost."""
         earlier = [number for number in self.pending_requests if number < sequence_number]
         for number in earlier:
             del self.pending_requests[number]
--- a/quartzrouter/quota/messages.py
+++ b/quartzrouter/quota/messages.py
@@ -1,7 +1,8 @@
-"""Messages on quota between routers and the allocator, and the records that operators' commands show. No I/O.
+"""Messages between routers and the quota allocator, and the records shown by operators' commands. No I/O.
 
-These named tuples travel as arrays: the order and the types of the fields are the format on the wire, the
-names are not.  A refusal's ``place`` travels and keeps the values of ``RefusedField``.
+The named tuples are encoded as arrays: the order and the types of their fields are the wire format, while the
+names are not sent.  A refusal's ``place`` is sent as a value of ``RefusedField``, so these values must not
+change.
 """
 
 from enum import StrEnum
@@ -9,7 +10,7 @@
 
 
 class RefusedField(StrEnum):
-    """The field of a ``QuotaRequest`` on account of which it is refused; the values travel."""
+    """The field of a ``QuotaRequest`` that caused a refusal; the values are sent to routers."""
 
     BUDGET = "budget"
     SEQUENCE_NUMBER = "number"
@@ -21,16 +22,16 @@
 
 
 class QuotaRequest(NamedTuple):
-    """A router asks for a grant out of one budget.
+    """A router's request for a grant from one budget.
 
-    :param budget: its name, with the partition.
-    :param name: of the router.
-    :param process_token: of the router's process: another one under the same name is another holder.
+    :param budget: the budget's name, including the partition.
+    :param name: the router's name.
+    :param process_token: identifies the router's process; another process of that name is another holder.
     :param sequence_number: counts the requests of that process from 1.
-    :param wanted_rate: tokens per second that it would use, those that it had to deny included.
-    :param tokens_left: granted and not used.
-    :param slots_kept: to which the router has confined itself, from this message on.
-    :param slots_wanted: that it would use.
+    :param wanted_rate: tokens per second that the router would use, including requests that it had to deny.
+    :param tokens_left: tokens that are granted and not used.
+    :param slots_kept: the most slots that the router uses from this message on.
+    :param slots_wanted: slots that the router would use.
     :param terms_checksum: checksum of the budget's terms in the router's plan.
     """
 
@@ -46,13 +47,13 @@
 
 
 class QuotaGrant(NamedTuple):
-    """The allocator's answer to one request.
+    """The allocator's grant for one request.
 
-    :param budget: its name, with the partition.
-    :param process_token: of the request.
-    :param sequence_number: of the request.
-    :param tokens: on top of what is left of earlier grants.
-    :param slots: in all, in place of those that the router kept.
+    :param budget: the budget's name, including the partition.
+    :param process_token: the request's process token.
+    :param sequence_number: the request's sequence number.
+    :param tokens: tokens in addition to what is left of earlier grants.
+    :param slots: total slots, replacing those that the router kept.
     """
 
     budget: str
@@ -63,9 +64,12 @@
 
 
 class QuotaRefusal(NamedTuple):
-    """A request that was not granted: which field is wrong, why, and what to do.
+    """The allocator's refusal of a request.
 
-    :param place: which field, a value of ``RefusedField`` or ``RefusedSlowStartField``.
+    :param place: the field that caused it, a value of ``RefusedField`` or ``RefusedSlowStartField``, or
+        ``name`` for a request in another member's name.
+    :param reason: why the request was refused.
+    :param remedy: what an operator can do about it.
     """
 
     place: str
@@ -74,11 +78,11 @@
 
 
 class HolderState(NamedTuple):
-    """One router's part in a budget, as the allocator knows it.
+    """The allocator's record of one router's share of a budget.
 
-    :param router: its name.
-    :param wanted_rate: tokens per second.
-    :param slots: that it may have in use.
+    :param router: the router's name.
+    :param wanted_rate: tokens per second that it would use.
+    :param slots: slots that it may have in use.
     :param last_request_age: microseconds since its last request.
     """
 
@@ -89,15 +93,16 @@
 
 
 class BudgetState(NamedTuple):
-    """A budget as its allocator sees it.
-
-    :param budget: its name, with the partition.
-    :param rate: tokens per second.
-    :param slots: requests in flight at a time.
-    :param tokens: in the bucket.
-    :param tokens_granted: since the allocator began.
-    :param slots_wait: microseconds until slots are granted; an earlier allocator's may be in use until then.
-    :param holders: the routers that ask for it.
+    """The allocator's state of a budget.
+
+    :param budget: the budget's name, including the partition.
+    :param rate: limit in tokens per second.
+    :param slots: limit of requests in flight at a time.
+    :param tokens: tokens in the bucket.
+    :param tokens_granted: tokens granted since the account was created.
+    :param slots_wait: microseconds until slots are granted, as an earlier allocator's may be in use until
+        then.
+    :param holders: the routers that request quota.
     """
 
     budget: str
--- a/quartzrouter/quota/slow_start_allocator.py
+++ b/quartzrouter/quota/slow_start_allocator.py
@@ -1,7 +1,7 @@
-"""Grants sending time at endpoints that have just started, to all routers. No I/O.
+"""Grants routers sending time at endpoints that have just started. No I/O.
 
-The allocator knows no endpoint by itself: each request tells how much all routers may send to one now, and
-the least that any router tells counts.
+The allocator has no information on endpoints of its own: each request states the sending time that all
+routers together may spend at an endpoint now, and the lowest limit that any router states applies.
 """
 
 from collections import deque
@@ -19,23 +19,26 @@
     SlowStartTerms,
 )
 
-MAX_ENDPOINTS = 4_096  # with an account: beyond it one without grants is forgotten, which bounds memory
-MAX_ROUTERS = 4_096  # per account: beyond it the one silent for longest is forgotten
-EVICTION_CANDIDATES = (
-    16  # accounts, the least recently requested, among which one without grants is looked for
-)
-MAX_NAME_LENGTH = 64  # characters of an endpoint's name
-DEMAND_MAX_AGE = 1 * SECOND  # microseconds for which a router's last request counts
+# Endpoints with an account, to bound memory; an account without grants is evicted.
+MAX_ENDPOINTS = 4_096
+# Routers per account, to bound memory; the one that has been silent for longest is evicted.
+MAX_ROUTERS = 4_096
+# Number of least recently requested accounts that are searched for one without grants.
+EVICTION_CANDIDATES = 16
+# Characters in an endpoint's name.
+MAX_NAME_LENGTH = 64
+# Microseconds for which a router's last request counts as demand.
+DEMAND_MAX_AGE = 1 * SECOND
 
 
 @dataclass(slots=True)
 class GrantedTime:
     """Sending time granted to one process of a router.
 
-    :param granted_at: microseconds.
-    :param router: its name.
-    :param process_token: of its process.
-    :param sending_time: microseconds, less what it has returned unused.
+    :param granted_at: time of the grant, in microseconds.
+    :param router: the router's name.
+    :param process_token: identifies the router's process.
+    :param sending_time: microseconds granted, less those returned unused.
     """
 
     granted_at: int
@@ -48,11 +51,12 @@
 class RouterDemand:
     """The last request of one router.
 
-    :param process_token: of the router's process.
-    :param sequence_number: of the request.
-    :param received_at: microseconds.
-    :param wanted: microseconds of sending time in a window.
-    :param limit: microseconds that all routers may spend in a window, as this router reckons.
+    :param process_token: identifies the router's process.
+    :param sequence_number: the request's sequence number.
+    :param received_at: time of receipt, in microseconds.
+    :param wanted: wanted sending time in a window, in microseconds.
+    :param limit: sending time that all routers may spend in a window according to this router, in
+        microseconds.
     """
 
     process_token: str
@@ -64,28 +68,28 @@
 
 @dataclass(slots=True)
 class EndpointAccount:
-    """What was granted of one endpoint, and who asks for it.
+    """The sending time granted at one endpoint, and the routers that request it.
 
-    :param grants: within an accounting period, oldest first.
-    :param demands: by router, the one silent for longest first.
+    :param grants: grants within an accounting period, oldest first.
+    :param demands: last requests by router, the router that has been silent for longest first.
     """
 
     grants: deque[GrantedTime] = field(default_factory=deque)
     demands: dict[str, RouterDemand] = field(default_factory=dict)
 
     def granted_since(self, since: int) -> int:
-        """Sending time granted after a time, microseconds; older grants are removed."""
+        """Returns the microseconds of sending time granted after a time, and removes older grants."""
         while self.grants and self.grants[0].granted_at <= since:
             self.grants.popleft()
         return sum(grant.sending_time for grant in self.grants)
 
-    def take_back(self, router: str, process_token: str, sending_time: int) -> None:
+    def subtract_unused(self, router: str, process_token: str, sending_time: int) -> None:
         """Subtracts sending time that expired unused from the process's oldest grants.
 
-        Which grants were used isn't known. With the oldest reduced, what was used counts as of the newest, so
-        for longer, and nothing is granted that may still be in use.
+        It is not known which grants were used. If the oldest are reduced, the time used is attributed to the
+        newest grants and counts for longer, so nothing is granted that may still be in use.
 
-        :param sending_time: microseconds.
+        :param sending_time: unused time in microseconds.
         """
         remaining = sending_time
         for grant in self.grants:
@@ -97,36 +101,37 @@
                 remaining -= returned
 
     def record_demand(self, router: str, demand: RouterDemand) -> None:
-        """Records a router's last request; the router that is silent for longest makes room for it."""
+        """Records a router's last request, and evicts the longest silent router if there are too many."""
         self.demands.pop(router, None)
         if len(self.demands) >= MAX_ROUTERS:
             del self.demands[next(iter(self.demands))]
         self.demands[router] = demand
 
     def recent_demands(self, now: int) -> list[RouterDemand]:
-        """The demands that count."""
+        """Returns the last requests that are recent enough to count as demand."""
         return [demand for demand in self.demands.values() if now - demand.received_at <= DEMAND_MAX_AGE]
 
 
 class SlowStartAllocator:
-    """Grants sending time, as much as each endpoint may be sent and as is wanted.
+    """Grants the wanted sending time within the limit of each endpoint.
 
-    Guards against an endpoint that falls over after a takeover: grants of an earlier allocator may be in
-    use for their time to live, and count in windows that end later, so nothing is granted until then.
+    Prevents an endpoint from being overloaded after a takeover: grants of an earlier allocator may be used
+    for their time to live and count in windows that end later, so nothing is granted for one accounting
+    period.
 
-    :param terms: by tier.
-    :param now: microseconds of the allocator's monotonic clock, at which it begins; so are all times.
+    :param terms: terms by tier.
+    :param now: start time in microseconds of the allocator's monotonic clock, as are all times.
     """
 
     def __init__(self, terms: dict[str, SlowStartTerms], now: int):
         self.terms = dict(terms)
-        self.accounts: dict[str, EndpointAccount] = {}  # by endpoint, the least recently requested first
-        # by tier: no sending time is granted before
+        self.accounts: dict[str, EndpointAccount] = {}  # by endpoint, least recently requested first
+        # By tier: no sending time is granted before that time.
         self.grants_blocked_until = {tier: now + each.accounting_period for tier, each in terms.items()}
-        self.refused = 0  # number of requests
+        self.refused = 0  # number of refused requests
 
     def replace(self, terms: dict[str, SlowStartTerms], now: int) -> None:
-        """Applies a new plan's terms: a changed tier grants nothing until its old grants are over."""
+        """Applies a new plan's terms: nothing is granted for a changed tier until its old grants are over."""
         for tier, new in terms.items():
             old = self.terms.get(tier)
             if old != new:
@@ -137,32 +142,39 @@
     def handle_request(
         self, request: SlowStartRequest, router: str, process_token: str, now: int
     ) -> SlowStartGrant | QuotaRefusal:
-        """Grants what is free for one request.
+        """Grants the available sending time for one request, or refuses the request.
 
-        :param router: its name, as its connection shows.
-        :param process_token: of its process, as its connection shows.
-        :param now: microseconds; the caller has just made sure that no other allocator has begun.
+        :param router: the router's name, as known from its connection.
+        :param process_token: identifies the router's process, as known from its connection.
+        :param now: current time in microseconds; the caller has just checked that no other allocator has
+            taken over.
         """
-        refusal = self._refusal(request)
+        refusal = self._check_request(request)
         if refusal:
             self.refused += 1
             return refusal
-        account = self._account(request.endpoint, now)
+        account = self._get_or_create_account(request.endpoint, now)
         if account is None:
             self.refused += 1
-            reason = f"{MAX_ENDPOINTS} servers are cold"
-            return QuotaRefusal(RefusedSlowStartField.ENDPOINT, reason, "nothing: they get warm")
+            reason = f"{MAX_ENDPOINTS} endpoints are in slow start"
+            return QuotaRefusal(
+                RefusedSlowStartField.ENDPOINT, reason, "none needed: slow start ends by itself"
+            )
         known = account.demands.get(router)
         if (
             known is not None
             and known.process_token == process_token
             and request.sequence_number <= known.sequence_number
         ):
-            account.demands[router] = account.demands.pop(router)  # late or doubled, but it isn't silent
+            account.demands[router] = account.demands.pop(router)  # late or duplicated, but not silent
             self.refused += 1
-            reason = f"ask {request.sequence_number} after {known.sequence_number}"
-            return QuotaRefusal(RefusedSlowStartField.SEQUENCE_NUMBER, reason, "nothing: a late word")
-        account.take_back(router, process_token, request.returned)
+            reason = f"request {request.sequence_number} arrived after request {known.sequence_number}"
+            return QuotaRefusal(
+                RefusedSlowStartField.SEQUENCE_NUMBER,
+                reason,
+                "none needed: the request was late or duplicated",
+            )
+        account.subtract_unused(router, process_token, request.returned)
         account.record_demand(
             router,
             RouterDemand(process_token, request.sequence_number, now, request.wanted, request.limit),
@@ -172,18 +184,22 @@
             account.grants.append(GrantedTime(now, router, process_token, sending_time))
         return SlowStartGrant(request.endpoint, request.sequence_number, sending_time)
 
-    def _refusal(self, request: SlowStartRequest) -> QuotaRefusal | None:
-        """Why a request can't be granted, by its fields."""
+    def _check_request(self, request: SlowStartRequest) -> QuotaRefusal | None:
+        """Returns a refusal if a field of the request is invalid, otherwise None."""
         terms = self.terms.get(request.tier)
         if terms is None:
-            reason = f"no part of cold {request.tier!r:.20}s is shared"
-            return QuotaRefusal(RefusedSlowStartField.TIER, reason, "read the plan anew")
+            reason = f"slow start of tier {request.tier!r:.20} is not shared"
+            return QuotaRefusal(RefusedSlowStartField.TIER, reason, "reload the plan")
         if request.terms_checksum != terms.terms_checksum:
-            reason = f"cold {request.tier}s have others here"
-            return QuotaRefusal(RefusedSlowStartField.TERMS_CHECKSUM, reason, "give both the same plan")
+            reason = f"slow start of tier {request.tier} has other terms in the ledger's plan"
+            return QuotaRefusal(
+                RefusedSlowStartField.TERMS_CHECKSUM,
+                reason,
+                "load the same plan in the router and the ledger",
+            )
         if not 0 < len(request.endpoint) <= MAX_NAME_LENGTH:
-            reason = f"{request.endpoint!r:.60} is no name"
-            return QuotaRefusal(RefusedSlowStartField.ENDPOINT, reason, "mend the sender")
+            reason = f"{request.endpoint!r:.60} is not a valid endpoint name"
+            return QuotaRefusal(RefusedSlowStartField.ENDPOINT, reason, "fix the sender")
         durations = (
             (RefusedSlowStartField.LIMIT, request.limit),
             (RefusedSlowStartField.WANTED, request.wanted),
@@ -193,21 +209,24 @@
         )
         for place, duration in durations:
             if not 0 <= duration <= MAX_SENDING_TIME:
-                return QuotaRefusal(place, f"{duration} is no time in us", "mend the sender")
+                return QuotaRefusal(place, f"{duration} is not a valid duration in us", "fix the sender")
         return None
 
-    def _account(self, endpoint: str, now: int) -> EndpointAccount | None:
-        """The account of an endpoint, moved to the end; None where there is no room for a new one."""
+    def _get_or_create_account(self, endpoint: str, now: int) -> EndpointAccount | None:
+        """Returns the account of an endpoint, creating it if necessary, as the most recently requested one.
+
+        :returns: the account, or None if there is no room for another one.
+        """
         account = self.accounts.pop(endpoint, None)
         if account is None:
-            if len(self.accounts) >= MAX_ENDPOINTS and not self._make_room(now):
+            if len(self.accounts) >= MAX_ENDPOINTS and not self._evict_unused(now):
                 return None
             account = EndpointAccount()
         self.accounts[endpoint] = account
         return account
 
-    def _make_room(self, now: int) -> bool:
-        """Evicts an account of which nothing is granted."""
+    def _evict_unused(self, now: int) -> bool:
+        """Evicts an account without current grants and returns True, if there is one."""
         since = now - self._longest_accounting_period()
         for endpoint in list(self.accounts)[:EVICTION_CANDIDATES]:
             if not self.accounts[endpoint].granted_since(since):
@@ -221,9 +240,9 @@
     def _sending_time(
         self, account: EndpointAccount, request: SlowStartRequest, router: str, now: int
     ) -> int:
-        """Microseconds for one router: its fair share, or one request's time where shares are less than that.
+        """Returns the microseconds to grant a router: its fair share, or one request's time if that is more.
 
-        Less than one request's time is of no use, so nothing is granted then.
+        Less than one request's time is of no use, so nothing is granted if less is available.
         """
         terms = self.terms[request.tier]
         if now < self.grants_blocked_until[request.tier]:
@@ -240,7 +259,7 @@
         return granted if granted >= max(1, request.request_time) else 0
 
     def states(self, now: int) -> list[SlowStartState]:
-        """Each endpoint that was asked for lately, for operators' commands."""
+        """Returns the state of each recently requested endpoint, for operators' commands."""
         since = now - self._longest_accounting_period()
         states = []
         for endpoint, account in self.accounts.items():
--- a/quartzrouter/quota/slow_start_client.py
+++ b/quartzrouter/quota/slow_start_client.py
@@ -1,4 +1,4 @@
-"""A router's side of slow start: the sending time that it was granted at starting endpoints. No I/O."""
+"""A router's part in slow start: requests and uses sending time at starting endpoints. No I/O."""
 
 from collections import deque
 from collections.abc import Callable, Sequence
@@ -14,16 +14,19 @@
 )
 from quartzrouter.routing.model import SlowStartDemand
 
-MAX_PENDING_REQUESTS = 64  # requests without an answer, per endpoint; the grant of an older one has expired
-MIN_WANTED_REQUESTS = 0.25  # requests per window: a demand below it is left to the guaranteed share
-SMOOTHING = 0.5  # weight of the time since the last request in the demand (exponential moving average)
+# Unanswered requests that are kept per endpoint; the grant of an older one has expired.
+MAX_PENDING_REQUESTS = 64
+# Requests per window; a lower demand is left to the guaranteed share.
+MIN_WANTED_REQUESTS = 0.25
+# Weight of the latest measurement in the demand, an exponential moving average.
+SMOOTHING = 0.5
 
 
 class SendingTimeGrant(NamedTuple):
-    """What is left of one grant.
+    """The unused sending time of one grant.
 
-    :param expires_at: microseconds of this router's clock.
-    :param sending_time: microseconds.
+    :param expires_at: expiry in microseconds of this router's clock.
+    :param sending_time: unused time in microseconds.
     """
 
     expires_at: int
@@ -32,15 +35,15 @@
 
 @dataclass(slots=True)
 class EndpointAllowance:
-    """What one router has of one starting endpoint, and wants of it.
-
-    :param tier: whose terms hold.
-    :param measured_at: when the demand was last measured, microseconds.
-    :param grants: the next to expire first.
-    :param pending_requests: sequence number of an unanswered request: when it was made.
-    :param wanted: microseconds of sending time per window, smoothed.
-    :param expired_unused: microseconds, to be returned with the next request.
-    :param request_time: microseconds of one request to the endpoint.
+    """One router's granted and wanted sending time at a starting endpoint.
+
+    :param tier: tier whose terms apply.
+    :param measured_at: time of the last measurement of demand, in microseconds.
+    :param grants: grants ordered by expiry, earliest first.
+    :param pending_requests: time of each unanswered request in microseconds, by sequence number.
+    :param wanted: smoothed demand, in microseconds of sending time per window.
+    :param expired_unused: microseconds that expired unused, to be returned with the next request.
+    :param request_time: sending time of one request to the endpoint, in microseconds.
     """
 
     tier: str
@@ -52,9 +55,9 @@
     request_time: int = 1
 
     def measure(self, demand: SlowStartDemand, window: int, now: int) -> None:
-        """Records what the routing decisions would have sent since the last measurement.
+        """Records the sending time that the routing decisions would have used since the last measurement.
 
-        :param window: microseconds.
+        :param window: length of the window in microseconds.
         """
         per_window = demand.demand * window / max(1, now - self.measured_at)
         smoothed = self.wanted + SMOOTHING * (per_window - self.wanted)
@@ -63,12 +66,12 @@
         self.request_time = min(MAX_SENDING_TIME, demand.largest_request or self.request_time)
 
     @property
-    def is_worth_a_request(self) -> bool:
-        """Whether enough is wanted, or something is to be returned."""
+    def needs_request(self) -> bool:
+        """Returns True if the demand is large enough, or unused sending time is to be returned."""
         return self.wanted >= self.request_time * MIN_WANTED_REQUESTS or self.expired_unused > 0
 
     def spend(self, sending_time: int) -> None:
-        """Subtracts microseconds of sending time from the grants that expire first."""
+        """Subtracts microseconds of sending time, first from the grants that expire first."""
         while sending_time > 0 and self.grants:
             first = self.grants.popleft()
             if first.sending_time > sending_time:
@@ -77,37 +80,38 @@
             sending_time -= first.sending_time
 
     def drop_expired(self, now: int) -> None:
-        """Removes expired grants and counts them as to be returned."""
+        """Removes expired grants and adds them to the time to be returned."""
         while self.grants and self.grants[0].expires_at <= now:
             self.expired_unused += self.grants.popleft().sending_time
 
 
 class SlowStartClient:
-    """The sending time of a router at all starting endpoints.
+    """A router's sending time at all starting endpoints.
 
-    :param terms: by tier.
-    :param steady_clock: reads this machine's monotonic clock, microseconds: a process that is stopped may
-        wake after a grant's end.
+    :param terms: terms by tier.
+    :param steady_clock: returns the time of this machine's monotonic clock in microseconds. It is read for
+        each decision, as a process that is suspended may resume after a grant has expired.
     """
 
     def __init__(self, terms: dict[str, SlowStartTerms], steady_clock: Callable[[], int]):
         self.terms = dict(terms)
         self.steady_clock = steady_clock
         self.allowances: dict[str, EndpointAllowance] = {}
-        # Microseconds by endpoint.  The routing decisions take from it, and refresh() settles what they took.
+        # Microseconds by endpoint.  Routing decisions subtract what they use, and refresh() deducts that from
+        # the grants.
         self.sending_time_left: dict[str, int] = {}
         self.sending_time_at_refresh: dict[str, int] = {}
         self.last_sequence_number = 0
         self.invalid_grants = 0
 
     def refresh(self) -> None:
-        """To be called before each decision: what has expired is there no more."""
+        """Updates the sending time left, without expired grants; to be called before each decision."""
         if self.allowances or self.sending_time_left:
-            self._settle()
+            self._subtract_used()
             self._update_sending_time_left(self.steady_clock())
 
-    def _settle(self) -> None:
-        """Subtracts what was used since the last refresh from the grants."""
+    def _subtract_used(self) -> None:
+        """Subtracts the sending time used since the last refresh from the grants."""
         for endpoint, before in self.sending_time_at_refresh.items():
             allowance = self.allowances.get(endpoint)
             if allowance:
@@ -123,13 +127,13 @@
         self.sending_time_at_refresh = dict(self.sending_time_left)
 
     def due_requests(self, demands: Sequence[SlowStartDemand]) -> tuple[SlowStartRequest, ...]:
-        """The requests to send now.
+        """Returns the requests to send now.
 
-        :param demands: of the endpoints that have started lately, as the routing decisions see them.
+        :param demands: demand at recently started endpoints, as measured by the routing decisions.
         """
         now = self.steady_clock()
         demand_by_endpoint = {demand.endpoint: demand for demand in demands}
-        self._forget_all_but(demand_by_endpoint)
+        self._keep_only(demand_by_endpoint)
         self.refresh()
         requests = []
         for endpoint, demand in demand_by_endpoint.items():
@@ -142,12 +146,12 @@
                 allowance = EndpointAllowance(demand.tier.value, now - terms.request_interval)
                 self.allowances[endpoint] = allowance
             allowance.measure(demand, terms.window, now)
-            if allowance.is_worth_a_request:
+            if allowance.needs_request:
                 requests.append(self._request(allowance, demand, terms, now))
         return tuple(requests[:MAX_REQUESTS_PER_MESSAGE])
 
-    def _forget_all_but(self, endpoints: dict[str, SlowStartDemand]) -> None:
-        """Endpoints that have warmed up, or are gone, need no sending time."""
+    def _keep_only(self, endpoints: dict[str, SlowStartDemand]) -> None:
+        """Removes the allowances of endpoints that have warmed up or are gone."""
         for endpoint in [endpoint for endpoint in self.allowances if endpoint not in endpoints]:
             del self.allowances[endpoint]
 
@@ -174,9 +178,9 @@
         )
 
     def apply_grants(self, grants: Sequence[SlowStartGrant]) -> None:
-        """Applies grants of the allocator, each once.
+        """Applies the allocator's grants, each once.
 
-        Guards against doubled and foreign grants: only a pending request's grant counts.
+        Duplicated and foreign grants are ignored: a grant counts only if its request is pending.
         """
         self.refresh()
         now = self.steady_clock()
@@ -195,5 +199,5 @@
         self._update_sending_time_left(now)
 
     def request_interval(self) -> int | None:
-        """Microseconds until the next look for demand; None where no slow start is shared."""
+        """Returns the microseconds until the next check for demand, or None if no slow start is shared."""
         return min((terms.request_interval for terms in self.terms.values()), default=None)
--- a/quartzrouter/quota/slow_start_messages.py
+++ b/quartzrouter/quota/slow_start_messages.py
@@ -1,11 +1,11 @@
-"""Slow start of an endpoint, shared by all routers: its terms, and the messages on it. No I/O.
+"""Terms and messages of slow start, which all routers share. No I/O.
 
-An endpoint that has just started falls over when it is sent more than it can do within a window.  Each
-router may spend an equal part of a guaranteed share without asking; the rest is granted, as *sending time*
-in microseconds.
+An endpoint that has just started is overloaded if it is sent more than it can process within a window.  Each
+router may use an equal part of a guaranteed share without a grant; the rest is granted, as *sending time* in
+microseconds.
 
-The named tuples travel as arrays: the order and the types of the fields are the format on the wire, the names
-are not.
+The named tuples are encoded as arrays: the order and the types of their fields are the wire format, while the
+names are not sent.
 """
 
 from enum import StrEnum
@@ -14,12 +14,14 @@
 
 from quartzrouter.quota.budget import REQUESTS_PER_TTL, SECOND, clock_slack
 
-MAX_REQUESTS_PER_MESSAGE = 512  # endpoints in one message: bounds its length
-MAX_SENDING_TIME = 3_600 * SECOND  # microseconds in one message: more can't be meant
+# Endpoints in one message, to limit its length.
+MAX_REQUESTS_PER_MESSAGE = 512
+# Microseconds in one field of a message; a larger value is invalid.
+MAX_SENDING_TIME = 3_600 * SECOND
 
 
 class RefusedSlowStartField(StrEnum):
-    """The field of a ``SlowStartRequest`` on account of which it is refused; the values travel."""
+    """The field of a ``SlowStartRequest`` that caused a refusal; the values are sent to routers."""
 
     ENDPOINT = "server"
     TIER = "tier"
@@ -33,12 +35,12 @@
 
 
 class SlowStartTerms(NamedTuple):
-    """Terms of all endpoints of one tier, by the plan.
+    """The plan's terms for all endpoints of one tier.
 
-    :param window: microseconds in which a starting endpoint falls over when it is sent too much.
-    :param guaranteed_share: of what it may be sent, from 0 to 1, that routers send without asking.
-    :param routers: the most that there may be.
-    :param grant_ttl: time to live of a grant, microseconds.
+    :param window: microseconds within which too much sending time overloads a starting endpoint.
+    :param guaranteed_share: share of an endpoint's limit, from 0 to 1, that routers may use without a grant.
+    :param routers: the maximum number of routers.
+    :param grant_ttl: time to live of a grant, in microseconds.
     """
 
     window: int
@@ -48,39 +50,41 @@
 
     @property
     def terms_checksum(self) -> int:
-        """Checksum of the terms, by which router and allocator notice that their plans differ."""
+        """Returns a checksum of the terms, so that router and allocator can detect different plans."""
         return crc32(repr(tuple(self)).encode())
 
     @property
     def accounting_period(self) -> int:
-        """Microseconds in which grants count together: a window, and the time in which they may be used."""
+        """Returns the microseconds for which a grant counts: a window and the time until it expires."""
         return self.window + self.grant_ttl + clock_slack(self.window + self.grant_ttl)
 
     @property
     def request_interval(self) -> int:
-        """Microseconds between two requests of a router."""
+        """Returns the microseconds between two requests of a router."""
         return max(1, self.grant_ttl // REQUESTS_PER_TTL)
 
     def grant_expiry(self, requested_at: int) -> int:
-        """When a grant expires at its holder, as of ``Budget.grant_expiry``.
+        """Returns when a grant expires at its holder; see ``Budget.grant_expiry``.
 
-        :param requested_at: microseconds of the holder's clock.
+        :param requested_at: time of the request, in microseconds of the holder's clock.
         """
         return requested_at + self.grant_ttl - clock_slack(self.grant_ttl)
 
 
 class SlowStartRequest(NamedTuple):
-    """A router asks for sending time at one endpoint.
+    """A router's request for sending time at one endpoint.
 
-    :param endpoint: its name.
-    :param tier: whose terms hold.
+    :param endpoint: the endpoint's name.
+    :param tier: tier whose terms apply.
     :param sequence_number: counts the requests of the router's process from 1.
-    :param limit: microseconds of sending time that all routers together may spend on it in a window now.
-    :param wanted: microseconds that this router would spend in a window, what it sent elsewhere included.
+    :param limit: sending time that all routers together may use at the endpoint in a window now, in
+        microseconds.
+    :param wanted: sending time that this router would use in a window, including what it sent elsewhere, in
+        microseconds.
     :param sending_time_left: microseconds that are granted and not used.
-    :param request_time: microseconds of one request to the endpoint; less than that is of no use.
+    :param request_time: sending time of one request to the endpoint, in microseconds; less is of no use.
     :param terms_checksum: checksum of the terms in the router's plan.
-    :param returned: microseconds of grants that have expired unused, told once.
+    :param returned: microseconds of grants that have expired unused, reported once.
     """
 
     endpoint: str
@@ -95,11 +99,11 @@
 
 
 class SlowStartGrant(NamedTuple):
-    """The allocator's answer to one request.
+    """The allocator's grant for one request.
 
-    :param endpoint: of the request.
-    :param sequence_number: of the request.
-    :param sending_time: microseconds, on top of what is left of earlier grants.
+    :param endpoint: the endpoint in the request.
+    :param sequence_number: the request's sequence number.
+    :param sending_time: microseconds, in addition to what is left of earlier grants.
     """
 
     endpoint: str
@@ -108,12 +112,13 @@
 
 
 class SlowStartState(NamedTuple):
-    """A starting endpoint as the allocator sees it.
+    """The allocator's state of a starting endpoint.
 
-    :param endpoint: its name.
-    :param granted: microseconds of sending time within the last accounting period.
-    :param limit: microseconds that all routers may spend on it in a window, the guaranteed share included.
-    :param routers: how many have asked lately.
+    :param endpoint: the endpoint's name.
+    :param granted: sending time granted within the last accounting period, in microseconds.
+    :param limit: sending time that all routers may use in a window, including the guaranteed share, in
+        microseconds.
+    :param routers: number of routers with a recent request.
     """
 
     endpoint: str
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -252,8 +252,8 @@
     late_answer: (LocalQuota, "apply_grant", quota_mutations.grant_counts_from_answer),
     overtaken_answer: (LocalQuota, "apply_grant", quota_mutations.older_grant_sets_slots),
     lost_answer: (LocalQuota, "next_request", quota_mutations.request_does_not_confine),
-    late_request: (QuotaAllocator, "_refusal", quota_mutations.late_request_is_granted),
-    restart: (QuotaAllocator, "_holder", quota_mutations.former_process_forgotten),
+    late_request: (QuotaAllocator, "_check_request", quota_mutations.late_request_is_granted),
+    restart: (QuotaAllocator, "_get_or_create_holder", quota_mutations.former_process_forgotten),
 }
 
 
@@ -340,7 +340,10 @@
     assert counters.late_grants == 3 and counters.cut_off
     assert not client.quotas["fills"].tokens_left(clock.now)
     said = describe_changes(counters, QuotaCounters())
-    assert f"3 grants came after their end, the last grant after {3 * RATE.grant_ttl // 1_000} ms" in said
+    assert (
+        f"3 grants arrived after they had expired, the last grant took {3 * RATE.grant_ttl // 1_000} ms"
+        in said
+    )
 
 
 @given(st.lists(st.floats(0, 1e6), min_size=1, max_size=12), st.floats(0.1, 1e6))
@@ -430,7 +433,7 @@
 
 def test_a_late_request_in_the_model(monkeypatch):
     """Two requests arrive in the wrong order at an allocator that doesn't compare their numbers."""
-    monkeypatch.setattr(QuotaAllocator, "_refusal", quota_mutations.late_request_is_granted)
+    monkeypatch.setattr(QuotaAllocator, "_check_request", quota_mutations.late_request_is_granted)
     model = QuotaModel(Bounds(steps=0))
     world = model.start()
     for action in [
