--- a/quartzrouter/fleet_health/__init__.py
+++ b/quartzrouter/fleet_health/__init__.py
@@ -1,4 +1,4 @@
-"""Health of the caches of a store, put together from what all its routers report. No I/O.
+"""Health of the caches of a store, aggregated from the reports of all its routers. No I/O.
 
 ``aggregator`` runs in the purge log's server, ``accepted_ejections`` in each router.
 """
--- a/quartzrouter/fleet_health/aggregator.py
+++ b/quartzrouter/fleet_health/aggregator.py
@@ -1,4 +1,4 @@
-"""Puts together the reports of all routers: which caches to eject, and how busy each is. No I/O."""
+"""Aggregates the reports of all routers: which caches to eject, and how busy each is. No I/O."""
 
 from quartzrouter.fleet_health.ejection import EjectionDecider
 from quartzrouter.fleet_health.messages import LOAD_UNKNOWN, CacheLoad, CacheObservation, EjectionVerdict
@@ -13,10 +13,10 @@
 
 
 class HealthAggregator:
-    """The reports of all routers; all times are microseconds of the purge log's monotonic clock."""
+    """Holds the reports of all routers; all times are microseconds of the purge log's monotonic clock."""
 
     def __init__(self) -> None:
-        self.reports: dict[str, RouterReport] = {}  # by router, the one silent for longest first
+        self.reports: dict[str, RouterReport] = {}  # by router, longest silent first
         self.ejections = EjectionDecider()
         self.invalid_reports = 0
 
@@ -31,12 +31,12 @@
     ) -> bool:
         """Records a router's report; an invalid one is counted and ignored as a whole.
 
-        Of a cache that isn't mentioned the router has no news, and nothing in flight there.
+        A cache that is not mentioned has nothing new to report, and no attempt of the router in flight.
 
-        :param router: its name, as its connection shows.
-        :param process_token: of its process, as its connection shows.
-        :param known_caches: how many caches the router knows.
-        :returns: whether the report is valid.
+        :param router: the router's name, as known from its connection.
+        :param process_token: identifies the router's process, as known from its connection.
+        :param known_caches: number of caches that the router knows.
+        :returns: True if the report is valid.
         """
         if not is_valid_report(observations, known_caches):
             self.invalid_reports += 1
@@ -49,28 +49,28 @@
         return True
 
     def remove_router(self, router: str) -> None:
-        """A router has ended: nothing of it is in flight any more."""
+        """Removes a router that has ended, so it has nothing in flight any more."""
         self.reports.pop(router, None)
 
     def expire(self, now: int) -> None:
-        """Forgets routers that are silent for long: what they had in flight must be over."""
+        """Removes routers that have been silent for long, as their requests in flight must have ended."""
         silent = [name for name, report in self.reports.items() if now - report.received_at > SILENCE_LIMIT]
         for name in silent:
             del self.reports[name]
 
     def stores(self) -> list[str]:
-        """The stores whose routers report, sorted."""
+        """Returns the stores whose routers report, sorted."""
         return sorted({report.store for report in self.reports.values()})
 
     def verdicts(self, store: str, now: int) -> tuple[EjectionVerdict, ...]:
-        """The caches of a store that are to be ejected now."""
+        """Returns the caches of a store that are to be ejected now."""
         return self.ejections.verdicts(store, self._fresh_reports(store, now), now)
 
     def loads(self, store: str, now: int) -> tuple[CacheLoad, ...]:
-        """How busy the caches of a store are.
+        """Returns how busy the caches of a store are.
 
-        Guards against a cache that looks idle because a router is silent: what is too old is unknown, and so
-        is each sum that lacks it.
+        Prevents a cache from looking idle because a router is silent: a report that is too old is ignored,
+        and sums that lack a router's report are unknown.
         """
         reports = self._fresh_reports(store, now)
         routers = sum(report.store == store for report in self.reports.values())
@@ -87,16 +87,19 @@
 
 
 def _load(cache: str, reports: dict[str, RouterReport], has_silent_router: bool, now: int) -> CacheLoad:
-    using = [report for report in reports.values() if cache in report.observations]
-    observations = [report.observations[cache] for report in using]
-    age = max(now - report.received_at for report in using)
+    reporting = [report for report in reports.values() if cache in report.observations]
+    observations = [report.observations[cache] for report in reporting]
+    age = max(now - report.received_at for report in reporting)
     error_bound = sum(
-        _attempts_since(report, seen, now) for report, seen in zip(using, observations, strict=True)
+        _attempts_since(report, observation, now)
+        for report, observation in zip(reporting, observations, strict=True)
     )
-    in_flight = LOAD_UNKNOWN if has_silent_router else sum(seen.in_flight for seen in observations)
-    return CacheLoad(cache, in_flight, age, error_bound, len(using))
+    in_flight = (
+        LOAD_UNKNOWN if has_silent_router else sum(observation.in_flight for observation in observations)
+    )
+    return CacheLoad(cache, in_flight, age, error_bound, len(reporting))
 
 
-def _attempts_since(report: RouterReport, seen: CacheObservation, now: int) -> int:
-    """Attempts that a router may have started since its report, at its last pace, rounded up."""
-    return -(-seen.started * (now - report.received_at) // report.interval)
+def _attempts_since(report: RouterReport, observation: CacheObservation, now: int) -> int:
+    """Returns the attempts that a router may have started since its report at its last rate, rounded up."""
+    return -(-observation.started * (now - report.received_at) // report.interval)
--- a/quartzrouter/fleet_health/ejection.py
+++ b/quartzrouter/fleet_health/ejection.py
@@ -1,8 +1,8 @@
-"""Which caches of a store all its routers are to eject. No I/O.
+"""Decides which caches of a store all its routers are to eject. No I/O.
 
-An ejection needs a quorum of reporters, and more of them than of routers that the cache serves well.  Few
-caches of a store are ever ejected this way, and each ejection expires by itself.  All times are
-microseconds.
+An ejection needs a quorum of routers that report failures, and more of them than of routers that the cache
+serves well.  Only a limited share of a store's caches is ejected this way, and each ejection expires by
+itself.  All times are in microseconds.
 """
 
 from collections.abc import Mapping, Sequence
@@ -13,23 +13,31 @@
 from quartzrouter.fleet_health.reports import MIN_FAILURES, RecentOutcomes, RouterReport
 from quartzrouter.quota.budget import SECOND
 
-MIN_REPORTERS = 2  # quorum: one router alone takes no cache from the others
-MIN_ERRORS = 3  # decayed failures over all reporters: fewer are chance
-MIN_ERROR_SHARE = 0.25  # of failures in a cache's outcomes, over all reporters ...
-PEER_ERROR_FACTOR = 2  # ... and by how much it must exceed the share at the other caches
-MAX_EJECTED_SHARE = 1 / 3  # of a store's caches: the others must be able to carry the load
-BASE_EJECTION_TIME = 1 * SECOND  # of an ejection, after the last report that confirms it
-MAX_EJECTION_TIME = 8 * SECOND  # of a cache that is ejected again and again: twice as long each time
-EJECTION_MEMORY = 30 * SECOND  # after an ejection's end, from which the next one is as short as the first
+# Quorum of routers that report failures: one router alone cannot eject a cache for the others.
+MIN_REPORTERS = 2
+# Decayed failures over all reporters; fewer may be due to chance.
+MIN_ERRORS = 3
+# A cache is an outlier if its share of failures over all reporters exceeds both this value ...
+MIN_ERROR_SHARE = 0.25
+# ... and this multiple of the share at the other caches.
+PEER_ERROR_FACTOR = 2
+# Maximum share of a store's caches that are ejected: the others must be able to carry the load.
+MAX_EJECTED_SHARE = 1 / 3
+# Duration of an ejection after the last report that confirms it.
+BASE_EJECTION_TIME = 1 * SECOND
+# Maximum duration for a cache that is ejected repeatedly; the duration doubles each time.
+MAX_EJECTION_TIME = 8 * SECOND
+# Time after the end of an ejection from which the next one has the base duration again.
+EJECTION_MEMORY = 30 * SECOND
 
 
 @dataclass(slots=True)
 class EjectionRecord:
-    """A cache that is or was ejected.
+    """The current or last ejection of a cache.
 
-    :param expires_at: microseconds; 0 before the first ejection.
+    :param expires_at: expiry in microseconds; 0 before the first ejection.
     :param duration: microseconds of the current or last ejection.
-    :param failures: that the reporters told of when it was last confirmed.
+    :param failures: failures that were reported when the ejection was last confirmed.
     """
 
     expires_at: int = 0
@@ -37,7 +45,7 @@
     failures: int = 0
 
     def confirm(self, failures: int, now: int) -> None:
-        """Begins an ejection, or prolongs the current one."""
+        """Begins an ejection, or extends the current one."""
         if self.expires_at <= now:
             is_repeated = self.expires_at and now - self.expires_at < EJECTION_MEMORY
             self.duration = min(MAX_EJECTION_TIME, 2 * self.duration) if is_repeated else BASE_EJECTION_TIME
@@ -46,12 +54,12 @@
 
 
 class CacheVotes(NamedTuple):
-    """What the reporters say of one cache.
+    """The reporters' votes on one cache.
 
-    :param cache: its name.
-    :param failing: names of routers that it fails.
-    :param served_well: names of routers that it serves well.
-    :param ejected: how many routers have ejected it by themselves.
+    :param cache: the cache's name.
+    :param failing: names of routers with recent failures at the cache.
+    :param served_well: names of routers that the cache serves well.
+    :param ejected: number of routers that have ejected the cache by their own decision.
     """
 
     cache: str
@@ -61,21 +69,22 @@
 
     @property
     def margin(self) -> int:
-        """By how many routers those that it fails outnumber the others."""
+        """Returns the number of routers with failures, less the number that are served well."""
         return len(self.failing) - len(self.served_well)
 
 
 class OutcomeSum(NamedTuple):
-    """Decayed attempts, over several routers."""
+    """Decayed numbers of attempts, summed over several routers."""
 
     succeeded: float
     failed: float
 
 
 class CandidateVerdict(NamedTuple):
-    """A verdict before the limit on ejected caches.
+    """A verdict before the limit on ejected caches is applied.
 
-    :param margin: of the votes; 0 where a current ejection is not confirmed, but has not expired either.
+    :param margin: margin of the votes; 0 if a current ejection is not confirmed, but has not expired either.
+    :param verdict: the verdict.
     """
 
     margin: int
@@ -83,7 +92,7 @@
 
 
 class EjectionDecider:
-    """Decides on ejections, and remembers them."""
+    """Decides on ejections, and keeps a record of them."""
 
     def __init__(self) -> None:
         self.records: dict[tuple[str, str], EjectionRecord] = {}  # by store and cache
@@ -91,25 +100,25 @@
     def verdicts(
         self, store: str, reports: Mapping[str, RouterReport], now: int
     ) -> tuple[EjectionVerdict, ...]:
-        """The caches of a store that are to be ejected now.
+        """Returns the caches of a store that are to be ejected now.
 
-        :param reports: those of the store's routers that are fresh, by router.
+        :param reports: fresh reports of the store's routers, by router.
         """
         reporters = {name: report for name, report in sorted(reports.items()) if not report.is_cut_off}
         total = _sum([outcomes for report in reporters.values() for outcomes in report.outcomes.values()])
-        found = []
+        candidates = []
         for cache in self._candidates(store, reporters, now):
-            candidate = self._judge(store, cache, reporters, total, now)
+            candidate = self._evaluate_cache(store, cache, reporters, total, now)
             if candidate:
-                found.append(candidate)
-        found.sort(key=lambda candidate: (-candidate.margin, candidate.verdict.cache))
+                candidates.append(candidate)
+        candidates.sort(key=lambda candidate: (-candidate.margin, candidate.verdict.cache))
         self._forget_old_records(now)
         known_caches = max((report.known_caches for report in reports.values()), default=0)
-        most = int(MAX_EJECTED_SHARE * known_caches)
-        return tuple(self._enforce(store, candidate, now) for candidate in found[:most])
+        max_ejected = int(MAX_EJECTED_SHARE * known_caches)
+        return tuple(self._record_ejection(store, candidate, now) for candidate in candidates[:max_ejected])
 
     def _candidates(self, store: str, reporters: Mapping[str, RouterReport], now: int) -> set[str]:
-        """Caches that a reporter has seen fail, and those that are ejected."""
+        """Returns the caches at which a reporter has observed failures, and those that are ejected."""
         failing = {
             cache
             for report in reporters.values()
@@ -117,15 +126,17 @@
             if outcomes.has_failures
         }
         ejected = {
-            cache for (of, cache), record in self.records.items() if of == store and record.expires_at > now
+            cache
+            for (record_store, cache), record in self.records.items()
+            if record_store == store and record.expires_at > now
         }
         return failing | ejected
 
-    def _judge(
+    def _evaluate_cache(
         self, store: str, cache: str, reporters: Mapping[str, RouterReport], total: OutcomeSum, now: int
     ) -> CandidateVerdict | None:
-        """The verdict on one cache, where it is to be ejected or is ejected still."""
-        votes = _votes(reporters, cache)
+        """Returns the verdict on one cache, or None if it is neither to be ejected nor still ejected."""
+        votes = _count_votes(reporters, cache)
         own = _sum([each.outcomes[cache] for each in reporters.values() if cache in each.outcomes])
         verdict = EjectionVerdict(cache, 0, votes.failing, votes.served_well, round(own.failed))
         has_quorum = len(votes.failing) >= MIN_REPORTERS and votes.margin > 0
@@ -136,8 +147,8 @@
             return CandidateVerdict(0, verdict._replace(failures=record.failures))
         return None
 
-    def _enforce(self, store: str, candidate: CandidateVerdict, now: int) -> EjectionVerdict:
-        """Begins an ejection, or goes on with it for as long as it is confirmed."""
+    def _record_ejection(self, store: str, candidate: CandidateVerdict, now: int) -> EjectionVerdict:
+        """Begins an ejection, or extends the current one if it is confirmed; returns the updated verdict."""
         verdict = candidate.verdict
         record = self.records.setdefault((store, verdict.cache), EjectionRecord())
         if candidate.margin > 0:
@@ -151,13 +162,13 @@
 
 
 def accepted_ejections(verdicts: Sequence[EjectionVerdict], known_caches: int, now: int) -> dict[str, int]:
-    """What a router obeys of the verdicts that it receives.
+    """Returns the ejections that a router accepts from the verdicts that it receives.
 
-    Guards against a faulty aggregator: whatever it says, few caches are ejected, and none for long.
+    Limits the effect of a faulty aggregator: whatever it sends, few caches are ejected, and none for long.
 
-    :param known_caches: how many caches the router knows.
-    :param now: microseconds of the router's clock.
-    :returns: by cache, until when it is ejected, microseconds of the same clock.
+    :param known_caches: number of caches that the router knows.
+    :param now: current time in microseconds of the router's clock.
+    :returns: expiry of each ejection in microseconds of the same clock, by cache.
     """
     accepted = verdicts[: int(MAX_EJECTED_SHARE * known_caches)]
     return {
@@ -167,8 +178,8 @@
     }
 
 
-def _votes(reporters: Mapping[str, RouterReport], cache: str) -> CacheVotes:
-    """What each reporter that has used a cache lately says of it."""
+def _count_votes(reporters: Mapping[str, RouterReport], cache: str) -> CacheVotes:
+    """Counts the votes of the reporters that have recently used a cache."""
     failing, served_well = [], []
     ejected = 0
     for name, report in reporters.items():
@@ -184,12 +195,12 @@
 
 
 def _is_outlier(own: OutcomeSum, total: OutcomeSum) -> bool:
-    """Whether a cache fails far more often than the others do.
+    """Returns True if a cache fails far more often than the others do.
 
-    Guards against ejections for errors that all caches show, those of the origin say.
+    Prevents ejections for errors that occur at all caches, such as those of the origin.
 
-    :param own: over all reporters, at this cache.
-    :param total: over all reporters, at all caches.
+    :param own: outcomes at this cache, over all reporters.
+    :param total: outcomes at all caches, over all reporters.
     """
     peer_attempts = total.succeeded + total.failed - own.succeeded - own.failed
     peer_error_share = (total.failed - own.failed) / max(1.0, peer_attempts)
--- a/quartzrouter/fleet_health/messages.py
+++ b/quartzrouter/fleet_health/messages.py
@@ -1,21 +1,23 @@
 """Messages on the health of caches, between routers and the aggregator. No I/O.
 
-These named tuples travel as arrays: the order and the types of the fields are the format on the wire, the
-names are not.
+The named tuples are encoded as arrays: the order and the types of their fields are the wire format, while the
+names are not sent.
 """
 
 from typing import NamedTuple
 
 
 class CacheObservation(NamedTuple):
-    """What one router knows of one cache, by its own requests and health checks; without news none is sent.
-
-    :param cache: its name.
-    :param ejected: the router has ejected it by itself.
-    :param succeeded: attempts since the last report.
-    :param failed: attempts since the last report.
-    :param in_flight: attempts.
-    :param started: attempts since the last report.
+    """One router's observations of one cache, from its own requests and health checks.
+
+    It is sent only if there is something to report.
+
+    :param cache: the cache's name.
+    :param ejected: True if the router has ejected the cache by its own decision.
+    :param succeeded: attempts that succeeded since the last report.
+    :param failed: attempts that failed since the last report.
+    :param in_flight: attempts in flight.
+    :param started: attempts started since the last report.
     """
 
     cache: str
@@ -29,11 +31,11 @@
 class EjectionVerdict(NamedTuple):
     """A cache that all routers of a store are to eject.
 
-    :param cache: its name.
-    :param expires_in: microseconds from the sending; a router counts them from when it receives the verdict.
-    :param reported_by: routers that it fails.
-    :param contradicted_by: routers that it serves well.
-    :param failures: attempts that the reporters have told of.
+    :param cache: the cache's name.
+    :param expires_in: microseconds from when the verdict is sent; a router counts them from its receipt.
+    :param reported_by: routers that have reported failures.
+    :param contradicted_by: routers that the cache serves well.
+    :param failures: failed attempts that were reported.
     """
 
     cache: str
@@ -44,13 +46,14 @@
 
 
 class CacheLoad(NamedTuple):
-    """How busy a cache is, by all routers of its store.
-
-    :param cache: its name.
-    :param in_flight: attempts; ``LOAD_UNKNOWN`` where a router that may use the cache has been silent.
-    :param age: microseconds of the oldest figure in it.
-    :param error_bound: attempts by which it may be off: those started since the figures, at the last pace.
-    :param routers: that report on it.
+    """The load of a cache, as reported by all routers of its store.
+
+    :param cache: the cache's name.
+    :param in_flight: attempts in flight; ``LOAD_UNKNOWN`` if a router that may use the cache is silent.
+    :param age: age of the oldest report included, in microseconds.
+    :param error_bound: number of attempts by which ``in_flight`` may be wrong: those that may have been
+        started since the reports, at the last rate.
+    :param routers: number of routers that report on the cache.
     """
 
     cache: str
--- a/quartzrouter/fleet_health/reports.py
+++ b/quartzrouter/fleet_health/reports.py
@@ -1,6 +1,6 @@
-"""What the routers have reported of their caches, as far as it counts still. No I/O.
+"""Validation of the routers' health reports, and the outcomes in them, which decay with age. No I/O.
 
-All times are microseconds of the aggregator's monotonic clock.
+All times are in microseconds of the aggregator's monotonic clock.
 """
 
 from collections.abc import Iterable, Sequence
@@ -9,28 +9,41 @@
 from quartzrouter.fleet_health.messages import CacheObservation
 from quartzrouter.quota.budget import SECOND, clock_slack
 
-REPORT_TTL = 1 * SECOND  # microseconds for which a report counts: five intervals, so four may be lost
-REPORT_INTERVAL = REPORT_TTL // 5  # microseconds between two reports of a router, and two answers
-URGENT_REPORT_INTERVAL = REPORT_INTERVAL // 5  # the same where an attempt has failed
-SILENCE_LIMIT = 30 * SECOND  # microseconds after which a silent router is taken for ended
-OUTCOME_HALF_LIFE = 500_000  # microseconds in which the weight of an outcome halves
-NEGLIGIBLE_OUTCOMES = 0.05  # decayed attempts: less than that is forgotten
-MIN_FAILURES = 0.3  # decayed attempts: one failure within the last second
-FAILING_SHARE = 0.5  # of failures, above which a cache fails a router
-CUT_OFF_SHARE = 0.5  # of caches that fail a router, above which the router itself is taken for cut off
-MAX_OBSERVATIONS = 1_024  # caches in one report
-MAX_ROUTERS = 4_096  # beyond it the one silent for longest is forgotten, which bounds memory
-MAX_FIGURE = 1_000_000  # of one figure in a report: more can't be meant
-MAX_NAME_LENGTH = 64  # characters of a cache's name
+# Microseconds for which a report counts: five intervals, so four reports may be lost.
+REPORT_TTL = 1 * SECOND
+# Microseconds between two reports of a router, and between two messages with verdicts.
+REPORT_INTERVAL = REPORT_TTL // 5
+# Microseconds between two reports or messages with verdicts if an attempt has failed.
+URGENT_REPORT_INTERVAL = REPORT_INTERVAL // 5
+# Microseconds after which a silent router is considered to have ended.
+SILENCE_LIMIT = 30 * SECOND
+# Microseconds in which the weight of an outcome halves.
+OUTCOME_HALF_LIFE = 500_000
+# Decayed attempts; fewer are removed.
+NEGLIGIBLE_OUTCOMES = 0.05
+# Decayed attempts: about one failure within the last second.
+MIN_FAILURES = 0.3
+# Share of failed attempts above which a cache counts as failing for a router.
+FAILING_SHARE = 0.5
+# Share of failing caches above which the router itself is considered cut off.
+CUT_OFF_SHARE = 0.5
+# Caches in one report.
+MAX_OBSERVATIONS = 1_024
+# Routers with a report, to bound memory; the one that has been silent for longest is evicted.
+MAX_ROUTERS = 4_096
+# Value of one number in a report; a larger value is invalid.
+MAX_COUNT = 1_000_000
+# Characters in a cache's name.
+MAX_NAME_LENGTH = 64
 
 
 @dataclass(slots=True)
 class RecentOutcomes:
-    """Outcomes at one cache that a router has reported; the older, the less they weigh.
+    """Outcomes at one cache that a router has reported, with a weight that decays with age.
 
-    :param ejected: the router has ejected it by itself.
-    :param succeeded: attempts, decayed.
-    :param failed: attempts, decayed.
+    :param ejected: True if the router has ejected the cache by its own decision.
+    :param succeeded: decayed number of successful attempts.
+    :param failed: decayed number of failed attempts.
     """
 
     ejected: bool = False
@@ -39,31 +52,31 @@
 
     @property
     def has_failures(self) -> bool:
-        """Whether the router has seen it fail lately."""
+        """Returns True if the router has recently observed failures at the cache."""
         return self.ejected or self.failed >= MIN_FAILURES
 
     @property
     def mostly_fails(self) -> bool:
-        """Whether it fails this router more often than not."""
+        """Returns True if the router has ejected the cache or most of its recent attempts failed."""
         share_is_high = self.failed > FAILING_SHARE * (self.succeeded + self.failed)
         return self.ejected or (self.failed >= MIN_FAILURES and share_is_high)
 
     def decayed(self, factor: float) -> "RecentOutcomes":
-        """What is left of it by the next report, which says anew whether the cache is ejected."""
+        """Returns the outcomes with reduced weight; the next report states again if the cache is ejected."""
         return RecentOutcomes(False, self.succeeded * factor, self.failed * factor)
 
 
 @dataclass(slots=True)
 class RouterReport:
-    """The last report of one router, and what is left of earlier ones.
-
-    :param store: of the router.
-    :param process_token: of its process.
-    :param received_at: microseconds.
-    :param observations: of the last report, by cache.
-    :param interval: microseconds between the last two reports.
-    :param outcomes: by cache.
-    :param known_caches: how many caches the router knows.
+    """The last report of one router, with the decayed outcomes of earlier ones.
+
+    :param store: the router's store.
+    :param process_token: identifies the router's process.
+    :param received_at: time of receipt, in microseconds.
+    :param observations: observations in the last report, by cache.
+    :param interval: microseconds between the last two reports, at most ``REPORT_TTL``.
+    :param outcomes: outcomes by cache.
+    :param known_caches: number of caches that the router knows.
     """
 
     store: str
@@ -76,18 +89,18 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Whether the router itself is taken for cut off, as most caches fail it.
+        """Returns True if most caches fail for the router, so that it is considered cut off itself.
 
-        Guards against ejections by a router that has lost its own network: it reports failures of caches that
-        serve all others well.
+        Prevents ejections by a router that has lost its own network: it reports failures of caches that serve
+        all other routers well.
         """
         failing = sum(outcomes.mostly_fails for outcomes in self.outcomes.values())
         return failing > CUT_OFF_SHARE * len(self.outcomes) and failing > 1
 
 
 def is_valid_report(observations: Sequence[CacheObservation], known_caches: int) -> bool:
-    """Whether a report can be meant: no amount is negative or too large."""
-    if len(observations) > MAX_OBSERVATIONS or not 0 <= known_caches <= MAX_FIGURE:
+    """Returns True if no number in a report is negative or too large and all names are valid."""
+    if len(observations) > MAX_OBSERVATIONS or not 0 <= known_caches <= MAX_COUNT:
         return False
     return all(_is_valid_observation(observation) for observation in observations)
 
@@ -100,37 +113,40 @@
     now: int,
     known_caches: int,
 ) -> RouterReport:
-    """Joins a router's report with what is left of its earlier ones.
+    """Combines a router's report with the decayed outcomes of its earlier ones.
 
-    Another process under the router's name starts from nothing: what the former one had in flight has ended.
+    If the report is of a new process, earlier outcomes are dropped: the attempts of the former process have
+    ended.
 
-    :param previous: the router's last report, if it is known.
+    :param previous: the router's last report, or None if there is none.
     """
     if previous is None or previous.process_token != process_token:
         previous = RouterReport(store, process_token, now - REPORT_INTERVAL)
     since_previous = max(1, now - previous.received_at)
     factor = 0.5 ** (since_previous / OUTCOME_HALF_LIFE)
     outcomes: dict[str, RecentOutcomes] = {}
-    for cache, old in previous.outcomes.items():
-        if (old.succeeded + old.failed) * factor > NEGLIGIBLE_OUTCOMES:
-            outcomes[cache] = old.decayed(factor)
-    by_cache = {}
-    for seen in observations:
-        old = outcomes.get(seen.cache, RecentOutcomes())
-        outcomes[seen.cache] = RecentOutcomes(
-            seen.ejected, old.succeeded + seen.succeeded, old.failed + seen.failed
+    for cache, earlier in previous.outcomes.items():
+        if (earlier.succeeded + earlier.failed) * factor > NEGLIGIBLE_OUTCOMES:
+            outcomes[cache] = earlier.decayed(factor)
+    observations_by_cache = {}
+    for observation in observations:
+        earlier = outcomes.get(observation.cache, RecentOutcomes())
+        outcomes[observation.cache] = RecentOutcomes(
+            observation.ejected,
+            earlier.succeeded + observation.succeeded,
+            earlier.failed + observation.failed,
         )
-        by_cache[seen.cache] = seen
+        observations_by_cache[observation.cache] = observation
     interval = min(REPORT_TTL, since_previous)
-    return RouterReport(store, process_token, now, by_cache, interval, outcomes, known_caches)
+    return RouterReport(store, process_token, now, observations_by_cache, interval, outcomes, known_caches)
 
 
 def is_fresh(report: RouterReport, now: int) -> bool:
-    """Whether a report counts still; the clocks of router and aggregator may differ in pace."""
+    """Returns True if a report still counts; allows for clock drift between router and aggregator."""
     return report.received_at >= now - REPORT_TTL - clock_slack(REPORT_TTL)
 
 
-def _is_valid_observation(seen: CacheObservation) -> bool:
-    figures = (seen.succeeded, seen.failed, seen.in_flight, seen.started)
-    has_name = 0 < len(seen.cache) <= MAX_NAME_LENGTH
-    return has_name and all(0 <= figure <= MAX_FIGURE for figure in figures)
+def _is_valid_observation(observation: CacheObservation) -> bool:
+    counts = (observation.succeeded, observation.failed, observation.in_flight, observation.started)
+    has_name = 0 < len(observation.cache) <= MAX_NAME_LENGTH
+    return has_name and all(0 <= count <= MAX_COUNT for count in counts)
