--- a/tests/test_fleet_health.py
+++ b/tests/test_fleet_health.py
@@ -1,4 +1,4 @@
-"""Health of caches by the reports of all routers: who is a reporter, what is ejected or unknown."""
+"""Health of caches by the reports of all routers: which routers count, what is ejected and unknown."""
 
 import random
 from collections import Counter
@@ -28,7 +28,10 @@
 
 
 class ReportingStore:
-    """A store whose routers report on nine caches in each interval; ``failing`` are caches by router."""
+    """A store whose routers report on nine caches in each interval.
+
+    ``failing`` holds the caches that fail for each router.
+    """
 
     def __init__(self, routers=6):
         self.aggregator = HealthAggregator()
@@ -39,7 +42,7 @@
         self.silent = set()
 
     def play(self, intervals):
-        """Lets time pass; gives the caches that are ejected then."""
+        """Advances time by report intervals and returns the caches that are ejected at the end."""
         for _ in range(intervals):
             self.now += REPORT_INTERVAL
             for router in set(range(self.routers)) - self.silent:
@@ -63,12 +66,12 @@
         return self.aggregator.loads(STORE, self.now)
 
     def fail(self, cache, routers):
-        """From now on a cache fails these routers."""
+        """Makes a cache fail for these routers from now on."""
         for router in routers:
             self.failing[router].add(cache)
 
     def heal(self):
-        """From now on no cache fails any router."""
+        """Makes all caches succeed for all routers from now on."""
         self.failing = {router: set() for router in range(self.routers)}
 
 
@@ -76,7 +79,7 @@
 
 
 def test_a_cache_that_fails_most_is_ejected_and_comes_back_by_itself():
-    """A cache fails five of six routers; then nobody reports on it any more, and the ejection expires."""
+    """A cache fails for five of six routers; then no router reports on it, and the ejection expires."""
     store = ReportingStore()
     store.fail("n3", range(5))
     assert store.play(5) == ["n3"]
@@ -88,15 +91,15 @@
 
 
 @pytest.mark.parametrize("routers", [(0,), (0, 1, 2)])
-def test_few_take_no_cache_from_the_others(routers):
-    """A cache fails one router, or half of them, and serves the others well."""
+def test_a_minority_or_half_of_the_routers_ejects_no_cache(routers):
+    """A cache fails for one router, or for half of them, and serves the others well."""
     store = ReportingStore()
     store.fail("n3", routers)
     assert store.play(10) == []
 
 
-def test_a_router_that_is_cut_off_itself_is_no_reporter(monkeypatch):
-    """Most caches fail one router, and one of them fails another router too."""
+def test_reports_of_a_router_that_is_cut_off_do_not_count(monkeypatch):
+    """Most caches fail for one router, and one of them also fails for another router."""
 
     def scenario():
         store = ReportingStore(3)
@@ -110,8 +113,8 @@
     assert scenario() == ["n1"]
 
 
-def test_few_caches_are_ever_ejected(monkeypatch):
-    """Four of nine caches fail all routers: fewer than half, so that no router is taken for cut off."""
+def test_the_share_of_ejected_caches_is_limited(monkeypatch):
+    """Four of nine caches fail for all routers: less than half, so no router is considered cut off."""
 
     def scenario():
         store = ReportingStore()
@@ -124,8 +127,8 @@
     assert len(scenario()) == 4
 
 
-def test_errors_that_all_caches_show_eject_none():
-    """The origin fails every second request, through whichever cache; one cache shows somewhat more."""
+def test_errors_at_all_caches_eject_none():
+    """The origin fails every second request at all caches; one cache has slightly more errors."""
     store = ReportingStore()
     for interval in range(10):
         store.now += REPORT_INTERVAL
@@ -139,7 +142,7 @@
 
 
 def test_a_cache_that_flaps_is_ejected_for_longer_each_time():
-    """It fails and recovers five times; after a long quiet time the first duration holds again."""
+    """It fails and recovers five times; after a long quiet time the base duration applies again."""
     store = ReportingStore()
     durations = []
     for _ in range(5):
@@ -158,10 +161,11 @@
     assert store.verdicts()[0].expires_in <= BASE_EJECTION_TIME
 
 
-def test_two_halves_that_judge_differently_agree_once_they_meet():
-    """A partition of the aggregators: one half ejects a cache, the other doesn't.
+def test_a_cache_that_fails_for_half_of_the_routers_is_not_ejected_after_a_partition():
+    """In a partition of the aggregators, one half ejects a cache and the other does not.
 
-    Where all routers meet again, as many are failed by it as are served well, and it is not ejected.
+    Once all routers report to one aggregator, the cache fails for as many as it serves well, and it is not
+    ejected.
     """
     failing_half, healthy_half = ReportingStore(), ReportingStore()
     failing_half.fail("n3", range(6))
@@ -182,11 +186,11 @@
     assert later[0] == CacheLoad("n0", in_flight=6, age=REPORT_INTERVAL, error_bound=9, routers=3)
 
 
-def test_loads_are_unknown_where_a_router_is_silent():
-    """A router falls silent: its attempts may go on, so the sum must not be less by them.
+def test_loads_are_unknown_while_a_router_is_silent():
+    """A silent router's attempts may still be in flight, so the load must not be reported without them.
 
-    It counts again with its next report, by another process, and no more once it has left or is silent for
-    long.
+    The load is known again with the router's next report, from another process, or once the router has left
+    or has been silent for long.
     """
     store = ReportingStore(3)
     store.play(6)
@@ -228,7 +232,7 @@
 
 
 def test_a_cache_that_is_not_mentioned_is_not_ejected_and_its_outcomes_decay():
-    """A router reports on two caches, then on none, and after ten seconds nothing of that counts."""
+    """A router reports on two caches, then on none; after ten seconds the earlier outcomes are removed."""
     aggregator = HealthAggregator()
     now = 100 * SECOND
     first = (
@@ -245,8 +249,8 @@
     assert not aggregator.reports["r"].outcomes
 
 
-def test_a_router_obeys_few_verdicts_and_none_for_long():
-    """A faulty aggregator wants to have six of nine caches ejected, half of them for 100 s."""
+def test_a_router_limits_the_number_and_duration_of_ejections():
+    """A faulty aggregator ejects six of nine caches, half of them for 100 s."""
     verdicts = tuple(
         EjectionVerdict(f"n{index}", 100 * SECOND * (index < 3), (), (), 0) for index in range(6)
     )
@@ -258,19 +262,19 @@
 # -- at a router -------------------------------------------------------------------------------------------
 
 
-def endpoints_of(scenario, requests):
-    """How many requests go to each cache; all of them are answered well."""
-    found = Counter()
+def requests_by_cache(scenario, requests):
+    """Returns the number of requests sent to each cache; all of them succeed."""
+    counts = Counter()
     for number in range(requests):
         scenario.now += 10_000
         answer = scenario.request(f"/x{number}")
-        found[answer.endpoint] += 1
+        counts[answer.endpoint] += 1
         scenario.finish(AttemptStatus.SUCCEEDED)
-    return found
+    return counts
 
 
 def test_a_cache_ejected_by_peers_gets_no_requests_until_that_ends():
-    """It ends by itself, or by a verdict that doesn't name the cache any more."""
+    """The ejection expires, or ends with verdicts that do not name the cache any more."""
     scenario = PlanScenario()
     caches = {
         observation.cache
@@ -278,33 +282,33 @@
         if observation.cache.startswith("n")
     }
     bad = sorted(caches)[0]
-    assert set(endpoints_of(scenario, 80)) == caches
+    assert set(requests_by_cache(scenario, 80)) == caches
     scenario.now += SECOND
     scenario.router.set_ejected_by_peers({bad: scenario.now + 5 * SECOND}, scenario.now)
-    assert set(endpoints_of(scenario, 80)) == caches - {bad}
+    assert set(requests_by_cache(scenario, 80)) == caches - {bad}
     scenario.now += 5 * SECOND
-    assert bad in endpoints_of(scenario, 80)
+    assert bad in requests_by_cache(scenario, 80)
     scenario.now += SECOND
     scenario.router.set_ejected_by_peers({bad: scenario.now + 5 * SECOND}, scenario.now)
     scenario.router.set_ejected_by_peers({}, scenario.now)
-    assert bad in endpoints_of(scenario, 80)
+    assert bad in requests_by_cache(scenario, 80)
 
 
-def test_what_a_router_saw_itself_lately_goes_first():
-    """Peers eject a cache that has served this router well a moment ago."""
+def test_a_routers_own_recent_success_overrides_verdicts():
+    """Peers eject a cache that served this router well a moment ago; the router continues to use it."""
     scenario = PlanScenario()
-    bad = sorted(endpoints_of(scenario, 80))[0]
+    bad = sorted(requests_by_cache(scenario, 80))[0]
     scenario.router.set_ejected_by_peers({bad: scenario.now + 5 * SECOND}, scenario.now)
-    assert bad in endpoints_of(scenario, 80)
+    assert bad in requests_by_cache(scenario, 80)
     assert scenario.router.health_observations(scenario.now)[bad].completed > 0
 
 
-def test_all_caches_ejected_is_as_none():
+def test_ejecting_all_caches_ejects_none():
     scenario = PlanScenario()
-    names = set(endpoints_of(scenario, 80))
+    names = set(requests_by_cache(scenario, 80))
     scenario.now += SECOND
     scenario.router.set_ejected_by_peers(dict.fromkeys(names, scenario.now + 5 * SECOND), scenario.now)
-    assert endpoints_of(scenario, 40)
+    assert requests_by_cache(scenario, 40)
 
 
 # -- between processes -------------------------------------------------------------------------------------
@@ -326,14 +330,15 @@
 
 
 def is_of_reachable_router(event, result):
-    """Whether an event is of another router than the first, and after the routers had time to agree."""
+    """Returns True if an event is of another router than the first, once the routers had time to agree."""
     return event.at > result.began + 2.5 * SECOND and "/r0." not in event.told["path"]
 
 
 def test_processes_leave_a_cache_that_all_but_one_can_not_reach():
-    """All routers but the first are cut off from one cache, and their requests to it wait in vain.
+    """All routers but the first are cut off from one cache, and their requests to it are not answered.
 
-    Alone, three in ten requests wait for it again and again; together, seven in a hundred.
+    If each router decides alone, three in ten requests wait for the cache repeatedly; if the routers eject it
+    together, seven in a hundred do.
     """
     faults = [Fault(1500, "part", f"r{router}/0", 4000) for router in range(1, 6)]
     result = play(random.Random(1), SIZE, faults)
@@ -349,7 +354,7 @@
 
 
 def test_processes_eject_no_cache_by_the_reports_of_one_that_is_cut_off_itself():
-    """One router reaches no cache: for the others, all six caches go on to serve."""
+    """One router reaches no cache; for the others, all six caches must continue to serve."""
     result = play(random.Random(1), SIZE, [Fault(1500, "part", "r0", 4000)])
     reached = Counter(
         event.who for event in result.fleet.history.of("arrive") if is_of_reachable_router(event, result)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""Quota of a budget: what all routers use together, with messages and clocks that are wrong."""
+"""Quota of a budget: the bound on what all routers use together holds despite faulty messages and clocks."""
 
 from collections import Counter
 from dataclasses import replace
@@ -21,9 +21,8 @@
 
 RATE = Budget("fills", rate=50.0, burst=20.0, guaranteed_share=0.2, routers=4)
 SLOTS = Budget("origin", slots=20, max_request_time=600_000, guaranteed_share=0.2, routers=4)
-BURSTS = Budget(
-    "bursts", rate=8.0, burst=40.0, guaranteed_share=0.5, routers=4
-)  # guarantee and burst weigh most
+# The burst and the guaranteed minimum are large in comparison with the rate.
+BURSTS = Budget("bursts", rate=8.0, burst=40.0, guaranteed_share=0.5, routers=4)
 UNEVEN_DEMAND = [120.0, 10.0, 10.0, 10.0]  # requests per second, by router
 HIGH_DEMAND = [200.0] * 4
 
@@ -33,37 +32,40 @@
 
 @pytest.mark.parametrize("seed", range(6))
 def test_tokens_used_together_stay_within_the_budget(seed):
-    """Messages are lost, doubled and late, routers and the allocator restart, clocks run fast and slow."""
-    fleet = SimulatedFleet(RATE, seed, UNEVEN_DEMAND).play(40)
+    """Messages are lost, duplicated and late, routers and the allocator restart, clocks run fast and slow."""
+    fleet = SimulatedFleet(RATE, seed, UNEVEN_DEMAND).run(40)
     print(len(fleet.admitted_at), fleet.denied, fleet.excess())
     assert fleet.excess() <= 0
 
 
 @pytest.mark.parametrize("seed", range(6))
 def test_slots_in_use_together_stay_within_the_budget(seed):
-    """As above, and routers' demand comes and goes, so that slots move between them."""
-    fleet = SimulatedFleet(SLOTS, seed, HIGH_DEMAND, demand_moves=True).play(40)
+    """The same faults as above, while routers' demand comes and goes, so that slots move between them."""
+    fleet = SimulatedFleet(SLOTS, seed, HIGH_DEMAND, demand_varies=True).run(40)
     print(len(fleet.admitted_at), fleet.denied, fleet.peak_in_flight)
     assert fleet.peak_in_flight <= SLOTS.slots
 
 
 def test_uneven_demand_uses_the_budget_where_static_parts_do_not():
-    """One router has four fifths of a demand that is the whole budget."""
+    """One router has four fifths of the demand, which equals the whole budget."""
     demand = [40.0, *[10.0 / 7] * 7]
     use = {}
     for guaranteed_share in (0.1, 1.0):
         budget = Budget("fills", rate=50.0, burst=20.0, guaranteed_share=guaranteed_share, routers=8)
-        fleet = SimulatedFleet(budget, 1, demand, NO_FAULTS).play(30)
+        fleet = SimulatedFleet(budget, 1, demand, NO_FAULTS).run(30)
         use[guaranteed_share] = len(fleet.admitted_at) / 30 / budget.rate
     print(use)
     assert use[0.1] > 0.75 and use[1.0] < 0.4
 
 
 class SimulatedMutation(NamedTuple):
-    """A guard that is taken out of a simulated fleet.
+    """A mutation that removes a guard from a simulated fleet.
 
-    :param budget: that is exceeded without it.
-    :param faults: under which that happens.
+    :param owner: the class whose attribute is replaced.
+    :param attribute: the attribute's name.
+    :param replacement: the value without the guard.
+    :param budget: the budget that is exceeded without the guard.
+    :param faults: the faults under which it is exceeded.
     """
 
     owner: type
@@ -120,14 +122,14 @@
 
 @pytest.mark.parametrize("name", SIMULATED_MUTATIONS)
 def test_fleets_exceed_the_budget_without_each_guard(monkeypatch, name):
-    """With the guard the same faults break nothing; without it they do for one seed of twelve at least."""
+    """With the guard the faults do not exceed the budget; without it they do for at least one of 12 seeds."""
     mutation = SIMULATED_MUTATIONS[name]
     budget = mutation.budget
 
     def excess(seed):
         demand = HIGH_DEMAND if budget.slots else UNEVEN_DEMAND
-        moves = bool(budget.slots)
-        fleet = SimulatedFleet(budget, seed, demand, mutation.faults, demand_moves=moves).play(25)
+        demand_varies = bool(budget.slots)
+        fleet = SimulatedFleet(budget, seed, demand, mutation.faults, demand_varies=demand_varies).run(25)
         slots_excess = fleet.peak_in_flight - budget.slots if budget.slots else 0
         rate_excess = fleet.excess() if budget.rate else 0
         return max(slots_excess, rate_excess)
@@ -139,48 +141,48 @@
 
 @pytest.mark.parametrize("seed", range(4))
 @pytest.mark.parametrize("budget", [SLOTS, BURSTS, RATE], ids=lambda budget: budget.name)
-def test_many_restarts_break_nothing(seed, budget):
+def test_many_restarts_do_not_exceed_the_budget(seed, budget):
     """Routers and the allocator restart ten times as often as usual."""
     faults = replace(USUAL_FAULTS, router_restarts=0.1, allocator_restarts=0.1)
-    fleet = SimulatedFleet(budget, seed, HIGH_DEMAND, faults, demand_moves=True).play(25)
+    fleet = SimulatedFleet(budget, seed, HIGH_DEMAND, faults, demand_varies=True).run(25)
     assert budget.slots == 0 or fleet.peak_in_flight <= budget.slots
     assert budget.rate == 0 or fleet.excess() <= 0
 
 
 def test_a_router_that_holds_all_slots_makes_room():
-    """The other three come up five seconds later, and each must get slots within twenty."""
+    """The other three routers start five seconds later, and each must get slots within twenty seconds."""
     fleet = SimulatedFleet(SLOTS, 2, HIGH_DEMAND, NO_FAULTS)
     later = fleet.quotas[1:]
     fleet.quotas[1:] = []
-    fleet.play(5)
+    fleet.run(5)
     fleet.quotas += later
     fleet.admitted_at.clear()
-    fleet.play(20)
+    fleet.run(20)
     by_router = Counter(request.router for request in fleet.in_flight)
     assert fleet.peak_in_flight <= SLOTS.slots
     assert set(by_router) == {0, 1, 2, 3} and max(by_router.values()) <= 8
 
 
 def test_a_budget_made_smaller_is_kept_once_the_grants_have_expired():
-    """A plan with fewer slots comes while all are in use."""
-    fleet = SimulatedFleet(SLOTS, 3, HIGH_DEMAND, NO_FAULTS).play(5)
+    """A plan with fewer slots is applied while all slots are in use."""
+    fleet = SimulatedFleet(SLOTS, 3, HIGH_DEMAND, NO_FAULTS).run(5)
     small = replace(SLOTS, slots=8)
     fleet.allocator.replace([small], fleet.allocator_now())
     for quota in fleet.quotas:
         quota.budget = small
-    fleet.play(5 + (small.grant_ttl + small.max_request_time) / SECOND + 0.5)
+    fleet.run(5 + (small.grant_ttl + small.max_request_time) / SECOND + 0.5)
     fleet.peak_in_flight = 0
-    fleet.play(20)
+    fleet.run(20)
     assert 0 < fleet.peak_in_flight <= 8
 
 
-# -- scenes with two routers -------------------------------------------------------------------------------
+# -- scenarios with two routers ----------------------------------------------------------------------------
 
 
 def late_answer():
-    """An answer comes after most of the grant's time, and its router is stopped until the time is over.
+    """A grant arrives shortly before it expires, and its router is suspended until it has expired.
 
-    The slot has been granted to the other router by then.
+    By then the slot has been granted to the other router.
     """
     pair = RouterPair()
     pair.begin_all(pair.first)
@@ -189,66 +191,70 @@
     pair.first.apply_grant(grant, pair.now)
     pair.now += SECOND * 7 // 10
     pair.first.release()
-    pair.serve(pair.second)
+    pair.begin_and_refresh(pair.second)
     pair.begin_all(pair.first)
     return pair.in_flight()
 
 
 def overtaken_answer():
-    """An answer arrives after the router has asked anew for fewer slots, and another one was granted them."""
+    """A grant arrives after the router has requested fewer slots and the other router was granted them."""
     pair = RouterPair()
     pair.begin_all(pair.first)
     grant = pair.ask(pair.first)
-    pair.allocator.handle_request(pair.rest(pair.first), pair.now)
-    pair.serve(pair.second)
+    pair.allocator.handle_request(pair.drop_demand(pair.first), pair.now)
+    pair.begin_and_refresh(pair.second)
     pair.first.apply_grant(grant, pair.now)
     pair.begin_all(pair.first)
     return pair.in_flight()
 
 
 def lost_answer():
-    """A router asks for fewer slots, the answer is lost, and its demand comes back."""
+    """A router requests fewer slots, the grant is lost, and the router's demand returns."""
     pair = RouterPair()
-    pair.serve(pair.first)
-    pair.allocator.handle_request(pair.rest(pair.first), pair.now)
-    pair.serve(pair.second)
+    pair.begin_and_refresh(pair.first)
+    pair.allocator.handle_request(pair.drop_demand(pair.first), pair.now)
+    pair.begin_and_refresh(pair.second)
     pair.begin_all(pair.first)
     return pair.in_flight()
 
 
 def late_request():
-    """A request for fewer slots arrives after a newer one for more."""
+    """A request for fewer slots arrives after a newer request for more."""
     pair = RouterPair()
-    late = pair.rest(pair.first)
-    pair.serve(pair.first)
+    late = pair.drop_demand(pair.first)
+    pair.begin_and_refresh(pair.first)
     pair.allocator.handle_request(late, pair.now)
-    pair.serve(pair.second)
+    pair.begin_and_refresh(pair.second)
     return pair.in_flight()
 
 
 def restart():
-    """A router restarts while its requests are in flight, and the other one asks."""
+    """A router restarts while its requests are in flight, and then the other router uses slots."""
     pair = RouterPair()
-    pair.serve(pair.first)
-    pair.serve(pair.restarted_first())
+    pair.begin_and_refresh(pair.first)
+    pair.begin_and_refresh(pair.restarted_first())
     pair.begin_all(pair.second)
     return pair.in_flight()
 
 
-def test_a_late_request_of_a_former_process_loses_no_record():
-    """It took the name back, and when its successor asked again, the slots of the first were forgotten."""
+def test_a_late_request_of_a_former_process_keeps_its_slots_recorded():
+    """Guards against lost records of slots that a former process may have in use.
+
+    A late request of the former process made it the holder under the name again, and the next request of its
+    successor then discarded the former process's slots.
+    """
     pair = RouterPair()
-    pair.serve(pair.first)
+    pair.begin_and_refresh(pair.first)
     late = pair.first.next_request(pair.now)
     successor = pair.restarted_first()
     pair.ask(successor)
     pair.allocator.handle_request(late, pair.now)
-    pair.serve(successor)
-    pair.serve(pair.second)
+    pair.begin_and_refresh(successor)
+    pair.begin_and_refresh(pair.second)
     assert pair.in_flight() <= 3
 
 
-SCENES = {
+SCENARIOS = {
     late_answer: (LocalQuota, "apply_grant", quota_mutations.grant_counts_from_answer),
     overtaken_answer: (LocalQuota, "apply_grant", quota_mutations.older_grant_sets_slots),
     lost_answer: (LocalQuota, "next_request", quota_mutations.request_does_not_confine),
@@ -257,12 +263,12 @@
 }
 
 
-@pytest.mark.parametrize("scene", SCENES)
-def test_slots_that_a_guard_keeps_apart(monkeypatch, scene):
-    """Three slots are used with the guard, and four without it."""
-    assert scene() <= 3
-    monkeypatch.setattr(*SCENES[scene])
-    assert scene() == 4
+@pytest.mark.parametrize("scenario", SCENARIOS)
+def test_no_slot_is_used_twice_while_each_guard_is_in_place(monkeypatch, scenario):
+    """At most three slots are in use with the guard, and four without it."""
+    assert scenario() <= 3
+    monkeypatch.setattr(*SCENARIOS[scenario])
+    assert scenario() == 4
 
 
 # -- invalid messages --------------------------------------------------------------------------------------
@@ -285,7 +291,7 @@
     ],
 )
 def test_requests_that_an_allocator_refuses(changes, place):
-    """Each is refused with the field's name, counted, and costs no token."""
+    """Each request is refused with the field's name and counted, and uses no token."""
     allocator = QuotaAllocator([RATE], 0, first_allocator=True)
     valid = QuotaRequest("fills", "r", "t", 1, wanted_rate=5.0, terms_checksum=RATE.terms_checksum)
     assert isinstance(allocator.handle_request(valid, SECOND), QuotaGrant)
@@ -308,7 +314,7 @@
     ],
 )
 def test_grants_that_a_router_ignores(changes):
-    """Each is counted, and nothing of it may be used."""
+    """Each grant is counted as invalid, and none of its tokens may be used."""
     quota = LocalQuota(RATE, "r", "t", 0)
     quota.next_request(0)
     valid = QuotaGrant("fills", "t", 1, tokens=2.0, slots=0)
@@ -316,8 +322,8 @@
     assert quota.invalid_grants == 1 and quota.tokens_left(1) == 0
 
 
-class HandClock:
-    """A monotonic clock, set by hand; microseconds."""
+class ManualClock:
+    """A monotonic clock that the test sets, in microseconds."""
 
     def __init__(self):
         self.now = 0
@@ -326,9 +332,9 @@
         return self.now
 
 
-def test_grants_that_come_after_their_end_are_told_as_such():
-    """A router whose grants are all late lives off its guaranteed minimum, and its log must say why."""
-    clock = HandClock()
+def test_grants_that_arrive_after_they_expired_are_logged():
+    """A router whose grants are all late has only its guaranteed minimum, and its log must say why."""
+    clock = ManualClock()
     client = QuotaClient([RATE], "r", "t", clock)
     for _ in range(3):
         client.time_until_admitted("fills")
@@ -339,15 +345,15 @@
     counters = client.counters()["fills"]
     assert counters.late_grants == 3 and counters.cut_off
     assert not client.quotas["fills"].tokens_left(clock.now)
-    said = describe_changes(counters, QuotaCounters())
+    line = describe_changes(counters, QuotaCounters())
     assert (
         f"3 grants arrived after they had expired, the last grant took {3 * RATE.grant_ttl // 1_000} ms"
-        in said
+        in line
     )
 
 
 @given(st.lists(st.floats(0, 1e6), min_size=1, max_size=12), st.floats(0.1, 1e6))
-def test_max_min_gives_all_there_is_and_nobody_more_than_it_wants(demands, capacity):
+def test_max_min_uses_the_whole_capacity_and_grants_no_more_than_the_demand(demands, capacity):
     shares = [min(demand, max_min_fair_share(demands, capacity)) for demand in demands]
     assert sum(shares) == pytest.approx(min(capacity, sum(demands)), rel=1e-6, abs=1e-6)
 
@@ -379,7 +385,7 @@
 
 @pytest.mark.parametrize("name", MODEL_MUTATIONS)
 def test_the_model_checker_finds_each_guard_missing(monkeypatch, name):
-    """It finds the other guards too; they are played by hand above, and by processes in `rehearse guards`."""
+    """It finds the other guards too; the scenarios above test them, and `rehearse guards` with processes."""
     bounds, mutation = MODEL_MUTATIONS[name]
     monkeypatch.setattr(*mutation)
     found = explore(QuotaModel(bounds), 20_000)
@@ -390,7 +396,7 @@
 GRANT_EXPIRES = [("time",)] * 4
 SECOND_ROUTER_BEGINS = [("turn", 1), ("ask", 1, 0), ("hear", 1)]
 TRACES = {
-    # A router has looked at its clock, is stopped until its grant is over, and goes on by what it has read.
+    # A router reads its clock, is suspended until its grant has expired, and continues with the old reading.
     "rereads_clock": [
         ("turn", 0),
         ("ask", 0, 0),
@@ -401,7 +407,7 @@
         *SECOND_ROUTER_BEGINS,
         ("wake", 0),
     ],
-    # A router asks an allocator that doesn't know that another one has taken over.
+    # A router sends a request to an allocator that does not know that another one has taken over.
     "checks_takeover": [
         ("turn", 0),
         ("takeover",),
@@ -416,8 +422,8 @@
 
 
 @pytest.mark.parametrize("guard", TRACES)
-def test_guards_of_the_processes_themselves(guard):
-    """Found by the model checker in 12 and more steps; played here, which takes no search."""
+def test_guards_outside_the_allocator_and_local_quota(guard):
+    """Replays histories of 12 and more steps that the model checker has found, without searching for them."""
     for is_in_place in (True, False):
         model = QuotaModel(Bounds(stops=1, takeovers=1), **{guard: is_in_place})
         world = model.start()
@@ -432,7 +438,7 @@
 
 
 def test_a_late_request_in_the_model(monkeypatch):
-    """Two requests arrive in the wrong order at an allocator that doesn't compare their numbers."""
+    """Two requests arrive out of order at an allocator that does not compare their sequence numbers."""
     monkeypatch.setattr(QuotaAllocator, "_check_request", quota_mutations.late_request_is_granted)
     model = QuotaModel(Bounds(steps=0))
     world = model.start()
