--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -1,4 +1,4 @@
-"""Limits of a store or the fleet: in the plan, at one router, and between processes."""
+"""Limits shared by a store or the fleet: in the plan, at one router, and between processes."""
 
 import json
 from dataclasses import replace
@@ -62,17 +62,17 @@
 PURGES = 'purges: { ledgers: "127.0.0.1:7700" },'
 
 
-def test_a_plan_names_a_budget_for_the_fleet_and_one_for_each_store():
+def test_a_plan_defines_a_budget_for_the_fleet_and_one_for_each_store():
     plan = load("main", lambda path: PLAN % PURGES).plan
-    found = {each.name: each for each in shared_budgets(plan, plan.stores)}
-    assert set(found) == {"calls", "crowd@north", "crowd@south"}
-    assert found["calls"] == Budget("calls", 60.0, 30.0, guaranteed_share=0.2, routers=6)
-    assert found["crowd@north"] == Budget(
+    budgets = {each.name: each for each in shared_budgets(plan, plan.stores)}
+    assert set(budgets) == {"calls", "crowd@north", "crowd@south"}
+    assert budgets["calls"] == Budget("calls", 60.0, 30.0, guaranteed_share=0.2, routers=6)
+    assert budgets["crowd@north"] == Budget(
         "crowd@north", slots=12, max_request_time=9 * SECOND, guaranteed_share=0.5, routers=2
     )
 
 
-def test_a_shared_limit_without_a_ledger_is_a_fault_of_the_plan():
+def test_a_shared_limit_without_a_ledger_is_an_error_in_the_plan():
     faults = load("main", lambda path: PLAN % "").faults.errors
     assert len(faults) == 2 and "no ledger is named" in faults[0].reason
 
@@ -81,7 +81,7 @@
 
 
 class RouterLimits:
-    """The limits at one router, with a clock that is set by hand."""
+    """The limits at one router, with a clock that the test sets."""
 
     def __init__(self, *budgets, limits=None):
         self.now = 100 * SECOND
@@ -89,7 +89,7 @@
         self.rate_limiter = RateLimiter(limits or {}, self.quota_client, "north")
 
     def request_grants(self, allocator):
-        """Sends the due requests, and takes in what is granted; gives the requests."""
+        """Sends the due requests, applies the grants, and returns the requests."""
         requests = self.quota_client.due_requests()
         answers = [allocator.handle_request(request, self.now) for request in requests]
         self.quota_client.apply_grants([answer for answer in answers if isinstance(answer, QuotaGrant)])
@@ -100,7 +100,7 @@
 
 
 def test_a_request_counts_in_shared_limits_or_in_none():
-    """A limit of this router alone denies a request, which is no demand for a shared slot then."""
+    """A request that is denied by a limit of this router alone must not count as demand for a shared slot."""
     limits = {
         "crowd": Limit("crowd", "all", concurrent=8, across="fleet"),
         "own": Limit("own", "all", rate=1.0, burst=1),
@@ -120,8 +120,8 @@
     assert rate_limiter.admit(4, keys, 1.0, 5 * SECOND) is None and crowd["crowd"].in_use == 1
 
 
-def test_tenants_have_a_budget_each_and_are_asked_for_while_they_are_used():
-    """Nothing is held of two tenants: they are asked for at once, and no more ten seconds after their use."""
+def test_each_tenant_has_a_budget_for_which_quota_is_requested_while_it_is_used():
+    """Without grants, quota for two tenants is requested at once, and no more ten seconds after their use."""
     router = RouterLimits(CALLS)
     client = router.quota_client
     allocator = QuotaAllocator([CALLS], 0, first_allocator=True)
@@ -141,10 +141,11 @@
     assert not client.due_requests() and client.time_until_next_request() == quota_client.IDLE_INTERVAL
 
 
-def test_a_quota_that_is_forgotten_counts_its_requests_on_and_gains_no_guarantee(monkeypatch):
-    """Its requests began with 1 again, and the allocator took them for late ones for good.
+def test_an_evicted_quota_keeps_its_sequence_numbers_and_gains_no_guaranteed_tokens(monkeypatch):
+    """Guards against sequence numbers that start from 1 again when a quota is evicted and created anew.
 
-    Two tenants push each other out; neither has its guaranteed burst again by that.
+    The allocator then refused all further requests as late.  Two tenants evict each other here, and neither
+    may gain its guaranteed burst again by that.
     """
     monkeypatch.setattr(quota_client, "MAX_QUOTAS", 1)
     router = RouterLimits(CALLS)
@@ -167,8 +168,8 @@
     assert allocator.refused == 0 and requests[0].sequence_number > 1
 
 
-def test_a_new_plan_keeps_what_stays_and_drops_what_it_had_of_what_changes():
-    """One budget gets fewer slots, and is then gone while a request holds one of them; the other stays."""
+def test_a_new_plan_keeps_grants_of_unchanged_budgets_and_drops_those_of_changed_ones():
+    """One budget gets fewer slots and is removed while a request holds a slot; the other is unchanged."""
     router = RouterLimits(CALLS, CROWD)
     client = router.quota_client
     quotas = client.quotas
@@ -188,8 +189,8 @@
     assert set(quotas) == {"calls"}
 
 
-def test_accounts_are_bounded_and_one_made_anew_is_empty():
-    """So many tenants ask that the first one's account is evicted; it must not have its burst again."""
+def test_accounts_are_bounded_and_start_empty_when_created_again():
+    """If many tenants' requests evict the first one's account, it must not have its burst again."""
     allocator = QuotaAllocator([CALLS], 0, first_allocator=True)
 
     def ask(tenant):
@@ -211,7 +212,8 @@
 class Member:
     """A member's connection to a purge log.
 
-    :param port: at which the purge log listens.
+    :param stream: the connection.
+    :param port: port at which the purge log listens.
     """
 
     def __init__(self, stream, port):
@@ -223,18 +225,18 @@
         await self.stream.send(encode_line(message))
 
     async def receive(self, kind):
-        """The next message of a type; others are skipped."""
+        """Returns the next message of a type and skips others."""
         async for line in self.received:
             message = messages.decode_from_purge_log(line)
             if isinstance(message, kind):
                 return message
 
     async def greet(self):
-        """Becomes the member r."""
+        """Registers as the member r."""
         await self.send(MemberHello("r", "router", "t"))
 
     def run_command(self, *arguments):
-        """The output of `quartzrouter fleet ...`."""
+        """Returns the output of `quartzrouter fleet ...`."""
         result = CliRunner().invoke(cli, ("fleet", *arguments, "--ledger", f"127.0.0.1:{self.port}"))
         assert result.exit_code == 0, result.output
         return result.output
@@ -243,10 +245,10 @@
         return await anyio.to_thread.run_sync(self.run_command, *arguments)
 
 
-def play(scene, budgets=(CALLS,)):
-    """Plays a scene with a purge log and a member.
+def run_scenario(scenario, budgets=(CALLS,)):
+    """Runs a scenario with a purge log and a member.
 
-    :param budgets: that the purge log grants; None: it grants none.
+    :param budgets: budgets that the purge log grants; None if it grants no quota.
     """
 
     async def main():
@@ -259,7 +261,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(purge_log.run, [listener])
                 async with await connect(("127.0.0.1", port)) as stream:
-                    await scene(purge_log, Member(stream, port))
+                    await scenario(purge_log, Member(stream, port))
                 tasks.cancel_scope.cancel()
 
     anyio.run(main)
@@ -280,8 +282,8 @@
         (VALID._replace(process_token="other"), "name"),
     ],
 )
-def test_a_refused_request_gets_its_reason_and_the_connection_goes_on(invalid, place):
-    async def scene(purge_log, member):
+def test_a_refused_request_is_answered_with_the_reason_and_the_connection_stays_open(invalid, place):
+    async def scenario(purge_log, member):
         await member.greet()
         assert (await member.receive(Welcome)).grants_quota
         await member.send(QuotaRequests((invalid,)))
@@ -291,47 +293,47 @@
         assert (await member.receive(QuotaGrants)).grants[0].sequence_number == 1
         assert purge_log.quota.allocator.refused + purge_log.quota.impersonations == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_late_requests_are_counted_and_answered_with_nothing():
-    """A request is doubled on its way."""
+def test_late_requests_are_counted_and_not_answered():
+    """A request is duplicated in transit."""
 
-    async def scene(purge_log, member):
+    async def scenario(purge_log, member):
         await member.greet()
         await member.send(QuotaRequests((VALID, VALID)))
         answer = await member.receive(QuotaGrants)
         assert len(answer.grants) == 1 and not answer.refused
         assert purge_log.quota.allocator.refused == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
 def test_a_purge_log_without_budgets_says_so_and_ignores_requests():
-    async def scene(_purge_log, member):
+    async def scenario(_purge_log, member):
         await member.greet()
         assert not (await member.receive(Welcome)).grants_quota
         await member.send(QuotaRequests((VALID,)))
         assert (await member.receive(messages.Heartbeat)).epoch == 1
 
-    play(scene, budgets=None)
+    run_scenario(scenario, budgets=None)
 
 
-def test_a_plan_that_shares_its_first_limit_later_is_granted_from_then_on():
-    """A purge log that began with a plan without shared limits granted none until its next start."""
+def test_a_plan_that_adds_its_first_shared_limit_is_granted_from_then_on():
+    """Guards against a purge log that starts without shared limits and grants none until it restarts."""
 
-    async def scene(purge_log, member):
+    async def scenario(purge_log, member):
         await member.greet()
         assert (await member.receive(Welcome)).grants_quota
         purge_log.quota.replace([CALLS], {})
         await member.send(QuotaRequests((VALID,)))
         assert (await member.receive(QuotaGrants)).grants[0].sequence_number == 1
 
-    play(scene, budgets=())
+    run_scenario(scenario, budgets=())
 
 
-def test_a_client_waits_no_longer_than_a_shared_slot_is_reckoned_in_use():
-    """The allocator takes a slot for free once the request in it must be over by the plan's timeouts."""
+def test_a_client_waits_no_longer_than_a_shared_slot_counts_as_in_use():
+    """The allocator considers a slot free once the plan's timeouts must have ended the request in it."""
     plan = load("main", lambda path: PLAN % PURGES).plan
     settings = Configuration(compiled(plan), {}, needs_discovery=False).settings
     multi_pool_router = MultiPoolRouter(plan, settings.router_arguments)
@@ -346,7 +348,7 @@
 
 
 def test_operators_commands_show_budgets_status_and_loads():
-    async def scene(_purge_log, member):
+    async def scenario(_purge_log, member):
         await member.greet()
         await member.send(QuotaRequests((VALID,)))
         await member.receive(QuotaGrants)
@@ -356,22 +358,22 @@
         assert budget["holders"][0]["name"] == "r" and budget["rate"] == 50
         assert "1 budgets, 0 asks not obeyed" in await member.command("status")
         status = json.loads(await member.command("status", "--json"))
-        assert status["budgets"] == 1 and status["silent"] == ["r"]  # it never acknowledged anything
+        assert status["budgets"] == 1 and status["silent"] == ["r"]  # it has acknowledged nothing
         assert "no cache is left out" in await member.command("judgements")
         observations = tuple(CacheObservation(f"n{index}", index == 0, 3, 0, 2, 3) for index in range(3))
         await member.send(messages.HealthReport("north", observations, 3))
         await member.send(QuotaRequests(()))
-        await member.receive(QuotaGrants)  # so the report has been read
+        await member.receive(QuotaGrants)  # by then the report has been read
         assert "north: n0" in await member.command("counts")
         assert json.loads(await member.command("counts", "--json"))[1]["in_hand"] == 2
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_budgets_can_be_asked_for_before_any_hello():
-    async def scene(_purge_log, member):
+def test_budgets_can_be_queried_before_any_hello():
+    async def scenario(_purge_log, member):
         await member.send(QuotaQuery())
         status = await member.receive(messages.QuotaStatus)
         assert [budget.budget for budget in status.budgets] == ["calls"]
 
-    play(scene)
+    run_scenario(scenario)
--- a/tests/test_slow_start_quota.py
+++ b/tests/test_slow_start_quota.py
@@ -1,4 +1,4 @@
-"""Slow start shared by routers: sending time that is granted, and the bound on it within every window."""
+"""Slow start shared by routers: grants of sending time, and its bound within every window."""
 
 import random
 from typing import NamedTuple
@@ -16,8 +16,8 @@
 
 MILLISECOND = 1_000  # microseconds
 TERMS = SlowStartTerms(window=SECOND, guaranteed_share=0.2, routers=8, grant_ttl=500 * MILLISECOND)
-LIMIT = 800 * MILLISECOND  # of sending time that all routers may spend in a window
-GRANTABLE = 640 * MILLISECOND  # of it, beside the guaranteed share
+LIMIT = 800 * MILLISECOND  # sending time that all routers may use in a window
+GRANTABLE = 640 * MILLISECOND  # LIMIT without the guaranteed share
 REQUEST_TIME = 50 * MILLISECOND
 
 
@@ -37,30 +37,30 @@
 
 
 class Allocator(SlowStartAllocator):
-    """An allocator that began at 0 and grants from ``ready_at`` on, when an earlier one's grants are over."""
+    """An allocator that starts at 0 and grants from ``ready_at``, when an earlier one's grants are over."""
 
     def __init__(self):
         super().__init__({"cache": TERMS}, 0)
         self.ready_at = TERMS.accounting_period
 
-    def sending_time(self, asked, router, now, process_token="t"):
-        """What is granted for one request."""
-        return self.handle_request(asked, router, process_token, now).sending_time
+    def sending_time(self, slow_start_request, router, now, process_token="t"):
+        """Returns the sending time granted for one request."""
+        return self.handle_request(slow_start_request, router, process_token, now).sending_time
 
 
 # -- allocator ---------------------------------------------------------------------------------------------
 
 
-def test_an_allocator_waits_until_what_was_granted_before_it_is_over():
-    """Another allocator may have granted everything right before this one began."""
+def test_an_allocator_waits_until_earlier_grants_are_over():
+    """Another allocator may have granted the whole limit right before this one started."""
     allocator = Allocator()
     early = allocator.handle_request(request(), "a", "t", allocator.ready_at - 1)
     assert early == SlowStartGrant("n0", 1, 0)
     assert allocator.sending_time(request(2), "a", allocator.ready_at) == GRANTABLE
 
 
-def test_the_least_limit_that_any_router_tells_holds():
-    """A router has heard later of the endpoint's start than the other one, so it knows it for colder."""
+def test_the_lowest_limit_that_any_router_states_applies():
+    """A router that has learned of the endpoint's start later than the other one states a lower limit."""
     allocator = Allocator()
     now = allocator.ready_at
     granted = allocator.sending_time(request(), "a", now)
@@ -70,8 +70,8 @@
     assert allocator.sending_time(request(2, limit=LIMIT // 2), "b", later) == 0
 
 
-def test_many_who_want_little_get_a_request_each_in_turn():
-    """Thirty routers want one request each, and twelve requests are there; none is granted a part of one."""
+def test_many_routers_with_little_demand_get_one_request_each():
+    """Thirty routers want one request each, and there is time for twelve; none is granted part of one."""
     allocator = Allocator()
     now = allocator.ready_at
     granted = [
@@ -82,8 +82,8 @@
     assert state.granted == 12 * REQUEST_TIME and state.routers == 30
 
 
-def test_one_who_wants_all_leaves_others_their_share():
-    """A router wants all, another one less than half; both ask for four seconds."""
+def test_a_router_that_wants_everything_leaves_others_their_share():
+    """One router wants the whole limit, another one less than half; both send requests for four seconds."""
     allocator = Allocator()
     now = allocator.ready_at
     other_wants = 300 * MILLISECOND
@@ -118,8 +118,8 @@
     assert allocator.refused == 1 and not allocator.accounts
 
 
-def test_late_and_doubled_requests_are_refused_and_another_process_is_not():
-    """The router's new process counts from 1 again, and the former one's grant counts as the router's."""
+def test_late_and_duplicated_requests_are_refused_and_those_of_a_new_process_are_not():
+    """A router's new process counts from 1 again, and the former process's grant counts as the router's."""
     allocator = Allocator()
     now = allocator.ready_at
     assert allocator.sending_time(request(5, wanted=REQUEST_TIME), "a", now) == REQUEST_TIME
@@ -132,14 +132,14 @@
 
 
 def test_accounts_and_routers_are_bounded(monkeypatch):
-    """There is no room for a fourth endpoint until the grants of another one are over."""
+    """A fourth endpoint is refused until the grants at another one are over."""
     monkeypatch.setattr(slow_start_allocator, "MAX_ENDPOINTS", 3)
     monkeypatch.setattr(slow_start_allocator, "MAX_ROUTERS", 2)
     allocator = Allocator()
     now = allocator.ready_at
     for index in range(3):
-        asked = request(endpoint=f"n{index}", wanted=REQUEST_TIME)
-        assert allocator.sending_time(asked, "a", now) == REQUEST_TIME
+        slow_start_request = request(endpoint=f"n{index}", wanted=REQUEST_TIME)
+        assert allocator.sending_time(slow_start_request, "a", now) == REQUEST_TIME
     fourth = request(endpoint="n3", wanted=REQUEST_TIME)
     assert allocator.handle_request(fourth, "a", "t", now).place == "server"
     assert allocator.sending_time(fourth, "a", now + TERMS.accounting_period) == REQUEST_TIME
@@ -148,8 +148,8 @@
     assert set(allocator.accounts["n1"].demands) == {"b", "c"}
 
 
-def test_a_new_plan_waits_for_what_the_old_one_granted():
-    """The same terms change nothing; shorter grants wait until the longer ones before them are over."""
+def test_a_new_plan_waits_until_the_old_grants_are_over():
+    """Unchanged terms have no effect; with a shorter TTL, nothing is granted until old grants are over."""
     allocator = Allocator()
     now = allocator.ready_at
     allocator.handle_request(request(), "a", "t", now)
@@ -169,7 +169,7 @@
 
 
 class Clock:
-    """A clock that is set by hand."""
+    """A clock that the test sets."""
 
     now = 100 * SECOND
 
@@ -178,17 +178,17 @@
 
 
 def demand_of(sending_time):
-    """What the routing decisions would have sent to a starting endpoint, microseconds."""
+    """Returns the demand of a sending time, in microseconds, at a starting endpoint."""
     return [SlowStartDemand("n0", Tier.CACHE, LIMIT, sending_time, REQUEST_TIME)]
 
 
-def test_a_grant_expires_by_itself_counted_from_the_request():
-    """The answer comes 300 ms late, and the grant is over 500 ms after the request."""
+def test_a_grant_expires_by_itself_counting_from_the_request():
+    """The grant arrives 300 ms after the request and expires 500 ms after the request."""
     clock = Clock()
     client = SlowStartClient({"cache": TERMS}, clock)
-    (asked,) = client.due_requests(demand_of(2 * REQUEST_TIME))
+    (slow_start_request,) = client.due_requests(demand_of(2 * REQUEST_TIME))
     clock.now += 300 * MILLISECOND
-    client.apply_grants([SlowStartGrant("n0", asked.sequence_number, 2 * REQUEST_TIME)])
+    client.apply_grants([SlowStartGrant("n0", slow_start_request.sequence_number, 2 * REQUEST_TIME)])
     assert client.sending_time_left == {"n0": 2 * REQUEST_TIME}
     client.sending_time_left["n0"] -= REQUEST_TIME  # as the routing decisions do
     client.refresh()
@@ -198,32 +198,32 @@
     assert client.sending_time_left == {}
 
 
-def test_a_grant_counts_once_and_only_where_it_was_asked_for():
-    """One is doubled on its way, one answers no request, and one is for another endpoint."""
+def test_a_grant_counts_once_and_only_for_its_request():
+    """One grant is duplicated in transit, one answers no request, and one is for another endpoint."""
     clock = Clock()
     client = SlowStartClient({"cache": TERMS}, clock)
-    (asked,) = client.due_requests(demand_of(REQUEST_TIME))
-    grant = SlowStartGrant("n0", asked.sequence_number, REQUEST_TIME)
+    (slow_start_request,) = client.due_requests(demand_of(REQUEST_TIME))
+    grant = SlowStartGrant("n0", slow_start_request.sequence_number, REQUEST_TIME)
     unasked = SlowStartGrant("n0", 99, REQUEST_TIME)
-    elsewhere = SlowStartGrant("n9", asked.sequence_number, REQUEST_TIME)
+    elsewhere = SlowStartGrant("n9", slow_start_request.sequence_number, REQUEST_TIME)
     client.apply_grants([grant, grant, unasked, elsewhere])
     assert client.sending_time_left == {"n0": REQUEST_TIME} and client.invalid_grants == 3
     assert client.due_requests([]) == ()  # the endpoint has warmed up
     assert client.sending_time_left == {} and not client.allowances
 
 
-def test_a_demand_that_ends_is_asked_for_no_more():
+def test_nothing_is_requested_once_demand_has_ended():
     clock = Clock()
     client = SlowStartClient({"cache": TERMS}, clock)
     assert client.due_requests(demand_of(0)) == ()
-    asked = 0
+    request_count = 0
     for interval in range(40):
         clock.now += TERMS.request_interval
-        asked += len(client.due_requests(demand_of(REQUEST_TIME if interval == 0 else 0)))
-    assert 1 <= asked < 10
+        request_count += len(client.due_requests(demand_of(REQUEST_TIME if interval == 0 else 0)))
+    assert 1 <= request_count < 10
 
 
-def test_nothing_is_asked_for_where_no_slow_start_is_shared():
+def test_nothing_is_requested_if_no_slow_start_is_shared():
     client = SlowStartClient({}, Clock())
     assert client.due_requests(demand_of(REQUEST_TIME)) == () and client.request_interval() is None
 
@@ -234,8 +234,8 @@
 class SpentTime(NamedTuple):
     """Sending time that a router has used.
 
-    :param at: microseconds of true time.
-    :param sending_time: microseconds.
+    :param at: time of use, in microseconds of true time.
+    :param sending_time: microseconds used.
     """
 
     at: int
@@ -243,9 +243,12 @@
 
 
 class DelayedMessage(NamedTuple):
-    """A message on its way between a router and the allocator.
+    """A message in transit between a router and the allocator.
 
-    :param arrives_at: microseconds of true time.
+    :param arrives_at: arrival in microseconds of true time.
+    :param router: index of the router that sends or receives it.
+    :param to_allocator: True if the allocator receives it, False if the router does.
+    :param content: a request for sending time, or a grant.
     """
 
     arrives_at: int
@@ -255,9 +258,9 @@
 
 
 class SimulatedFleet:
-    """Routers whose clocks are wrong, an allocator that restarts, messages that are lost, doubled and late.
+    """Routers with clock drift, an allocator that restarts, and messages that are lost, duplicated and late.
 
-    :param allocator_waits: whether an allocator waits for the grants of the one before it.
+    :param allocator_waits: True if a restarted allocator waits until the grants of the earlier one are over.
     """
 
     STEP = 10 * MILLISECOND
@@ -266,28 +269,28 @@
     MAX_CLOCK_DRIFT = 150  # parts per million
 
     def __init__(self, seed, allocator_waits=True):
-        self.chance = chance = random.Random(seed)
+        self.rng = rng = random.Random(seed)
         self.allocator_waits = allocator_waits
         self.now = 0
         self.spent: list[SpentTime] = []
         routers = range(self.ROUTERS)
-        self.drift = [chance.randint(-self.MAX_CLOCK_DRIFT, self.MAX_CLOCK_DRIFT) for _ in routers]
-        self.offset = [chance.randint(0, 10**12) for _ in routers]
+        self.drift = [rng.randint(-self.MAX_CLOCK_DRIFT, self.MAX_CLOCK_DRIFT) for _ in routers]
+        self.offset = [rng.randint(0, 10**12) for _ in routers]
         self.clients = [self._start_client(router) for router in routers]
         self.process_tokens = ["t"] * self.ROUTERS
-        self.demand = [chance.choice((1.0, 8.0, 24.0)) for _ in routers]  # requests per second
-        self.paused_until = [0] * self.ROUTERS  # it sends nothing, but goes on to ask
+        self.demand = [rng.choice((1.0, 8.0, 24.0)) for _ in routers]  # requests per second
+        self.paused_until = [0] * self.ROUTERS  # it sends nothing, but continues to request sending time
         self.waiting_requests = [0.0] * self.ROUTERS
         self.allocator = self._start_allocator()
         self.messages: list[DelayedMessage] = []
-        self.deaf_until = [0] * self.ROUTERS
-        self.allocator_restarts_at = chance.randint(2, 9) * SECOND
+        self.disconnected_until = [0] * self.ROUTERS
+        self.allocator_restarts_at = rng.randint(2, 9) * SECOND
         while self.now < self.SECONDS * SECOND:
             self.now += self.STEP
             self._step()
 
     def excess(self):
-        """The most that was spent in a window, beyond what may be granted; nothing else was used."""
+        """Returns the most sending time used in a window above the grantable time; only grants are used."""
         most, first, total = 0, 0, 0
         for spent in self.spent:
             total += spent.sending_time
@@ -304,7 +307,7 @@
         return SlowStartClient({"cache": TERMS}, lambda: self._clock(router))
 
     def _start_allocator(self):
-        """The first one has begun long ago, so it needn't wait."""
+        """Starts an allocator; the first one started long ago, so it does not wait."""
         is_first = not self.now
         began_earlier = 10 * SECOND if is_first or not self.allocator_waits else 0
         return SlowStartAllocator({"cache": TERMS}, self.now - began_earlier)
@@ -312,18 +315,18 @@
     def _step(self):
         if self.now >= self.allocator_restarts_at:
             self.allocator = self._start_allocator()
-            delay = self.chance.choice((400, 3_000, 9_000)) * MILLISECOND
+            delay = self.rng.choice((400, 3_000, 9_000)) * MILLISECOND
             self.allocator_restarts_at = self.now + delay
         self._deliver()
         for router in range(self.ROUTERS):
             self._step_router(router)
 
     def _send(self, router, to_allocator, content):
-        chance = self.chance
-        if self.now < self.deaf_until[router] or chance.random() < 0.05:
+        rng = self.rng
+        if self.now < self.disconnected_until[router] or rng.random() < 0.05:
             return
-        for _ in range(1 + (chance.random() < 0.1)):
-            delay = chance.choice((*[0] * 12, 20, 200, 300)) * MILLISECOND
+        for _ in range(1 + (rng.random() < 0.1)):
+            delay = rng.choice((*[0] * 12, 20, 200, 300)) * MILLISECOND
             self.messages.append(DelayedMessage(self.now + delay, router, to_allocator, content))
 
     def _deliver(self):
@@ -340,27 +343,27 @@
                 self._send(router, False, answer)
 
     def _step_router(self, router):
-        chance = self.chance
-        if chance.random() < 0.001:
-            self.deaf_until[router] = self.now + chance.randint(100, 3000) * MILLISECOND
-        if chance.random() < 0.0005:  # a restart: what it held is gone, and it counts from 1 again
+        rng = self.rng
+        if rng.random() < 0.001:
+            self.disconnected_until[router] = self.now + rng.randint(100, 3000) * MILLISECOND
+        if rng.random() < 0.0005:  # a restart: grants are lost, and it counts from 1 again
             self.clients[router] = self._start_client(router)
             self.process_tokens[router] += "'"
-        arrived = self.demand[router] * self.STEP / SECOND * chance.choice((0, 0, 0, 4))
+        arrived = self.demand[router] * self.STEP / SECOND * rng.choice((0, 0, 0, 4))
         self.waiting_requests[router] += arrived
         client = self.clients[router]
         client.refresh()
-        if chance.random() < 0.03:
-            self.paused_until[router] = self.now + chance.choice((100, 300, 460, 700)) * MILLISECOND
+        if rng.random() < 0.03:
+            self.paused_until[router] = self.now + rng.choice((100, 300, 460, 700)) * MILLISECOND
         spent = self._spend(router, client) if self.now >= self.paused_until[router] else 0
         if self.now % TERMS.request_interval == 0:
             demand = spent + int(self.waiting_requests[router] * REQUEST_TIME)
-            for asked in client.due_requests(demand_of(demand)):
-                self._send(router, True, asked)
+            for slow_start_request in client.due_requests(demand_of(demand)):
+                self._send(router, True, slow_start_request)
             self.waiting_requests[router] = min(self.waiting_requests[router], 12.0)
 
     def _spend(self, router, client):
-        """Sends all waiting requests that grants admit; gives the sending time."""
+        """Sends all waiting requests that grants admit, and returns their sending time."""
         spent = 0
         while self.waiting_requests[router] >= 1 and client.sending_time_left.get("n0", 0) >= REQUEST_TIME:
             client.sending_time_left["n0"] -= REQUEST_TIME
@@ -373,8 +376,8 @@
 SEEDS = range(12)
 
 
-def test_fleets_never_spend_more_than_is_left_beside_the_guaranteed_share():
-    """The bound must also be near, or the fleets would prove nothing."""
+def test_fleets_never_use_more_than_the_grantable_sending_time():
+    """The use must also come close to the bound, or the simulation would not test it."""
     fleets = [SimulatedFleet(seed) for seed in SEEDS]
     assert all(fleet.excess() <= 0 for fleet in fleets)
     assert sum(len(fleet.spent) for fleet in fleets) > 400
@@ -382,23 +385,27 @@
 
 
 def no_guaranteed_share(
-    allocator, account, asked, router, now, sending_time=SlowStartAllocator._sending_time
+    allocator, account, slow_start_request, router, now, sending_time=SlowStartAllocator._sending_time
 ):
     """Replaces ``SlowStartAllocator._sending_time``: the guaranteed share is granted as well."""
     terms = allocator.terms
     allocator.terms = {"cache": TERMS._replace(guaranteed_share=0.0)}
     try:
-        return sending_time(allocator, account, asked, router, now)
+        return sending_time(allocator, account, slow_start_request, router, now)
     finally:
         allocator.terms = terms
 
 
 MUTATIONS = {
-    "a grant expires": (SlowStartTerms, "grant_expiry", lambda _terms, asked: asked + 60 * SECOND),
+    "a grant expires": (
+        SlowStartTerms,
+        "grant_expiry",
+        lambda _terms, requested_at: requested_at + 60 * SECOND,
+    ),
     "a grant counts from its request": (
         SlowStartTerms,
         "grant_expiry",
-        lambda terms, asked: asked + 4 * terms.grant_ttl,
+        lambda terms, requested_at: requested_at + 4 * terms.grant_ttl,
     ),
     "grants of a time to live before count as well": (
         SlowStartTerms,
@@ -419,12 +426,12 @@
 }
 
 
-def test_an_allocator_that_does_not_wait_is_found():
-    """It grants at once what the one before it may have granted too."""
+def test_an_allocator_that_does_not_wait_exceeds_the_bound():
+    """Such an allocator grants at once what an earlier one may have granted too."""
     assert any(SimulatedFleet(seed, allocator_waits=False).excess() > 0 for seed in SEEDS)
 
 
 @pytest.mark.parametrize("guard", MUTATIONS)
-def test_fleets_spend_too_much_without_each_guard(guard, monkeypatch):
+def test_fleets_exceed_the_bound_without_each_guard(guard, monkeypatch):
     monkeypatch.setattr(*MUTATIONS[guard])
     assert any(SimulatedFleet(seed).excess() > 0 for seed in SEEDS)
