--- a/quartzrouter/fleet_health/reports.py
+++ b/quartzrouter/fleet_health/reports.py
@@ -99,7 +99,7 @@
 
 
 def is_valid_report(observations: Sequence[CacheObservation], known_caches: int) -> bool:
-    """Returns True if no number in a report is negative or too large and all names are valid."""
+    """Returns True if a report has a valid length, valid names, and no number below 0 or too large."""
     if len(observations) > MAX_OBSERVATIONS or not 0 <= known_caches <= MAX_COUNT:
         return False
     return all(_is_valid_observation(observation) for observation in observations)
@@ -115,8 +115,8 @@
 ) -> RouterReport:
     """Combines a router's report with the decayed outcomes of its earlier ones.
 
-    If the report is of a new process, earlier outcomes are dropped: the attempts of the former process have
-    ended.
+    If the report is of another process than the previous one, nothing of earlier reports counts, as the
+    attempts in flight of the former process have ended.
 
     :param previous: the router's last report, or None if there is none.
     """
--- a/quartzrouter/quota/allocator.py
+++ b/quartzrouter/quota/allocator.py
@@ -20,7 +20,7 @@
 
 # A router's demand counts for this many grant TTLs after its last request.
 DEMAND_TTLS = 1
-# Holders per budget, to bound memory; the one that has been silent for longest is evicted.
+# Holders per budget, to bound memory; the one without slots that has been silent for longest is evicted.
 MAX_HOLDERS = 4_096
 # Accounts of budgets and their partitions, to bound memory; an unused one is evicted.
 MAX_ACCOUNTS = 4_096
@@ -197,8 +197,8 @@
     def _evict_if_full(self, now: int) -> bool:
         """Evicts an unused account if the maximum is reached.
 
-        Accounts of the same budget that are created later start with an empty bucket now. Otherwise a
-        partition that is evicted and created again would have its burst twice.
+        From now on, the bucket of an account of the same budget that is created later counts as empty.
+        Otherwise a partition that is evicted and created again would have its burst twice.
 
         :returns: True if there is room for another account.
         """
--- a/quartzrouter/quota/local_quota.py
+++ b/quartzrouter/quota/local_quota.py
@@ -169,7 +169,7 @@
         return is_full and not self.in_use and not has_grant and now >= self.guaranteed_slots_from
 
     def replace(self, budget: Budget, now: int) -> None:
-        """Applies a new plan's terms: drops grants under the old ones, but keeps requests in flight."""
+        """Applies new terms: drops grants under the old ones, but still counts requests in flight."""
         self._refill_guaranteed_tokens(now)
         self.guaranteed_tokens = min(self.guaranteed_tokens, budget.guaranteed_burst)
         self.budget = budget
--- a/tests/quota_simulation.py
+++ b/tests/quota_simulation.py
@@ -28,7 +28,7 @@
     :param router_restarts: restarts per router and ten steps.
     :param allocator_restarts: restarts per ten steps.
     :param stops: suspensions of a router in the middle of a step, per router and ten steps.
-    :param doubled_messages: share of messages that arrive once more.
+    :param duplicated_messages: share of messages that arrive once more.
     """
 
     partitions: float = 0.02
@@ -36,7 +36,7 @@
     router_restarts: float = 0.01
     allocator_restarts: float = 0.01
     stops: float = 0.02
-    doubled_messages: float = 0.0
+    duplicated_messages: float = 0.0
 
 
 USUAL_FAULTS = Faults()
@@ -207,7 +207,7 @@
         delay = rng.randrange(LONG_DELAY if is_late else USUAL_DELAY)
         is_faulty = rng.random() < self.faults.message_faults
         copies = rng.choice((0, 2)) if is_faulty else 1
-        for _ in range(copies + (rng.random() < self.faults.doubled_messages)):
+        for _ in range(copies + (rng.random() < self.faults.duplicated_messages)):
             self.messages.append(Message(self.true_time + delay, router, to_allocator, content))
 
     def _deliver(self) -> None:
@@ -237,7 +237,7 @@
         """Returns the quota of another process under the first router's name."""
         return LocalQuota(self.budget, "a", "another", self.now)
 
-    def ask(self, quota: LocalQuota):
+    def request_quota(self, quota: LocalQuota):
         """Sends a request for quota and returns the answer, which is not delivered."""
         return self.allocator.handle_request(quota.next_request(self.now), self.now)
 
@@ -255,7 +255,7 @@
     def begin_and_refresh(self, quota: LocalQuota) -> None:
         """Begins all admitted requests, applies a new grant, and begins the requests that it admits."""
         self.begin_all(quota)
-        quota.apply_grant(self.ask(quota), self.now)
+        quota.apply_grant(self.request_quota(quota), self.now)
         self.begin_all(quota)
 
     def drop_demand(self, quota: LocalQuota):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -81,7 +81,7 @@
         "apply_grant",
         quota_mutations.doubled_grant_counts_twice,
         RATE,
-        replace(NO_FAULTS, doubled_messages=0.6),
+        replace(NO_FAULTS, duplicated_messages=0.6),
     ),
     "an allocator starts with a full bucket": SimulatedMutation(
         QuotaAllocator,
@@ -186,7 +186,7 @@
     """
     pair = RouterPair()
     pair.begin_all(pair.first)
-    grant = pair.ask(pair.first)
+    grant = pair.request_quota(pair.first)
     pair.now += SECOND * 9 // 10
     pair.first.apply_grant(grant, pair.now)
     pair.now += SECOND * 7 // 10
@@ -200,7 +200,7 @@
     """A grant arrives after the router has requested fewer slots and the other router was granted them."""
     pair = RouterPair()
     pair.begin_all(pair.first)
-    grant = pair.ask(pair.first)
+    grant = pair.request_quota(pair.first)
     pair.allocator.handle_request(pair.drop_demand(pair.first), pair.now)
     pair.begin_and_refresh(pair.second)
     pair.first.apply_grant(grant, pair.now)
@@ -247,7 +247,7 @@
     pair.begin_and_refresh(pair.first)
     late = pair.first.next_request(pair.now)
     successor = pair.restarted_first()
-    pair.ask(successor)
+    pair.request_quota(successor)
     pair.allocator.handle_request(late, pair.now)
     pair.begin_and_refresh(successor)
     pair.begin_and_refresh(pair.second)
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -193,17 +193,17 @@
     """If many tenants' requests evict the first one's account, it must not have its burst again."""
     allocator = QuotaAllocator([CALLS], 0, first_allocator=True)
 
-    def ask(tenant):
+    def request_quota(tenant):
         request = QuotaRequest(
             f"calls/{tenant}", "r", "t", 1, wanted_rate=500.0, terms_checksum=CALLS.terms_checksum
         )
         return allocator.handle_request(request, 100 * SECOND)
 
-    assert ask("first").tokens > 15
+    assert request_quota("first").tokens > 15
     for tenant in range(MAX_ACCOUNTS):
-        assert isinstance(ask(tenant), QuotaGrant)
+        assert isinstance(request_quota(tenant), QuotaGrant)
     assert len(allocator.accounts) == MAX_ACCOUNTS and "calls/first" not in allocator.accounts
-    assert ask("first").tokens == 0
+    assert request_quota("first").tokens == 0
 
 
 # -- between processes ---------------------------------------------------------------------------------------
@@ -338,7 +338,9 @@
     settings = Configuration(compiled(plan), {}, needs_discovery=False).settings
     multi_pool_router = MultiPoolRouter(plan, settings.router_arguments)
     selection = multi_pool_router.select_route(Asked("north", "", "/a", "GET", {}, {}), "c")
-    timeouts = [multi_pool_router.client_timeout(selection, told) for told in (0, 5 * SECOND, 60 * SECOND)]
+    timeouts = [
+        multi_pool_router.client_timeout(selection, requested) for requested in (0, 5 * SECOND, 60 * SECOND)
+    ]
     assert timeouts == [3 * SECOND, 5 * SECOND, 9 * SECOND]
 
 
