--- a/quartzrouter/purge_log/disk.py
+++ b/quartzrouter/purge_log/disk.py
@@ -1,4 +1,4 @@
-"""The few operations that the log needs of a disk, so that a test can play one that fails at any of them."""
+"""The disk operations of the purge log as an interface; tests inject a disk that fails at any of them."""
 
 import os
 from pathlib import Path
@@ -12,13 +12,13 @@
         """Appends all the data."""
 
     def sync(self) -> None:
-        """Makes what was written durable."""
+        """Makes the data written so far durable."""
 
     def truncate(self, size: int) -> None:
-        """Removes what stands behind a number of bytes."""
+        """Cuts the file to a number of bytes."""
 
     def close(self) -> None:
-        """Closes the file; what was not synced may be lost."""
+        """Closes the file; data that was not synced may be lost."""
 
 
 class Disk(Protocol):
@@ -35,12 +35,12 @@
     def create(self, name: str) -> File:
         """Creates a file.
 
-        :raises FileExistsError: where there is one of the name.
+        :raises FileExistsError: if there is a file of that name.
         """
         ...
 
     def rename(self, name: str, new_name: str) -> None:
-        """Renames a file, in place of any of the new name."""
+        """Renames a file; replaces a file that has the new name."""
 
     def remove(self, name: str) -> None:
         """Removes a file."""
@@ -52,7 +52,7 @@
 class RealFile:
     """A file of the operating system.
 
-    :raises FileExistsError: where there is one at the path.
+    :raises FileExistsError: if there is a file at the path.
     """
 
     def __init__(self, path: Path):
@@ -67,11 +67,11 @@
             remaining = remaining[written:]
 
     def sync(self) -> None:
-        """Makes what was written durable."""
+        """Makes the data written so far durable."""
         os.fdatasync(self.descriptor)
 
     def truncate(self, size: int) -> None:
-        """Removes what stands behind a number of bytes."""
+        """Cuts the file to a number of bytes."""
         os.ftruncate(self.descriptor, size)
 
     def close(self) -> None:
@@ -80,9 +80,9 @@
 
 
 def write_atomically(path: str | Path, data: bytes) -> None:
-    """Replaces a file; after a crash either the old contents or the new are found, whole.
+    """Replaces a file; after a crash it has either the whole old contents or the whole new contents.
 
-    :raises OSError: where it can't be written; the old contents stay.
+    :raises OSError: if an operation fails; the old contents stay unless only the sync of the folder failed.
     """
     with open(f"{path}.new", "wb") as file:
         file.write(data)
@@ -95,7 +95,7 @@
 def sync_folder(folder: Path) -> None:
     """Makes the names in a folder durable.
 
-    :raises OSError: where that fails.
+    :raises OSError: if the sync fails.
     """
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
@@ -105,7 +105,7 @@
 
 
 class RealDisk:
-    """A folder of the operating system, made where there is none."""
+    """A folder of the operating system; it is created if it doesn't exist."""
 
     def __init__(self, folder: str):
         self.folder = Path(folder)
@@ -124,7 +124,7 @@
         return RealFile(self.folder / name)
 
     def rename(self, name: str, new_name: str) -> None:
-        """Renames a file, in place of any of the new name."""
+        """Renames a file; replaces a file that has the new name."""
         os.rename(self.folder / name, self.folder / new_name)
 
     def remove(self, name: str) -> None:
--- a/quartzrouter/purge_log/errors.py
+++ b/quartzrouter/purge_log/errors.py
@@ -1,16 +1,16 @@
-"""What may fail about the purge log; each message says what went wrong, and the remedy where there is one."""
+"""Errors of the purge log. Each message says what went wrong, and the remedy if there is one."""
 
 from quartzrouter.purges.errors import PurgeError
 
 
 class PurgeLogError(PurgeError):
-    """The base of all errors of this package."""
+    """Base class of all errors of this package."""
 
 
 class LogDamagedError(PurgeLogError):
-    """A folder that can't be read whole.
+    """Raised if a folder can't be read completely.
 
-    :param place: the file, and the byte where that is known.
+    :param place: the file, and the byte if it is known.
     """
 
     def __init__(self, place: str, reason: str, remedy: str):
@@ -21,12 +21,12 @@
 
 
 class DiskUnavailableError(PurgeLogError):
-    """The disk takes nothing at the moment; nothing of what was to be written was promised."""
+    """Raised if the disk rejects a write; nothing that was to be written has been confirmed."""
 
 
 class FencedError(PurgeLogError):
-    """Another writer has begun a higher epoch, so that this one may promise nothing more."""
+    """Raised if another writer has started a higher epoch, so this one may confirm no more purges."""
 
 
 class UnreachableError(PurgeLogError):
-    """No purge log answers at any address."""
+    """Raised if no purge log answers at any address."""
--- a/quartzrouter/purge_log/log.py
+++ b/quartzrouter/purge_log/log.py
@@ -1,4 +1,4 @@
-"""The single writer of a purge log's folder: begins an epoch, and goes on behind what is durable."""
+"""The single writer of a purge log's folder: starts an epoch, and appends after the durable purges."""
 
 from quartzrouter.purge_log.disk import Disk, File
 from quartzrouter.purge_log.errors import DiskUnavailableError, FencedError
@@ -17,52 +17,52 @@
 )
 from quartzrouter.purges.messages import Purge
 
-MAX_SEGMENT_BYTES = 8 << 20  # read in 0.3 s
-MAX_ATTEMPTS = 64  # at an epoch of one's own, or at reading, should other writers begin at the same moment
+MAX_SEGMENT_BYTES = 8 << 20  # a segment of this size is read in 0.3 s
+MAX_ATTEMPTS = 64  # to start an epoch, or to read the folder, while other writers start at the same moment
 
 
 class PurgeLog:
-    """The writer.
+    """The writer of one epoch.
 
-    Fencing: a writer creates the file of its epoch before it reads the folder, and promises a purge only
-    after the sync and a look that no higher epoch has begun. So whatever an older writer has promised was on
-    the disk before this one read it, and what it writes later it doesn't promise.
+    Fencing: a writer creates the file of its epoch before it reads the folder. It confirms a purge only after
+    it has synced it and then checked that no higher epoch has started. So every purge that an older writer
+    has confirmed was on the disk before this writer read it, and the older writer confirms no later one.
 
-    :param max_segment_bytes: after which a segment is followed by another.
-    :raises LogDamagedError: where the folder can't be read whole.
-    :raises DiskUnavailableError: where the disk takes nothing.
+    :param max_segment_bytes: the length after which a new segment is started.
+    :raises LogDamagedError: if the folder can't be read completely.
+    :raises DiskUnavailableError: if the disk rejects a write.
     """
 
     def __init__(self, disk: Disk, max_segment_bytes: int = MAX_SEGMENT_BYTES):
         self.disk = disk
         self.max_segment_bytes = max_segment_bytes
-        self.file: File | None = None  # the segment that is written; None where the next append begins one
+        self.file: File | None = None  # the open segment; None if the next append starts one
         self.segment_number = 0
-        self.checksum = 0  # of the last record of the segment
+        self.checksum = 0  # the checksum of the open segment's last record
         try:
-            self.epoch = self._begin_epoch()
-            self.recovered = self._read()
+            self.epoch = self._start_epoch()
+            self.recovered = self._read_contents()
             self.head = self.recovered.head
             self.segment_name = self.recovered.last_segment
-            self.segment_length = self.recovered.last_segment_length  # bytes that count
-            self._begin_segment()
+            self.segment_length = self.recovered.last_segment_length  # bytes that belong to the log
+            self._start_segment()
             for name in self.recovered.obsolete_files:
                 disk.remove(name)
         except OSError as error:
-            raise _unavailable(error) from None
-        self.purges_since_snapshot = len(self.recovered.purges)  # at most
+            raise _disk_unavailable(error) from None
+        self.purges_since_snapshot = len(self.recovered.purges)  # an upper bound
 
-    def _begin_epoch(self) -> int:
+    def _start_epoch(self) -> int:
         for _ in range(MAX_ATTEMPTS):
             epoch = highest_epoch(self.disk) + 1
             try:
                 self.disk.create(f"epoch-{epoch:08d}").close()
-            except FileExistsError:  # another writer begins at the same moment
+            except FileExistsError:  # another writer starts at the same moment
                 continue
             self.disk.sync()
             self._remove_epochs_below(epoch - 1)
             return epoch
-        raise DiskUnavailableError("other writers begin again and again")
+        raise DiskUnavailableError("other writers kept starting new epochs")
 
     def _remove_epochs_below(self, epoch: int) -> None:
         for name in self.disk.names():
@@ -70,44 +70,45 @@
             if found and int(found[1]) < epoch:
                 self.disk.remove(name)
 
-    def _read(self) -> LogContents:
-        """Reads what is durable, after the epoch has begun: no older writer can promise what it adds then."""
+    def _read_contents(self) -> LogContents:
+        """Reads the durable purges. Once the epoch has started, no older writer can confirm any more."""
         for _ in range(MAX_ATTEMPTS):
             try:
                 return read_log(self.disk)
-            except FileNotFoundError:  # the older writer was putting a snapshot in place
+            except FileNotFoundError:  # the older writer was replacing segments by a snapshot
                 continue
-        raise DiskUnavailableError("the files change again and again")
+        raise DiskUnavailableError("the files kept changing while they were read")
 
     def check_epoch(self) -> None:
         """Checks that this is still the newest writer.
 
-        :raises FencedError: where another has begun.
+        :raises FencedError: if another writer has started.
         """
         highest = highest_epoch(self.disk)
         if highest != self.epoch:
-            raise FencedError(f"epoch {highest} has begun, this is {self.epoch}")
+            raise FencedError(f"epoch {highest} has begun, and this writer has epoch {self.epoch}")
 
     def append(self, purges: list[Purge]) -> None:
         """Makes purges durable, all or none.
 
-        :raises DiskUnavailableError: where the disk takes nothing; none of them counts.
-        :raises FencedError: where another writer has begun; none of them is promised.
+        :raises DiskUnavailableError: if the disk rejects the write; none of them is in the log.
+        :raises FencedError: if another writer has started; none of them may be confirmed.
         """
-        file = self.file or self._begin_segment_or_fail()
+        file = self.file or self._start_segment_or_raise()
         data, checksum = encode_records(purges, self.checksum)
         try:
             file.write(data)
         except OSError as error:
             self._remove_torn_write(file)
-            raise _unavailable(error) from None
+            raise _disk_unavailable(error) from None
         try:
             file.sync()
         except OSError as error:
-            # Nobody knows what is on the disk after a failed sync, and a later one that succeeds proves
-            # nothing. So the log goes on in a new segment, whose header says how much of this one counts.
+            # After a failed sync the contents of the disk are unknown, and a later sync that succeeds proves
+            # nothing. So the log continues in a new segment, whose header says how many bytes of this one
+            # belong to the log.
             self.close()
-            raise _unavailable(error) from None
+            raise _disk_unavailable(error) from None
         self.check_epoch()
         self.segment_length += len(data)
         self.checksum = checksum
@@ -123,19 +124,19 @@
             self.close()
 
     def close(self) -> None:
-        """Ends this segment; the header of the next says how many of its bytes count."""
+        """Closes the open segment; the next segment's header says how many of its bytes belong to the log."""
         file = self.file
         self.file = None
         if file is not None:
             file.close()
 
-    def _begin_segment_or_fail(self) -> File:
+    def _start_segment_or_raise(self) -> File:
         try:
-            return self._begin_segment()
+            return self._start_segment()
         except OSError as error:
-            raise _unavailable(error) from None
+            raise _disk_unavailable(error) from None
 
-    def _begin_segment(self) -> File:
+    def _start_segment(self) -> File:
         self.segment_number += 1
         name = f"{self.epoch:08d}-{self.segment_number:08d}.log"
         header = SegmentHeader(FORMAT, self.epoch, self.segment_name, self.segment_length, self.head)
@@ -155,13 +156,13 @@
         return file
 
     def compact(self, purges: list[Purge], trimmed_up_to: int, low_watermark: int) -> None:
-        """Puts a snapshot in place of all files but the segment that is written.
+        """Replaces all files except the open segment by a snapshot.
 
-        :param purges: those that are retained, all durable, in their order.
+        :param purges: the retained purges, all durable, in order.
         :param trimmed_up_to: the sequence number before the first of them.
-        :param low_watermark: microseconds, the time of that purge.
-        :raises DiskUnavailableError: where the disk takes nothing; the files stay.
-        :raises FencedError: where another writer has begun; the files stay.
+        :param low_watermark: microseconds, the time of the purge with that number.
+        :raises DiskUnavailableError: if the disk rejects an operation; files not yet removed stay.
+        :raises FencedError: if another writer has started; the files stay.
         """
         names = self.disk.names()
         try:
@@ -175,9 +176,9 @@
                 if is_older_segment or is_older_snapshot:
                     self.disk.remove(name)
         except OSError as error:
-            raise _unavailable(error) from None
+            raise _disk_unavailable(error) from None
         self.purges_since_snapshot = 0
 
 
-def _unavailable(error: OSError) -> DiskUnavailableError:
+def _disk_unavailable(error: OSError) -> DiskUnavailableError:
     return DiskUnavailableError(error.strerror or str(error))
--- a/quartzrouter/purge_log/records.py
+++ b/quartzrouter/purge_log/records.py
@@ -1,8 +1,8 @@
-"""Records of a file: length, checksum of the length, checksum of the payload, payload.
+"""Encodes and reads the records of a file: length, checksum of the length, checksum of the payload, payload.
 
-Each checksum goes on from the one before, so that a record in the wrong place is found. The length has a
-checksum of its own: a length that a flipped bit made longer would otherwise look like a write that was cut
-short, and what follows would be dropped silently. No payload ends with a zero byte.
+Each checksum is computed from the previous one, so that a record in the wrong place is detected. The length
+has its own checksum: a length that a flipped bit increased would otherwise look like a torn write, and all
+later records would be dropped silently. No payload ends with a zero byte.
 """
 
 import struct
@@ -10,16 +10,16 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-HEADER = struct.Struct(">III")  # length, its checksum, the payload's checksum
+HEADER = struct.Struct(">III")  # length, checksum of the length, checksum of the payload
 LENGTH_BYTES = 4
 
 
 class Record(NamedTuple):
-    """One record.
+    """A record that was read whole.
 
-    :param start: its first byte.
-    :param end: the byte behind it.
-    :param checksum: from which the next record goes on.
+    :param start: the offset of its first byte.
+    :param end: the offset after its last byte.
+    :param checksum: the checksum from which that of the next record is computed.
     """
 
     start: int
@@ -29,9 +29,9 @@
 
 
 class BrokenRecord(NamedTuple):
-    """Bytes that are no record.
+    """Bytes that are not a valid record.
 
-    :param is_torn: as a write that was cut short leaves them: not all there, or zeros from some byte on.
+    :param is_torn: True if a torn write can have left them: they are incomplete, or zeros from some byte on.
     """
 
     start: int
@@ -42,7 +42,7 @@
 def encode_record(payload: bytes, previous_checksum: int) -> tuple[bytes, int]:
     """Returns the bytes of a record, and its checksum.
 
-    :param previous_checksum: of the record before it; 0 for the first of a file.
+    :param previous_checksum: the checksum of the previous record; 0 for the first record of a file.
     """
     length = len(payload).to_bytes(LENGTH_BYTES, "big")
     length_checksum = zlib.crc32(length, previous_checksum)
@@ -51,16 +51,16 @@
 
 
 def read_records(data: bytes, end: int) -> Iterator[Record | BrokenRecord]:
-    """Yields the records of a file; where one is broken, it is the last.
+    """Yields the records of a file, and stops after the first broken one.
 
-    Tells a torn write from damage. A crash while a record is written leaves its first bytes, and then the
-    end of the file or zeros. Such a record was not promised and may be dropped. Anything else was written
-    whole and has changed since, and must be reported.
+    Distinguishes a torn write from damage. A crash during a write leaves the first bytes of the record,
+    followed by the end of the file or by zeros. Such a record was never confirmed and may be dropped. Any
+    other broken record was written whole and has changed since, so it must be reported.
 
     :param data: the whole file.
-    :param end: bytes of it that count.
+    :param end: the number of bytes, from the start, that belong to the log.
     """
-    written_end = len(data[:end].rstrip(b"\0"))  # behind it there are only zeros
+    written_end = len(data[:end].rstrip(b"\0"))  # only zeros follow
     start = 0
     previous_checksum = 0
     while start < end:
@@ -80,7 +80,7 @@
         payload = data[payload_start:payload_end]
         if zlib.crc32(payload, length_checksum) != checksum:
             is_torn = written_end < min(end, payload_end)
-            yield BrokenRecord(start, is_torn, "its checksum is wrong")
+            yield BrokenRecord(start, is_torn, "the checksum of a record is wrong")
             return
         yield Record(start, payload, payload_end, checksum)
         start = payload_end
--- a/tests/test_purge_log.py
+++ b/tests/test_purge_log.py
@@ -130,7 +130,7 @@
     log = PurgeLog(disk)
     assert log.head == 5
     write(log, 1)
-    assert read_log(disk).head == 6 and "nothing to mend" in repair(disk)
+    assert read_log(disk).head == 6 and "nothing to repair" in repair(disk)
 
 
 def test_a_full_disk_rejects_and_accepts_again_once_there_is_room():
