--- a/quartzrouter/purge_log/__init__.py
+++ b/quartzrouter/purge_log/__init__.py
@@ -1,1 +1,1 @@
-"""The durable log of purges: its files, its server process, and the processes that connect to it."""
+"""The durable log of purges: its files, its server process, and the clients that connect to it."""
--- a/quartzrouter/purge_log/cache_connection.py
+++ b/quartzrouter/purge_log/cache_connection.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 connection over which the delivery process sends purges to one cache."""
+"""The HTTP/1.1 connection over which the delivery process sends purges to one cache."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -11,31 +11,31 @@
 from quartzrouter.purges.delivery_plan import DELIVERY_TIMEOUT
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 
-PURGED_UP_TO = b"x-purged-to"  # response field: up to which number the cache has purged without a gap
-HIGHEST_LEASE_SEEN = b"x-purge-lease-seen"  # response field with 409: a later lease's fencing token
+PURGED_UP_TO = b"x-purged-to"  # response header: the number up to which the cache has purged without a gap
+HIGHEST_LEASE_SEEN = b"x-purge-lease-seen"  # header of a 409 response: a later lease's fencing token
 OK = 200
 CONFLICT = 409
-READ_BYTES = 1 << 14  # at once
+MAX_READ_BYTES = 1 << 14  # per call of receive()
 MICROSECONDS_PER_SECOND = 1e6
 EXCHANGE_ERRORS = (*CONNECTION_LOST, TimeoutError, h11.ProtocolError, ValueError)
 
 
 class DeliveryError(PurgeLogError):
-    """The cache did not answer."""
+    """Raised if a cache didn't answer."""
 
 
 class DeliveryRefusedError(DeliveryError):
-    """The cache answered, and did not do what was asked."""
+    """Raised if a cache answered, but rejected the request."""
 
 
-class CourierFencedError(DeliveryRefusedError):
-    """The cache has seen a later lease of the task of delivering.
+class DeliveryFencedError(DeliveryRefusedError):
+    """Raised if a cache has seen a later lease of the delivery task.
 
-    :param highest_token: that lease's fencing token.
+    :param highest_token: the fencing token of that lease.
     """
 
     def __init__(self, highest_token: int):
-        super().__init__(f"a later lease has delivered, number {highest_token}")
+        super().__init__(f"the cache has seen a later delivery lease with fencing token {highest_token}")
         self.highest_token = highest_token
 
 
@@ -46,7 +46,7 @@
 
 
 class CacheConnection:
-    """One connection to a cache, one request at a time; opened again after a failure."""
+    """A connection to a cache for one request at a time; it is opened again after a failure."""
 
     def __init__(self, address: tuple[str, int]):
         self.address = address
@@ -58,8 +58,8 @@
         """Sends a request.
 
         :returns: the sequence number up to which the cache has purged without a gap.
-        :raises DeliveryError: where it doesn't answer.
-        :raises DeliveryRefusedError: where it answers with another status than 200.
+        :raises DeliveryError: if the cache doesn't answer.
+        :raises DeliveryRefusedError: if the cache answers with a status other than 200.
         """
         async with self.lock:
             is_reusable = False
@@ -75,7 +75,7 @@
                 host, port = self.address
                 raise DeliveryError(f"{host}:{port}: {describe_error(error)}") from None
             finally:
-                if not is_reusable:  # nobody knows what is still to come on it
+                if not is_reusable:  # the rest of a response may still arrive on it
                     await self.close()
 
     async def _request(self, method: str, target: str, headers: Sequence[tuple[str, str]]) -> int:
@@ -87,18 +87,18 @@
         request = h11.Request(method=method, target=target, headers=[("Host", f"{host}:{port}"), *headers])
         await stream.send(self.http.send(request) or b"")
         await stream.send(self.http.send(h11.EndOfMessage()) or b"")
-        response = await self._response(stream)
+        response = await self._read_response(stream)
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
         else:
             await self.close()
         if response.status == CONFLICT and response.highest_lease_seen:
-            raise CourierFencedError(response.highest_lease_seen)
+            raise DeliveryFencedError(response.highest_lease_seen)
         if response.status != OK:
-            raise DeliveryRefusedError(f"it answered {response.status}")
+            raise DeliveryRefusedError(f"the cache answered with status {response.status}")
         return response.purged_up_to
 
-    async def _response(self, stream: anyio.abc.ByteStream) -> _Response:
+    async def _read_response(self, stream: anyio.abc.ByteStream) -> _Response:
         response = _Response(0, 0, 0)
         while True:
             event = self.http.next_event()
@@ -112,7 +112,7 @@
                 highest_lease_seen = int(headers.get(HIGHEST_LEASE_SEEN, b"0"))
                 response = _Response(event.status_code, purged_up_to, highest_lease_seen)
             elif isinstance(event, h11.ConnectionClosed):
-                raise ValueError("closed without an answer")
+                raise ValueError("the cache closed the connection without a complete response")
 
     async def close(self) -> None:
         """Closes the connection; the next request opens another."""
@@ -124,8 +124,8 @@
 
 
 async def _receive(stream: anyio.abc.ByteStream) -> bytes:
-    """What comes next; empty at the end of the stream."""
+    """Returns the next bytes; empty at the end of the stream."""
     try:
-        return await stream.receive(READ_BYTES)
+        return await stream.receive(MAX_READ_BYTES)
     except anyio.EndOfStream:
         return b""
--- a/quartzrouter/purge_log/delivery.py
+++ b/quartzrouter/purge_log/delivery.py
@@ -1,11 +1,11 @@
-"""The delivery process: sends purges to caches by HTTP PURGE, a member of the purge log for each of them.
+"""The delivery process: joins the purge log as one member per cache, and sends purges by HTTP PURGE.
 
-Operators' commands and pages call it the courier. It has to do with two leases, of different kinds:
+Its log and the documentation call it the courier. It uses two kinds of lease:
 
-- the freshness lease of a member (``purges/freshness_lease.py``): while it runs, the member may rely on
-  having received every purge;
-- the task lease (``leases/``) of the delivery task: the right to deliver, which one delivery process has at a
-  time.
+- the freshness lease of a member (``purges/freshness_lease.py``): while it is held, the member has received
+  every purge that must hold;
+- the task lease (``leases/``) of the delivery task: the right to deliver, which one delivery process holds at
+  a time.
 """
 
 import secrets
@@ -18,8 +18,8 @@
 from quartzrouter.leases.handle import LeaseClient, LeaseHandle
 from quartzrouter.purge_log.cache_connection import (
     CacheConnection,
-    CourierFencedError,
     DeliveryError,
+    DeliveryFencedError,
     DeliveryRefusedError,
 )
 from quartzrouter.purge_log.member_client import ConnectionOpened, MemberClient, MessageReceived
@@ -32,8 +32,8 @@
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 CONNECTIONS_PER_CACHE = 2  # shared by the purges in flight
-SILENCE_TIMEOUT_LEASES = 4  # without a message, until the connection to the purge log counts as broken
-NOT_COUNTED = 0  # as a purge's number: it comes again, and the cache counts it then
+SILENCE_TIMEOUT_LEASES = 4  # leases without a message after which a connection counts as broken
+UNCOUNTED_NUMBER = 0  # sent in place of a purge's number if the cache gets the purge again and counts it then
 MICROSECONDS_PER_SECOND = 1e6
 MICROSECONDS_PER_MILLISECOND = 1_000
 
@@ -41,14 +41,14 @@
 class DeliveryWorker:
     """Delivers purges to one cache, and acknowledges them to the purge log as the cache confirms them.
 
-    :param name: of the cache, and of the member that stands for it.
-    :param address: of the cache.
-    :param purge_logs: their addresses.
+    :param name: the name of the cache and of the member that represents it.
+    :param address: the cache's address.
+    :param purge_logs: the addresses of the purge logs.
     :param grace: microseconds within which a purge must hold at every router.
     :param rate: purges a second.
-    :param lease_handle: of the task lease, where one of several processes does it.
-    :param settle_time: microseconds between the two deliveries of a purge; 0: one does.
-    :param parents: the workers of those parents.
+    :param lease_handle: the task lease; None if a single process delivers, without a lease.
+    :param settle_time: microseconds between the two deliveries of a purge; 0 to deliver it once.
+    :param parents: the workers of the parents that the cache fills from.
     """
 
     def __init__(
@@ -103,7 +103,7 @@
         for effect in self.replica.receive(event.message, now):
             match effect:
                 case ApplyPurges():
-                    self._add(effect)
+                    self._queue_purges(effect)
                 case EndConnection(reason, reconnect_after):
                     self.client.reconnect(f"{self.name}: {reason}", reconnect_after)
                 case SendMessage(message):
@@ -112,7 +112,7 @@
             self.queue.record_head(event.message.head)
         self._acknowledge(now)
 
-    def _add(self, update: ApplyPurges) -> None:
+    def _queue_purges(self, update: ApplyPurges) -> None:
         if update.is_snapshot and update.low_watermark:
             first_number = (
                 update.purges[0].sequence_number if update.purges else self.replica.applied_up_to + 1
@@ -123,7 +123,7 @@
         self.queue_changed.set()
 
     def _acknowledge(self, now: int) -> None:
-        """Tells the purge log what the cache has taken, and what of it has settled.
+        """Tells the purge log which purges the cache has received, and which of those have settled.
 
         A cache that doesn't answer or is catching up counts as unreachable: no purge waits for it, and no
         router trusts its old copies.
@@ -146,10 +146,10 @@
                 await self._poll_cache()
 
     async def _poll_cache(self) -> None:
-        """Asks the cache up to what it has purged; where it has lost something, receives that again.
+        """Asks the cache up to which number it has purged; receives purges again that the cache has lost.
 
-        An answer that a delivery has overtaken tells less than the cache has purged by now. It is passed
-        over, or what was just delivered would count as lost.
+        If a delivery starts while the answer is on its way, the answer may lack what the cache has purged
+        since. It is ignored; otherwise the purge just delivered would count as lost.
         """
         was_up = self.queue.is_up
         deliveries_before = self.deliveries_started
@@ -170,17 +170,16 @@
             if not lacks_nothing:
                 self.replica.applied_up_to = purged_up_to
                 self.client.reconnect(
-                    f"{self.name}: the cache has lost purges; receiving again from {purged_up_to}", 0
+                    f"{self.name}: the cache has lost purges; receiving again those after {purged_up_to}", 0
                 )
         self._acknowledge(wall_clock())
         self.queue_changed.set()
 
     async def _deliver(self, delivery: Delivery) -> None:
-        """Delivers one purge.
+        """Delivers one purge, unless the task lease is over.
 
-        Guards against a delivery process that goes on after its task lease is over, as after a stall: it
-        doesn't know what its successor has delivered. Whoever has the lease next asks the cache where it
-        stands.
+        A process that continued after its lease, for example after a stall, would not know what its successor
+        has delivered. The next holder of the lease asks the cache up to which number it has purged.
         """
         if self.lease_handle and not self.lease_handle.may_act():
             return
@@ -195,7 +194,7 @@
                 self.queue.record_refusal(sequence_number, wall_clock())
             else:
                 self.queue.record_unreachable(wall_clock())
-            if isinstance(error, CourierFencedError) and self.lease_handle:
+            if isinstance(error, DeliveryFencedError) and self.lease_handle:
                 self.lease_handle.handle_superseding_token(error.highest_token)
         else:
             self.queue.record_confirmation(sequence_number)
@@ -205,10 +204,10 @@
     def _headers(self, delivery: Delivery) -> list[tuple[str, str]]:
         purge = delivery.purge
         values = purge.values
-        if purge.kind == "object":  # caches know objects by the keys in their targets
+        if purge.kind == "object":  # caches identify objects by the keys in request targets
             values = tuple(key for name in values for key in object_keys(name))
         headers = [
-            ("X-Purge-Number", str(purge.sequence_number if delivery.is_final else NOT_COUNTED)),
+            ("X-Purge-Number", str(purge.sequence_number if delivery.is_final else UNCOUNTED_NUMBER)),
             ("X-Purge-Kind", purge.kind),
             ("X-Purge-Values", " ".join(values)),
             ("X-Purge-Older-Ms", str(delivery.age // MICROSECONDS_PER_MILLISECOND)),
@@ -226,7 +225,7 @@
 class DeliveryTarget(NamedTuple):
     """A cache that purges are delivered to.
 
-    :param is_parent: other caches fill from it, and it fills from the origin.
+    :param is_parent: True if other caches fill from it, and it fills from the origin.
     """
 
     address: tuple[str, int]
@@ -234,7 +233,7 @@
 
 
 class DeliverySettings(NamedTuple):
-    """How purges are delivered.
+    """Settings of the delivery of purges.
 
     :param grace: microseconds within which a purge must hold at every router.
     :param rate: purges a second to each cache.
@@ -255,8 +254,9 @@
 ) -> list[DeliveryWorker]:
     """Returns a worker for each cache.
 
-    :param targets: by name.
-    :param purge_logs: their addresses.
+    :param targets: the caches by name.
+    :param purge_logs: the addresses of the purge logs.
+    :param lease_handle: the task lease; None if a single process delivers.
     """
     grace, rate, settle_time = settings
     parents = [
@@ -284,9 +284,10 @@
 ) -> None:
     """Delivers purges to all caches until SIGTERM.
 
-    :param targets: by name.
-    :param purge_logs: their addresses.
-    :param lease_client: where several processes may deliver: the one that holds the task does.
+    :param targets: the caches by name.
+    :param purge_logs: the addresses of the purge logs.
+    :param lease_client: given if several processes may deliver; only the holder of the task's lease does.
+    :param task: the task of delivering.
     """
 
     async def deliver_to_all(lease_handle: LeaseHandle | None = None) -> None:
--- a/quartzrouter/purge_log/health_service.py
+++ b/quartzrouter/purge_log/health_service.py
@@ -14,7 +14,7 @@
 
 
 class HealthService:
-    """The aggregator, and what routers were told of it.
+    """Aggregates health reports, and remembers which caches routers were last told to eject.
 
     :param steady_clock: returns microseconds of the monotonic clock.
     """
@@ -22,11 +22,11 @@
     def __init__(self, steady_clock: Callable[[], int]):
         self.steady_clock = steady_clock
         self.aggregator = HealthAggregator()
-        self.failure_reported = anyio.Event()  # a router has reported failures since the last verdicts
-        self.ejected: dict[str, set[str]] = {}  # caches by store, as routers were told last
-        self.next_full_at = 0  # us; verdicts of every store are sent then, changed or not
+        self.failure_reported = anyio.Event()  # set once a router reports failures after the last verdicts
+        self.ejected: dict[str, set[str]] = {}  # caches by store, as last sent to routers
+        self.next_full_at = 0  # microseconds; even unchanged verdicts of every store are sent then
 
-    def report(self, member: Member, report: HealthReport) -> None:
+    def record_report(self, member: Member, report: HealthReport) -> None:
         """Records a router's report."""
         self.aggregator.record_report(
             member.name,
@@ -39,23 +39,23 @@
         if any(observation.failed for observation in report.observations):
             self.failure_reported.set()
 
-    def left(self, member_name: str) -> None:
-        """Forgets the reports of a router that has stopped on purpose."""
+    def remove_router(self, member_name: str) -> None:
+        """Forgets the reports of a router that left on purpose."""
         self.aggregator.remove_router(member_name)
 
     async def run(self, sessions: Callable[[], Collection[Session]]) -> None:
         """Sends verdicts until it is cancelled.
 
-        Routers are told at intervals while there are caches to eject, once when there are none any more,
-        and at once where reported failures have changed the verdicts.
+        Routers are sent verdicts at intervals while there are caches to eject, once more when there are none
+        left, and immediately if reported failures have changed the verdicts.
 
         :param sessions: returns the sessions of all members.
         """
         while True:
             self.failure_reported = anyio.Event()
             await anyio.sleep(URGENT_REPORT_INTERVAL / MICROSECONDS_PER_SECOND)
-            until_full = max(0, self.next_full_at - self.steady_clock()) / MICROSECONDS_PER_SECOND
-            with anyio.move_on_after(until_full):
+            full_delay = max(0, self.next_full_at - self.steady_clock()) / MICROSECONDS_PER_SECOND
+            with anyio.move_on_after(full_delay):
                 await self.failure_reported.wait()
             self._send_verdicts([session for session in sessions() if session.reported_store])
 
@@ -72,7 +72,7 @@
             self.next_full_at = now + REPORT_INTERVAL - URGENT_REPORT_INTERVAL
         sessions = [session for session in sessions if session.reported_store in stores_to_tell]
         stores_with_loads = {session.reported_store for session in sessions if session.wants_loads}
-        loads = {store: self._loads(store, now) for store in stores_with_loads}
+        loads = {store: self._requests_in_flight(store, now) for store in stores_with_loads}
         for session in sessions:
             store = session.reported_store
             if verdicts[store] or session.was_sent_verdicts or session.wants_loads:
@@ -80,8 +80,8 @@
                 session_loads = loads[store] if session.wants_loads else None
                 session.queue(EjectionVerdicts(verdicts[store], session_loads))
 
-    def _loads(self, store: str, now: int) -> dict[str, int]:
-        """Requests in flight at each cache of a store."""
+    def _requests_in_flight(self, store: str, now: int) -> dict[str, int]:
+        """Returns the number of requests in flight at each cache of a store."""
         return {load.cache: load.in_flight for load in self.aggregator.loads(store, now)}
 
     def status(self, epoch: int) -> HealthReply:
--- a/quartzrouter/purge_log/leadership.py
+++ b/quartzrouter/purge_log/leadership.py
@@ -1,4 +1,4 @@
-"""Which process writes the log: the newest epoch leads, and a standby takes over from a silent primary."""
+"""Decides which process writes the log: the newest epoch leads, and a standby replaces a silent primary."""
 
 import anyio
 
@@ -14,13 +14,13 @@
 
 
 class Leadership:
-    """Ends this server once another writer has begun a higher epoch.
+    """Ends this server once another writer has started a higher epoch.
 
-    Guards against two leaders: a process that was stopped, or cut off from everything but the disk, wakes
-    after a standby took over. Without the check it would tell members that they have everything, and grant
+    This prevents two leaders. A process may be stopped, or cut off from everything but the disk, and wake
+    after a standby took over. Without the check it would tell members that they have every purge, and grant
     quota that the new leader grants as well.
 
-    :param stopping: cancelled once this server is fenced.
+    :param stopping: the scope that is cancelled once this server is fenced.
     """
 
     def __init__(self, log: PurgeLog, stopping: anyio.CancelScope, report: RateLimitedLog):
@@ -29,8 +29,8 @@
         self.report = report
         self.is_fenced = False
 
-    def is_held(self) -> bool:
-        """Looks at the disk whether this is still the newest writer; where it isn't, the server ends."""
+    def check_is_leader(self) -> bool:
+        """Returns True if the disk shows no newer writer than this one; ends the server otherwise."""
         try:
             self.log.check_epoch()
         except FencedError as error:
@@ -39,14 +39,14 @@
         return True
 
     def fence(self, error: FencedError) -> None:
-        """Ends the server, as another writer has begun."""
+        """Ends the server because another writer has started."""
         self.is_fenced = True
-        self.report.say("log", f"{error}; this process ends")
+        self.report.say("log", f"{error}; this process exits")
         self.stopping.cancel()
 
 
 async def wait_for_silent_primary(primary: tuple[str, int], grace: int, report: RateLimitedLog) -> None:
-    """Returns once the primary has not answered for so long that the leases of its members are over.
+    """Waits until the primary has not answered for so long that the leases of its members have expired.
 
     :param grace: microseconds within which a purge must hold at every router.
     """
--- a/quartzrouter/purge_log/line_connection.py
+++ b/quartzrouter/purge_log/line_connection.py
@@ -1,7 +1,7 @@
-"""The line protocol's connections: opening one, reading lines, queued writing, and a server's accept guard.
+"""Connections of the line protocol: opening, reading lines, queued writing, and limits for a server.
 
-Purge log and lease service both speak one JSON object a line; what is common to their servers and clients
-is here. Nothing in this module knows what a line says.
+The purge log and the lease service both exchange one JSON object per line. This module contains what their
+servers and clients have in common; it doesn't parse the lines.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -12,20 +12,20 @@
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-CONNECT_TIMEOUT = 1.0  # s
-READ_BYTES = 1 << 16  # at once
-CONNECTION_ENDED = (*CONNECTION_LOST, TimeoutError)  # what ends a connection without a fault of this process
+CONNECT_TIMEOUT_SECONDS = 1.0
+MAX_READ_BYTES = 1 << 16  # per call of receive()
+CONNECTION_ENDED = (*CONNECTION_LOST, TimeoutError)  # errors that are no fault of this process
 
 
 async def read_lines(stream: anyio.abc.ByteStream) -> AsyncIterator[bytes]:
-    """Yields each line without its end, until the stream ends.
+    """Yields each line without its newline, until the stream ends.
 
-    :raises MalformedMessageError: where a line is too long; so no sender makes this process hold more.
+    :raises MalformedMessageError: if a line is too long; this bounds the memory that a sender can occupy.
     """
     unfinished = bytearray()
     while True:
         try:
-            unfinished += await stream.receive(READ_BYTES)
+            unfinished += await stream.receive(MAX_READ_BYTES)
         except anyio.EndOfStream:
             return
         *finished, rest = unfinished.split(b"\n")
@@ -33,24 +33,24 @@
             yield bytes(line)
         unfinished = bytearray(rest)
         if len(unfinished) > MAX_LINE_BYTES:
-            raise MalformedMessageError(f"a line of more than {MAX_LINE_BYTES} bytes")
+            raise MalformedMessageError(f"a line is longer than {MAX_LINE_BYTES} bytes")
 
 
 async def connect(address: tuple[str, int]) -> anyio.abc.SocketStream:
     """Opens a connection.
 
-    :raises OSError: where it is refused.
-    :raises TimeoutError: where nothing answers.
+    :raises OSError: if it is refused.
+    :raises TimeoutError: if nothing answers.
     """
     try:
-        with anyio.fail_after(CONNECT_TIMEOUT):
+        with anyio.fail_after(CONNECT_TIMEOUT_SECONDS):
             return await anyio.connect_tcp(*address)
-    except AttributeError:  # what the loop's stream raises where the other side has reset it already
-        raise ConnectionResetError("gone at once") from None
+    except AttributeError:  # raised by the loop's stream if the peer has reset it already
+        raise ConnectionResetError("the peer reset the connection right after it was opened") from None
 
 
 def first_error(group: BaseExceptionGroup) -> BaseException:
-    """Returns the first error inside nested groups, as a task group raises them."""
+    """Returns the first error inside nested exception groups, as a task group raises them."""
     error: BaseException = group
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
@@ -58,39 +58,39 @@
 
 
 def describe_error(error: BaseException) -> str:
-    """Returns the text of an error, or its type where it has none."""
+    """Returns the text of an error, or the name of its type if it has no text."""
     return str(error) or type(error).__name__
 
 
 class LineQueue:
     """Lines that wait to be written to the current connection.
 
-    What is queued without a connection is dropped: a message counts only on the connection that it was
-    written for.
+    A line that is queued without a connection is dropped: a message is valid only on the connection that it
+    was written for.
 
-    :param max_lines: kept where the other side takes nothing; the oldest are dropped first.
+    :param max_lines: the number of lines kept while the peer accepts no data; the oldest are dropped first.
     """
 
     def __init__(self, max_lines: int | None = None):
         self.max_lines = max_lines
-        self.lines: list[bytes] | None = None  # None: there is no connection
+        self.lines: list[bytes] | None = None  # None while there is no connection
         self.changed = anyio.Event()
 
     @property
     def is_connected(self) -> bool:
-        """Whether there is a connection to write to."""
+        """Returns True if there is a connection to write to."""
         return self.lines is not None
 
     def open(self) -> None:
-        """Begins a connection."""
+        """Starts queueing for a new connection."""
         self.lines = []
 
     def close(self) -> None:
-        """Ends a connection and drops what was not written."""
+        """Stops queueing and drops the lines that were not written."""
         self.lines = None
 
     def put(self, line: bytes) -> bool:
-        """Queues a line; returns False where there is no connection."""
+        """Queues a line; returns False if there is no connection."""
         if self.lines is None:
             return False
         self.lines.append(line)
@@ -100,7 +100,7 @@
         return True
 
     async def write_to(self, stream: anyio.abc.ByteStream) -> None:
-        """Writes what is queued, until it is cancelled."""
+        """Writes queued lines until it is cancelled."""
         while True:
             while self.lines:
                 data = b"".join(self.lines)
@@ -111,10 +111,10 @@
 
 
 class ConnectionGuard:
-    """Around every connection of a server: bounds their number, and keeps an error at its own connection.
+    """Limits the number of a server's connections, and confines an error to the connection it occurred on.
 
-    :param max_connections: at once; one more is closed right away.
-    :param ended_by: errors that end a connection silently.
+    :param max_connections: the number of connections at a time; any further one is closed immediately.
+    :param ended_by: the errors that end a connection without a log line.
     """
 
     def __init__(
@@ -143,7 +143,7 @@
                 await handle(stream)
         except* self.ended_by:
             pass
-        except* Exception as group:  # a fault of this process ends at its connection
+        except* Exception as group:  # a fault of this process ends only the connection
             errors = (f"{type(error).__name__}: {error}" for error in group.exceptions)
             self.report.say("fault", "; ".join(errors))
         finally:
--- a/quartzrouter/purge_log/member_client.py
+++ b/quartzrouter/purge_log/member_client.py
@@ -1,4 +1,4 @@
-"""A member's connection to the purge log: lines become events, messages are queued; it decides nothing."""
+"""A member's connection to the purge log: turns lines into events, and queues messages to be sent."""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -24,7 +24,7 @@
 
 
 class QueueMessage(NamedTuple):
-    """Effect: send this to the purge log."""
+    """Effect: send a message to the purge log."""
 
     message: messages.ToPurgeLog
 
@@ -32,7 +32,7 @@
 class CloseConnection(NamedTuple):
     """Effect: close the connection and reconnect.
 
-    :param reconnect_after: microseconds until the next connection, at least.
+    :param reconnect_after: the microseconds to wait, at least, before the next connection.
     """
 
     reason: str
@@ -40,11 +40,11 @@
 
 
 class MemberClient:
-    """Keeps a connection to one purge log of several.
+    """Keeps a connection to one of several purge logs, without any protocol decisions of its own.
 
-    :param addresses: tried in turn.
+    :param addresses: the addresses of the purge logs; they are tried in turn.
     :param silence_timeout: microseconds without a message after which a connection counts as broken.
-    :param on_event: takes what comes.
+    :param on_event: called with each event.
     """
 
     def __init__(
@@ -59,21 +59,21 @@
         self.on_event = on_event
         self.report = report
         self.outgoing = LineQueue()
-        self.scope: anyio.CancelScope | None = None  # of the current connection
+        self.scope: anyio.CancelScope | None = None  # contains the current connection
 
     @property
     def is_connected(self) -> bool:
-        """Whether there is a connection."""
+        """Returns True if there is a connection."""
         return self.outgoing.is_connected
 
     def send(self, message: messages.ToPurgeLog) -> None:
-        """Queues a message for the current connection; it is dropped where there is none."""
+        """Queues a message for the current connection; drops it if there is none."""
         self.outgoing.put(messages.encode_line(message))
 
     def reconnect(self, reason: str, reconnect_after: int) -> None:
         """Closes the current connection.
 
-        :param reconnect_after: microseconds until the next, at least.
+        :param reconnect_after: the microseconds to wait, at least, before the next connection.
         """
         self.report.say("ledger", reason)
         self.backoff.wait_at_least(reconnect_after)
@@ -86,14 +86,14 @@
             host, port = self.backoff.address
             try:
                 with anyio.CancelScope() as self.scope:
-                    await self._follow(host, port)
-            except* Exception as group:  # what ends a connection ends nothing else
+                    await self._run_connection(host, port)
+            except* Exception as group:  # an error of a connection ends only that connection
                 failure = describe_error(first_error(group))
                 self.report.say("ledger", f"{host}:{port}: {failure}; reconnecting")
             self.outgoing.close()
             await anyio.sleep(self.backoff.next_delay() / MICROSECONDS_PER_SECOND)
 
-    async def _follow(self, host: str, port: int) -> None:
+    async def _run_connection(self, host: str, port: int) -> None:
         stream = await connect((host, port))
         self.outgoing.open()
         async with stream, anyio.create_task_group() as tasks:
--- a/quartzrouter/purge_log/process.py
+++ b/quartzrouter/purge_log/process.py
@@ -19,11 +19,7 @@
 
 EXIT_STOPPED = 0
 EXIT_FENCED = 3  # another purge log has taken over
-START_ERRORS = (
-    LogDamagedError,
-    DiskUnavailableError,
-    OSError,
-)  # which name the place and the remedy themselves
+START_ERRORS = (LogDamagedError, DiskUnavailableError, OSError)  # with the place and the remedy as text
 
 ReadBudgets = Callable[[], tuple[list[Budget], dict[str, SlowStartTerms]]]
 
@@ -43,22 +39,23 @@
     """Runs a purge log until SIGTERM.
 
     :param grace: microseconds within which a purge must hold at every router.
-    :param primary: where this is a standby: the process from which it takes over.
+    :param primary: the address of the process to take over from; None if this isn't a standby.
     :param clock: returns microseconds of the wall clock.
-    :param read_budgets: reads the budgets of which shares are granted and the terms of slow start, at the
-        start and at SIGHUP; raises ValueError.
+    :param read_budgets: reads the budgets of which shares are granted and the terms of slow start; called at
+        the start and at SIGHUP; raises ValueError.
     :param steady: returns microseconds of the monotonic clock.
-    :param lease_client: where several processes with folders of their own may grant quota: the one that
-        holds the task does.
+    :param lease_client: given if several processes with separate folders may grant quota; only the holder of
+        the task's lease does.
+    :param task: the task of granting quota.
     :returns: the exit status.
-    :raises OSError, ValueError, LogDamagedError, DiskUnavailableError: before anything is served.
+    :raises OSError, ValueError, LogDamagedError, DiskUnavailableError: if the start fails, before anything is served.
     """
     process = _Process(report, read_budgets, lease_client)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(process.handle_signals, tasks.cancel_scope)
         listeners = await _listen(address)
         if primary:
-            await _close(listeners)  # nobody is to connect to a standby
+            await _close(listeners)  # a standby must not accept connections
             await wait_for_silent_primary(primary, grace, report)
             listeners = await _listen(address)
         budgets, slow_start_terms = read_budgets() if read_budgets else (None, None)
@@ -70,23 +67,23 @@
             budgets=budgets,
             steady=steady,
             slow_start_terms=slow_start_terms,
-            lease_token=_lease_token(lease_client, task),
+            lease_token=_lease_token_reader(lease_client, task),
         )
         process.server = server
         if lease_client:
             tasks.start_soon(lease_client.run)
         process.report_start(server.registry, address)
-        has_led_until_stopped = await server.run(listeners)
-        if not has_led_until_stopped:
+        was_leader_until_stopped = await server.run(listeners)
+        if not was_leader_until_stopped:
             process.exit_status = EXIT_FENCED
         tasks.cancel_scope.cancel()
     return process.exit_status
 
 
 class _Process:
-    """What signals act on.
+    """The state that signal handlers use.
 
-    :ivar server: None before it has started.
+    :ivar server: None until the server is created.
     """
 
     def __init__(
@@ -102,12 +99,12 @@
         self.exit_status = EXIT_STOPPED
 
     def report_start(self, registry: PurgeRegistry, address: tuple[str, int]) -> None:
-        """Writes the log line of a start."""
+        """Writes a log line about the start."""
         state = f"epoch {registry.epoch}, purges up to {registry.head}"
         self.report.say("process", f"{state}, at {address[0]}:{address[1]}")
 
     async def handle_signals(self, running: anyio.CancelScope) -> None:
-        """Reads the budgets again at SIGHUP; ends the process at SIGTERM and SIGINT."""
+        """Reloads the budgets at SIGHUP; ends the process at SIGTERM and SIGINT."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
             async for number in received:
                 if number == signal.SIGHUP:
@@ -127,11 +124,11 @@
             self.server.quota.replace(budgets, slow_start_terms)
             self.report.say("shares", f"SIGHUP: {len(budgets)} budgets")
         except (ValueError, OSError) as error:
-            self.report.say("shares", f"SIGHUP: nothing changes: {error}")
+            self.report.say("shares", f"SIGHUP: the budgets stay as they were: {error}")
 
 
-def _lease_token(lease_client: LeaseClient | None, task: str) -> Callable[[], int]:
-    """Returns a function that tells under which lease quota may be granted right now."""
+def _lease_token_reader(lease_client: LeaseClient | None, task: str) -> Callable[[], int]:
+    """Returns a function that returns the fencing token under which quota may be granted right now."""
     if lease_client is None:
         return lambda: WITHOUT_LEASE
     proposer = lease_client.propose(task)
--- a/quartzrouter/purge_log/query_client.py
+++ b/quartzrouter/purge_log/query_client.py
@@ -1,4 +1,4 @@
-"""A client of the purge log: one request at a time, at whichever address answers."""
+"""A client of the purge log that sends one request at a time to the first address that answers."""
 
 from collections.abc import AsyncIterator, Callable, Sequence
 
@@ -9,33 +9,33 @@
 from quartzrouter.purges import messages
 from quartzrouter.purges.messages import MalformedMessageError
 
-ANSWER_TIMEOUT = 5.0  # s: for a disk that is slow, and for a takeover
-ROUNDS = 2  # over all addresses, until none counts as reachable
+REPLY_TIMEOUT_SECONDS = 5.0  # long enough for a slow disk and for a takeover
+ROUNDS = 2  # how often each address is tried before a request fails
 RETRIED_ERRORS = (*CONNECTION_ENDED, MalformedMessageError)
 
 
 class QueryClient:
     """Sends requests to one purge log of several.
 
-    :param addresses: tried in turn.
-    :param timeout: seconds for an answer.
+    :param addresses: the addresses of the purge logs; they are tried in turn.
+    :param timeout: the seconds to wait for a reply.
     """
 
-    def __init__(self, addresses: Sequence[tuple[str, int]], timeout: float = ANSWER_TIMEOUT):
+    def __init__(self, addresses: Sequence[tuple[str, int]], timeout: float = REPLY_TIMEOUT_SECONDS):
         self.addresses = list(addresses)
         self.timeout = timeout
         self.stream: anyio.abc.ByteStream | None = None
         self.lines: AsyncIterator[bytes] | None = None
 
     async def ask(self, message: messages.ToPurgeLog) -> messages.FromPurgeLog:
-        """Sends a request, again at the next address where one fails.
+        """Sends a request; if an address fails, sends it again to the next one.
 
         A purge without an idempotency key may be accepted twice that way.
 
-        :returns: the answer.
-        :raises UnreachableError: where no address answers.
+        :returns: the reply.
+        :raises UnreachableError: if no address answers.
         """
-        failure = "no address is named"
+        failure = "no address is configured"
         for _ in range(len(self.addresses) * ROUNDS):
             try:
                 with anyio.fail_after(self.timeout):
@@ -53,7 +53,7 @@
         return await self.receive()
 
     async def connect(self) -> anyio.abc.ByteStream:
-        """Connects to the first address, where there is no connection.
+        """Connects to the first address if there is no connection.
 
         :returns: the connection.
         """
@@ -65,7 +65,7 @@
     async def receive(self) -> messages.FromPurgeLog:
         """Returns the next message.
 
-        :raises anyio.EndOfStream: where the purge log has closed the connection.
+        :raises anyio.EndOfStream: if the purge log has closed the connection.
         """
         line = await anext(self.lines, None) if self.lines else None
         if line is None:
@@ -77,25 +77,25 @@
         requests: Sequence[messages.PurgeRequest],
         on_answered: Callable[[int], None] | None = None,
     ) -> list[messages.FromPurgeLog]:
-        """Sends purges, a page at a time without waiting for each answer.
+        """Sends purges in pages, without waiting for each reply within a page.
 
-        :param requests: all with idempotency keys, so that a page may be sent again elsewhere.
-        :param on_answered: called with the number of each page's answers.
-        :returns: the answers in order.
-        :raises UnreachableError: where no address answers.
+        :param requests: all with idempotency keys, so that a page may be sent again to another purge log.
+        :param on_answered: called after each page with the number of its replies.
+        :returns: the replies in order.
+        :raises UnreachableError: if no address answers.
         """
-        answers: list[messages.FromPurgeLog] = []
+        replies: list[messages.FromPurgeLog] = []
         for start in range(0, len(requests), messages.MAX_PURGES_PER_LINE):
             first, *rest = requests[start : start + messages.MAX_PURGES_PER_LINE]
-            answers.append(await self.ask(first))  # which finds a purge log that answers
+            replies.append(await self.ask(first))  # finds a purge log that answers
             try:
-                answers += await self._ask_pipelined(rest)
+                replies += await self._ask_pipelined(rest)
             except RETRIED_ERRORS:
                 await self.close()
-                answers += [await self.ask(request) for request in rest]
+                replies += [await self.ask(request) for request in rest]
             if on_answered:
                 on_answered(1 + len(rest))
-        return answers
+        return replies
 
     async def _ask_pipelined(self, requests: Sequence[messages.PurgeRequest]) -> list[messages.FromPurgeLog]:
         with anyio.fail_after(self.timeout):
--- a/quartzrouter/purge_log/quota_service.py
+++ b/quartzrouter/purge_log/quota_service.py
@@ -1,4 +1,4 @@
-"""Grants members shares of the fleet's budgets, on behalf of the purge log that leads."""
+"""Grants members shares of the fleet's budgets, in the process that leads the purge log."""
 
 from collections.abc import Callable
 
@@ -22,18 +22,18 @@
 )
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-WITHOUT_LEASE = 1  # in place of a fencing token, where a single process grants
-NOT_HELD = 0  # in place of a fencing token, where another process may grant
+WITHOUT_LEASE = 1  # stands for a fencing token if a single process grants quota, without a lease
+NOT_HELD = 0  # stands for a fencing token while another process may hold the lease
 
 
 class QuotaService:
     """The allocators of a process that may grant quota.
 
-    :param budgets: of which shares are granted; None where this process has no plan, and grants none.
-    :param slow_start_terms: by tier.
+    :param budgets: the budgets of which shares are granted; None if this process has no plan and grants none.
+    :param slow_start_terms: the terms of slow start by tier.
     :param steady_clock: returns microseconds of the monotonic clock.
-    :param lease_token: returns the fencing token of the lease under which quota is granted, right before it
-        is; NOT_HELD where another process holds it.
+    :param lease_token: returns the fencing token of the lease under which quota is granted, or NOT_HELD;
+        called right before each grant.
     """
 
     def __init__(
@@ -50,15 +50,15 @@
         self.allocator = QuotaAllocator(budgets, steady_clock()) if budgets is not None else None
         self.slow_start = SlowStartAllocator(slow_start_terms, steady_clock())
         self.last_lease_token = WITHOUT_LEASE
-        self.impersonations = 0  # requests in a name that is not the member's
+        self.impersonations = 0  # requests under a name or process token that is not the member's
 
     @property
     def is_enabled(self) -> bool:
-        """Whether this process grants quota at all."""
+        """Returns True if this process has budgets to grant."""
         return self.allocator is not None
 
     def grant(self, requests: QuotaRequests, member: Member) -> QuotaGrants | None:
-        """Grants what a member requests; None where another process holds the lease."""
+        """Grants what a member requests; returns None if this process doesn't hold the lease."""
         if not self._holds_lease():
             return None
         refused: dict[str, QuotaRefusal] = {}
@@ -67,7 +67,7 @@
             reply = self._grant_one(request, member)
             if not isinstance(reply, QuotaRefusal):
                 grants.append(reply)
-            elif reply.place != RefusedField.SEQUENCE_NUMBER:  # a late request: nothing is wrong
+            elif reply.place != RefusedField.SEQUENCE_NUMBER:  # not reported: the request was merely late
                 refused[request.budget] = reply
                 self._report_refusal(member, request.budget, reply)
         slow_start_grants: list[SlowStartGrant] = []
@@ -83,10 +83,10 @@
         return QuotaGrants(tuple(grants), refused, tuple(slow_start_grants))
 
     def _holds_lease(self) -> bool:
-        """Whether this process grants now.
+        """Returns True if this process may grant now; resets the allocators under a new lease.
 
-        Guards against granting twice: under another lease than before it knows nothing of what others have
-        granted meanwhile, so it starts as after a takeover.
+        Under a new lease, this process doesn't know what others have granted in the meantime. It would grant
+        the same quota twice, so it starts with new allocators as after a takeover.
         """
         token = self.lease_token()
         if self.allocator and token and token != self.last_lease_token:
@@ -97,18 +97,20 @@
         return token != NOT_HELD
 
     def _grant_one(self, request: QuotaRequest, member: Member) -> QuotaGrant | QuotaRefusal:
-        """Guards against a member that spends under another's name: its grants would not be counted."""
+        """Grants one request; refuses it under another member's name, as the grant would not be counted."""
         if (request.name, request.process_token) != (member.name, member.token):
             self.impersonations += 1
-            return QuotaRefusal("name", f"{request.name!r:.40} asks on another's line", "mend the sender")
-        assert self.allocator is not None  # the caller looked whether quota is granted at all
+            return QuotaRefusal(
+                "name", f"name {request.name!r:.40} and its token are not this connection's", "fix the sender"
+            )
+        assert self.allocator is not None  # the caller checked is_enabled
         return self.allocator.handle_request(request, self.steady_clock())
 
     def _report_refusal(self, member: Member, requested: str, refusal: QuotaRefusal) -> None:
         self.report.say("shares", f"{member.name}: {requested:.60}: {refusal.place}: {refusal.reason}")
 
     def status(self, epoch: int) -> QuotaStatus:
-        """Returns the state of the budgets."""
+        """Returns the state of the budgets and of slow start."""
         if self.allocator is None:
             return QuotaStatus(epoch, (), 0)
         now = self.steady_clock()
@@ -118,7 +120,7 @@
         return QuotaStatus(epoch, tuple(budgets), refused, tuple(slow_starts))
 
     def replace(self, budgets: list[Budget], slow_start_terms: dict[str, SlowStartTerms]) -> None:
-        """Applies the budgets and terms of a plan that was read again."""
+        """Applies the budgets and slow start terms of a reloaded plan."""
         if self.allocator:
             self.allocator.replace(budgets, self.steady_clock())
             self.slow_start.replace(slow_start_terms, self.steady_clock())
--- a/quartzrouter/purge_log/requests.py
+++ b/quartzrouter/purge_log/requests.py
@@ -1,4 +1,4 @@
-"""Answers to clients: purges, which are answered once they are durable, and queries."""
+"""Replies to clients: to a purge once it is durable, and to queries."""
 
 from collections.abc import AsyncIterator, Callable
 
@@ -19,40 +19,40 @@
 )
 from quartzrouter.purges.registry import PurgeRegistry
 
-MAX_QUEUED_ANSWERS = 1_024  # of one client; beyond, nothing more is read from it
-WRITE_TIMEOUT = 5.0  # s: a client that takes nothing for so long is given up
+MAX_QUEUED_REPLIES = 1_024  # for one client; while so many are queued, nothing more is read from it
+WRITE_TIMEOUT_SECONDS = 5.0  # a client that accepts no data for this long is disconnected
 
 
-class PendingAnswer:
-    """The answer to a purge that is not durable yet.
+class PendingReply:
+    """The reply to a purge that is not durable yet.
 
-    :param accepted: the answer once it is durable.
+    :param accepted: the reply if the purge becomes durable.
     """
 
     def __init__(self, accepted: PurgeAccepted):
         self.accepted = accepted
         self.rejection: RequestRejected | None = None
-        self.settled = anyio.Event()
+        self.resolved = anyio.Event()
 
-    def settle(self, rejection: RequestRejected | None) -> None:
-        """Records what became of the purge; None where it is durable."""
+    def resolve(self, rejection: RequestRejected | None) -> None:
+        """Records the outcome of the purge: a rejection, or None if the purge is durable."""
         self.rejection = rejection
-        self.settled.set()
+        self.resolved.set()
 
     async def wait(self) -> PurgeAccepted | RequestRejected:
-        """Returns the answer once it is known."""
-        await self.settled.wait()
+        """Waits for the outcome and returns the reply."""
+        await self.resolved.wait()
         return self.rejection or self.accepted
 
 
-Answer = messages.FromPurgeLog | PendingAnswer
+Reply = messages.FromPurgeLog | PendingReply
 
 
 class RequestHandler:
-    """Answers clients' messages.
+    """Handles clients' messages.
 
     :param now: returns microseconds of the purge log's wall clock.
-    :param on_admitted: called after a purge was admitted that is to be made durable.
+    :param on_admitted: called after a purge was admitted and has to be made durable.
     """
 
     def __init__(
@@ -68,10 +68,10 @@
         self.health = health
         self.now = now
         self.on_admitted = on_admitted
-        self.pending: dict[int, list[PendingAnswer]] = {}  # by sequence number
+        self.pending: dict[int, list[PendingReply]] = {}  # by sequence number
 
-    def answer(self, message: messages.ToPurgeLog) -> Answer:
-        """Returns the answer, or one that is pending."""
+    def handle(self, message: messages.ToPurgeLog) -> Reply:
+        """Handles a message, and returns the reply or a pending reply."""
         match message:
             case PurgeRequest():
                 return self._purge(message)
@@ -86,7 +86,7 @@
         tag = message.__struct_config__.tag
         return RequestRejected("line", f"{tag} before any hello", "say hello first")
 
-    def _purge(self, request: PurgeRequest) -> Answer:
+    def _purge(self, request: PurgeRequest) -> Reply:
         admitted = self.registry.admit(request, self.now())
         if isinstance(admitted, RequestRejected):
             return admitted
@@ -97,52 +97,52 @@
         )
         if purge.sequence_number <= self.registry.head:
             return accepted
-        pending = PendingAnswer(accepted)
+        pending = PendingReply(accepted)
         self.pending.setdefault(purge.sequence_number, []).append(pending)
         self.on_admitted()
         return pending
 
-    def settle(self, sequence_number: int, rejection: RequestRejected | None) -> None:
-        """Answers those that wait for a purge; without a rejection it is durable."""
+    def resolve(self, sequence_number: int, rejection: RequestRejected | None) -> None:
+        """Resolves the pending replies to a purge; without a rejection, the purge is durable."""
         for pending in self.pending.pop(sequence_number, ()):
-            pending.settle(rejection)
+            pending.resolve(rejection)
 
     async def serve(self, stream: anyio.abc.ByteStream, lines: AsyncIterator[bytes]) -> MemberHello | None:
-        """Answers a client's messages in their order until it says hello or its lines end.
+        """Replies to a client's messages in order, until it sends a hello message or its lines end.
 
-        :returns: the hello.
+        :returns: the hello message; None if the lines ended.
         """
-        queue, answers = anyio.create_memory_object_stream[Answer](MAX_QUEUED_ANSWERS)
+        queue, replies = anyio.create_memory_object_stream[Reply](MAX_QUEUED_REPLIES)
         async with anyio.create_task_group() as tasks, queue:
-            tasks.start_soon(_write_answers, stream, answers)
+            tasks.start_soon(_write_replies, stream, replies)
             try:
                 async for line in lines:
                     message = messages.decode_to_purge_log(line)
                     if isinstance(message, MemberHello):
                         return message
-                    await queue.send(self.answer(message))
+                    await queue.send(self.handle(message))
             except messages.MalformedMessageError as error:
                 remedy = "write one JSON object a line, see docs/purges.md"
                 await queue.send(RequestRejected("line", str(error), remedy))
         return None
 
 
-async def _write_answers(stream: anyio.abc.ByteStream, answers) -> None:
-    """Writes answers in their order, many at once while none has to be waited for."""
+async def _write_replies(stream: anyio.abc.ByteStream, replies) -> None:
+    """Writes replies in order, many in one write unless the next one is still pending."""
     data = b""
-    async for answer in answers:
-        is_pending = isinstance(answer, PendingAnswer)
-        if data and is_pending and not answer.settled.is_set():
+    async for reply in replies:
+        is_pending = isinstance(reply, PendingReply)
+        if data and is_pending and not reply.resolved.is_set():
             await _send(stream, data)
             data = b""
-        known_answer = await answer.wait() if is_pending else answer
-        data += messages.encode_line(known_answer)
-        has_more = answers.statistics().current_buffer_used
+        known_reply = await reply.wait() if is_pending else reply
+        data += messages.encode_line(known_reply)
+        has_more = replies.statistics().current_buffer_used
         if not has_more or len(data) >= messages.MAX_LINE_BYTES:
             await _send(stream, data)
             data = b""
 
 
 async def _send(stream: anyio.abc.ByteStream, data: bytes) -> None:
-    with anyio.fail_after(WRITE_TIMEOUT):
+    with anyio.fail_after(WRITE_TIMEOUT_SECONDS):
         await stream.send(data)
--- a/quartzrouter/purge_log/server.py
+++ b/quartzrouter/purge_log/server.py
@@ -1,7 +1,7 @@
-"""The purge log's server: accepts purges, makes them durable, and hands them to its members in their order.
+"""The purge log's server: accepts purges, makes them durable, and sends them to its members in order.
 
-The parts: requests answers clients, sessions serves members, leadership fences this process, quota_service
-and health_service do what the leader does beside purges. This module joins them around the log.
+The modules requests and sessions serve clients and members, leadership fences this process, quota_service
+grants quota and health_service aggregates health reports. This module connects them to the log.
 """
 
 from collections.abc import Callable
@@ -25,25 +25,25 @@
 from quartzrouter.server.clock import steady_clock, wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-MAX_BATCH = 4_096  # purges made durable at once: 1 MB
-COMPACT_AFTER = 50_000  # purges since the last snapshot: 10 MB
+MAX_BATCH = 4_096  # purges written and synced together: 1 MB
+COMPACT_AFTER = 50_000  # purges after the last snapshot until the next one is written: 10 MB
 MAX_CONNECTIONS = 8_192  # of routers, caches and clients
-RETRY_AFTER = 1_000_000  # us, for a purge that the disk didn't take
-UPDATES_PER_HEARTBEAT = 2  # of completeness: a purge that is complete is known so half a heartbeat later
+RETRY_AFTER_US = 1_000_000  # after which a client may retry a purge that the disk rejected
+UPDATES_PER_HEARTBEAT = 2  # a purge is found complete at most half a heartbeat interval later
 
 
 class PurgeLogServer:
-    """A purge log that is open.
+    """A server of one purge log.
 
     :param grace: microseconds within which a purge must hold at every router.
     :param clock: returns microseconds of the wall clock.
-    :param compact_after: purges after which a snapshot is written.
-    :param budgets: of which shares are granted to routers; None where none are.
+    :param compact_after: the number of purges after which a snapshot is written.
+    :param budgets: the budgets of which shares are granted to routers; None to grant none.
     :param steady: returns microseconds of the monotonic clock.
-    :param slow_start_terms: by tier.
-    :param lease_token: returns the fencing token under which quota is granted; 0 where it is not held.
-    :raises LogDamagedError: where the folder can't be read whole.
-    :raises DiskUnavailableError: where the disk takes nothing.
+    :param slow_start_terms: the terms of slow start by tier.
+    :param lease_token: returns the fencing token under which quota is granted; 0 while the lease isn't held.
+    :raises LogDamagedError: if the folder can't be read completely.
+    :raises DiskUnavailableError: if the disk rejects a write.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         self.report = report
         self.compact_after = compact_after
         self.scope = anyio.CancelScope()
-        self.has_pending = anyio.Event()  # purges to be made durable
+        self.has_pending = anyio.Event()  # set while admitted purges wait to be made durable
         self.connections = ConnectionGuard(MAX_CONNECTIONS, report)
         self.log = PurgeLog(disk)
         self.registry = self._recovered_registry(grace)
@@ -85,18 +85,18 @@
 
     @property
     def is_fenced(self) -> bool:
-        """Whether another writer has begun."""
+        """Returns True if another writer has started."""
         return self.leadership.is_fenced
 
     async def run(self, listeners: list[anyio.abc.Listener]) -> bool:
         """Serves until it is cancelled.
 
-        :returns: False where another writer has begun.
+        :returns: False if another writer has started.
         """
         with self.scope:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._write_log)
-                tasks.start_soon(self._keep_completeness)
+                tasks.start_soon(self._update_completeness_at_intervals)
                 tasks.start_soon(self.health.run, self.sessions.by_name.values)
                 for listener in listeners:
                     tasks.start_soon(listener.serve, self.serve)
@@ -104,7 +104,7 @@
         return not self.is_fenced
 
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
-        """Serves one connection: a client's, which becomes a member's where it says hello."""
+        """Serves one connection: a client's, and a member's from its hello message on."""
         await self.connections.serve(stream, self._serve)
 
     async def _serve(self, stream: anyio.abc.ByteStream) -> None:
@@ -114,7 +114,7 @@
             await self.sessions.serve(stream, lines, hello)
 
     async def _write_log(self) -> None:
-        """Makes purges durable as they are admitted, as many at once as there are."""
+        """Makes admitted purges durable, up to ``MAX_BATCH`` in one write."""
         while True:
             await self.has_pending.wait()
             self.has_pending = anyio.Event()
@@ -134,14 +134,14 @@
     def _mark_durable(self, batch: list[Purge]) -> None:
         self.registry.mark_durable(batch[-1].sequence_number, self.now())
         for purge in batch:
-            self.requests.settle(purge.sequence_number, None)
+            self.requests.resolve(purge.sequence_number, None)
         self.sessions.wake_all()
 
     def _reject_pending(self, reason: str) -> None:
-        self.report.say("log", f"purges are refused: {reason}")
-        rejection = RequestRejected("disk", reason, "make room on the ledger's disk", RETRY_AFTER)
+        self.report.say("log", f"purges are rejected: {reason}")
+        rejection = RequestRejected("disk", reason, "make room on the ledger's disk", RETRY_AFTER_US)
         for purge in self.registry.discard_pending():
-            self.requests.settle(purge.sequence_number, rejection)
+            self.requests.resolve(purge.sequence_number, rejection)
 
     async def _compact(self) -> None:
         registry = self.registry
@@ -152,13 +152,13 @@
                 self.log.compact, durable, registry.trimmed_up_to, registry.low_watermark
             )
         except DiskUnavailableError as error:
-            self.log.purges_since_snapshot = 0  # the next attempt comes after as many more
-            self.report.say("log", f"no snapshot: {error}")
+            self.log.purges_since_snapshot = 0  # the next attempt follows after as many purges again
+            self.report.say("log", f"the snapshot was not written: {error}")
         except FencedError as error:
             self.leadership.fence(error)
 
-    async def _keep_completeness(self) -> None:
-        """Looks again as time passes: a member that fell silent is no longer waited for."""
+    async def _update_completeness_at_intervals(self) -> None:
+        """Updates which purges are complete, as a member that fell silent is no longer waited for."""
         while True:
             await anyio.sleep(self.sessions.heartbeat_interval / UPDATES_PER_HEARTBEAT)
             self.registry.update_completeness(self.now())
--- a/quartzrouter/purge_log/session.py
+++ b/quartzrouter/purge_log/session.py
@@ -1,4 +1,4 @@
-"""One member's connection to the purge log: what it has been sent, and what waits to be sent."""
+"""The state of one member's connection: what the member was sent, and what is queued for it."""
 
 from collections import deque
 
@@ -7,13 +7,13 @@
 from quartzrouter.purges.members import Member
 from quartzrouter.purges.messages import EjectionVerdicts, QuotaGrants
 
-MAX_QUEUED_MESSAGES = 16  # grants and verdicts for one member; older ones have run out
+MAX_QUEUED_MESSAGES = 16  # grants and verdicts for one member; older ones have expired
 
 
 class Session:
-    """One member's connection.
+    """The state of one member's connection.
 
-    :param sent_up_to: the sequence number up to which it has every purge.
+    :param sent_up_to: the sequence number up to which the member was sent every purge.
     """
 
     def __init__(self, member: Member, sent_up_to: int):
@@ -21,18 +21,18 @@
         self.sent_up_to = sent_up_to
         self.scope = anyio.CancelScope()
         self.sent_caches_caught_up: dict[str, int] | None = None
-        self.changed = anyio.Event()  # there is something to send
+        self.changed = anyio.Event()  # set when there is something to send
         self.queued: deque[QuotaGrants | EjectionVerdicts] = deque(maxlen=MAX_QUEUED_MESSAGES)
-        self.reported_store = ""  # the store whose caches it reports, if any
-        self.was_sent_verdicts = False  # it was last told to eject a cache
-        self.wants_loads = False  # it wants to know how many requests are in flight at caches
+        self.reported_store = ""  # the store whose caches the member reports on; empty if it sent no report
+        self.was_sent_verdicts = False  # True if the last verdicts ejected a cache
+        self.wants_loads = False  # True if the member asked for the requests in flight at caches
 
     def wake(self) -> None:
-        """Lets the writer look for something to send."""
+        """Wakes the writer task of this connection."""
         self.changed.set()
         self.changed = anyio.Event()
 
     def queue(self, message: QuotaGrants | EjectionVerdicts) -> None:
-        """Queues a message beside the purges."""
+        """Queues a message that is not a purge."""
         self.queued.append(message)
         self.wake()
--- a/quartzrouter/purge_log/sessions.py
+++ b/quartzrouter/purge_log/sessions.py
@@ -1,4 +1,4 @@
-"""Members' connections: what each has been sent, what it reports, and the heartbeats that renew its lease."""
+"""Serves members' connections: sends purges and heartbeats, and handles acknowledgements and reports."""
 
 from collections.abc import AsyncIterator, Callable
 
@@ -25,12 +25,12 @@
 from quartzrouter.purges.registry import PurgeRegistry
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-WRITE_TIMEOUT = 5.0  # s: a member that takes nothing for so long is given up
+WRITE_TIMEOUT_SECONDS = 5.0  # a member that accepts no data for this long is disconnected
 MICROSECONDS_PER_SECOND = 1e6
 
 
 class Sessions:
-    """The connections of all members, one a name.
+    """The connections of all members, at most one for each name.
 
     :param now: returns microseconds of the purge log's wall clock.
     """
@@ -52,15 +52,15 @@
         self.report = report
         self.heartbeat_interval = heartbeat_interval(registry.grace) / MICROSECONDS_PER_SECOND
         self.by_name: dict[str, Session] = {}
-        self.caches_caught_up: dict[str, int] = {}  # as routers are told
+        self.caches_caught_up: dict[str, int] = {}  # sequence numbers by cache, as sent to routers
 
     def wake_all(self) -> None:
-        """Lets every writer look for something to send."""
+        """Wakes the writer tasks of all connections."""
         for session in self.by_name.values():
             session.wake()
 
     def update_caches_caught_up(self) -> None:
-        """Recomputes how far caches have caught up; routers are told with the next message."""
+        """Recomputes up to where each cache has caught up; routers receive it before their next heartbeat."""
         caches_caught_up = self.registry.caches_caught_up(self.now())
         if caches_caught_up != self.caches_caught_up:
             self.caches_caught_up = caches_caught_up
@@ -68,7 +68,7 @@
     async def serve(
         self, stream: anyio.abc.ByteStream, lines: AsyncIterator[bytes], hello: MemberHello
     ) -> None:
-        """Serves one member until its connection ends; an older connection of the name is closed."""
+        """Serves one member until its connection ends; closes an older connection of the same name."""
         member = self.registry.join(hello, self.now())
         if isinstance(member, RequestRejected):
             await stream.send(messages.encode_line(member))
@@ -81,8 +81,8 @@
         try:
             with session.scope:
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(self._write, stream, session, hello)
-                    await self._read(lines, session)
+                    tasks.start_soon(self._write_messages, stream, session, hello)
+                    await self._read_messages(lines, session)
                     tasks.cancel_scope.cancel()
         finally:
             if self.by_name.get(hello.name) is session:
@@ -90,14 +90,14 @@
 
     # -- from the member -----------------------------------------------------------------------------------
 
-    async def _read(self, lines: AsyncIterator[bytes], session: Session) -> None:
+    async def _read_messages(self, lines: AsyncIterator[bytes], session: Session) -> None:
         try:
             async for line in lines:
-                self._received(session, messages.decode_to_purge_log(line))
+                self._handle(session, messages.decode_to_purge_log(line))
         except messages.MalformedMessageError as error:
             self.report.say("member", f"{session.member.name}: {error}")
 
-    def _received(self, session: Session, message: messages.ToPurgeLog) -> None:
+    def _handle(self, session: Session, message: messages.ToPurgeLog) -> None:
         now = self.now()
         member = session.member
         match message:
@@ -105,22 +105,24 @@
                 self.registry.acknowledge(member, applied_up_to, ack_id, is_unreachable, now, settled_up_to)
             case MemberLeave():
                 self.registry.leave(member, now)
-                self.health.left(member.name)
+                self.health.remove_router(member.name)
             case HealthReport():
                 session.reported_store = message.store
                 session.wants_loads = message.wants_loads
-                self.health.report(member, message)
-            case QuotaRequests() if self.quota.is_enabled and self.leadership.is_held():
-                # What is granted ends by itself. Where this process is stopped between the look at the
-                # epoch and the sending, a grant comes late; its end counts from the request, which came
-                # before the look, and whoever took over waits for as long before it grants slots.
+                self.health.record_report(member, message)
+            case QuotaRequests() if self.quota.is_enabled and self.leadership.check_is_leader():
+                # Every grant expires. If this process is stopped between the check of the epoch and the
+                # sending, the grant arrives late. But its lifetime counts from the request, which precedes
+                # the check, and a process that took over waits for that lifetime before it grants slots.
                 grants = self.quota.grant(message, member)
                 if grants:
                     session.queue(grants)
 
     # -- to the member -------------------------------------------------------------------------------------
 
-    async def _write(self, stream: anyio.abc.ByteStream, session: Session, hello: MemberHello) -> None:
+    async def _write_messages(
+        self, stream: anyio.abc.ByteStream, session: Session, hello: MemberHello
+    ) -> None:
         await self._send_welcome(stream, session, hello)
         heartbeat_due_at = 0.0
         while True:
@@ -133,11 +135,11 @@
                 await _send(stream, CaughtUp(self.caches_caught_up))
             now = anyio.current_time()
             if now >= heartbeat_due_at and session.sent_up_to == self.registry.head:
-                # The echo is read first: it vouches for every purge accepted before the acknowledgement.
-                # The look at the epoch comes after it, so a process that wakes after a takeover can only
-                # vouch for what it knew before.
+                # The acknowledgement to echo is read first: the echo states that the member has every purge
+                # accepted before it. The epoch is checked afterwards, so a process that wakes after a
+                # takeover can only state this for what it knew before.
                 echoed_ack = self.registry.ack_to_echo(session.member)
-                if not self.leadership.is_held():
+                if not self.leadership.check_is_leader():
                     return
                 if session.sent_up_to == self.registry.head:
                     await self._send_heartbeat(stream, echoed_ack)
@@ -174,5 +176,5 @@
 
 
 async def _send(stream: anyio.abc.ByteStream, message: messages.FromPurgeLog) -> None:
-    with anyio.fail_after(WRITE_TIMEOUT):
+    with anyio.fail_after(WRITE_TIMEOUT_SECONDS):
         await stream.send(messages.encode_line(message))
