--- a/tests/test_purge_delivery.py
+++ b/tests/test_purge_delivery.py
@@ -1,4 +1,4 @@
-"""The delivery queue of one cache, without I/O: order, pace, refusals, an absence, an older disk."""
+"""Tests of the delivery queue of one cache, without I/O: order, rate, refusals, outages, an older disk."""
 
 import random
 
@@ -22,7 +22,7 @@
 from quartzrouter.server.clock import wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-SECOND = 1_000_000  # us
+SECOND = 1_000_000  # in microseconds
 START = 100 * SECOND
 
 
@@ -31,7 +31,7 @@
 
 
 def queue_of(*numbers, value=None):
-    """The queue of a cache that is up, and has purged nothing yet."""
+    """Returns the queue of a cache that is up and has purged nothing yet."""
     queue = DeliveryQueue("c1")
     queue.record_purged_up_to(0, 0, START)
     queue.add([purge(number, value) for number in numbers], 0)
@@ -43,10 +43,10 @@
 
 
 def deliver(queue, now, until, is_confirmed=lambda number: True, step=5_000):
-    """Delivers for a while.
+    """Delivers purges from one time until another.
 
-    :param is_confirmed: whether the cache purges; otherwise it refuses.
-    :returns: times and sequence numbers in the order in which they went out.
+    :param is_confirmed: returns True if the cache confirms the purge of a number, False if it refuses it.
+    :returns: times and sequence numbers in the order of sending.
     """
     sent = []
     while now < until:
@@ -61,7 +61,7 @@
 
 
 def test_purges_of_one_object_are_delivered_one_after_the_other():
-    """Two purges of one object: were both in flight, the older one's confirmation could come last."""
+    """If two purges of one object were in flight, the older one's confirmation could come last."""
     queue = queue_of(1, 2, value="same")
     queue.add([purge(3)], 0)
     assert numbers(queue.next_deliveries(START + 1 * SECOND)) == [1, 3]
@@ -73,8 +73,8 @@
     assert queue.purged_up_to == 3
 
 
-def test_a_cache_that_came_back_starts_slowly():
-    """A cache comes back and lacks ten thousand purges: at full rate they would slow its requests down."""
+def test_delivery_to_a_cache_that_returned_starts_slowly():
+    """A cache returns and lacks ten thousand purges: the full rate would slow down its requests."""
     queue = queue_of(*range(1, 10_000))
     sent = deliver(queue, START, START + SECOND)
     assert RATE * SLOW_START_SHARE * 0.8 < len(sent) < RATE * (SLOW_START_SHARE + 0.1) + MAX_IN_FLIGHT
@@ -83,7 +83,7 @@
 
 
 def test_a_refused_purge_is_retried_and_does_not_hold_up_the_others():
-    """A cache refuses two purges now and then: each is retried less often, and the others are not held."""
+    """A cache refuses two purges several times: each is retried with backoff; the others go on."""
     refusals_left = {2: 3, 5: 1}
 
     def is_confirmed(number):
@@ -99,7 +99,7 @@
 
 
 def test_an_unreachable_cache_is_polled_with_backoff():
-    """A cache is gone for long. Nothing goes out before it has told what it has purged."""
+    """A cache is unreachable for long: nothing is sent before it reports what it has purged."""
     queue, backoffs = queue_of(1), []
     for _ in range(12):
         queue.next_deliveries(queue.not_before + 1)
@@ -112,8 +112,8 @@
     assert numbers(queue.next_deliveries(now + 10 * SECOND)) == [1]
 
 
-def test_a_cache_that_comes_back_with_an_older_disk_gets_its_purges_again():
-    """A cache had confirmed three purges and returns with the first only: the others are received anew."""
+def test_a_cache_that_returns_with_an_older_disk_gets_its_purges_again():
+    """A cache confirmed three purges and returns with the first only: the others are received again."""
     queue = queue_of(1, 2, 3)
     deliver(queue, START + 1 * SECOND, START + 2 * SECOND)
     queue.record_head(3)
@@ -136,7 +136,7 @@
 
 
 def test_too_many_pending_purges_become_one_of_everything():
-    """A cache lacks more than can be delivered in time: the older half becomes one purge of everything."""
+    """A cache lacks too many purges to deliver in time: the older half becomes one purge of everything."""
     queue = queue_of(*range(1, MAX_PENDING + 2))
     assert len(queue.pending) == MAX_PENDING // 2 + 1 and queue.full_purge_count == 1
     first = queue.next_deliveries(START + 1 * SECOND)[0].purge
@@ -152,7 +152,7 @@
 
 
 def settling_queue(count, parents=()):
-    """The queue of a cache that fills from parents, with the first purges taken once."""
+    """Returns the queue of a cache that fills from parents, with its purges delivered once."""
     queue = DeliveryQueue("c1", settle_time=SETTLE_TIME, parents=parents)
     queue.record_purged_up_to(0, 0, START)
     queue.add([purge(number) for number in range(1, count + 1)], 0)
@@ -161,7 +161,7 @@
     return queue
 
 
-def test_a_purge_is_delivered_again_once_no_older_copy_can_come_in_and_counts_then():
+def test_a_purge_counts_once_it_is_delivered_again_after_its_settle_time():
     queue = settling_queue(2)
     assert deliver(queue, START + SECOND, START + SETTLE_TIME) == []
     again = queue.next_deliveries(START + SETTLE_TIME + SECOND)
@@ -176,8 +176,8 @@
     assert queue.purged_up_to == 2
 
 
-def test_a_purge_settles_from_when_the_parents_have_it_but_for_those_that_are_away():
-    """A cache's fill may join one that began at a parent before the parent had purged."""
+def test_the_settle_time_starts_once_all_reachable_parents_have_the_purge():
+    """A cache's fill may join one that started at a parent before the parent had purged."""
     parent, absent_parent = queue_of(1), queue_of(1)
     for each in (parent, absent_parent):
         each.record_head(1)
@@ -189,8 +189,8 @@
     assert delivered_at >= START + 3 * SETTLE_TIME + SECOND and queue.purged_up_to == 1
 
 
-def test_a_cache_that_was_away_while_purges_settled_gets_them_twice_again():
-    """It may have lost what it had taken once, as that doesn't count in what it tells."""
+def test_a_cache_that_was_unreachable_while_purges_settled_gets_them_twice_again():
+    """The cache may have lost purges delivered once, as the number that it reports doesn't include them."""
     queue = settling_queue(3)
     queue.record_unreachable(START + SECOND)
     assert queue.delivered_up_to == 0
@@ -199,7 +199,7 @@
     assert [number for _, number in sent] == [1, 2, 3, 1, 2, 3] and queue.purged_up_to == 3
 
 
-def test_new_purges_go_before_those_that_have_settled():
+def test_new_purges_are_sent_before_settled_ones():
     queue = settling_queue(MAX_IN_FLIGHT)
     later = START + SETTLE_TIME + 2 * SECOND
     queue.add([purge(number) for number in range(MAX_IN_FLIGHT + 1, 2 * MAX_IN_FLIGHT + 1)], 0)
@@ -207,7 +207,7 @@
 
 
 def test_too_many_settling_purges_become_one_of_everything():
-    """Purges come for long at nearly the rate, so that few are delivered again: the table stays bounded."""
+    """Purges arrive at nearly the rate for long, so few are delivered again: the table stays bounded."""
     settling = SettlingPurges(SETTLE_TIME, max_waiting=10)
     for number in (2, 1, *range(3, 12)):
         settling.add(purge(number))
@@ -217,8 +217,8 @@
     assert first == Purge(5, 5, "all") and [each.sequence_number for each in others] == [*range(6, 12)]
 
 
-def test_checkpoints_are_few_however_long_purges_take_to_settle():
-    """Client timeouts of half an hour, a purge each 100 ms: one for each of them would fill the memory."""
+def test_the_number_of_checkpoints_is_bounded_for_long_settle_times():
+    """Client timeouts of half an hour, a purge every 100 ms: a checkpoint for each would fill the memory."""
     settling = SettlingPurges(3_600 * SECOND, max_waiting=10)
     for number in range(1, 40_000):
         settling.record_delivered_everywhere(number, START + number * SECOND // 10)
@@ -227,7 +227,7 @@
 
 
 class PolledConnection:
-    """A connection to a cache: while its answer to a poll is on its way, a purge is delivered on another."""
+    """A connection to a cache; a purge is delivered on another one before this one's poll is answered."""
 
     def __init__(self, deliver_meanwhile):
         self.deliver_meanwhile = deliver_meanwhile
@@ -237,14 +237,14 @@
         return 0
 
 
-class Delivered:
-    """A connection to a cache that takes each purge."""
+class ConfirmingConnection:
+    """A connection to a cache that confirms each purge."""
 
     async def request(self, method, target, headers):
         return 1
 
 
-def test_a_poll_that_a_delivery_overtakes_does_not_make_the_purge_count_as_lost():
+def test_a_poll_overtaken_by_a_delivery_does_not_count_the_purge_as_lost():
     report = RateLimitedLog("courier", wall_clock)
     worker = DeliveryWorker("c1", ("127.0.0.1", 1), [("127.0.0.1", 1)], 300_000, report, RATE)
     queue = worker.queue
@@ -256,19 +256,19 @@
         (delivery,) = queue.next_deliveries(wall_clock())
         await worker._deliver(delivery)
 
-    worker.connections = [PolledConnection(deliver_meanwhile), Delivered()]
+    worker.connections = [PolledConnection(deliver_meanwhile), ConfirmingConnection()]
     anyio.run(worker._poll_cache)
     assert queue.purged_up_to == 1 and worker.replica.applied_up_to == 1
 
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 10_000), st.sampled_from((0, SETTLE_TIME)))
-def test_whatever_fails_all_purges_are_delivered_and_only_confirmed_ones_count(seed, settle_time):
-    """A cache refuses, loses answers, goes and comes back at random.
+def test_random_failures_delay_purges_but_lose_none(seed, settle_time):
+    """A cache refuses purges, loses answers, and becomes unreachable and returns at random.
 
-    At no time counts a purge as in force that the cache hasn't taken, and at the end all are delivered.
+    A purge that the cache hasn't confirmed never counts as applied, and at the end all are delivered.
     """
-    chance = random.Random(seed)
+    rng = random.Random(seed)
     now = START
     head = 0
     queue, purged_by_cache = DeliveryQueue("c1", settle_time=settle_time), set()
@@ -277,7 +277,7 @@
         return [purge(number, f"o{number % 5}") for number in range(first, last + 1)]
 
     def report(now):
-        """The cache tells what it has purged without a gap; what it lacks is received anew if need be."""
+        """Reports up to where the cache has purged without a gap; adds the purges again that it has lost."""
         purged_up_to = 0
         while purged_up_to + 1 in purged_by_cache:
             purged_up_to += 1
@@ -285,10 +285,10 @@
             queue.add(purges(purged_up_to + 1, head), 0)
 
     for _ in range(400):
-        now += chance.randint(1_000, 200_000)
-        event = chance.random()
+        now += rng.randint(1_000, 200_000)
+        event = rng.random()
         if event < 0.3:
-            count = chance.randint(1, 4)
+            count = rng.randint(1, 4)
             queue.add(purges(head + 1, head + count), 0)
             head += count
         elif event < 0.4:
@@ -298,11 +298,11 @@
         else:
             for delivery in queue.next_deliveries(now):
                 number = delivery.purge.sequence_number
-                if chance.random() < 0.7:
+                if rng.random() < 0.7:
                     if delivery.is_final:
                         purged_by_cache.add(number)
                     queue.record_confirmation(number)
-                elif chance.random() < 0.5:
+                elif rng.random() < 0.5:
                     queue.record_refusal(number, now)
         assert set(range(1, queue.purged_up_to + 1)) <= purged_by_cache
     queue.record_unreachable(now)
--- a/tests/test_purge_log.py
+++ b/tests/test_purge_log.py
@@ -1,4 +1,4 @@
-"""The purge log's files: nothing promised is lost at any point of a crash, and damage is named."""
+"""Tests of the purge log's files: no crash loses a confirmed purge, and damage is reported."""
 
 import random
 
@@ -17,7 +17,7 @@
 
 
 def write(log, batches, batch_size=1, compact_every=0):
-    """Appends purges in batches; now and then the older half is trimmed and the log compacted."""
+    """Appends batches of purges; at each multiple of `compact_every`, trims the older half and compacts."""
     for _ in range(batches):
         log.append([purge(log.head + n) for n in range(1, batch_size + 1)])
         if compact_every and log.head % compact_every == 0:
@@ -30,49 +30,49 @@
     return [purge.sequence_number for purge in contents.purges]
 
 
-def test_a_crash_at_every_operation_loses_nothing_that_was_promised():
-    """A machine loses its power at each operation on the disk in turn, and again while it recovers.
+def test_a_crash_at_every_operation_loses_no_confirmed_purge():
+    """The machine loses power at each disk operation in turn, and again while it recovers.
 
-    Each life reads what the last has left: all that was promised, in order, without a gap. What a life has
-    read counts as promised from then on, as it may have been sent to members.
+    Each start must read all purges confirmed before, in order and without a gap. Purges that a start has read
+    count as confirmed from then on, as they may have been sent to members.
     """
-    chance, crashes = random.Random(5), 0
+    rng, crashes = random.Random(5), 0
     for first_crash in range(1, 60):
-        disk, promised = FaultyDisk(first_crash, chance), 0
+        disk, confirmed = FaultyDisk(first_crash, rng), 0
 
-        def live(disk):
-            nonlocal promised
+        def run_until_crash(disk):
+            nonlocal confirmed
             log = PurgeLog(disk, max_segment_bytes=400)
             for _ in range(6):
                 write(log, 1, 3, 9)
-                promised = log.head
+                confirmed = log.head
 
         for next_crash in (0, 1, 4, 9, 17):
             try:
-                live(disk)
+                run_until_crash(disk)
             except Crashed:
                 crashes += 1
             disk.dead = True
             after_crash = disk.after_crash()
             contents = read_log(after_crash)
-            assert contents.head >= promised
+            assert contents.head >= confirmed
             assert numbers(contents) == list(range(contents.trimmed_up_to + 1, contents.head + 1))
             assert contents.purges == [purge(number) for number in numbers(contents)]
-            promised = contents.head
+            confirmed = contents.head
             after_crash.crash_at = next_crash and next_crash + 2
             disk = after_crash
     assert crashes > 150
 
 
 def test_a_torn_write_is_ignored_at_every_byte():
-    """A write is cut short at each of its bytes, with or without zeros behind: it was not promised."""
+    """A write is cut short at each of its bytes, with or without zeros after it: it was not confirmed."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
     write(log, 2)
-    whole = len(disk.read(log.segment_name))
+    length_before = len(disk.read(log.segment_name))
     write(log, 1)
     data = disk.read(log.segment_name)
-    for end in range(whole, len(data) + 1):
+    for end in range(length_before, len(data) + 1):
         for zeros in (b"", bytes(37)):
             disk.names_seen[log.segment_name].data = bytearray(data[:end] + zeros)
             found = read_log(disk)
@@ -80,22 +80,22 @@
 
 
 def test_a_flipped_bit_is_reported_wherever_it_is():
-    """One bit of a segment flips, at each byte in turn, also in a length: no purge is dropped silently."""
+    """One bit flips in each byte of a segment in turn, also in lengths: no purge may be dropped silently."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
     write(log, 3)
     data = disk.read(log.segment_name)
     for position in range(len(data)):
-        spoilt = bytearray(data)
-        spoilt[position] ^= 0x10
-        disk.names_seen[log.segment_name].data = spoilt
+        corrupted = bytearray(data)
+        corrupted[position] ^= 0x10
+        disk.names_seen[log.segment_name].data = corrupted
         with pytest.raises(LogDamagedError) as raised:
             read_log(disk)
         assert log.segment_name in raised.value.place and raised.value.reason and raised.value.remedy
 
 
 def test_a_missing_segment_is_reported():
-    """Somebody deletes a segment between two others: the header of the next one names it."""
+    """A segment between two others is deleted: it is found missing by the header of the next one."""
     disk = FaultyDisk()
     log = PurgeLog(disk, max_segment_bytes=200)
     write(log, 12)
@@ -107,7 +107,7 @@
 
 
 def test_a_segment_that_ends_too_soon_is_reported():
-    """A segment that another one follows has lost its end: that was promised, so it is no torn write."""
+    """A segment that isn't the last has lost its end: the end was confirmed, so it is no torn write."""
     disk = FaultyDisk()
     log = PurgeLog(disk, max_segment_bytes=200)
     write(log, 12)
@@ -117,8 +117,8 @@
         read_log(disk)
 
 
-def test_repair_keeps_what_stands_before_the_damage():
-    """A record is damaged and the start refuses the folder: repair keeps what stands before it."""
+def test_repair_keeps_the_purges_before_the_damage():
+    """A record is damaged, so the start rejects the folder: repair keeps the purges before it."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
     write(log, 8)
@@ -134,7 +134,7 @@
 
 
 def test_a_full_disk_rejects_and_accepts_again_once_there_is_room():
-    """The disk is full in the middle of a write: the torn write is removed, and purges go on later."""
+    """The disk becomes full during a write: the torn write is removed, and later purges are accepted."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
     write(log, 2)
@@ -148,8 +148,8 @@
     assert read_log(disk).head == 4 and PurgeLog(disk).head == 4
 
 
-def test_after_a_failed_sync_the_log_goes_on_in_a_new_segment():
-    """A sync fails: nobody knows what is on the disk, so the log goes on in a new segment."""
+def test_after_a_failed_sync_the_log_continues_in_a_new_segment():
+    """A sync fails: the contents of the disk are unknown, so the log continues in a new segment."""
     disk = FaultyDisk()
     log = PurgeLog(disk)
     write(log, 1)
@@ -161,15 +161,15 @@
     assert log.segment_name != before and numbers(read_log(disk)) == [1, 2]
 
 
-def test_a_fenced_writer_promises_nothing_more(tmp_path):
-    """An old writer wakes after a takeover and appends: that stands in its file, and counts for nobody."""
+def test_a_fenced_writer_confirms_no_more_purges(tmp_path):
+    """An old writer wakes after a takeover and appends: its purge is in its file, but not in the log."""
     disk = RealDisk(str(tmp_path))
     old = PurgeLog(disk)
     write(old, 3)
     new = PurgeLog(disk)
     assert (new.epoch, new.head) == (old.epoch + 1, 3)
     with pytest.raises(FencedError):
-        old.append([purge(4)])  # stands in the file, and counts for nobody
+        old.append([purge(4)])  # written to the file, but not part of the log
     with pytest.raises(FencedError):
         old.compact([], 3, 3_000)
     other = Purge(4, 9_000, "tag", ("rose",))
@@ -179,7 +179,7 @@
 
 
 def test_a_snapshot_replaces_segments(tmp_path):
-    """The log is compacted: one snapshot takes the place of all files but the segment that is written."""
+    """The log is compacted: one snapshot replaces all files except the open segment."""
     disk = RealDisk(str(tmp_path))
     log = PurgeLog(disk, max_segment_bytes=200)
     write(log, 20)
--- a/tests/test_purge_log_server.py
+++ b/tests/test_purge_log_server.py
@@ -1,4 +1,4 @@
-"""The purge log over loopback: order, keys, members, a full disk, takeover, malformed lines."""
+"""Tests of the purge log over loopback: order, keys, members, a full disk, takeover, malformed lines."""
 
 import contextlib
 import json
@@ -39,11 +39,11 @@
 from quartzrouter.server import process as process_module
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-GRACE = 300_000  # us
+GRACE_US = 300_000
 
 
-class OpenPurgeLog:
-    """A purge log in this process, and connections to it."""
+class RunningPurgeLog:
+    """A purge log server in this process, and connections to it."""
 
     def __init__(self, tasks):
         self.tasks = tasks
@@ -55,7 +55,7 @@
         listeners = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
         self.address = ("127.0.0.1", port)
         report = RateLimitedLog("l", process_module.wall_clock)
-        self.server = PurgeLogServer(disk, GRACE, report, **options)
+        self.server = PurgeLogServer(disk, GRACE_US, report, **options)
         self.tasks.start_soon(self.server.run, list(listeners.listeners))
         return self
 
@@ -66,27 +66,27 @@
         return await self.client().ask(request)
 
     async def join(self, name, kind="router", token="t", **fields):
-        """A member's connection, on which it has said hello."""
+        """Returns a member's connection on which the hello message was sent."""
         member = self.client()
         await member.connect()
         await member.stream.send(encode_line(MemberHello(name, kind, token, **fields)))
         return member
 
 
-def play(scene, within=20):
-    """Plays a scene, which must come to its end within some seconds."""
+def run_in_task_group(body, timeout=20):
+    """Runs a coroutine function with a task group, and raises TimeoutError after some seconds."""
 
     async def run():
-        with anyio.fail_after(within):
+        with anyio.fail_after(timeout):
             async with anyio.create_task_group() as tasks:
-                await scene(tasks)
+                await body(tasks)
                 tasks.cancel_scope.cancel()
 
     anyio.run(run, backend_options=process_module.BACKEND_OPTIONS)
 
 
 async def receive(member, message_type):
-    """The next message of a type."""
+    """Returns the next message of a type; ignores others."""
     while not isinstance(message := await member.receive(), message_type):
         pass
     return message
@@ -97,15 +97,15 @@
 
 
 def test_members_get_purges_in_order_once_they_are_durable():
-    """Purges come faster than the disk syncs.
+    """Purges arrive faster than the disk syncs, so many share one sync.
 
-    Many share one sync. A member that is there from the start gets each once and in order; one that joins
-    late gets what it lacks. Purges sent again under their keys are found, and not admitted again.
+    A member that is connected from the start receives each purge once and in order; one that joins late
+    receives those that it lacks. Purges sent again with the same keys are recognized and not admitted again.
     """
     disk = FaultyDisk()
 
-    async def scene(tasks):
-        purge_log = await OpenPurgeLog(tasks).start(disk)
+    async def body(tasks):
+        purge_log = await RunningPurgeLog(tasks).start(disk)
         client = purge_log.client()
         requests = [PurgeRequest("object", (f"o{n}",), key=f"k{n}") for n in range(1_200)]
         early = await purge_log.join("r1")
@@ -126,14 +126,14 @@
         assert found == [(number, True) for number in range(1, 6)]
         assert [purge.sequence_number for purge in read_log(disk).purges] == list(range(1, 1_201))
 
-    play(scene)
+    run_in_task_group(body)
 
 
 def test_a_purge_is_complete_once_router_and_cache_have_acknowledged_it():
-    """A purge is complete once the router and the cache have acknowledged it; the status names who hasn't."""
+    """Until both members have acknowledged a purge, its status is incomplete and names the missing one."""
 
-    async def scene(tasks):
-        purge_log = await OpenPurgeLog(tasks).start(FaultyDisk())
+    async def body(tasks):
+        purge_log = await RunningPurgeLog(tasks).start(FaultyDisk())
         await anyio.sleep(0.2)  # until leases of an earlier process would be over
         router, cache = await purge_log.join("r1"), await purge_log.join("c1", "cache")
         for member in (router, cache):
@@ -156,18 +156,18 @@
         while len((await client.ask(MembersQuery())).members) > 1:
             await anyio.sleep(0.01)
 
-    play(scene)
+    run_in_task_group(body)
 
 
 def test_a_second_process_of_one_name_is_rejected():
-    """Two processes have one name, as after a copied configuration.
+    """Two processes use the same name, for example after a configuration was copied.
 
-    Each would acknowledge what the other lacks, so the second is rejected. The same process on a new
-    connection is let in, and its older connection is closed.
+    Each would acknowledge purges that the other lacks, so the second is rejected. The same process on a new
+    connection is accepted, and its older connection is closed.
     """
 
-    async def scene(tasks):
-        purge_log = await OpenPurgeLog(tasks).start(FaultyDisk())
+    async def body(tasks):
+        purge_log = await RunningPurgeLog(tasks).start(FaultyDisk())
         first = await purge_log.join("r1")
         await receive(first, Welcome)
         await acknowledge(first, 0, 1)
@@ -181,18 +181,18 @@
             while True:
                 await first.receive()
 
-    play(scene)
+    run_in_task_group(body)
 
 
-def test_a_full_disk_rejects_and_nothing_promised_is_lost():
-    """The disk is full while a purge is written: the purge is rejected with a time to retry after.
+def test_a_full_disk_rejects_purges_and_loses_no_confirmed_one():
+    """The disk is full while a purge is written: the purge is rejected with a time after which to retry.
 
-    Once there is room it is accepted under the number that it would have had, and members get both.
+    Once there is room, it is accepted with the number that it would have had, and members receive both.
     """
     disk = FaultyDisk()
 
-    async def scene(tasks):
-        purge_log = await OpenPurgeLog(tasks).start(disk)
+    async def body(tasks):
+        purge_log = await RunningPurgeLog(tasks).start(disk)
         client, watcher = purge_log.client(), await purge_log.join("w", "watcher")
         assert isinstance(await client.ask(PurgeRequest("tag", ("a",), key="a")), PurgeAccepted)
         disk.room = disk.used
@@ -209,22 +209,22 @@
             received += (await receive(watcher, PurgeBatch)).purges
         assert [purge.values for purge in received] == [("a",), ("b",)]
 
-    play(scene)
+    run_in_task_group(body)
 
 
 def test_a_fenced_purge_log_ends_and_members_follow(tmp_path):
-    """A second writer begins on the same folder while the first still serves.
+    """A second writer starts on the same folder while the first still serves.
 
-    The first finds the higher epoch at its next heartbeat and ends. The second knows what the first had
-    promised. A member that has heard of a higher epoch than a purge log's is rejected by it.
+    The first finds the higher epoch at its next heartbeat and ends. The second has every purge that the first
+    confirmed. A purge log rejects a member that has seen a higher epoch than its own.
     """
 
-    async def scene(tasks):
-        old = await OpenPurgeLog(tasks).start(RealDisk(str(tmp_path)))
+    async def body(tasks):
+        old = await RunningPurgeLog(tasks).start(RealDisk(str(tmp_path)))
         accepted = await old.ask(PurgeRequest("tag", ("a",), key="a"))
         member = await old.join("r1")
         await receive(member, Heartbeat)
-        new = await OpenPurgeLog(tasks).start(RealDisk(str(tmp_path)))
+        new = await RunningPurgeLog(tasks).start(RealDisk(str(tmp_path)))
         with pytest.raises((anyio.EndOfStream, anyio.BrokenResourceError)):
             while True:
                 await member.receive()
@@ -234,18 +234,18 @@
         member_of_newer = await new.join("r1", epoch=new.server.registry.epoch + 1)
         assert (await member_of_newer.receive()).place == "epoch"
 
-    play(scene)
+    run_in_task_group(body)
 
 
 def test_a_member_that_is_too_far_behind_gets_a_snapshot(tmp_path):
-    """Purges are trimmed and the log is compacted: a member that lacks what was trimmed gets a snapshot.
+    """Purges are trimmed and the log is compacted: a member that lacks trimmed purges receives a snapshot.
 
-    In the folder stay one snapshot and the segment that is written.
+    One snapshot and the open segment remain in the folder.
     """
 
-    async def scene(tasks):
+    async def body(tasks):
         disk = RealDisk(str(tmp_path))
-        purge_log = await OpenPurgeLog(tasks).start(disk, compact_after=50)
+        purge_log = await RunningPurgeLog(tasks).start(disk, compact_after=50)
         registry = purge_log.server.registry
         registry.max_retained = 100
         await anyio.sleep(0.2)  # until leases of an earlier process would be over
@@ -261,17 +261,17 @@
         assert names[0].endswith(".snapshot") and names[1].endswith(".log")
         assert read_log(disk).head == 600
 
-    play(scene)
+    run_in_task_group(body)
 
 
-def test_a_malformed_line_costs_its_connection_and_nothing_else():
-    """Somebody sends what is no message: an HTTP request, an unfinished one, no text, a line without end.
+def test_a_malformed_line_affects_only_its_own_connection():
+    """Clients send invalid lines: an HTTP request, an incomplete message, invalid UTF-8, an endless line.
 
-    Each is rejected or cut off, and the next client is served.
+    Each gets a rejection or its connection is closed, and the next client is served.
     """
 
-    async def scene(tasks):
-        purge_log = await OpenPurgeLog(tasks).start(FaultyDisk())
+    async def body(tasks):
+        purge_log = await RunningPurgeLog(tasks).start(FaultyDisk())
         for data in (
             b"GET / HTTP/1.1\r\n\r\n",
             b'{"say":"send"}\n',
@@ -289,14 +289,14 @@
         assert (await purge_log.ask(MemberAck(0, 1))).reason == "ack before any hello"
         assert isinstance(await purge_log.ask(PurgeRequest("tag", ("a",))), PurgeAccepted)
 
-    play(scene)
+    run_in_task_group(body)
 
 
-def test_connections_that_are_reset_at_once_disturb_nobody_else(tmp_path):
-    """Three hundred clients reset their connections at once, half of them behind a purge."""
+def test_connections_that_are_reset_at_once_do_not_affect_other_clients(tmp_path):
+    """Three hundred clients reset their connections right away, half of them after they sent a purge."""
 
-    async def scene(tasks):
-        purge_log = await OpenPurgeLog(tasks).start(FaultyDisk())
+    async def body(tasks):
+        purge_log = await RunningPurgeLog(tasks).start(FaultyDisk())
         for n in range(300):
             with socket.create_connection(purge_log.address) as raw:
                 raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -306,29 +306,29 @@
                 await anyio.sleep(0.002)
         assert isinstance(await purge_log.ask(PurgeRequest("tag", ("b",))), PurgeAccepted)
 
-    play(scene)
+    run_in_task_group(body)
 
 
 def spawn(folder, port, *options):
-    """A purge log's process, at the folder and port."""
+    """Starts a purge log process for a folder and a port."""
     listen = f"127.0.0.1:{port}"
     command = ["quartzrouter.cli", "ledger", "run", str(folder), "--listen", listen, *options]
     return subprocess.Popen([sys.executable, "-m", *command], stderr=subprocess.PIPE)
 
 
-def test_a_process_killed_at_any_moment_loses_nothing_that_it_promised(tmp_path):
-    """A purge log is killed three times while a client sends purges, each again until it is accepted.
+def test_a_process_killed_at_any_moment_loses_no_confirmed_purge(tmp_path):
+    """A purge log is killed three times while a client sends purges, each repeated until it is accepted.
 
-    However a write was cut short, the next process must find every purge that the client was promised, under
-    its number, and number on without a gap. Each process lives until it has promised some purges and a
-    drawn time more: how long a start takes is the machine's matter.
+    Wherever a write was cut short, the next process must find every purge that was confirmed to the client,
+    with its number, and continue the numbers without a gap. Each process is killed a random time after it
+    has confirmed some purges, because the duration of a start depends on the machine.
     """
-    chance = random.Random(7)
+    rng = random.Random(7)
 
-    async def scene(tasks):
+    async def body(tasks):
         port = await free_port()
         process = spawn(tmp_path, port)
-        promised, stopping = {}, anyio.Event()
+        confirmed, stopping = {}, anyio.Event()
 
         async def send_purges():
             client, number = QueryClient([("127.0.0.1", port)], 0.5), 0
@@ -338,46 +338,46 @@
                 except UnreachableError:
                     await anyio.sleep(0.02)
                     continue
-                promised[number] = accepted.sequence_number
+                confirmed[number] = accepted.sequence_number
                 number += 1
 
-        async def more_promised():
-            before = len(promised)
-            while len(promised) < before + 20:
+        async def wait_for_confirmations():
+            before = len(confirmed)
+            while len(confirmed) < before + 20:
                 await anyio.sleep(0.01)
-            await anyio.sleep(chance.uniform(0.0, 0.3))
+            await anyio.sleep(rng.uniform(0.0, 0.3))
 
         tasks.start_soon(send_purges)
         for _ in range(3):
-            await more_promised()
+            await wait_for_confirmations()
             process.kill()
             process.wait()
             process.stderr.close()
             process = spawn(tmp_path, port)
-        await more_promised()
+        await wait_for_confirmations()
         stopping.set()
         process.send_signal(signal.SIGTERM)
         status = await anyio.to_thread.run_sync(process.wait)
         process.stderr.close()
         found = {purge.key: purge.sequence_number for purge in read_log(RealDisk(str(tmp_path))).purges}
-        assert status == 0 and len(promised) > 50
-        assert {f"k{n}": number for n, number in promised.items()}.items() <= found.items()
+        assert status == 0 and len(confirmed) > 50
+        assert {f"k{n}": number for n, number in confirmed.items()}.items() <= found.items()
         assert sorted(found.values()) == list(range(1, len(found) + 1))
 
-    play(scene, within=60)
+    run_in_task_group(body, timeout=60)
 
 
-def test_a_standby_takes_over_and_the_first_ends_once_it_wakes(tmp_path):
+def test_a_standby_takes_over_and_the_primary_exits_once_it_wakes(tmp_path):
     """A primary stalls, and its standby takes over the folder.
 
-    The standby knows what the primary had promised. The primary wakes and finds that a higher epoch has
-    begun: it promises nothing more, and ends with status 3.
+    The standby has every purge that the primary confirmed. The primary wakes and finds a higher epoch: it
+    confirms no more purges, and exits with status 3.
     """
 
-    async def scene(tasks):
+    async def body(tasks):
         first_port, second_port = await free_port(), await free_port()
         primary = spawn(tmp_path, first_port, "--grace", "200ms")
-        assert await is_up(first_port)
+        assert await accepts_connections(first_port)
         accepted = await ask_until_answered(first_port, PurgeRequest("tag", ("a",), key="a"))
         standby = spawn(tmp_path, second_port, "--grace", "200ms", "--standby", f"127.0.0.1:{first_port}")
         line = await anyio.to_thread.run_sync(standby.stderr.readline)
@@ -386,7 +386,7 @@
         repeated = await ask_until_answered(second_port, PurgeRequest("tag", ("a",), key="a"))
         assert (repeated.sequence_number, repeated.is_duplicate) == (accepted.sequence_number, True)
         os.kill(primary.pid, signal.SIGCONT)
-        with contextlib.suppress(UnreachableError):  # what the primary admits now it can't promise
+        with contextlib.suppress(UnreachableError):  # the primary can't confirm what it admits now
             client = QueryClient([("127.0.0.1", first_port)], 2.0)
             answer = await client.ask(PurgeRequest("tag", ("b",), key="b"))
             assert not isinstance(answer, PurgeAccepted)
@@ -397,11 +397,11 @@
         primary.stderr.close()
         standby.stderr.close()
 
-    play(scene, within=60)
+    run_in_task_group(body, timeout=60)
 
 
 async def ask_until_answered(port, request):
-    """The answer, however long a start or a takeover takes."""
+    """Repeats a request until it is answered, however long a start or a takeover takes."""
     client = QueryClient([("127.0.0.1", port)], 0.5)
     while True:
         try:
@@ -410,7 +410,7 @@
             await anyio.sleep(0.05)
 
 
-async def is_up(port):
+async def accepts_connections(port):
     deadline = time.monotonic() + 20
     while time.monotonic() < deadline:
         try:
@@ -421,8 +421,8 @@
     return False
 
 
-def test_a_damaged_folder_ends_the_start_with_one_line(tmp_path):
-    """A segment holds nonsense: the command says in one line where, why, and what to do."""
+def test_a_damaged_folder_is_reported_in_one_line(tmp_path):
+    """A segment contains garbage: the command reports the place, the reason and the remedy in one line."""
     (tmp_path / "00000001-00000001.log").write_bytes(b"nonsense" * 9)
     found = subprocess.run(
         [sys.executable, "-m", "quartzrouter.cli", "ledger", "check", str(tmp_path)],
