--- a/quartzrouter/purge_log/errors.py
+++ b/quartzrouter/purge_log/errors.py
@@ -21,7 +21,7 @@
 
 
 class DiskUnavailableError(PurgeLogError):
-    """Raised if the disk rejects a write; nothing that was to be written has been confirmed."""
+    """Raised if a disk operation fails; nothing that was to be written has been confirmed."""
 
 
 class FencedError(PurgeLogError):
--- a/quartzrouter/purge_log/log.py
+++ b/quartzrouter/purge_log/log.py
@@ -30,7 +30,7 @@
 
     :param max_segment_bytes: the length after which a new segment is started.
     :raises LogDamagedError: if the folder can't be read completely.
-    :raises DiskUnavailableError: if the disk rejects a write.
+    :raises DiskUnavailableError: if a disk operation fails.
     """
 
     def __init__(self, disk: Disk, max_segment_bytes: int = MAX_SEGMENT_BYTES):
@@ -91,7 +91,7 @@
     def append(self, purges: list[Purge]) -> None:
         """Makes purges durable, all or none.
 
-        :raises DiskUnavailableError: if the disk rejects the write; none of them is in the log.
+        :raises DiskUnavailableError: if the write or the sync fails; none of them is in the log.
         :raises FencedError: if another writer has started; none of them may be confirmed.
         """
         file = self.file or self._start_segment_or_raise()
@@ -161,7 +161,7 @@
         :param purges: the retained purges, all durable, in order.
         :param trimmed_up_to: the sequence number before the first of them.
         :param low_watermark: microseconds, the time of the purge with that number.
-        :raises DiskUnavailableError: if the disk rejects an operation; files not yet removed stay.
+        :raises DiskUnavailableError: if a disk operation fails; files not yet removed stay.
         :raises FencedError: if another writer has started; the files stay.
         """
         names = self.disk.names()
--- a/quartzrouter/purge_log/process.py
+++ b/quartzrouter/purge_log/process.py
@@ -48,7 +48,7 @@
         the task's lease does.
     :param task: the task of granting quota.
     :returns: the exit status.
-    :raises OSError, ValueError, LogDamagedError, DiskUnavailableError: if the start fails; nothing was served.
+    :raises OSError, ValueError, LogDamagedError, DiskUnavailableError: if the start fails before serving.
     """
     process = _Process(report, read_budgets, lease_client)
     async with anyio.create_task_group() as tasks:
--- a/quartzrouter/purge_log/segments.py
+++ b/quartzrouter/purge_log/segments.py
@@ -139,7 +139,7 @@
     """Writes a snapshot under a temporary name that readers ignore.
 
     :returns: the final name, without the temporary suffix.
-    :raises OSError: if the disk rejects the write.
+    :raises OSError: if a disk operation fails.
     """
     head = trimmed_up_to + len(purges)
     name = f"{head:016d}.snapshot"
--- a/quartzrouter/purge_log/server.py
+++ b/quartzrouter/purge_log/server.py
@@ -43,7 +43,7 @@
     :param slow_start_terms: the terms of slow start by tier.
     :param lease_token: returns the fencing token under which quota is granted; 0 while the lease isn't held.
     :raises LogDamagedError: if the folder can't be read completely.
-    :raises DiskUnavailableError: if the disk rejects a write.
+    :raises DiskUnavailableError: if a disk operation fails.
     """
 
     def __init__(
@@ -153,7 +153,7 @@
             )
         except DiskUnavailableError as error:
             self.log.purges_since_snapshot = 0  # the next attempt follows after as many purges again
-            self.report.say("log", f"the snapshot was not written: {error}")
+            self.report.say("log", f"compaction failed: {error}")
         except FencedError as error:
             self.leadership.fence(error)
 
--- a/tests/test_standalone_purges.py
+++ b/tests/test_standalone_purges.py
@@ -1,4 +1,4 @@
-"""A standalone router as a member of a purge log, over loopback: which copies its responses may bring."""
+"""Tests of a standalone router as a member of a purge log, over loopback: it must not serve stale copies."""
 
 import random
 from dataclasses import replace
@@ -31,12 +31,12 @@
 from quartzrouter.standalone.process import StandaloneProcess
 from quartzrouter.standalone.structured_log import logger
 
-SECOND = 1_000_000  # us
-GRACE = 300_000  # us
+SECOND = 1_000_000  # in microseconds
+GRACE_US = 300_000
 SHORT_TIMES = {
     "purge_settings": "life: 3s",
     "client_timeout": "1s",
-}  # for Site.start: a purge settles in 2.3 s
+}  # options of start(): with them a purge settles in 2.3 s
 
 PLAN = """{
   deployment: { name: "t", home: "north", listen: "127.0.0.1:%(port)d", descriptors: 256 },
@@ -52,39 +52,39 @@
 }"""
 
 
-class Site:
-    """One router, one cache, a parent, an origin and a purge log, with a proxied link between the two.
+class Deployment:
+    """One router, one cache, a parent, an origin and a purge log, with a proxied link to the purge log.
 
-    :param tasks: a task group for all of them.
+    :param tasks: the task group that runs them.
     """
 
     def __init__(self, tmp_path, tasks):
         self.plan_path = tmp_path / "main.plan"
         self.stored_purges_path = tmp_path / "marks"
         self.tasks = tasks
-        self.ports = {}  # of the parties that listen here, by name
+        self.ports = {}  # ports of the processes that listen here, by name
         self.request_id = 0
-        self.disk = FaultyDisk()  # of the purge log
+        self.disk = FaultyDisk()  # the purge log's disk
         self.caches = {}
         self.purge_settings = ""
         self.client_timeout = ""
 
     async def start(self, purge_settings="", making_time=lambda: 0.0, client_timeout="3s"):
-        """Starts all parties.
+        """Starts the caches, the purge log and the router.
 
-        :param purge_settings: text for the plan.
-        :param making_time: the seconds that the origin takes for a copy.
-        :param client_timeout: a duration in the plan's words.
+        :param purge_settings: settings of the plan, as plan text.
+        :param making_time: returns the seconds that the origin takes to make a copy.
+        :param client_timeout: a duration, as plan text.
         """
         self.purge_settings = purge_settings
         self.client_timeout = client_timeout
-        addresses, chance = {}, random.Random(1)
+        addresses, rng = {}, random.Random(1)
         for name in ("n1", "p", "o"):
             is_origin = name == "o"
             cache = PurgeableCache(
                 name,
                 addresses,
-                chance,
+                rng,
                 is_origin,
                 5 * SECOND,
                 tags_of=lambda path: "rose, " + path[1:],
@@ -105,7 +105,7 @@
     async def start_purge_log(self):
         port = self.ports["purge log"]
         self.listeners = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
-        self.purge_log = PurgeLogServer(self.disk, GRACE, RateLimitedLog("l", process.wall_clock))
+        self.purge_log = PurgeLogServer(self.disk, GRACE_US, RateLimitedLog("l", process.wall_clock))
         self.tasks.start_soon(self.purge_log.run, list(self.listeners.listeners))
 
     async def stop_purge_log(self):
@@ -124,7 +124,7 @@
         loaded = load(str(self.plan_path))
         assert loaded.plan, [fault.shown() for fault in loaded.faults.errors]
         self.router = StandaloneProcess(str(self.plan_path), loaded.plan, logger("error", "json"))
-        self.restored_up_to = self.router.state_machine.replica.applied_up_to  # before it connects
+        self.restored_up_to = self.router.state_machine.replica.applied_up_to  # read before it connects
         self.router_scope = anyio.CancelScope()
 
         async def run():
@@ -137,7 +137,7 @@
         self.client = Client(await anyio.connect_tcp("127.0.0.1", self.ports["router"]))
 
     async def stop_router(self):
-        """As if it were killed; what it listened at is free again."""
+        """Stops the router as if it were killed, and frees its port."""
         self.router_scope.cancel()
         for raw_socket in self.router.listener.sockets:
             raw_socket.close()
@@ -164,7 +164,7 @@
         return await self.ask(PurgeRequest(kind, values))
 
     async def get(self, path="/a"):
-        """When the copy was made that the router responds with, in us; its response where it has none."""
+        """Returns when the served copy was made, in microseconds, or the response if it brings no copy."""
         self.request_id += 1
         fields = {"HTTP_X_SUBJECT": None, "HTTP_X_CHUNK": None, "HTTP_X_DEADLINE_MS": "3000"}
         await self.client.send_request(
@@ -173,186 +173,187 @@
         response = await self.client.receive_response()
         return int(response.split(" ")[-4].strip("'")) if " 200 OK" in response else response
 
-    async def cached(self, path="/a"):
-        """As get(), right after the router held a lease: without one it would renew copies."""
+    async def get_under_lease(self, path="/a"):
+        """Returns what get() does, once the router holds a lease; without one it would renew copies."""
         await self.holds_lease()
         return await self.get(path)
 
 
 @pytest.fixture
-def play(tmp_path):
-    def play(scene):
+def run_with_deployment(tmp_path):
+    def run_with_deployment(body):
         async def run():
             with anyio.fail_after(20):
                 async with anyio.create_task_group() as tasks:
-                    await scene(Site(tmp_path, tasks))
+                    await body(Deployment(tmp_path, tasks))
                     tasks.cancel_scope.cancel()
 
         anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
-    return play
+    return run_with_deployment
 
 
 @pytest.mark.parametrize(
     ("kind", "value"), [("object", "/a"), ("tag", "rose"), ("tag", "a"), ("pattern", "/a*"), ("all", None)]
 )
-def test_a_purge_holds_though_it_was_not_delivered_to_the_cache(play, kind, value):
-    """No courier runs, so the cache keeps its old copy: the router must not pass it on after the grace."""
-
-    async def scene(site):
-        await site.start()
-        first = await site.cached()
-        assert await site.cached() == first
-        accepted = await site.purge(kind, *([value] if value else []))
+def test_a_purge_holds_without_delivery_to_the_cache(run_with_deployment, kind, value):
+    """Nothing delivers purges, so the cache keeps its old copy; it must not be served after the grace."""
+
+    async def body(deployment):
+        await deployment.start()
+        first = await deployment.get_under_lease()
+        assert await deployment.get_under_lease() == first
+        accepted = await deployment.purge(kind, *([value] if value else []))
         await anyio.sleep(0.3)
-        assert await site.get() >= accepted.purged_at > first
-        other = await site.cached("/b")
-        await site.purge("tag", "other")
+        assert await deployment.get() >= accepted.purged_at > first
+        other = await deployment.get_under_lease("/b")
+        await deployment.purge("tag", "other")
         await anyio.sleep(0.3)
-        assert await site.cached("/b") == other
+        assert await deployment.get_under_lease("/b") == other
 
-    play(scene)
+    run_with_deployment(body)
 
 
-def test_a_purge_by_an_unknown_tag_holds_by_the_tags_of_the_response(play):
-    """The router knows no tags of the object, so it asks for any copy; the stale one is asked for again."""
+def test_a_purge_by_an_unknown_tag_holds_by_the_tags_of_the_response(run_with_deployment):
+    """The router knows no tags of the object, so it accepts any copy, and requests a stale one again."""
 
-    async def scene(site):
-        await site.start()
-        await site.cached()
-        site.fleet_purges.object_tags.by_object.clear()
-        accepted = await site.purge("tag", "rose")
+    async def body(deployment):
+        await deployment.start()
+        await deployment.get_under_lease()
+        deployment.fleet_purges.object_tags.by_object.clear()
+        accepted = await deployment.purge("tag", "rose")
         await anyio.sleep(0.3)
-        assert await site.get() >= accepted.purged_at and site.fleet_purges.stale_copies == 1
+        assert await deployment.get() >= accepted.purged_at and deployment.fleet_purges.stale_copies == 1
 
-    play(scene)
+    run_with_deployment(body)
 
 
-def test_a_fill_that_a_purge_overtakes_is_repeated_and_kept_nowhere(play):
-    """A purge comes while the origin makes the copy; before that is answered, the grace is over."""
+def test_a_fill_overtaken_by_a_purge_is_repeated_and_not_kept(run_with_deployment):
+    """A purge arrives while the origin makes the copy, and the grace ends before the origin responds."""
 
-    async def scene(site):
+    async def body(deployment):
         making_times = [0.7, 0.0, 0.0, 0.0]
-        await site.start(making_time=lambda: making_times.pop(0) if making_times else 0.0)
-        await site.holds_lease()
+        await deployment.start(making_time=lambda: making_times.pop(0) if making_times else 0.0)
+        await deployment.holds_lease()
         made_at = []
 
         async def request():
-            made_at.append(await site.get())
+            made_at.append(await deployment.get())
 
         async with anyio.create_task_group() as requests:
             requests.start_soon(request)
             await anyio.sleep(0.1)
-            accepted = await site.purge("object", "/a")
-        assert made_at[0] >= accepted.purged_at and site.caches["o"].requests == 2
-        assert await site.cached() == made_at[0]
+            accepted = await deployment.purge("object", "/a")
+        assert made_at[0] >= accepted.purged_at and deployment.caches["o"].requests == 2
+        assert await deployment.get_under_lease() == made_at[0]
 
-    play(scene)
+    run_with_deployment(body)
 
 
-def test_a_router_that_is_cut_off_renews_copies_until_it_has_caught_up(play):
-    """The purge log is gone for a while: the router takes copies no older than a lease until it is back."""
+def test_a_router_that_is_cut_off_renews_copies_until_it_has_caught_up(run_with_deployment):
+    """The purge log is down for a while: until it is back, the router accepts no copy older than a lease."""
 
-    async def scene(site):
-        await site.start()
-        first = await site.cached()
-        await site.stop_purge_log()
+    async def body(deployment):
+        await deployment.start()
+        first = await deployment.get_under_lease()
+        await deployment.stop_purge_log()
         await anyio.sleep(0.4)
-        renewed = await site.get()
+        renewed = await deployment.get()
         assert renewed > first
-        assert await site.get() - renewed < 200_000
-        await site.start_purge_log()
-        await site.holds_lease()
+        assert await deployment.get() - renewed < 200_000
+        await deployment.start_purge_log()
+        await deployment.holds_lease()
         await anyio.sleep(0.4)
-        kept = await site.cached()
+        kept = await deployment.get_under_lease()
         await anyio.sleep(0.4)
-        assert await site.cached() == kept
+        assert await deployment.get_under_lease() == kept
 
-    play(scene)
+    run_with_deployment(body)
 
 
 @pytest.mark.parametrize("is_stored", [True, False])
-def test_a_router_that_restarts_knows_what_was_purged(play, is_stored):
-    """A router restarts right after a purge, with and without stored purges; the cache has the old copy."""
+def test_a_restarted_router_knows_earlier_purges(run_with_deployment, is_stored):
+    """A router restarts right after a purge, with or without stored purges; the cache has the old copy."""
 
-    async def scene(site):
-        await site.start(f'file: "{site.stored_purges_path}"' if is_stored else "")
-        first = await site.cached()
-        accepted = await site.purge("object", "/a")
+    async def body(deployment):
+        await deployment.start(f'file: "{deployment.stored_purges_path}"' if is_stored else "")
+        first = await deployment.get_under_lease()
+        accepted = await deployment.purge("object", "/a")
         if is_stored:
-            while not site.stored_purges_path.exists():
+            while not deployment.stored_purges_path.exists():
                 await anyio.sleep(0.02)
-        await site.stop_router()
-        await site.start_router()
-        assert site.restored_up_to == (1 if is_stored else 0)
-        await site.holds_lease()
-        assert await site.get() >= accepted.purged_at > first
-        members = (await site.ask(MembersQuery())).members
+        await deployment.stop_router()
+        await deployment.start_router()
+        assert deployment.restored_up_to == (1 if is_stored else 0)
+        await deployment.holds_lease()
+        assert await deployment.get() >= accepted.purged_at > first
+        members = (await deployment.ask(MembersQuery())).members
         assert [(member.name, member.applied_up_to) for member in members] == [("t-0", 1)]
 
-    play(scene)
+    run_with_deployment(body)
 
 
-def test_old_copies_of_a_cache_that_lacks_purges_are_not_trusted_once_those_have_expired(play):
-    """A purge has left the router's index, and the cache that never heard of it still has its old copy."""
+def test_old_copies_of_a_cache_that_lacks_expired_purges_are_not_trusted(run_with_deployment):
+    """A purge has expired from the router's index, and a cache that never received it has its old copy."""
 
-    async def scene(site):
-        await site.start(**SHORT_TIMES)
-        first = await site.cached()
-        accepted = await site.purge("object", "/a")
-        await index_expired(site)
-        assert len(site.fleet_purges.index) == 0
-        assert await site.get() >= accepted.purged_at > first
+    async def body(deployment):
+        await deployment.start(**SHORT_TIMES)
+        first = await deployment.get_under_lease()
+        accepted = await deployment.purge("object", "/a")
+        await wait_until_index_expired(deployment)
+        assert len(deployment.fleet_purges.index) == 0
+        assert await deployment.get() >= accepted.purged_at > first
 
-    play(scene)
+    run_with_deployment(body)
 
 
-async def index_expired(site):
+async def wait_until_index_expired(deployment):
     """Waits until the router's index no longer holds the purge."""
-    while not site.fleet_purges.index.expired_up_to:
+    while not deployment.fleet_purges.index.expired_up_to:
         await anyio.sleep(0.05)
-        site.fleet_purges.expire(process.wall_clock())
+        deployment.fleet_purges.expire(process.wall_clock())
 
 
 @pytest.mark.parametrize(
     ("kind", "value"), [("object", "/a"), ("tag", "rose"), ("pattern", "/*"), ("all", None)]
 )
-def test_couriers_deliver_a_purge_to_the_caches_that_it_names(play, kind, value):
-    """Couriers deliver: caches drop their copies, the router hears that they have, and it is complete."""
+def test_delivery_workers_deliver_purges_to_caches(run_with_deployment, kind, value):
+    """Caches drop their copies, the router learns that they have purged, and the purge is complete."""
 
-    async def scene(site):
-        await site.start()
-        await site.holds_lease()
+    async def body(deployment):
+        await deployment.start()
+        await deployment.holds_lease()
         report = RateLimitedLog("courier", process.wall_clock)
         for name in ("n1", "p"):
-            address = ("127.0.0.1", site.caches[name].port)
-            worker = DeliveryWorker(name, address, [site.purge_log_address], GRACE, report, 500.0)
-            site.tasks.start_soon(worker.run)
-        while site.fleet_purges.caches_caught_up != {"n1": 0, "p": 0}:
+            address = ("127.0.0.1", deployment.caches[name].port)
+            worker = DeliveryWorker(name, address, [deployment.purge_log_address], GRACE_US, report, 500.0)
+            deployment.tasks.start_soon(worker.run)
+        while deployment.fleet_purges.caches_caught_up != {"n1": 0, "p": 0}:
             await anyio.sleep(0.01)
-        await site.get()
-        assert site.caches["n1"].copies and site.caches["p"].copies
-        await site.purge(kind, *([value] if value else []))
-        while site.fleet_purges.caches_caught_up != {"n1": 1, "p": 1}:
+        await deployment.get()
+        assert deployment.caches["n1"].copies and deployment.caches["p"].copies
+        await deployment.purge(kind, *([value] if value else []))
+        while deployment.fleet_purges.caches_caught_up != {"n1": 1, "p": 1}:
             await anyio.sleep(0.01)
-        assert not site.caches["n1"].copies and not site.caches["p"].copies
-        while not (status := await site.ask(StatusQuery())).is_complete:  # after the first lease
+        assert not deployment.caches["n1"].copies and not deployment.caches["p"].copies
+        # The purge is complete only after the first lease.
+        while not (status := await deployment.ask(StatusQuery())).is_complete:
             await anyio.sleep(0.01)
         assert status.delays["purges"] == 1
 
-    play(scene)
+    run_with_deployment(body)
 
 
-def test_the_origin_is_trusted_and_messages_without_a_connection_are_dropped(play):
-    """The origin is no member: a copy straight from it needs no word that it has purged.
+def test_the_origin_is_trusted_and_messages_without_a_connection_are_dropped(run_with_deployment):
+    """The origin is no member: a copy directly from it is valid without an acknowledgement by the origin.
 
-    And what is sent to the purge log without a connection is dropped, not kept for the next one.
+    A message sent to the purge log without a connection is dropped, not kept for the next connection.
     """
 
-    async def scene(site):
-        await site.start(**SHORT_TIMES)
-        await site.holds_lease()
-        fleet_purges, multi_pool_router = site.fleet_purges, site.router.multi_pool_router
+    async def body(deployment):
+        await deployment.start(**SHORT_TIMES)
+        await deployment.holds_lease()
+        fleet_purges, multi_pool_router = deployment.fleet_purges, deployment.router.multi_pool_router
         fleet_purges.index.expired_up_to = 1
         fleet_purges.caches_caught_up = {"n1": 1}
         route = multi_pool_router.select_route(Asked("north", "", "/a", "GET", {}, {}), "")
@@ -361,38 +362,38 @@
         now = fleet_purges.lease.started_at
         assert multi_pool_router.purge_bounds.max_age(route, from_origin, now) == 0
         assert multi_pool_router.purge_bounds.max_age(route, from_parent, now) == 3 * SECOND
-        site.proxy.hold()
-        await site.stop_purge_log()
-        client = site.router.link
+        deployment.proxy.hold()
+        await deployment.stop_purge_log()
+        client = deployment.router.link
         while client.is_connected:
             await anyio.sleep(0.02)
         client.send(MemberLeave())
         assert client.outgoing.lines is None
 
-    play(scene)
+    run_with_deployment(body)
 
 
-async def purge_while_cut_off(site):
-    site.proxy.hold()
-    accepted = await site.purge("object", "/a")
+async def purge_while_cut_off(deployment):
+    deployment.proxy.hold()
+    accepted = await deployment.purge("object", "/a")
     await anyio.sleep(0.35)
     return accepted
 
 
-async def purge_by_unseen_tag(site):
-    accepted = await site.purge("tag", "rose")
+async def purge_by_unseen_tag(deployment):
+    accepted = await deployment.purge("tag", "rose")
     await anyio.sleep(0.35)
-    site.fleet_purges.object_tags.by_object.clear()
+    deployment.fleet_purges.object_tags.by_object.clear()
     return accepted
 
 
-async def purge_until_expired(site):
-    accepted = await site.purge("object", "/a")
-    await index_expired(site)
+async def purge_until_expired(deployment):
+    accepted = await deployment.purge("object", "/a")
+    await wait_until_index_expired(deployment)
     return accepted
 
 
-@pytest.mark.parametrize("is_taken_out", [False, True])
+@pytest.mark.parametrize("is_guard_removed", [False, True])
 @pytest.mark.parametrize(
     ("guard", "purge_in_case"),
     [
@@ -402,38 +403,40 @@
         ("bound", purge_by_unseen_tag),
     ],
 )
-def test_a_purge_does_not_hold_without_each_guard(play, monkeypatch, guard, purge_in_case, is_taken_out):
-    """One failure for each guard: with it the old copy is not passed on, without it the old copy is.
+def test_a_purge_does_not_hold_without_each_guard(
+    run_with_deployment, monkeypatch, guard, purge_in_case, is_guard_removed
+):
+    """One failure for each guard: with the guard the old copy is not served, without it the old copy is.
 
-    Without the bound on ages no cache is asked for a younger copy, so the router has none to respond with.
+    Without the bound on ages, no cache is asked for a younger copy, so the router has none to serve.
     """
-    if is_taken_out:
+    if is_guard_removed:
         monkeypatch.setattr(*MUTATIONS[guard])
 
-    async def scene(site):
-        await site.start(**SHORT_TIMES)
-        first = await site.cached()
-        accepted = await purge_in_case(site)
-        response = await site.get()
-        if not is_taken_out:
+    async def body(deployment):
+        await deployment.start(**SHORT_TIMES)
+        first = await deployment.get_under_lease()
+        accepted = await purge_in_case(deployment)
+        response = await deployment.get()
+        if not is_guard_removed:
             assert response >= accepted.purged_at
         elif guard == "bound":
             assert " 503 " in response
         else:
             assert response == first < accepted.purged_at
 
-    play(scene)
+    run_with_deployment(body)
 
 
-MIN_STALE_COPIES = 21  # that the checker must find where the purge index is taken out
+MIN_STALE_COPIES = 21  # stale copies that the checker must find without the purge index
 
 
 @pytest.mark.parametrize("guard", [(), ("marks",)])
 def test_a_fleet_under_load_serves_no_stale_copy_and_the_checker_finds_those_of_a_mutation(guard):
-    """Partitions, kills, a storm of purges, a cache that was away: no response brings a stale copy.
+    """Partitions, kills, a burst of purges, an unreachable cache: no response contains a stale copy.
 
-    With the purge index taken out of the routers the checker must find many, or it would prove nothing. How
-    much is done in a time is the machine's matter, so the load goes on until as many are found.
+    Without the purge index in the routers, the checker must find many, or it would prove nothing. The number
+    of requests in a given time depends on the machine, so the load continues until that many are found.
     """
     report = ScenarioReport()
     rehearse(3, report, guard, 21.0, min_stale_copies=MIN_STALE_COPIES if guard else 0)
@@ -444,54 +447,54 @@
         assert not report.broken, report.broken[:3]
 
 
-AS_A_ROUTER = {"x-parent": "p", "x-opts": "ride", "x-fresh-ms": "200"}
-CROSSING_FILL_TIME = 0.8  # s that the origin takes for the copy that crosses the purge
+ROUTER_HEADERS = {"x-parent": "p", "x-opts": "ride", "x-fresh-ms": "200"}
+SLOW_FILL_SECONDS = 0.8  # seconds that the origin takes to make the copy while the purge arrives
 
 
 @pytest.mark.parametrize(
     ("kind", "value"), [("object", "/a"), ("tag", "rose"), ("pattern", "/a*"), ("all", None)]
 )
-def test_an_old_copy_that_crosses_a_purge_at_a_parent_does_not_stay_in_a_cache(play, kind, value):
-    """A cache that has purged joins a parent's older fill; later no index entry names what it kept."""
+def test_a_fill_that_started_before_a_purge_leaves_no_lasting_old_copy(run_with_deployment, kind, value):
+    """A cache that has purged joins a parent's older fill; its copy outlives the index entry of the purge."""
 
-    async def scene(site):
+    async def body(deployment):
         making_times = []
-        await site.start(making_time=lambda: making_times.pop() if making_times else 0.0, **SHORT_TIMES)
-        start_delivery(site)
-        while site.fleet_purges.caches_caught_up != {"n1": 0, "p": 0}:
+        await deployment.start(making_time=lambda: making_times.pop() if making_times else 0.0, **SHORT_TIMES)
+        start_delivery(deployment)
+        while deployment.fleet_purges.caches_caught_up != {"n1": 0, "p": 0}:
             await anyio.sleep(0.01)
-        await site.cached()
-        cache, parent = site.caches["n1"], site.caches["p"]
+        await deployment.get_under_lease()
+        cache, parent = deployment.caches["n1"], deployment.caches["p"]
         (key,) = cache.copies
         cache.copies.clear()
         parent.copies.clear()
-        making_times.append(CROSSING_FILL_TIME)
+        making_times.append(SLOW_FILL_SECONDS)
         headers = {"x-path": "/a", "x-rank": "1"}
         target = f"/x/{key.vhost}/{key.object_key}/{key.chunk}"
-        site.tasks.start_soon(parent.respond, "GET", target, headers)  # as another cache's fill
+        deployment.tasks.start_soon(parent.respond, "GET", target, headers)  # like a fill of another cache
         await anyio.sleep(0.2)
-        accepted = await site.purge(kind, *([value] if value else []))
-        while not (await site.ask(StatusQuery())).is_complete:
+        accepted = await deployment.purge(kind, *([value] if value else []))
+        while not (await deployment.ask(StatusQuery())).is_complete:
             await anyio.sleep(0.01)
-        # As a router asks that knows the purge, for a client that is gone when the copy comes.
-        await cache.respond("GET", target, headers | AS_A_ROUTER)
+        # Requests as a router does that knows the purge, for a client that is gone when the copy arrives.
+        await cache.respond("GET", target, headers | ROUTER_HEADERS)
         assert parent.merged_requests == 1
         assert cache.copies[key].made_at < accepted.purged_at
-        await index_expired(site)
-        assert await site.get() >= accepted.purged_at
+        await wait_until_index_expired(deployment)
+        assert await deployment.get() >= accepted.purged_at
 
-    play(scene)
+    run_with_deployment(body)
 
 
-def start_delivery(site):
-    """Starts the delivery of purges to all caches and the parent, as the courier's command does."""
+def start_delivery(deployment):
+    """Starts the delivery of purges to all caches and the parent, as `purge deliver` does."""
     targets = {
         name: DeliveryTarget(("127.0.0.1", cache.port), is_parent=name == "p")
-        for name, cache in site.caches.items()
+        for name, cache in deployment.caches.items()
         if not cache.is_origin
     }
-    plan = load(str(site.plan_path)).plan
-    settings = DeliverySettings(GRACE, 500.0, settle_time_of(plan.purges, plan.vhosts))
+    plan = load(str(deployment.plan_path)).plan
+    settings = DeliverySettings(GRACE_US, 500.0, settle_time_of(plan.purges, plan.vhosts))
     report = RateLimitedLog("courier", process.wall_clock)
-    for worker in delivery_workers(targets, [site.purge_log_address], settings, report):
-        site.tasks.start_soon(worker.run)
+    for worker in delivery_workers(targets, [deployment.purge_log_address], settings, report):
+        deployment.tasks.start_soon(worker.run)
