--- a/quartzrouter/lease_service/__init__.py
+++ b/quartzrouter/lease_service/__init__.py
@@ -1,5 +1,5 @@
-"""Processes around leases: an acceptor with its disk, and a proposer's connections to all acceptors.
+"""The lease service: an acceptor's server and disk, and a proposer's connections to all acceptors.
 
-A lease is for a task: fleet-wide work that one process does at a time. Operators' pages, commands and log
-lines say keeper for an acceptor, claimant for a proposer, and number for a fencing token.
+A lease is for a task: fleet-wide work that only one process may do at a time. The operators' documentation,
+commands and log lines call an acceptor a keeper, a proposer a claimant, and a fencing token a number.
 """
--- a/quartzrouter/lease_service/client.py
+++ b/quartzrouter/lease_service/client.py
@@ -1,10 +1,10 @@
-"""The proposers of one process: connections to acceptors, and the work that is done while a lease is held.
+"""The lease client of one process: connects its proposers to the acceptors, and runs work under leases.
 
     client = ClusterLeaseClient(terms, addresses, "deliver-a", report)
     tasks.start_soon(client.run)
     await client.perform("deliver", work)
 
-`work` is called with a lease handle whenever the task is acquired, and is cancelled when the lease is lost.
+`work` is called with a lease handle whenever the lease is acquired, and is cancelled when it is lost.
 """
 
 import secrets
@@ -25,18 +25,20 @@
 
 MICROSECONDS_PER_SECOND = 1e6
 MICROSECONDS_PER_MILLISECOND = 1_000
-SILENCE_TIMEOUT_LEASES = 2  # without a reply to a request, until a connection is taken for broken
-FAREWELL_TIMEOUT = 0.2  # s for releases to be sent at the end
-FAREWELL_POLL = 0.005  # s
-WORK_END_POLL = 0.001  # s
-MIN_WAIT = 0.001  # s between two ticks
-MAX_QUEUED_LINES = 64  # to an acceptor that takes nothing; older ones count for nothing any more
-FIRST_REQUEST_DIVISOR = 4  # of the renewal interval, after which a proposer asks on a new connection
+# Lease times without a reply to requests after which a connection is treated as broken.
+SILENCE_TIMEOUT_LEASES = 2
+RELEASE_SEND_TIMEOUT = 0.2  # seconds for the last releases to be sent
+RELEASE_SEND_POLL_INTERVAL = 0.005  # seconds
+WORK_END_POLL_INTERVAL = 0.001  # seconds
+MIN_TICK_INTERVAL = 0.001  # seconds
+MAX_QUEUED_LINES = 64  # to an acceptor that reads nothing; older ones are obsolete
+# A proposer without a lease sends a request within a quarter of the renewal interval of a new connection.
+FIRST_REQUEST_DIVISOR = 4
 TOKEN_BYTES = 8
 
 
 class AcceptorConnection:
-    """The connection to one acceptor: reconnects whenever it ends."""
+    """The connection to one acceptor, which is re-established whenever it ends."""
 
     def __init__(self, name: str, address: tuple[str, int], client: "ClusterLeaseClient"):
         self.name = name
@@ -44,12 +46,12 @@
         self._address = address
         self._client = client
         self._backoff = ReconnectBackoff([address], f"{client.name} {name}")
-        self._unanswered = 0  # lines of requests since the last reply
+        self._unanswered_requests = 0  # lines sent since the last reply
 
     def send(self, line: bytes, expects_reply: bool) -> None:
-        """Queues a line for the current connection; it is dropped where there is none."""
+        """Queues a line for the current connection, or drops it if there is none."""
         if self.outgoing.put(line):
-            self._unanswered += expects_reply
+            self._unanswered_requests += expects_reply
 
     async def run(self) -> None:
         """Connects, and reconnects whenever the connection ends, until it is cancelled."""
@@ -66,32 +68,32 @@
         stream = await connect(self._address)
         async with stream, anyio.create_task_group() as tasks:
             self.outgoing.open()
-            self._unanswered = 0
+            self._unanswered_requests = 0
             tasks.start_soon(self.outgoing.write_to, stream)
             tasks.start_soon(self._watch_silence)
             self._client.connected()
             async for line in read_lines(stream):
-                self._unanswered = 0
+                self._unanswered_requests = 0
                 self._backoff.record_success()
                 self._client.handle(self.name, messages.decode_from_acceptor(line))
-            raise anyio.EndOfStream("it has closed the connection")
+            raise anyio.EndOfStream("it closed the connection")
 
     async def _watch_silence(self) -> NoReturn:
-        """Ends the connection once requests stay without any reply.
+        """Ends the connection if requests get no reply for some lease times.
 
-        Guards against a path that is cut without a reset: nothing else tells of it, and votes that another
-        connection could get are waited for in vain.
+        Guards against a network path that is cut without a reset, which isn't reported in any other way: the
+        proposer would wait for votes that a new connection could get.
         """
         timeout = SILENCE_TIMEOUT_LEASES * self._client.terms.ttl / MICROSECONDS_PER_SECOND
         while True:
-            unanswered_before = self._unanswered
+            unanswered_before = self._unanswered_requests
             await anyio.sleep(timeout)
-            if unanswered_before and self._unanswered >= unanswered_before:
+            if unanswered_before and self._unanswered_requests >= unanswered_before:
                 raise TimeoutError(f"no answer for {timeout:.1f} s")
 
 
 class HeldLease:
-    """A lease that is held, as its work sees it."""
+    """The handle of a lease that is held, for the work under it."""
 
     def __init__(self, client: "ClusterLeaseClient", proposer: Proposer):
         self.fencing_token = proposer.fencing_token
@@ -100,26 +102,27 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether the proposer still holds this lease, and no later one."""
+        """True if the proposer still holds this lease, and not a later one."""
         return self._proposer.is_holder and self._proposer.fencing_token == self.fencing_token
 
     def may_act(self) -> bool:
-        """Whether an action may start; read right before each."""
+        """Returns True if an action may start; call it right before each action."""
         is_same_lease = self._proposer.fencing_token == self.fencing_token
         return is_same_lease and self._proposer.may_act(self._client.steady())
 
     def handle_superseding_token(self, fencing_token: int) -> None:
-        """Whoever was acted on has seen that higher fencing token."""
+        """Ends the lease if the target of an action has seen a higher fencing token."""
         effects = self._proposer.handle_superseding_token(fencing_token, self._client.steady())
         self._client.carry_out(self._proposer, effects)
 
 
 class ClusterLeaseClient:
-    """The proposers of one process, for tasks that a majority of acceptors grants.
+    """The proposers of one process, one for each task whose lease it wants.
 
-    :param name: of the proposer, one a process.
-    :param steady: reads the monotonic clock, in microseconds.
-    :param wall: reads the wall clock, in microseconds.
+    :param addresses: the addresses of the acceptors, by name.
+    :param name: the name of the process's proposers.
+    :param steady: returns the time of the monotonic clock, in microseconds.
+    :param wall: returns the time of the wall clock, in microseconds.
     """
 
     def __init__(
@@ -139,14 +142,14 @@
         self.proposers: dict[str, Proposer] = {}  # by task
         self._wall = wall
         self._holder_changed: dict[str, anyio.Event] = {}  # by task
-        self._working: set[str] = set()  # tasks whose work is under way
+        self._working: set[str] = set()  # tasks whose work is running
         self._acceptors = [AcceptorConnection(acceptor, at, self) for acceptor, at in addresses.items()]
-        self._wake = anyio.Event()  # a proposer may be due sooner
+        self._wake = anyio.Event()  # set if a proposer may be due sooner than expected
 
     def propose(self, task: str) -> Proposer:
-        """Wants a task from now on.
+        """Starts to request the lease of a task.
 
-        :raises KeyError: for a task that the terms don't name.
+        :raises KeyError: if the terms don't contain the task.
         """
         dict(self.terms.tasks)[task]
         if task not in self.proposers:
@@ -167,11 +170,11 @@
                     default=self.terms.renewal_interval,
                 )
                 self._wake = anyio.Event()
-                with anyio.move_on_after(max(MIN_WAIT, wait / MICROSECONDS_PER_SECOND)):
+                with anyio.move_on_after(max(MIN_TICK_INTERVAL, wait / MICROSECONDS_PER_SECOND)):
                     await self._wake.wait()
 
     def _tick(self) -> None:
-        """Lets each proposer do what is due; all that they send goes out together."""
+        """Lets each proposer do what is due, and sends all their messages together."""
         now = self.steady()
         wall_clock_ms = self._wall() // MICROSECONDS_PER_MILLISECOND
         to_send: list[SendToAcceptors] = []
@@ -182,7 +185,7 @@
     # -- work ----------------------------------------------------------------------------------------------
 
     async def perform(self, task: str, work: Callable[[HeldLease], Awaitable[None]]) -> None:
-        """Does the work whenever the task is held; where it fails, another proposer may have the task."""
+        """Runs the work whenever the task's lease is held; releases the lease if the work fails or ends."""
         proposer = self.propose(task)
         while True:
             while not proposer.is_holder:
@@ -190,18 +193,20 @@
             lease = HeldLease(self, proposer)
             self.report.say("lease", f"{task}: held here, number {lease.fencing_token}")
             self._working.add(task)
-            failure = await self._work(task, lease, work)
+            failure = await self._run_work(task, lease, work)
             self._working.discard(task)
             if not failure and not lease.may_act():
-                # The lease ended the work, and may yet be renewed.  To count that as a failure doubled the
-                # pause each time, and left the task without a holder for several leases.
+                # The work ended because of its lease, which may still be renewed.  Counting that as a failure
+                # doubled the pause each time, and left the task without a holder for several leases.
                 await anyio.sleep(self.terms.max_action_time / MICROSECONDS_PER_SECOND)
             elif lease.is_current:
-                self.report.say("lease", f"{task}: {failure or 'done here'}; given up")
+                self.report.say("lease", f"{task}: {failure or 'done here'}; released")
                 self.carry_out(proposer, proposer.handle_task_failure(self.steady()))
 
-    async def _work(self, task: str, lease: HeldLease, work: Callable[[HeldLease], Awaitable[None]]) -> str:
-        """Runs the work until it ends or the lease is lost; returns why it failed, or nothing."""
+    async def _run_work(
+        self, task: str, lease: HeldLease, work: Callable[[HeldLease], Awaitable[None]]
+    ) -> str:
+        """Runs the work until it ends or the lease is lost; returns why it failed, or an empty string."""
         failure = ""
         with anyio.CancelScope() as scope:
             async with anyio.create_task_group() as tasks:
@@ -220,30 +225,30 @@
         scope.cancel()
 
     async def release(self, tasks: Iterable[str] = ()) -> None:
-        """Gives tasks up, and sees that acceptors hear of it once the work on them has ended.
+        """Releases leases: ends them at once, and tells the acceptors when the work under them has ended.
 
-        :param tasks: all where none is named.
+        :param tasks: the tasks whose leases to release; empty: all.
         """
         released = list(tasks or self.proposers)
         to_send: list[SendToAcceptors] = []
         for task in released:
             proposer = self.proposers[task]
             to_send += self._apply(proposer, proposer.release(self.steady()))
-        # after a lease's time it is over anyway
+        # after that time the leases have expired anyway
         lease_time = self.terms.ttl / MICROSECONDS_PER_SECOND
         with anyio.move_on_after(lease_time, shield=True) as wait_for_work:
             while self._working.intersection(released):
-                await anyio.sleep(WORK_END_POLL)
+                await anyio.sleep(WORK_END_POLL_INTERVAL)
         if not wait_for_work.cancelled_caught:
             self._send(to_send)
-        with anyio.move_on_after(FAREWELL_TIMEOUT, shield=True):
+        with anyio.move_on_after(RELEASE_SEND_TIMEOUT, shield=True):
             while any(acceptor.outgoing.lines for acceptor in self._acceptors):
-                await anyio.sleep(FAREWELL_POLL)
+                await anyio.sleep(RELEASE_SEND_POLL_INTERVAL)
 
     # -- messages ------------------------------------------------------------------------------------------
 
     def connected(self) -> None:
-        """An acceptor can be asked: a proposer that holds nothing and heard nothing asks soon."""
+        """Lets proposers that have neither a lease nor a reply send a request soon after a connection."""
         now = self.steady()
         for proposer in self.proposers.values():
             if not proposer.is_holder and proposer.round and not proposer.answered_by:
@@ -252,7 +257,7 @@
         self._wake.set()
 
     def handle(self, acceptor: str, message: messages.FromAcceptor) -> None:
-        """Handles a message of an acceptor."""
+        """Handles a message from an acceptor."""
         now = self.steady()
         match message:
             case messages.VoteReplies():
@@ -261,7 +266,7 @@
                 if proposer := self.proposers.get(task):
                     proposer.handle_vote_available(now)
             case messages.MessageRejected(reason, remedy):
-                self.report.say("lease", f"keeper {acceptor} can't read this: {reason}; {remedy}")
+                self.report.say("lease", f"keeper {acceptor} can't read a message: {reason}; {remedy}")
         self._wake.set()
 
     def _handle_replies(self, acceptor: str, message: messages.VoteReplies, now: int) -> None:
@@ -276,13 +281,13 @@
                 self.report.say("lease", f"{task}: {reason}")
 
     def carry_out(self, proposer: Proposer, effects: Sequence[Effect]) -> None:
-        """Carries out what a proposer has decided."""
+        """Carries out the effects of a proposer's decision."""
         self._send(self._apply(proposer, effects))
 
     def _apply(self, proposer: Proposer, effects: Sequence[Effect]) -> list[SendToAcceptors]:
-        """Tells the work of a lease that was acquired or lost, before any message about it goes out.
+        """Notifies the work that a lease was acquired or lost, before any message about it is sent.
 
-        :returns: what is to be sent.
+        :returns: the messages to send.
         """
         to_send = []
         for effect in effects:
@@ -292,7 +297,7 @@
                 case LeaseAcquired():
                     self._notify_work(proposer.task)
                 case LeaseLost(reason):
-                    self.report.say("lease", f"{proposer.task}: held no more: {reason}")
+                    self.report.say("lease", f"{proposer.task}: no longer held: {reason}")
                     self._notify_work(proposer.task)
         self._wake.set()
         return to_send
@@ -302,7 +307,7 @@
         self._holder_changed[task] = anyio.Event()
 
     def _send(self, to_send: Sequence[SendToAcceptors]) -> None:
-        """Sends releases first, then requests, each kind in one line to every acceptor."""
+        """Sends releases, then requests, each in one line to every acceptor."""
         sent = [effect.message for effect in to_send]
         releases = tuple(message for message in sent if isinstance(message, VoteRelease))
         requests = tuple(message for message in sent if isinstance(message, VoteRequest))
--- a/quartzrouter/lease_service/plan_terms.py
+++ b/quartzrouter/lease_service/plan_terms.py
@@ -1,4 +1,4 @@
-"""The terms of leases, and where acceptors listen, as the configuration says: it calls them keepers."""
+"""Reads the lease terms and the acceptors' addresses from a plan, which calls acceptors keepers."""
 
 from quartzrouter.config.model import Plan
 from quartzrouter.configuration_section import parse_address
@@ -8,17 +8,17 @@
 
 
 class LeasesNotConfiguredError(ValueError):
-    """A configuration that names no acceptors, or not this one, or not this task."""
+    """The plan has no acceptors, or lacks the requested acceptor or task."""
 
 
 def lease_terms(plan: Plan) -> tuple[LeaseTerms, Addresses]:
-    """Returns the terms, and where each acceptor listens.
+    """Returns the lease terms, and the address of each acceptor.
 
-    :raises LeasesNotConfiguredError: where the configuration has no `leases`.
+    :raises LeasesNotConfiguredError: if the plan has no `leases`.
     """
     settings = plan.leases
     if not settings:
-        raise LeasesNotConfiguredError("the plan names no keepers: give it `leases`")
+        raise LeasesNotConfiguredError("the plan has no keepers: add `leases`")
     addresses = {
         name: parse_address(address, f"leases.keepers.{name}")
         for name, address in settings["keepers"].items()
--- a/quartzrouter/lease_service/queries.py
+++ b/quartzrouter/lease_service/queries.py
@@ -1,4 +1,4 @@
-"""One question to an acceptor, or to all, as operators and other acceptors ask it."""
+"""Status queries to one or all acceptors, sent by operators' commands and by other acceptors."""
 
 import anyio
 
@@ -9,7 +9,7 @@
 from quartzrouter.purges.messages import MalformedMessageError, encode_line
 from quartzrouter.server.attempt_failure import CONNECTION_LOST
 
-ANSWER_TIMEOUT = 1.0  # s
+ANSWER_TIMEOUT = 1.0  # seconds
 
 
 async def ask(
@@ -17,10 +17,10 @@
     timeout: float = ANSWER_TIMEOUT,
     message: messages.ToAcceptor | None = None,
 ) -> AcceptorStatus | str:
-    """Returns the status of an acceptor, or why it isn't known.
+    """Returns the status of an acceptor, or the reason why it is unknown.
 
-    :param timeout: seconds.
-    :param message: what to send; a query for the status where it is None.
+    :param timeout: seconds for the whole exchange.
+    :param message: the message to send; None: a status query.
     """
     try:
         with anyio.fail_after(timeout):
@@ -38,7 +38,7 @@
 async def ask_all(
     addresses: Addresses, message: messages.ToAcceptor | None = None
 ) -> dict[str, AcceptorStatus | str]:
-    """Asks all acceptors at once; returns their answers by name, in the order of the addresses."""
+    """Queries all acceptors concurrently; returns their answers by name, in the order of the addresses."""
     answers: dict[str, AcceptorStatus | str] = {}
 
     async def ask_one(name: str) -> None:
--- a/quartzrouter/lease_service/server.py
+++ b/quartzrouter/lease_service/server.py
@@ -1,4 +1,4 @@
-"""The process of one acceptor: connections of proposers, its tokens on disk, its terms at SIGHUP."""
+"""The server of one acceptor: serves proposers, stores fencing tokens, and reloads its terms at SIGHUP."""
 
 import signal
 from collections.abc import Callable
@@ -18,21 +18,21 @@
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 MAX_CONNECTIONS = 4_096
-MAX_QUEUED_REPLIES = 64  # lines for a proposer that takes nothing: then its connection ends
-WRITE_TIMEOUT = 2.0  # s for a line
+MAX_QUEUED_REPLIES = 64  # lines for a proposer that reads nothing; beyond, its connection is closed
+WRITE_TIMEOUT = 2.0  # seconds for a line
 MICROSECONDS_PER_SECOND = 1e6
 MAX_LOGGED_NAME = 60  # characters
 
 ReplyQueue = MemoryObjectSendStream[messages.FromAcceptor]
-# reads the terms, and where all acceptors listen, as the configuration has them now
+# Reads the current terms and the addresses of all acceptors from the configuration.
 TermsReader = Callable[[], tuple[LeaseTerms, Addresses]]
 
 
 class LeaseServer:
     """One acceptor and its connections.
 
-    :param storage: its fencing tokens on disk; None: it has none, and learns them again after each start.
-    :param steady: reads the monotonic clock, in microseconds.
+    :param storage: its fencing tokens on disk; None: it stores none, and learns them again after each start.
+    :param steady: returns the time of the monotonic clock, in microseconds.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
         self.steady = steady
         self.acceptor = Acceptor(terms, name, steady(), storage.found if storage else None)
         self._stored_tokens = self.acceptor.highest_tokens()
-        self._reply_queues: dict[str, ReplyQueue] = {}  # by proposer: of the connection that it asks on
-        self._disk = anyio.Lock()
+        self._reply_queues: dict[str, ReplyQueue] = {}  # by proposer, of its last connection with a request
+        self._disk_lock = anyio.Lock()
         self._guard = ConnectionGuard(MAX_CONNECTIONS, report, (*CONNECTION_ENDED, anyio.WouldBlock))
 
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
@@ -85,10 +85,10 @@
     async def _handle(
         self, message: messages.ToAcceptor, queue: ReplyQueue, proposers: set[str]
     ) -> messages.FromAcceptor | None:
-        """Obeys one message; returns the reply to it, where it has one.
+        """Handles one message; returns the reply to it, or None.
 
-        :param queue: of the connection that it came on.
-        :param proposers: those that have asked on this connection; added to.
+        :param queue: the reply queue of the connection that the message came on.
+        :param proposers: the proposers that have requested votes on this connection; this adds to them.
         """
         match message:
             case messages.StatusQuery():
@@ -106,7 +106,7 @@
     def _revoke(self, task: str) -> messages.StatusReply:
         holder = self.acceptor.revoke(task, self.steady())
         if holder:
-            self.report.say("lease", f"{task[:MAX_LOGGED_NAME]}: an operator takes it from {holder}")
+            self.report.say("lease", f"{task[:MAX_LOGGED_NAME]}: an operator revokes the lease of {holder}")
         return messages.StatusReply(self.acceptor.status(self.steady()))
 
     async def _vote(
@@ -125,7 +125,7 @@
             proposers.add(request.proposer)
             self._reply_queues[request.proposer] = queue
         if not await self._store_tokens():
-            replies = []  # a vote that isn't on the disk isn't given: it expires by itself
+            replies = []  # a vote isn't reported unless its token is on the disk; it expires by itself
         return messages.VoteReplies(tuple(replies), refused)
 
     def _notify(self, proposer: str, task: str) -> None:
@@ -138,16 +138,16 @@
             del self._reply_queues[proposer]
 
     async def _store_tokens(self) -> bool:
-        """Puts fencing tokens that have risen on the disk.
+        """Stores fencing tokens that have risen on the disk.
 
-        Guards against a token that is given twice: an acceptor that forgot it in a restart would vote for
-        another proposer under the same one.
+        Guards against a token that is used twice: an acceptor that lost it in a restart would vote for
+        another proposer under the same token.
 
-        :returns: whether all tokens are on the disk, or there is none.
+        :returns: True if all tokens are stored, or the acceptor has no disk.
         """
         if self.storage is None:
             return True
-        async with self._disk:
+        async with self._disk_lock:
             tokens = self.acceptor.highest_tokens()
             if tokens == self._stored_tokens:
                 return True
@@ -160,10 +160,10 @@
             return True
 
     async def change_terms(self, terms: LeaseTerms, addresses: Addresses) -> VoteRefusal | None:
-        """Applies terms that were read again, if that is safe.
+        """Applies reloaded terms, if that is safe.
 
-        :param addresses: of the acceptors of the current and the new list.
-        :returns: why they aren't followed; None where they are.
+        :param addresses: the addresses of the acceptors of the current and the new list.
+        :returns: the reason why the terms are unchanged; None if they are applied.
         """
         others = {name: address for name, address in addresses.items() if name != self.acceptor.name}
         answers = await ask_all(others)
@@ -174,9 +174,9 @@
 
 
 class TermsReloader:
-    """Reads the terms again at SIGHUP.
+    """Reloads the terms at SIGHUP.
 
-    :param addresses: of acceptors, by the terms until now.
+    :param addresses: the addresses of the acceptors in the current terms.
     """
 
     def __init__(self, server: LeaseServer, read: TermsReader, addresses: Addresses):
@@ -185,7 +185,7 @@
         self._addresses = addresses
 
     async def reload(self) -> None:
-        """Reads the configuration; one that can't be used changes nothing and costs a line."""
+        """Reloads the configuration; if it can't be used, logs why and changes nothing."""
         report = self._server.report
         try:
             terms, addresses = await anyio.to_thread.run_sync(self._read)
@@ -208,11 +208,11 @@
     storage: TokenStorage | None = None,
     steady: Callable[[], int] = steady_clock,
 ) -> None:
-    """Runs an acceptor until SIGTERM; reads the configuration again at SIGHUP.
+    """Runs an acceptor until SIGTERM; reloads the configuration at SIGHUP.
 
-    :param read: raises ValueError where the configuration can't be used.
-    :raises OSError: where it can't listen.
-    :raises ValueError: as `read` does, before it votes.
+    :param read: reads the terms and addresses; raises ValueError if the configuration can't be used.
+    :raises OSError: if the address can't be bound.
+    :raises ValueError: if `read` raises it at the start.
     """
     terms, addresses = read()
     server = LeaseServer(terms, name, report, storage, steady)
@@ -220,8 +220,8 @@
     async with anyio.create_task_group() as tasks:
         host, port = addresses[name]
         listeners = await anyio.create_tcp_listener(local_host=host, local_port=port)
-        silent_for = (server.acceptor.voting_starts_at - steady()) / MICROSECONDS_PER_SECOND
-        report.say("process", f"keeper {name} at {host}:{port}, votes in {silent_for:.1f} s")
+        time_until_voting = (server.acceptor.voting_starts_at - steady()) / MICROSECONDS_PER_SECOND
+        report.say("process", f"keeper {name} at {host}:{port}, votes in {time_until_voting:.1f} s")
         for listener in listeners.listeners:
             tasks.start_soon(listener.serve, server.serve)
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as received:
--- a/quartzrouter/lease_service/token_storage.py
+++ b/quartzrouter/lease_service/token_storage.py
@@ -1,8 +1,8 @@
-"""Fencing tokens that an acceptor knows, on its disk: written whole before it votes under a higher one."""
+"""Stores an acceptor's fencing tokens on its disk, before the acceptor reports a vote with a higher one."""
 
-# Field names in the file are kept for compatibility. Where they differ from the names here:
+# Field names in the file are kept for compatibility. These differ from the attributes:
 #
-#     field    field here
+#     field    attribute
 #     keeper   StoredTokens.acceptor
 #     sum      StoredTokens.checksum
 #     numbers  StoredTokens.tokens
@@ -18,14 +18,14 @@
 
 FILE_NAME = "numbers"
 FORMAT = 1
-MAX_FILE_BYTES = 1 << 20  # 256 tasks take 60 KB
+MAX_FILE_BYTES = 1 << 20  # the largest number of tasks, 256, takes 60 KB
 
 
 class StoredTokens(msgspec.Struct):
-    """The file.
+    """The content of the file.
 
-    :param acceptor: whose it is.
-    :param checksum: CRC-32 of the tokens as they stand in the file.
+    :param acceptor: the name of the acceptor that the file belongs to.
+    :param checksum: the CRC-32 of the tokens' bytes in the file.
     """
 
     format: int
@@ -35,17 +35,17 @@
 
 
 class ForeignFolderError(ValueError):
-    """The folder is another acceptor's."""
+    """The folder belongs to another acceptor."""
 
 
 class TokenStorage:
-    """The file of one acceptor; `found` are the tokens that were there at start, by task.
+    """The file of one acceptor; `found` holds the tokens that were read from it at the start, by task.
 
-    :param folder: created if it isn't there.
-    :param acceptor: its name.
-    :param log: takes a line on what was passed over.
-    :raises OSError: where the folder can't be created.
-    :raises ForeignFolderError: where it is another acceptor's.
+    :param folder: the folder of the file; created if it doesn't exist.
+    :param acceptor: the acceptor's name.
+    :param log: logs a line about a file that can't be used.
+    :raises OSError: if the folder can't be created or the file can't be read.
+    :raises ForeignFolderError: if the folder belongs to another acceptor.
     """
 
     def __init__(self, folder: str, acceptor: str, log: Callable[[str], None]):
@@ -55,14 +55,14 @@
         self.found = self._read(log)
 
     def _read(self, log: Callable[[str], None]) -> dict[str, FencingToken]:
-        """Reads the file.  One that is damaged counts as lost: holders tell their tokens again."""
+        """Reads the file.  A damaged one is ignored, as holders report their tokens again."""
         try:
             stored = self._decode(self.path.read_bytes())
             tokens = msgspec.json.decode(stored.tokens, type=dict[str, FencingToken])
         except FileNotFoundError:
             return {}
         except (ValueError, msgspec.DecodeError, UnicodeDecodeError) as error:
-            log(f"{self.path}: {error}; its numbers are heard anew from holders")
+            log(f"{self.path}: {error}; the numbers will be learnt again from holders")
             return {}
         if stored.acceptor != self.acceptor:
             remedy = f"give {self.acceptor} a folder of its own"
@@ -73,15 +73,15 @@
     def _decode(data: bytes) -> StoredTokens:
         stored = msgspec.json.decode(data[:MAX_FILE_BYTES], type=StoredTokens)
         if stored.checksum != crc32(stored.tokens):
-            raise ValueError("its checksum is wrong")
+            raise ValueError("checksum mismatch")
         if stored.format != FORMAT:
             raise ValueError(f"it is of format {stored.format}, this program reads {FORMAT}")
         return stored
 
     def write(self, tokens: dict[str, FencingToken]) -> None:
-        """Writes all tokens.
+        """Replaces the file with all tokens.
 
-        :raises OSError: then no vote may be given that needs them.
+        :raises OSError: if they can't be written; votes with these tokens must not be reported then.
         """
         encoded = msgspec.json.encode(tokens)
         stored = StoredTokens(FORMAT, self.acceptor, crc32(encoded), msgspec.Raw(encoded))
--- a/quartzrouter/leases/__init__.py
+++ b/quartzrouter/leases/__init__.py
@@ -1,7 +1,7 @@
-"""Leases for fleet-wide tasks, decided without I/O: acceptors vote, proposers hold leases and release them.
+"""Leases for fleet-wide tasks, without I/O: acceptors vote, proposers acquire, renew and release leases.
 
-A task is fleet-wide work that one process does at a time, such as the delivery of purges to caches.
+A task is fleet-wide work that only one process may do at a time, such as delivering purges to caches.
 
-Operators' pages, commands and log lines say keeper for an acceptor, claimant for a proposer, and number for a
-fencing token.
+The operators' documentation, commands and log lines call an acceptor a keeper, a proposer a claimant, and a
+fencing token a number.
 """
--- a/quartzrouter/leases/acceptor.py
+++ b/quartzrouter/leases/acceptor.py
@@ -1,8 +1,9 @@
-"""What one acceptor decides: for whom it votes, and for how long.  No I/O; alone it decides nothing.
+"""An acceptor: decides for which proposer it votes, and for how long.  Does no I/O.
 
-Votes are kept in memory.  An acceptor that has just started may have voted before, so it votes for nobody
-until that vote must have expired (PaxosLease: Trencseni, Gazso and Reinhardt).  Fencing tokens are kept on
-its disk, if it has one, and learnt again from holders meanwhile.
+One acceptor's vote grants no lease: that takes a majority.  Votes are kept in memory.  An acceptor that has
+just started may have voted before, so it votes for no proposer until that vote must have expired (PaxosLease:
+Trencseni, Gazso and Reinhardt).  Fencing tokens are stored on its disk, if it has one; meanwhile, or without
+a disk, it learns them again from holders.
 """
 
 from collections import OrderedDict
@@ -23,23 +24,25 @@
     VoteStatus,
 )
 
-MAX_WAITING = 64  # proposers of a task that were turned away and hear when its vote is free, oldest first
-WAITING_EXPIRES_AFTER = (
-    30 * MICROSECONDS_PER_SECOND
-)  # us for which one that was turned away counts as waiting
-REVOCATION_LEASES = 3  # for which a holder gets no vote after an operator has revoked its lease
-MAX_NOTIFIED = 2  # of those that wait, when a vote is released: more would all ask, and one gets it
-MAX_REFUSAL_FIELDS = 8  # fields by which refused requests are counted
+# Denied proposers of a task that wait for its vote; they are notified once it is available, oldest first.
+MAX_WAITING = 64
+# Microseconds for which a proposer whose request was denied counts as waiting.
+WAITING_EXPIRES_AFTER = 30 * MICROSECONDS_PER_SECOND
+REVOCATION_LEASES = 3  # lease times for which a holder gets no vote after an operator has revoked its lease
+# Waiting proposers that are notified of a released vote.  More would all request it, and only one can get it.
+MAX_NOTIFIED = 2
+MAX_REFUSAL_FIELDS = 8  # distinct fields for which refusals are counted
 
 
 @dataclass(slots=True)
 class TaskVote:
     """An acceptor's vote for one task.
 
-    :param highest_token: the highest fencing token that it has voted for, or that a holder has told.
-    :param highest_token_owner: whose that was: proposer and process token.
-    :param revoked_holder: a holder that an operator wants gone, until `revoked_until`.
-    :param waiting: by proposer, when it was last turned away.
+    :param highest_token: the highest fencing token that it has voted for, or that a holder has reported.
+    :param highest_token_owner: the proposer and process token that used it.
+    :param revoked_holder: a holder whose lease was revoked by an operator; it gets no vote until
+        `revoked_until`.
+    :param waiting: by proposer, when its request was last denied.
     """
 
     proposer: str = ""
@@ -55,16 +58,16 @@
 
     @property
     def owner(self) -> tuple[str, str]:
-        """Proposer and process token that the vote is for."""
+        """The proposer and process token that the vote is for."""
         return self.proposer, self.process_token
 
 
 class Acceptor:
-    """One acceptor.
+    """One acceptor and its votes.
 
-    :param name: its own, of the list in the terms.
-    :param now: microseconds of its monotonic clock at which it starts; so are all times.
-    :param highest_tokens: by task, fencing tokens found on its disk.
+    :param name: the acceptor's name in the terms.
+    :param now: the time at which it starts.  All times are microseconds of its monotonic clock.
+    :param highest_tokens: by task, the fencing tokens that were read from its disk.
     """
 
     def __init__(
@@ -82,13 +85,13 @@
     # -- voting --------------------------------------------------------------------------------------------
 
     def vote(self, request: VoteRequest, now: int) -> VoteReply | VoteRefusal:
-        """Votes for the proposer that asks, unless it has voted for another.
+        """Votes for the proposer that requests it, unless the vote is another's.
 
-        :returns: a refusal where the request can't be obeyed whatever the votes are.
+        :returns: the reply, granted or denied; a refusal if the request is invalid.
         """
         refusal = self._refusal(request)
         if refusal is not None:
-            self._count(refusal)
+            self._count_refusal(refusal)
             return refusal
         vote = self.votes.setdefault(request.task, TaskVote())
         proposer = (request.proposer, request.process_token)
@@ -101,7 +104,7 @@
             vote.highest_token_owner = proposer
         if is_denied:
             free_at = vote.revoked_until if is_revoked else self.voting_starts_at
-            return self._turn_away(vote, request, is_taken, free_at, now)
+            return self._deny(vote, request, is_taken, free_at, now)
         self._grant(vote, request, now)
         return VoteReply(
             request.task, self.name, request.process_token, request.round, True, vote.highest_token
@@ -117,7 +120,7 @@
         vote.expires_at = now + self.terms.ttl
         vote.waiting.pop(request.proposer, None)
 
-    def _turn_away(
+    def _deny(
         self, vote: TaskVote, request: VoteRequest, is_taken: bool, free_at: int, now: int
     ) -> VoteReply:
         time_left = vote.expires_at - now if is_taken else max(0, free_at - now)
@@ -140,37 +143,37 @@
         if request.terms_checksum != self.terms.checksum:
             return VoteRefusal(
                 "figures",
-                f"{self.name} goes by version {self.terms.version} of the keepers",
+                f"{self.name} has version {self.terms.version} of the keepers",
                 "give keepers and claimants the same plan",
             )
         names = (("task", request.task), ("name", request.proposer), ("token", request.process_token))
-        for name_of_field, name in names:
+        for field_name, name in names:
             if not 0 < len(name) <= MAX_NAME_LENGTH:
-                return VoteRefusal(name_of_field, f"{name!r:.60} is no name", "mend the sender")
+                return VoteRefusal(field_name, f"{name!r:.60} is not a valid name", "fix the sender")
         if request.task not in dict(self.terms.tasks):
             return VoteRefusal(
-                "task", f"there is no task {request.task!r:.60}", "name it in the plan's `leases`"
+                "task", f"there is no task {request.task!r:.60}", "add it to the plan's `leases`"
             )
         numbers_fit = (
             0 < request.fencing_token <= MAX_FENCING_TOKEN and 0 < request.round <= MAX_FENCING_TOKEN
         )
         if not numbers_fit:
-            return VoteRefusal("number", f"{request.fencing_token} is out of range", "mend the sender")
+            return VoteRefusal("number", f"{request.fencing_token} is out of range", "fix the sender")
         return None
 
-    def _count(self, refusal: VoteRefusal) -> None:
+    def _count_refusal(self, refusal: VoteRefusal) -> None:
         if refusal.field in self.refusals_by_field or len(self.refusals_by_field) < MAX_REFUSAL_FIELDS:
             self.refusals_by_field[refusal.field] = self.refusals_by_field.get(refusal.field, 0) + 1
 
-    # -- giving votes back ---------------------------------------------------------------------------------
+    # -- releasing votes -----------------------------------------------------------------------------------
 
     def release(self, request: VoteRelease, now: int) -> tuple[str, ...]:
-        """Frees the vote that a proposer gives up.
+        """Releases the vote that a proposer gives up.
 
-        Guards against a delayed release that undoes a later lease of the same process: it names an older
-        fencing token.
+        Guards against a delayed release that would end a later lease of the same process: it carries an older
+        fencing token, and is ignored.
 
-        :returns: proposers to be told, those that were turned away first; none where nothing was released.
+        :returns: the waiting proposers to notify, those that were denied first; none if nothing was released.
         """
         vote = self.votes.get(request.task)
         if vote is None or vote.owner != (request.proposer, request.process_token):
@@ -187,9 +190,9 @@
         return notified
 
     def revoke(self, task: str, now: int) -> str:
-        """Votes for other proposers first, for some leases.
+        """Denies the holder any new vote for ``REVOCATION_LEASES`` lease times, so that others get the task.
 
-        :returns: the holder whose votes run out now; empty where there is none.
+        :returns: the holder, whose current vote is left to expire; empty if there is none.
         """
         vote = self.votes.get(task)
         if vote is None or vote.expires_at <= now:
@@ -201,22 +204,23 @@
     # -- membership ----------------------------------------------------------------------------------------
 
     def change_terms(self, terms: LeaseTerms, versions: dict[str, int]) -> VoteRefusal | None:
-        """Replaces the list of acceptors by another, if that is safe.
+        """Replaces the list of acceptors with another one, if that is safe.
 
-        Guards against two majorities that share no acceptor: lists one acceptor apart always do, lists two
-        apart needn't, so no acceptor goes on to the next list before all others have the one before.
+        Guards against two majorities that share no acceptor.  Majorities of lists that differ by one acceptor
+        always share one; those of lists that differ by two may not.  So no acceptor changes to the next list
+        before all others have the current one.
 
-        :param versions: by name, the version that each other acceptor of the current list says it goes by.
-        :returns: why the terms stay as they are; None where they have changed.
+        :param versions: by name, the version of the list that each other current acceptor reports.
+        :returns: the reason why the terms are unchanged; None if they have changed.
         """
         current, proposed = set(self.terms.acceptors), set(terms.acceptors)
         removed, added = current - proposed, proposed - current
         changes = len(removed) + len(added)
         if self.name not in terms.acceptors:
-            return VoteRefusal("keepers", f"{self.name} is not among them", "stop it: its votes run out")
+            return VoteRefusal("keepers", f"{self.name} is not among them", "stop it: its votes expire")
         if (terms.ttl, terms.max_clock_drift) != (self.terms.ttl, self.terms.max_clock_drift):
-            remedy = "stop all keepers and claimants, then start them with it"
-            return VoteRefusal("length", "length and drift can't change in service", remedy)
+            remedy = "stop all keepers and claimants, then start them with the new plan"
+            return VoteRefusal("length", "length and drift can't be changed while keepers run", remedy)
         if changes == 0 and terms.version == self.terms.version:
             self.terms = terms
             return None
@@ -224,27 +228,27 @@
             return VoteRefusal(
                 "keepers",
                 f"version {terms.version} with {changes} changes after {self.terms.version}",
-                "change one keeper at a time, and count the version up by one",
+                "change one keeper at a time, and increase the version by one",
             )
         behind = self._acceptors_behind(removed, versions)
         if behind:
             return VoteRefusal(
                 "keepers",
                 f"{', '.join(behind)} may not have version {self.terms.version} yet",
-                "see that each keeper runs and has read it, then send SIGHUP again",
+                "make sure that each keeper runs and has read it, then send SIGHUP again",
             )
         self.terms = terms
         return None
 
     def _acceptors_behind(self, removed: set[str], versions: dict[str, int]) -> list[str]:
-        """Acceptors that stay and may not have the current list yet."""
+        """Returns the remaining acceptors that may not have the current list yet."""
         others = [name for name in self.terms.acceptors if name != self.name and name not in removed]
         return [name for name in others if versions.get(name, 0) < self.terms.version]
 
-    # -- what it tells -------------------------------------------------------------------------------------
+    # -- reporting -----------------------------------------------------------------------------------------
 
     def highest_tokens(self) -> dict[str, FencingToken]:
-        """By task: what has to be on the disk before a reply goes out that has raised it."""
+        """Returns the highest token of each task; a reply that raised it is sent once it is on the disk."""
         return {
             task: FencingToken(vote.highest_token, *vote.highest_token_owner)
             for task, vote in self.votes.items()
@@ -252,7 +256,7 @@
         }
 
     def status(self, now: int) -> AcceptorStatus:
-        """What operators and other acceptors are told."""
+        """Returns the status that operators and other acceptors see."""
         votes = tuple(
             self._vote_status(task, vote, now) for task, vote in list(self.votes.items())[:MAX_TASKS]
         )
@@ -278,9 +282,9 @@
 
 
 def _is_outdated(vote: TaskVote, request: VoteRequest) -> bool:
-    """Whether a request is under a fencing token at or below one that was another proposer's.
+    """Returns True if a request's fencing token is below the highest one, or equal to another proposer's.
 
-    Guards against an action that falls behind: whoever is acted on has seen the higher token.
+    Guards against actions that come too late: their target has seen the higher token.
     """
     if request.fencing_token == vote.highest_token:
         return vote.highest_token_owner != (request.proposer, request.process_token)
--- a/quartzrouter/leases/handle.py
+++ b/quartzrouter/leases/handle.py
@@ -1,4 +1,4 @@
-"""What a process that does a fleet-wide task sees of its lease, whoever speaks to the acceptors for it."""
+"""The interface to leases for code that performs a fleet-wide task."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -7,32 +7,32 @@
 
 
 class LeaseHandle(Protocol):
-    """A lease that is held.
+    """A lease that this process holds.
 
-    :param fencing_token: of this lease, to be shown to whoever is acted on.
+    :param fencing_token: the token of this lease, to be sent with each action to its target.
     """
 
     fencing_token: int
 
     def may_act(self) -> bool:
-        """Whether an action may start; read right before each."""
+        """Returns True if an action may start; call it right before each action."""
         ...
 
     def handle_superseding_token(self, fencing_token: int) -> None:
-        """Whoever was acted on has seen that higher fencing token."""
+        """Ends the lease if the target of an action has seen a higher fencing token."""
         ...
 
 
 class LeaseClient(Protocol):
     """The leases of one process.
 
-    :param steady: reads the monotonic clock by which leases end, in microseconds.
+    :param steady: returns the time of the monotonic clock by which leases end, in microseconds.
     """
 
     steady: Callable[[], int]
 
     def propose(self, task: str) -> Proposer:
-        """Wants a task from now on."""
+        """Starts to request the lease of a task."""
         ...
 
     async def run(self) -> None:
@@ -40,9 +40,9 @@
         ...
 
     async def perform(self, task: str, work: Callable[[LeaseHandle], Awaitable[None]]) -> None:
-        """Does the work whenever the task is held, and cancels it when the lease is lost."""
+        """Runs the work whenever the lease of the task is held, and cancels it when the lease is lost."""
         ...
 
     async def release(self) -> None:
-        """Gives up all tasks, once their work has ended."""
+        """Releases all leases, once the work under them has ended."""
         ...
--- a/quartzrouter/leases/messages.py
+++ b/quartzrouter/leases/messages.py
@@ -1,4 +1,4 @@
-"""The messages between proposers and acceptors: one JSON object a line, told apart by `say`."""
+"""The messages between proposers and acceptors: one JSON object a line, tagged by the field `say`."""
 
 # Tags and field names on the wire are kept for compatibility. Where they differ from the names here:
 #
@@ -24,35 +24,35 @@
 
 from quartzrouter.leases.terms import AcceptorStatus, VoteRefusal, VoteRelease, VoteReply, VoteRequest
 
-MAX_VOTE_REQUESTS = 256  # in one line: all tasks of a process
-MAX_LINE_BYTES = 1 << 17  # so many requests, and names of 64 characters
+MAX_VOTE_REQUESTS = 256  # in one line; a process may request all tasks at once
+MAX_LINE_BYTES = 1 << 17  # enough for MAX_VOTE_REQUESTS requests with names of 64 characters
 
 
 class MalformedMessageError(ValueError):
-    """A line that no proposer or acceptor of this version writes."""
+    """A line that is no valid message of this version."""
 
 
 # -- to an acceptor ----------------------------------------------------------------------------------------
 
 
 class VoteRequests(msgspec.Struct, tag_field="say", tag="votes"):
-    """Requests for votes, one a task."""
+    """Requests for votes, one for each task."""
 
     requests: tuple[VoteRequest, ...] = msgspec.field(name="votes")
 
 
 class VoteReleases(msgspec.Struct, tag_field="say", tag="frees"):
-    """Votes that are given back."""
+    """Releases of votes."""
 
     releases: tuple[VoteRelease, ...] = msgspec.field(name="frees")
 
 
 class StatusQuery(msgspec.Struct, tag_field="say", tag="keeps"):
-    """Asks for whom the acceptor has voted."""
+    """Requests the acceptor's status, with its votes."""
 
 
 class RevokeHolder(msgspec.Struct, tag_field="say", tag="shun"):
-    """An operator takes a task from its holder."""
+    """An operator's request to revoke the lease of a task."""
 
     task: str
 
@@ -65,7 +65,7 @@
 class VoteReplies(msgspec.Struct, tag_field="say", tag="answers", omit_defaults=True):
     """The reply to one line of requests.
 
-    :param refused: requests not obeyed, by their tasks.
+    :param refused: the refusals of invalid requests, by task.
     """
 
     replies: tuple[VoteReply, ...] = msgspec.field(name="answers")
@@ -73,19 +73,19 @@
 
 
 class VoteAvailable(msgspec.Struct, tag_field="say", tag="free"):
-    """The vote for a task, for which the receiver was turned away, is free."""
+    """Notifies a proposer whose request was denied that the vote for the task is available."""
 
     task: str
 
 
 class StatusReply(msgspec.Struct, tag_field="say", tag="kept"):
-    """How an acceptor stands."""
+    """The status of an acceptor."""
 
     status: AcceptorStatus = msgspec.field(name="keeps")
 
 
 class MessageRejected(msgspec.Struct, tag_field="say", tag="unheard"):
-    """A line that can't be read; the connection ends."""
+    """The reply to a line that can't be decoded; the connection is then closed."""
 
     reason: str
     remedy: str
@@ -100,7 +100,7 @@
 def decode_to_acceptor(line: bytes) -> ToAcceptor:
     """Decodes a line that a proposer sent.
 
-    :raises MalformedMessageError: where it can't be read.
+    :raises MalformedMessageError: if it is not a valid message.
     """
     return _decode(_to_acceptor, line)
 
@@ -108,7 +108,7 @@
 def decode_from_acceptor(line: bytes) -> FromAcceptor:
     """Decodes a line that an acceptor sent.
 
-    :raises MalformedMessageError: where it can't be read.
+    :raises MalformedMessageError: if it is not a valid message.
     """
     return _decode(_from_acceptor, line)
 
--- a/quartzrouter/leases/proposer.py
+++ b/quartzrouter/leases/proposer.py
@@ -1,8 +1,8 @@
-"""What one proposer of one task decides: when to request votes, whether it holds the lease, when to let go.
+"""A proposer of one task: decides when to request votes, whether it holds the lease, and when to release it.
 
-A round is one request to all acceptors.  The lease counts from the moment before the round was requested, so
-no late reply lengthens it; only replies to the last round count, so none that was duplicated or reordered
-counts twice.  No I/O.
+A round is one request to all acceptors.  The lease's time to live counts from just before the round was sent,
+so a late reply doesn't extend it.  Only replies to the last round count, so a duplicated or reordered reply
+isn't counted twice.  Does no I/O.
 """
 
 import zlib
@@ -11,28 +11,28 @@
 
 from quartzrouter.leases.terms import MAX_FENCING_TOKEN, LeaseTerms, VoteRelease, VoteReply, VoteRequest
 
-NEVER = 1 << 62  # us
-JITTER_DIVISOR = 4  # rounds without a majority are followed by a draw of up to a quarter of a lease
-PREFERENCE_DIVISOR = 2  # half a lease, for which others leave a free task to those that are preferred
-MAX_FAILURES = 6  # doublings of the pause of a proposer whose task fails
-REFUSAL_PAUSE = 1_000_000  # us until an acceptor that refused a request is asked again
-NOTIFICATION_DIVISOR = 8  # of that half a lease, after which those not preferred ask for a released vote
+NEVER = 1 << 62  # microseconds, later than any time of a clock
+JITTER_DIVISOR = 4  # a round without a majority is followed by a random delay of up to a quarter of a lease
+PREFERENCE_DIVISOR = 2  # other proposers leave a free task to the preferred ones for half a lease
+MAX_FAILURES = 6  # failures of the task after which the proposer's pause no longer doubles
+REFUSAL_PAUSE = 1_000_000  # microseconds that a proposer without the lease waits after a refusal
+NOTIFICATION_DIVISOR = 8  # other proposers request a released vote after this fraction of that half lease
 
 
 class SendToAcceptors(NamedTuple):
-    """Effect: send this to every acceptor."""
+    """An effect: send the message to every acceptor."""
 
     message: VoteRequest | VoteRelease
 
 
 class LeaseAcquired(NamedTuple):
-    """Effect: the task is held, under that fencing token."""
+    """An effect: the lease was acquired, with that fencing token."""
 
     fencing_token: int
 
 
 class LeaseLost(NamedTuple):
-    """Effect: the task is held no more."""
+    """An effect: the lease was lost or released."""
 
     reason: str
 
@@ -44,13 +44,13 @@
 class Proposer:
     """One proposer of one task.
 
-    :param name: of the proposer, and `process_token` of its process.
-    :param now: microseconds of its monotonic clock; so are all times.
+    :param name: the proposer's name, and `process_token` a random token of its process.
+    :param now: the current time.  All times are microseconds of the proposer's monotonic clock.
 
-    The other fields are its state: `highest_token_seen` is the highest fencing token that it has heard of,
-    `granted_by` and `answered_by` are acceptors of the current round, `refusals_by_holder` counts those that
-    have voted for another proposer.  `may_repeat_token` tells whether the next round may ask under the same
-    fencing token.
+    The other fields are its state.  `highest_token_seen` is the highest fencing token that it has learnt of.
+    `granted_by` and `answered_by` are acceptors of the current round, and `denials_by_holder` counts those
+    that denied their vote, by the proposer that has it.  `may_repeat_token` is True if the next round may use
+    the same fencing token.
     """
 
     terms: LeaseTerms
@@ -60,53 +60,53 @@
     now: int
     is_wanted: bool = True
     round: int = 0
-    requested_at: int = 0  # the last round
-    fencing_token: int = 0  # under which it asks
+    requested_at: int = 0  # when the last round was sent
+    fencing_token: int = 0  # of the lease that it holds or requests
     highest_token_seen: int = 0
     lease_ends_at: int = 0
     is_holder: bool = False
     acquired_at: int = 0
     granted_by: set[str] = field(default_factory=set)
     answered_by: set[str] = field(default_factory=set)
-    refusals_by_holder: dict[str, int] = field(default_factory=dict)
+    denials_by_holder: dict[str, int] = field(default_factory=dict)
     next_request_at: int = 0
     held_by_other_until: int = 0
     holder: str = ""
     failures: int = 0
-    refusal: str = ""  # why a request was not obeyed
-    draws: int = 0  # chance draws so far
+    refusal: str = ""  # why an acceptor last refused a request
+    draws: int = 0  # random delays drawn so far
     may_repeat_token: bool = False
 
     def __post_init__(self) -> None:
         self.next_request_at = self.now + self._jitter() + self._preference_delay()
 
-    # -- holding -------------------------------------------------------------------------------------------
+    # -- the lease -----------------------------------------------------------------------------------------
 
     def may_act(self, now: int) -> bool:
-        """Whether an action may start now.
+        """Returns True if an action may start now.
 
-        Guards against a holder that was stopped and wakes behind the end of its lease.
+        Guards against a holder that was suspended and resumes after the end of its lease.
 
-        :param now: microseconds, read right before the action.
+        :param now: the time, read right before the action.
         """
         return self.is_holder and now + self.terms.max_action_time < self.lease_ends_at
 
     # -- time ----------------------------------------------------------------------------------------------
 
     def tick(self, now: int, wall_clock: int) -> list[Effect]:
-        """Does what is due: the end of the lease, the next round.
+        """Does what is due: ends a lease that has expired, and starts the next round.
 
-        :param wall_clock: milliseconds.
+        :param wall_clock: the time of the wall clock, in milliseconds.
         """
         effects: list[Effect] = []
         if self.is_holder and not self.may_act(now):
-            effects += self._lose("no majority of keepers has answered in time", now)
+            effects += self._lose("no majority of keepers has renewed it in time", now)
         if self.is_wanted and now >= self.next_request_at:
             effects += self._request_votes(now, wall_clock)
         return effects
 
     def time_until_due(self, now: int) -> int:
-        """Microseconds until `tick` has something to do."""
+        """Returns the microseconds until `tick` has something to do."""
         last_action_at = self.lease_ends_at - self.terms.max_action_time if self.is_holder else NEVER
         next_request_at = self.next_request_at if self.is_wanted else NEVER
         return max(0, min(next_request_at, last_action_at) - now)
@@ -118,7 +118,7 @@
         self.requested_at = now
         self.granted_by = set()
         self.answered_by = set()
-        self.refusals_by_holder = {}
+        self.denials_by_holder = {}
         self.next_request_at = now + self.terms.renewal_interval
         request = VoteRequest(
             self.task,
@@ -132,13 +132,13 @@
         return [SendToAcceptors(request)]
 
     def _raise_token(self, wall_clock: int) -> None:
-        """Chooses a fencing token for the next attempt.
+        """Chooses a fencing token for the next attempt to acquire the lease.
 
-        Each attempt has one of its own, so that a late release of an earlier one undoes nothing.  The wall
-        clock is a floor for the case that all acceptors have forgotten theirs.  An attempt goes on under its
-        token for as long as nothing was released and no acceptor has seen another's as high.  Guards against
-        disks that make a token durable more slowly than rounds follow each other: under a token that they
-        have written acceptors reply at once, under ever new ones never in time.
+        Each attempt has its own token, so that a delayed release of an earlier attempt has no effect.  The
+        wall clock is a lower bound, in case all acceptors have lost their tokens.  An attempt repeats its
+        token in each round until votes are released or an acceptor has seen another proposer's token as high.
+        Guards against disks that need longer to store a token than the time between rounds: acceptors reply
+        at once if the token is stored already, but never in time if each round has a new one.
         """
         candidate = max(self.highest_token_seen + 1, self.fencing_token + 1, wall_clock)
         self.fencing_token = min(MAX_FENCING_TOKEN, candidate)
@@ -149,7 +149,7 @@
     def handle_reply(self, reply: VoteReply, now: int) -> list[Effect]:
         """Handles an acceptor's reply.
 
-        :param reply: from the acceptor whose connection it came on.
+        :param reply: a reply that came on the connection to the acceptor that it names.
         """
         is_ours = reply.process_token == self.process_token and reply.task == self.task
         if not is_ours or reply.acceptor not in self.terms.acceptors:
@@ -168,43 +168,43 @@
             if len(self.granted_by) >= self.terms.majority:
                 return self._acquire(now)
         else:
-            self._count_refusal(reply, now)
-        return self._end_hopeless_round(now)
+            self._count_denial(reply, now)
+        return self._end_failed_round(now)
 
-    def _count_refusal(self, reply: VoteReply, now: int) -> None:
-        self.refusals_by_holder[reply.holder] = self.refusals_by_holder.get(reply.holder, 0) + 1
+    def _count_denial(self, reply: VoteReply, now: int) -> None:
+        self.denials_by_holder[reply.holder] = self.denials_by_holder.get(reply.holder, 0) + 1
         if reply.time_left > 0:
             time_left = min(reply.time_left, self.terms.ttl)
             self.held_by_other_until = max(self.held_by_other_until, now + time_left)
             self.holder = reply.holder
 
     def _acquire(self, now: int) -> list[Effect]:
-        """A majority has granted this round: the lease begins, or goes on."""
+        """Starts or renews the lease, as a majority has granted this round."""
         lease_ends_at = self.terms.lease_end(self.requested_at)
         if lease_ends_at <= now + self.terms.max_action_time:
-            return []  # the replies came too late to be of use
+            return []  # the replies came too late: no action could start
         self.lease_ends_at = lease_ends_at
         self.holder = self.name
         self.held_by_other_until = 0
         if self.is_holder:
             if now - self.acquired_at >= self.terms.ttl:
-                self.failures = 0  # its work has gone well for a while
+                self.failures = 0  # its work has run for a lease's time
             return []
         self.is_holder = True
         self.acquired_at = now
         return [LeaseAcquired(self.fencing_token)]
 
-    def _end_hopeless_round(self, now: int) -> list[Effect]:
-        """Where no majority can come any more, gives votes back: others may have them."""
-        refused = len(self.answered_by) - len(self.granted_by)
-        if self.is_holder or refused <= len(self.terms.acceptors) - self.terms.majority:
+    def _end_failed_round(self, now: int) -> list[Effect]:
+        """Ends a round that can no longer get a majority, and releases its votes so that others get them."""
+        denials = len(self.answered_by) - len(self.granted_by)
+        if self.is_holder or denials <= len(self.terms.acceptors) - self.terms.majority:
             return []
-        most_refusals = max(self.refusals_by_holder.values(), default=0)
-        one_holds_it = most_refusals >= self.terms.majority  # split votes are soon given back
-        pause = max(0, self.held_by_other_until - now) if one_holds_it else 0
+        most_denials = max(self.denials_by_holder.values(), default=0)
+        is_held_by_other = most_denials >= self.terms.majority  # split votes are soon released
+        pause = max(0, self.held_by_other_until - now) if is_held_by_other else 0
         is_token_too_low = self.highest_token_seen > self.fencing_token and not pause
         if is_token_too_low:
-            self.next_request_at = now  # under a higher one, at once
+            self.next_request_at = now  # with a higher token, at once
         else:
             penalty = self._jitter() + self._preference_delay() + self._failure_penalty()
             self.next_request_at = now + pause + penalty
@@ -212,40 +212,40 @@
         return self._release_votes() if self.granted_by else []
 
     def handle_vote_available(self, now: int) -> None:
-        """An acceptor tells that its vote is free: those of the others soon are, too."""
+        """Schedules a request soon: an acceptor's vote is available, and those of the others soon will be."""
         if not self.is_holder and self.is_wanted:
             delay = self._preference_delay() // NOTIFICATION_DIVISOR + self._failure_penalty()
             self.next_request_at = min(self.next_request_at, now + delay)
 
     def handle_refusal(self, reason: str, now: int) -> None:
-        """An acceptor didn't obey a request."""
+        """Records why an acceptor refused a request, and delays the next one."""
         self.refusal = reason
         if not self.is_holder:
             self.next_request_at = max(self.next_request_at, now + REFUSAL_PAUSE)
 
-    # -- letting go ----------------------------------------------------------------------------------------
+    # -- ending the lease ----------------------------------------------------------------------------------
 
     def handle_superseding_token(self, fencing_token: int, now: int) -> list[Effect]:
-        """Whoever was acted on has seen a higher fencing token: this lease is over."""
+        """Ends the lease if the target of an action has seen a higher fencing token."""
         self.highest_token_seen = max(self.highest_token_seen, min(fencing_token, MAX_FENCING_TOKEN))
         if not self.is_holder or fencing_token <= self.fencing_token:
             return []
-        return self._give_up("a higher number has acted", now)
+        return self._give_up("the target of an action has seen a higher number", now)
 
     def handle_task_failure(self, now: int) -> list[Effect]:
-        """The task fails here: another proposer may have it, and this one waits longer each time."""
+        """Gives up the lease after a failure of the task; this proposer's pause doubles each time."""
         self.failures = min(MAX_FAILURES, self.failures + 1)
         return self._give_up("the task failed here", now) if self.is_holder else []
 
     def release(self, now: int) -> list[Effect]:
-        """Wants the task no more: whoever waits may have it at once."""
+        """Stops requesting the lease and releases it, so that a waiting proposer can acquire it at once."""
         self.is_wanted = False
         if self.is_holder:
-            return self._give_up("it was given up", now)
+            return self._give_up("it was released", now)
         return self._release_votes() if self.granted_by else []
 
     def _give_up(self, reason: str, now: int) -> list[Effect]:
-        """Ends the lease first, then says so: actions end before another proposer can start."""
+        """Ends the lease, then releases its votes, so that actions end before another proposer starts."""
         effects = self._lose(reason, now)
         return [*effects, *self._release_votes()]
 
@@ -255,7 +255,7 @@
         self.holder = ""
         self.granted_by = set()
         self.may_repeat_token = False
-        self.round += 1  # replies to the last round count no more
+        self.round += 1  # replies to the last round no longer count
         penalty = self._jitter() + self._preference_delay() + self._failure_penalty()
         self.next_request_at = now + penalty
         return [LeaseLost(reason)]
@@ -274,7 +274,7 @@
         return self.terms.ttl << (self.failures - 1) if self.failures else 0
 
     def _jitter(self) -> int:
-        """A draw, so that proposers whose votes were split don't ask at the same time again."""
+        """Draws a delay, so that proposers with split votes don't send requests at the same time again."""
         self.draws += 1
         draw = zlib.crc32(f"{self.name}/{self.process_token}/{self.draws}".encode())
         return draw % max(1, self.terms.ttl // JITTER_DIVISOR)
--- a/quartzrouter/leases/status.py
+++ b/quartzrouter/leases/status.py
@@ -1,4 +1,4 @@
-"""What all acceptors tell together: who holds which task, and why nobody does.  No I/O."""
+"""Derives from the status of all acceptors who holds each task, and why nobody does.  Does no I/O."""
 
 from collections import Counter
 from typing import NamedTuple
@@ -7,20 +7,20 @@
 
 MICROSECONDS_PER_MILLISECOND = 1_000
 
-# by acceptor: its status, or why it didn't answer
+# By acceptor, its status, or the reason why it is unknown.
 AcceptorAnswers = dict[str, AcceptorStatus | str]
-# by acceptor that answered: its vote for one task
+# By acceptor that answered, its vote for one task.
 VotesByAcceptor = dict[str, VoteStatus | None]
 
 
 class TaskStatus(NamedTuple):
-    """One task.
+    """The status of one task.
 
-    :param holder: empty where no majority has voted for anybody.
-    :param votes: how many the holder has.
-    :param held_for: microseconds since it was first voted for.
-    :param time_left: microseconds until its votes expire, if it is not heard of again.
-    :param waiting: proposers that were turned away lately.
+    :param holder: the proposer that holds the lease; empty if no proposer has the votes of a majority.
+    :param votes: the number of the holder's votes; without a holder, the most that any proposer has.
+    :param held_for: microseconds since the last of the holder's acceptors first voted for this lease.
+    :param time_left: microseconds until the lease's votes expire, unless it is renewed.
+    :param waiting: proposers whose requests were denied recently.
     """
 
     task: str
@@ -33,7 +33,7 @@
 
 
 def task_statuses(terms: LeaseTerms, answers: AcceptorAnswers) -> list[TaskStatus]:
-    """The status of each task."""
+    """Returns the status of each task."""
     return [_task_status(terms, task, _votes(answers, task)) for task, _ in terms.tasks]
 
 
@@ -55,7 +55,7 @@
         highest_token = max((vote.fencing_token for vote in known), default=0)
         return TaskStatus(task, "", highest_token, count, 0, 0, waiting)
     of_holder = [vote for vote in given if (vote.holder, vote.process_token) == holder]
-    # the lease lasts for as long as a majority of the votes does
+    # the lease lasts until fewer votes than a majority remain
     time_left = sorted(vote.time_left for vote in of_holder)[-terms.majority]
     return TaskStatus(
         task,
@@ -69,7 +69,7 @@
 
 
 def describe(status: TaskStatus) -> str:
-    """One line for the terminal."""
+    """Returns a line for the terminal."""
     waiting = f", {len(status.waiting)} wait" if status.waiting else ""
     if not status.holder:
         return f"{status.task:20} nobody{waiting}"
@@ -79,18 +79,18 @@
 
 
 def explain(terms: LeaseTerms, answers: AcceptorAnswers, task: str) -> list[str]:
-    """Lines that say who voted for whom, and what that means."""
+    """Returns lines for the terminal: the status, each acceptor's vote, and why nobody holds the task."""
     votes = _votes(answers, task)
     status = _task_status(terms, task, votes)
     lines = [describe(status)]
     for name in terms.acceptors:
-        answer = answers.get(name, "it was not asked")
+        answer = answers.get(name, "not asked")
         if isinstance(answer, str):
             lines.append(f"  keeper {name}: no answer: {answer}")
         else:
             lines.append(f"  keeper {name}: {_describe_vote(terms, answer, votes.get(name))}")
     if not status.holder:
-        lines.append(f"  nobody holds it: {_cause(terms, answers, votes, status)}")
+        lines.append(f"  nobody holds it: {_cause_without_holder(terms, answers, votes, status)}")
     return lines
 
 
@@ -100,25 +100,27 @@
         time_left = vote.time_left / MICROSECONDS_PER_MILLISECOND
         text = f"voted for {vote.holder}, {time_left:.0f} ms left"
     if answer.terms_checksum != terms.checksum:
-        text += f"; goes by version {answer.version}, this plan is {terms.version}"
+        text += f"; has version {answer.version}, this plan has version {terms.version}"
     if answer.time_until_voting:
-        text += f"; has just begun, votes in {answer.time_until_voting / MICROSECONDS_PER_SECOND:.1f} s"
+        text += f"; has just started, votes in {answer.time_until_voting / MICROSECONDS_PER_SECOND:.1f} s"
     return text
 
 
-def _cause(terms: LeaseTerms, answers: AcceptorAnswers, votes: VotesByAcceptor, status: TaskStatus) -> str:
-    """Why nobody holds a task, and what to do."""
+def _cause_without_holder(
+    terms: LeaseTerms, answers: AcceptorAnswers, votes: VotesByAcceptor, status: TaskStatus
+) -> str:
+    """Returns why nobody holds a task, and what to do."""
     answered = [answer for answer in answers.values() if not isinstance(answer, str)]
     if len(answered) < terms.majority:
         count = f"{len(answered)} of {len(terms.acceptors)} keepers answer"
         return f"{count}, {terms.majority} are needed: start them"
     of_same_terms = [answer for answer in answered if answer.terms_checksum == terms.checksum]
     if len(of_same_terms) < terms.majority:
-        return "keepers go by other plans than this: send them SIGHUP with it"
+        return "keepers have other plans than this one: give them this plan and send SIGHUP"
     if sum(not answer.time_until_voting for answer in of_same_terms) < terms.majority:
-        return "keepers have just begun and vote once earlier votes must be over: wait"
+        return "keepers have just started and vote only after earlier votes must have expired: wait"
     if any(vote and vote.holder for vote in votes.values()):
-        return "votes are split, or a holder has gone: wait for a lease"
+        return "votes are split, or a holder has ended: wait for the time of a lease"
     if status.waiting:
-        return "claimants wait: wait for a lease"
-    return "nobody asks for it: see that a claimant runs and reaches the keepers"
+        return "claimants are waiting: wait for the time of a lease"
+    return "nobody asks for it: make sure that a claimant runs and can connect to the keepers"
