--- a/quartzrouter/pool_routing/__init__.py
+++ b/quartzrouter/pool_routing/__init__.py
@@ -1,1 +1,1 @@
-"""A plan in force: which pool, which limits, which policy.  Decisions and state only, no I/O."""
+"""Applies the current plan to requests: pools, limits and policies.  Does no I/O."""
--- a/quartzrouter/pool_routing/fleet_reports.py
+++ b/quartzrouter/pool_routing/fleet_reports.py
@@ -1,4 +1,4 @@
-"""What the routers of all pools together tell the fleet.  No I/O."""
+"""Merges the reports of the routers of all pools into one report to the fleet.  Does no I/O."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -7,9 +7,9 @@
 
 
 def merge_observations(observations: Iterable[HealthObservation]) -> dict[str, HealthObservation]:
-    """Adds up what several routers have seen of each cache; it is ejected if any has ejected it.
+    """Merges several routers' observations of each cache, which counts as ejected if any has ejected it.
 
-    :returns: by the cache's name.
+    :returns: the observations by the cache's name.
     """
     merged: dict[str, HealthObservation] = {}
     for new in observations:
@@ -25,7 +25,7 @@
 
 
 def merge_demand(demands: Iterable[SlowStartDemand]) -> list[SlowStartDemand]:
-    """Adds up what several routers would send endpoints that are warming up; the lowest limit holds."""
+    """Sums the demand of several routers for endpoints in slow start; the lowest limit applies."""
     merged: dict[str, SlowStartDemand] = {}
     for new in demands:
         old = merged.get(new.endpoint, replace(new, demand=0, largest_request=0))
--- a/quartzrouter/pool_routing/policy_budgets.py
+++ b/quartzrouter/pool_routing/policy_budgets.py
@@ -1,29 +1,29 @@
-"""Retry budgets of a plan's policies.  No I/O."""
+"""Retry budgets of a plan's policies.  Does no I/O."""
 
 from collections.abc import Container
 
 from quartzrouter.pool_routing.route_selection import RouteSelection
 
-MAX_SAVED_RETRIES = 10.0  # that a policy may save up for a moment at which a cache fails
+MAX_SAVED_RETRIES = 10.0  # retries that a policy may accumulate, for when a cache fails
 
 
 class PolicyBudgets:
-    """How many retries each policy with a budget has saved up.
+    """The retries that each policy with a budget has accumulated.
 
-    Guards against retry storms, as ``RetryPolicy`` does for a router as a whole.
+    Guards against retry storms, as ``RetryPolicy`` does for a whole router.
     """
 
     def __init__(self) -> None:
         self.saved: dict[str, float] = {}  # by policy
 
     def keep_only(self, policies: Container[str]) -> None:
-        """Drops what policies have saved that are no longer in the plan."""
+        """Drops the accumulated retries of policies that are no longer in the plan."""
         self.saved = {name: saved for name, saved in self.saved.items() if name in policies}
 
     def max_attempts(self, selection: RouteSelection) -> int:
-        """Earns the part of a retry that a request brings, and says how many attempts it may have.
+        """Adds a request's part of a retry to its policy's budget, and returns its maximum of attempts.
 
-        :returns: one where the policy's budget is used up; 0: as many as the deployment allows.
+        :returns: 1 if the policy's budget is used up; 0 for as many attempts as the deployment allows.
         """
         policy, name = selection.policy, selection.route.policy
         allowed = policy.dispatches or 0
--- a/quartzrouter/pool_routing/policy_classes.py
+++ b/quartzrouter/pool_routing/policy_classes.py
@@ -1,4 +1,4 @@
-"""The traffic classes of a plan as its policies change them.  No I/O."""
+"""The traffic classes of a plan with the overrides of its policies.  Does no I/O."""
 
 from dataclasses import replace
 
@@ -8,9 +8,9 @@
 
 
 def effective_traffic_classes(plan: Plan) -> dict[str, TrafficClass]:
-    """Makes the traffic classes that the routers of a plan need.
+    """Returns the traffic classes that the routers of a plan need.
 
-    :returns: by name, each class of the plan, and each as the policies of its routes change it.
+    :returns: by name, each class of the plan, and each class with the overrides of each policy of its routes.
     """
     classes: dict[str, TrafficClass] = dict(plan.vhosts)
     for route in plan.routes:
--- a/quartzrouter/pool_routing/pool_router.py
+++ b/quartzrouter/pool_routing/pool_router.py
@@ -1,4 +1,4 @@
-"""The router of one pool.  No I/O."""
+"""The router of one pool.  Does no I/O."""
 
 from collections.abc import Iterable
 
@@ -7,14 +7,14 @@
 from quartzrouter.routing.router import Router
 from quartzrouter.routing.units import MILLISECOND, NEVER
 
-CACHE_COUNT_LIFETIME = 50 * MILLISECOND  # no endpoint is ejected, and its pool left, sooner than that
+CACHE_COUNT_LIFETIME = 50 * MILLISECOND  # an ejection affects the selection of pools within this time
 
 
 class PoolRouter:
-    """A ``Router`` that sees the caches of one pool, and all parents and origins.
+    """A ``Router`` that knows the caches of one pool, and all parents and origins.
 
-    :ivar pool: as the plan in force has it.
-    :ivar next_maintenance_at: when the router wants to be asked for maintenance.
+    :ivar pool: the pool, from the current plan.
+    :ivar next_maintenance_at: when the router's maintenance is due.
     """
 
     def __init__(self, pool: Pool, router: Router) -> None:
@@ -25,7 +25,7 @@
         self.counted_at = -NEVER
 
     def uses(self, endpoint: Endpoint) -> bool:
-        """:returns: whether an endpoint is one of the pool's caches, or no cache."""
+        """Returns True if an endpoint is one of the pool's caches, or not a cache."""
         if endpoint.tier is not Tier.CACHE:
             return True
         attributes = {
@@ -37,25 +37,25 @@
         return belongs(self.pool, endpoint.name, attributes)
 
     def update_endpoints(self, endpoints: Iterable[Endpoint], is_snapshot: bool, now: int) -> None:
-        """Takes in the endpoint list, or changes to it; see ``Router.update_endpoints()``."""
+        """Applies the endpoint list, or changes to it; see ``Router.update_endpoints()``."""
         used = [endpoint for endpoint in endpoints if self.uses(endpoint)]
         self.router.update_endpoints(used, is_snapshot, now)
         self.next_maintenance_at = 0
         self.endpoints_changed()
 
     def endpoints_changed(self) -> None:
-        """Has the caches counted anew."""
+        """Discards the count of available caches."""
         self.counted_at = -NEVER
 
     def count_caches(self, now: int) -> CacheCount:
-        """:returns: how many of the pool's caches may be sent requests, counted a moment ago at most."""
+        """Returns how many of the pool's caches are available; at most ``CACHE_COUNT_LIFETIME`` old."""
         if not 0 <= now - self.counted_at < CACHE_COUNT_LIFETIME:
             self.cache_count = self.router.count_caches(now)
             self.counted_at = now
         return self.cache_count
 
     def maintenance(self, now: int) -> MaintenanceActions:
-        """Asks the router for maintenance, and notes when it wants to be asked again."""
+        """Runs the router's maintenance, and records when it is due again."""
         actions = self.router.maintenance(now)
         self.next_maintenance_at = now + actions.delay
         return actions
--- a/quartzrouter/pool_routing/pools.py
+++ b/quartzrouter/pool_routing/pools.py
@@ -1,4 +1,4 @@
-"""Which pool serves a request, by the splits and fallbacks of a plan.  No I/O."""
+"""Selects the pool that serves a request, by the splits and fallbacks of a plan.  Does no I/O."""
 
 import math
 from collections.abc import Callable
@@ -9,16 +9,16 @@
 from quartzrouter.config.model import Pool, Split
 from quartzrouter.routing.model import CacheCount
 
-CountCaches = Callable[[str], CacheCount]  # of a pool, by its name
+CountCaches = Callable[[str], CacheCount]  # counts the caches of the pool of a name
 
 
 @dataclass(slots=True)
 class PoolState:
-    """Whether a pool with a fallback serves.
+    """The state of a pool with a fallback.
 
-    :ivar is_serving: whether it does, or its fallback.
-    :ivar recovered_at: since when it has had enough caches again, while it doesn't serve.
-    :ivar changes: how often this has changed.
+    :ivar is_serving: True if the pool serves requests, False if its fallback does.
+    :ivar recovered_at: when the pool had enough caches again; None while it serves or lacks caches.
+    :ivar changes: the number of changes of `is_serving`.
     """
 
     is_serving: bool = True
@@ -26,7 +26,7 @@
     changes: int = 0
 
     def set_serving(self, is_serving: bool) -> None:
-        """Changes whether the pool serves."""
+        """Switches between the pool and its fallback."""
         self.is_serving = is_serving
         self.recovered_at = None
         self.changes += 1
@@ -35,7 +35,7 @@
 class PoolSelector:
     """Selects pools by a plan's splits and fallbacks.
 
-    :ivar states: by pool.
+    :ivar states: the state of each pool, by name.
     """
 
     def __init__(self, pools: dict[str, Pool], splits: dict[str, Split]) -> None:
@@ -44,19 +44,18 @@
         self.states: dict[str, PoolState] = {name: PoolState() for name in pools}
 
     def replace(self, pools: dict[str, Pool], splits: dict[str, Split]) -> None:
-        """Takes over the pools and splits of a new plan; a pool's state stays where its name stays."""
+        """Applies the pools and splits of a new plan; pools whose names stay keep their states."""
         self.pools = pools
         self.splits = splits
         self.states = {name: self.states.get(name) or PoolState() for name in pools}
 
     def resolve_split(self, name: str, object_key: str, client: str) -> str:
-        """Finds the pool of a request.
+        """Returns the pool of a request, by weighted rendezvous hashing (Schindelhauer and Schomaker, 2005).
 
-        Weighted rendezvous hashing (Schindelhauer and Schomaker, 2005): as shares change, only what has to
-        move does.
+        If the weights of a split change, only the keys that must move change their pool.
 
-        :param name: a pool's or a split's.
-        :returns: the pool.
+        :param name: the name of a pool or a split.
+        :returns: the name of the pool.
         """
         split = self.splits.get(name)
         if split is None:
@@ -66,10 +65,10 @@
         return pool
 
     def select_serving_pool(self, name: str, count_caches: CountCaches, now: int) -> str:
-        """Finds the pool that serves in place of another.
+        """Selects the pool that serves the requests of a pool.
 
-        :returns: the pool itself, or the first of its fallbacks that has enough caches, else the first that
-            has any, else the pool itself.
+        :returns: the first of the pool and its fallbacks that has enough caches, else the first that has any,
+            else the pool itself.
         """
         tried: list[str] = []
         pool: str | None = name
@@ -81,10 +80,10 @@
         return next((each for each in tried if count_caches(each).available), name)
 
     def _is_serving(self, name: str, caches: CacheCount, now: int) -> bool:
-        """Whether a pool has enough caches, with two thresholds and a delay.
+        """Returns True if a pool serves: it has enough caches, by two thresholds and a delay.
 
-        Guards against flapping: a pool that is about its threshold would move its objects to the fallback's
-        caches and back all the time, and each move costs fills.
+        Guards against flapping: a pool near its threshold would keep moving its objects to the fallback's
+        caches and back, and each move costs fills.
         """
         pool = self.pools[name]
         if pool.at_least is None or pool.fallback is None:
@@ -106,7 +105,7 @@
 
 
 def _score(split: str, pool: str, key: str, weight: float) -> float:
-    """The score of a pool for a key; the highest takes it, in proportion to the weights."""
+    """Returns the score of a pool for a key; the highest score gets the key, in proportion to the weights."""
     if not weight:
         return 0.0
     hashed = xxhash.xxh64_intdigest(f"{split}\0{pool}\0{key}".encode())
--- a/quartzrouter/pool_routing/route_selection.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -1,4 +1,4 @@
-"""What a plan says of one request: route, traffic class, policy, limits, and the object's key. No I/O."""
+"""Selects the route of a request from a plan, with its traffic class, policy and object key.  Does no I/O."""
 
 from typing import NamedTuple
 
@@ -11,23 +11,23 @@
 from quartzrouter.purges.object_names import object_id
 from quartzrouter.routing.model import TrafficClass
 
-TAGS = 256  # numbers of tags that a request may have: the platform's field is one byte
-MAX_CHUNK_DIGITS = 6  # of a chunk's number in a path; what is longer is no chunk
+TAG_COUNT = 256  # the platform's field for a request's tag is one byte
+MAX_CHUNK_DIGITS = 6  # in a chunk number in a path; a longer number is not a chunk number
 NO_POLICY = Policy()
 
 
 class RouteSelection(NamedTuple):
-    """What a plan says of one request.
+    """The route of a request, and what the plan derives from it.
 
-    :param route: that takes it.
-    :param policy: of the route.
-    :param traffic_class: its traffic class, as the plan has it, whatever the policy changes.
+    :param route: the route that matches the request.
+    :param policy: the policy of the route.
+    :param traffic_class: the traffic class of the route, without the overrides of the policy.
     :param object_key: the object's key, 16 hexadecimal digits.
-    :param chunk: the chunk of the object; 0 where the path names none.
-    :param tag: the number of its tag.
-    :param tenant: empty where the route names none.
-    :param client: who asks.
-    :param path: host and path, as asked for.
+    :param chunk: the chunk of the object; 0 if the path has none.
+    :param tag: the number of the request's tag; None if the route has none.
+    :param tenant: the tenant; empty if the route has none.
+    :param client: the client, as identified by the router's front end.
+    :param path: the host and path of the request.
     """
 
     route: Route
@@ -42,9 +42,9 @@
 
 
 def select_route(plan: Plan, matcher: Matcher, asked: Asked, client: str) -> RouteSelection | None:
-    """What the plan says of a request, or None where no route takes it.
+    """Selects the route of a request; returns None if no route matches.
 
-    :param client: who asks, as the router's front tells.
+    :param client: the client, as identified by the router's front end.
     """
     found = matcher.find(asked)
     if found is None:
@@ -54,17 +54,17 @@
     has_chunk = chunk_text.isdecimal() and len(chunk_text) <= MAX_CHUNK_DIGITS
     chunk = int(chunk_text) if has_chunk else 0
     if route.object:
-        object_name = _filled(route.object, found, asked)
+        object_name = _fill_template(route.object, found, asked)
     else:
         object_name = _path_without_chunk(found, asked, bool(chunk or chunk_text == "0"))
-    tag_name = _filled(route.group, found, asked) if route.group else None
+    tag_name = _fill_template(route.group, found, asked) if route.group else None
     return RouteSelection(
         route=route,
         policy=plan.policies[route.policy] if route.policy else NO_POLICY,
         traffic_class=plan.vhosts[route.vhost],
         object_key=object_id(object_name),
         chunk=chunk,
-        tag=None if tag_name is None else int(object_id(tag_name), 16) % TAGS,
+        tag=None if tag_name is None else int(object_id(tag_name), 16) % TAG_COUNT,
         tenant=_tenant(route, found, asked),
         client=client,
         path=f"{asked.host}{asked.path}",
@@ -72,7 +72,7 @@
 
 
 def retry_limits_by_route(plan: Plan) -> dict[str, tuple[str, ...]]:
-    """The names of the limits on retries, by route; routes without any are left out."""
+    """Returns the names of the limits on retries, by route; omits routes without any."""
     retry_limits = {name for name, limit in plan.limits.items() if limit.counts == COUNTS_RETRIES}
     by_route = {
         route.name: tuple(name for name in route.limits if name in retry_limits) for route in plan.routes
@@ -83,12 +83,12 @@
 def limit_keys(
     plan: Plan, selection: RouteSelection, pool: str, limits: tuple[str, ...] | None = None
 ) -> list[LimitKey]:
-    """The counters of a request, one for each limit of its route.
+    """Returns the keys of a request's counters, one for each limit.
 
-    :param pool: the name of the pool that serves it.
-    :param limits: the limits to look at; None: all of the route.
+    :param pool: the name of the pool that serves the request.
+    :param limits: the names of the limits; None for all of the route.
     """
-    counted = {
+    subjects = {
         "route": selection.route.name,
         "pool": pool,
         "tenant": selection.tenant,
@@ -96,11 +96,11 @@
         "all": "",
     }
     names = selection.route.limits if limits is None else limits
-    return [LimitKey(name, counted[plan.limits[name].per]) for name in names]
+    return [LimitKey(name, subjects[plan.limits[name].per]) for name in names]
 
 
 def purge_lookup(selection: RouteSelection) -> purge_index.PurgeLookup:
-    """By what the purges that concern a request are looked up."""
+    """Returns the keys by which the purges of a request's object are looked up."""
     host, slash, path = selection.path.partition("/")
     return purge_index.PurgeLookup(
         selection.traffic_class.name, selection.object_key.lower(), host, slash + path
@@ -108,25 +108,25 @@
 
 
 def traffic_class_name(route: Route) -> str:
-    """The name by which the routing decisions know a traffic class as a policy changes it."""
+    """Returns the name of a route's traffic class with the overrides of its policy, as routers use it."""
     return f"{route.vhost}@{route.policy}" if route.policy else route.vhost
 
 
 def _tenant(route: Route, found: Found, asked: Asked) -> str:
-    """From the path where the route captures it, else from the header of that name."""
+    """Returns the tenant, from a capture of the path, else from the header of that name."""
     if not route.tenant:
         return ""
     return found.captures.get(route.tenant) or asked.headers.get(route.tenant.lower(), "")
 
 
-def _filled(template: str, found: Found, asked: Asked) -> str:
-    """A template of the plan with its names replaced by what the path captures."""
-    known = found.captures | {"host": asked.host, "path": asked.path}
-    return TOKEN.sub(lambda token: known[token[1]] if token[1] is not None else token[0], template)
+def _fill_template(template: str, found: Found, asked: Asked) -> str:
+    """Returns a template of the plan with its placeholders replaced by captures of the path."""
+    values = found.captures | {"host": asked.host, "path": asked.path}
+    return TOKEN.sub(lambda token: values[token[1]] if token[1] is not None else token[0], template)
 
 
 def _path_without_chunk(found: Found, asked: Asked, has_chunk: bool) -> str:
-    """Host and path, with the chunk's number left out where the path names one."""
+    """Returns the host and path, without the chunk number if the path has one."""
     path = asked.path
     if has_chunk:
         pattern = found.route.boxes[0].path.yes[0]
--- a/quartzrouter/pool_routing/shared_limits.py
+++ b/quartzrouter/pool_routing/shared_limits.py
@@ -1,4 +1,4 @@
-"""The budgets that a plan's shared limits stand for: one for the fleet, or one for each store. No I/O."""
+"""The budgets of a plan's shared limits: one for the fleet, or one for each store.  Does no I/O."""
 
 from collections.abc import Iterable
 
@@ -6,14 +6,14 @@
 from quartzrouter.quota.budget import Budget
 from quartzrouter.quota.slow_start_messages import SlowStartTerms
 
-SLOW_START_KEYS = {"cache": "cold", "parent": "cold_parent"}  # of the plan's `deployment`, by tier
-STORE_SEPARATOR = "@"  # between a limit's name and the store's; in no name
+SLOW_START_KEYS = {"cache": "cold", "parent": "cold_parent"}  # keys in the plan's `deployment`, by tier
+STORE_SEPARATOR = "@"  # between the names of limit and store, which can't contain it
 
 
 def shared_budgets(plan: Plan, stores: Iterable[str]) -> list[Budget]:
-    """The budgets that routers of some stores share.
+    """Returns the budgets that the routers of some stores share.
 
-    :param stores: all of the plan at an allocator, its own at a router.
+    :param stores: all stores of the plan for an allocator, its own store for a router.
     """
     found = []
     for limit in plan.limits.values():
@@ -26,7 +26,7 @@
 
 
 def slow_start_terms(plan: Plan) -> dict[str, SlowStartTerms]:
-    """Terms of slow start by tier, of those tiers whose routers share it."""
+    """Returns the terms of slow start, by tier, for the tiers whose budgets routers share."""
     deployment = plan.deployment
     found = {}
     for tier, key in SLOW_START_KEYS.items():
@@ -44,9 +44,9 @@
 
 
 def budget_name(limit: Limit, home: str) -> str:
-    """The name of the budget in which a router counts; empty where it counts by itself.
+    """Returns the name of the budget that a router uses; empty if it counts by itself.
 
-    :param home: the router's store.
+    :param home: the name of the router's store.
     """
     if limit.across == "router":
         return ""
@@ -54,7 +54,7 @@
 
 
 def max_request_times(plan: Plan) -> dict[str, int]:
-    """How long a request may be in flight, in microseconds, by the shared limits on concurrency."""
+    """Returns the longest time in flight of a request, in microseconds, by shared concurrency limit."""
     return {
         limit.name: _max_request_time(plan, limit)
         for limit in plan.limits.values()
@@ -67,7 +67,7 @@
 
 
 def _max_request_time(plan: Plan, limit: Limit) -> int:
-    """The longest client timeout of the routes that the limit applies to, microseconds."""
+    """Returns the longest client timeout of the routes that the limit applies to, in microseconds."""
     return max(
         (plan.vhosts[route.vhost].client_timeout for route in plan.routes if limit.name in route.limits),
         default=0,
--- a/tests/test_pool_routing.py
+++ b/tests/test_pool_routing.py
@@ -1,4 +1,4 @@
-"""Limits, pools and a plan in force, scenario by hand: no I/O, no clock but the one handed in."""
+"""Tests of limits, pools and plans, without I/O and with the time as an argument."""
 
 import random
 from dataclasses import replace
@@ -31,9 +31,9 @@
 
 def test_a_rate_limit_admits_its_burst_and_then_its_rate():
     limits = RateLimiter({"r": Limit("r", "all", rate=10.0, burst=5)})
-    through = [n for n in range(100) if limits.admit(n, [LimitKey("r", "")], 1.0, n * 10 * MS) is None]
-    assert through[:5] == [0, 1, 2, 3, 4]
-    assert len(through) == 5 + 9  # 10 a second over 0.99 s, and the burst
+    admitted = [n for n in range(100) if limits.admit(n, [LimitKey("r", "")], 1.0, n * 10 * MS) is None]
+    assert admitted[:5] == [0, 1, 2, 3, 4]
+    assert len(admitted) == 5 + 9  # the burst, and 10 per second for 0.99 s
     denied = limits.admit(200, [LimitKey("r", "")], 1.0, 990 * MS)
     assert denied.limit == "r" and 0 < denied.retry_after <= 100 * MS
     assert limits.admit(201, [LimitKey("r", "")], 1.0, 990 * MS + denied.retry_after) is None
@@ -42,41 +42,40 @@
 @settings(max_examples=100)
 @given(st.integers(1, 50), st.integers(1, 20), st.lists(st.integers(0, 200), min_size=1, max_size=80))
 def test_no_interval_admits_more_than_the_burst_and_the_rate(rate, burst, gaps):
-    limits, now, taken = RateLimiter({"r": Limit("r", "all", rate=float(rate), burst=burst)}), 0, []
+    limits, now, admitted_at = RateLimiter({"r": Limit("r", "all", rate=float(rate), burst=burst)}), 0, []
     for n, gap in enumerate(gaps):
         now += gap * MS
         if limits.admit(n, [LimitKey("r", "")], 1.0, now) is None:
-            taken.append(now)
-    for at, since in enumerate(taken):
-        for count, until in enumerate(taken[at:], 1):
+            admitted_at.append(now)
+    for first, since in enumerate(admitted_at):
+        for count, until in enumerate(admitted_at[first:], 1):
             assert count <= burst + rate * (until - since) / S + 1e-6
 
 
-def test_all_limits_or_none_are_charged_and_requests_release_them_once():
+def test_a_request_counts_in_all_its_limits_or_none_and_releases_them_once():
     limits = RateLimiter({"a": Limit("a", "all", concurrent=3), "b": Limit("b", "all", concurrent=1)})
     both = [LimitKey("a", ""), LimitKey("b", "")]
     assert limits.admit(1, both, 1.0, 0) is None
     assert [limits.admit(n, both, 1.0, 0).limit for n in (2, 3, 4, 5)] == ["b"] * 4
-    assert limits.admit(6, [LimitKey("a", "")], 1.0, 0) is None  # the denied ones hold nothing of a
+    assert limits.admit(6, [LimitKey("a", "")], 1.0, 0) is None  # the denied requests hold nothing of limit a
     for _ in range(3):
         limits.release(1)
     assert [limits.admit(n, [LimitKey("a", "")], 1.0, 0) for n in (7, 8)] == [None, None]
     assert limits.admit(9, [LimitKey("a", "")], 1.0, 0).limit == "a"
 
 
-def test_a_share_of_a_limit_is_kept_free_for_higher_priority():
+def test_a_share_of_a_limit_is_reserved_for_requests_of_higher_priority():
     limits = RateLimiter({"a": Limit("a", "all", concurrent=10, keep_free=0.3, below=5.0)})
-    cheap = sum(limits.admit(n, [LimitKey("a", "")], 1.0, 0) is None for n in range(20))
-    dear = sum(limits.admit(100 + n, [LimitKey("a", "")], 5.0, 0) is None for n in range(20))
-    assert (cheap, dear) == (7, 3)
+    low_priority = sum(limits.admit(n, [LimitKey("a", "")], 1.0, 0) is None for n in range(20))
+    high_priority = sum(limits.admit(100 + n, [LimitKey("a", "")], 5.0, 0) is None for n in range(20))
+    assert (low_priority, high_priority) == (7, 3)
 
 
-def test_keys_are_bounded_and_those_in_use_stay(monkeypatch):
-    monkeypatch.setattr(
-        "quartzrouter.pool_routing.rate_limits.MAX_KEYS", MAX_KEYS // 16
-    )  # a look at all for each new one
+def test_counters_are_bounded_and_those_in_use_are_kept(monkeypatch):
+    # Each new key beyond the maximum scans all keys, so a lower maximum keeps the test fast.
+    monkeypatch.setattr("quartzrouter.pool_routing.rate_limits.MAX_KEYS", MAX_KEYS // 16)
     limits = RateLimiter({"c": Limit("c", "client", rate=1.0, burst=1, concurrent=2)})
-    assert limits.admit(0, [LimitKey("c", "first")], 1.0, 0) is None  # stays in hand
+    assert limits.admit(0, [LimitKey("c", "first")], 1.0, 0) is None  # stays in flight
     for n in range(1, 3 * MAX_KEYS // 16):
         limits.admit(n, [LimitKey("c", f"{n}")], 1.0, n)
         limits.release(n)
@@ -84,7 +83,7 @@
     assert limits.counters["c"]["first"].in_flight == 1
 
 
-def test_a_new_plan_keeps_the_counts_of_a_limit_that_is_saturated():
+def test_a_new_plan_keeps_the_counters_of_a_saturated_limit():
     old, new = Limit("a", "all", concurrent=4), Limit("a", "all", concurrent=2)
     limits = RateLimiter({"a": old, "gone": old})
     for n in range(4):
@@ -100,35 +99,39 @@
     assert "gone" not in limits.counters
 
 
-def fallback(back_after=S):
+def selector_with_fallback(back_after=S):
     first = Pool(
         "first", ("north",), fallback="second", at_least=Amount(2), back_at=Amount(3), back_after=back_after
     )
     return PoolSelector({"first": first, "second": Pool("second", ("south",))}, {})
 
 
-def test_a_pool_that_flaps_around_its_threshold_changes_few_times():
-    pools, chance, up, now = fallback(), random.Random(3), 4, 0
-    served = []
+def test_a_pool_near_its_threshold_changes_few_times():
+    pools, generator, available, now = selector_with_fallback(), random.Random(3), 4, 0
+    selected = []
     for _ in range(2_000):
         now += 20 * MS
-        up = chance.choice([1, 2, 2, 3])  # around at_least all the time
-        served.append(
+        available = generator.choice([1, 2, 2, 3])  # near at_least all the time
+        selected.append(
             pools.select_serving_pool(
-                "first", lambda name, up=up: CacheCount(up, 4) if name == "first" else CacheCount(3, 3), now
+                "first",
+                lambda name, available=available: (
+                    CacheCount(available, 4) if name == "first" else CacheCount(3, 3)
+                ),
+                now,
             )
         )
-    assert pools.states["first"].changes == 1 and served[-1] == "second"
+    assert pools.states["first"].changes == 1 and selected[-1] == "second"
     for _ in range(40):
         now += 50 * MS
-        served.append(pools.select_serving_pool("first", lambda name: CacheCount(4, 4), now))
-    assert pools.states["first"].changes == 2 and served[-1] == "first"
-    back = served.index("first", served.index("second")) - 2_000
-    assert back * 50 * MS >= S - 50 * MS
+        selected.append(pools.select_serving_pool("first", lambda name: CacheCount(4, 4), now))
+    assert pools.states["first"].changes == 2 and selected[-1] == "first"
+    returned_after = selected.index("first", selected.index("second")) - 2_000
+    assert returned_after * 50 * MS >= S - 50 * MS
 
 
-def test_the_first_pool_with_any_cache_serves_where_all_are_short():
-    pools = fallback()
+def test_the_first_pool_with_any_cache_serves_if_all_have_too_few():
+    pools = selector_with_fallback()
     assert (
         pools.select_serving_pool(
             "first", lambda name: {"first": CacheCount(1, 4), "second": CacheCount(0, 3)}[name], 0
@@ -149,21 +152,21 @@
     )
 
 
-def test_a_split_is_stable_and_moves_what_it_must():
-    def made(*shares):
+def test_a_changed_split_moves_only_the_objects_that_must_move():
+    def selector(*shares):
         return PoolSelector({}, {"s": Split("s", "object", tuple(zip("abc", shares, strict=False)))})
 
     objects = [f"obj-{n}" for n in range(10_000)]
-    before = {obj: made(0.7, 0.3).resolve_split("s", obj, "") for obj in objects}
+    before = {obj: selector(0.7, 0.3).resolve_split("s", obj, "") for obj in objects}
     assert abs(sum(pool == "a" for pool in before.values()) / 10_000 - 0.7) < 0.02
-    after = {obj: made(0.6, 0.4).resolve_split("s", obj, "") for obj in objects}
+    after = {obj: selector(0.6, 0.4).resolve_split("s", obj, "") for obj in objects}
     moved = [obj for obj in objects if before[obj] != after[obj]]
     assert 0.08 < len(moved) / 10_000 < 0.12 and all(after[obj] == "b" for obj in moved)
     by_client = PoolSelector({}, {"s": Split("s", "client", (("a", 0.5), ("b", 0.5)))})
     assert len({by_client.resolve_split("s", obj, "10.0.0.7") for obj in objects}) == 1
 
 
-# -- a whole plan ------------------------------------------------------------------------------------------
+# -- complete plans ------------------------------------------------------------------------------------------
 
 PLAN = """{
   deployment: { name: "t", home: "north", dispatches: 3 },
@@ -223,7 +226,7 @@
         return loaded.plan
 
     def update_endpoints(self, plan, **states):
-        lines = [
+        endpoints = [
             Endpoint(
                 name,
                 cache["at"],
@@ -236,7 +239,7 @@
             )
             for name, cache in plan.caches.items()
         ]
-        self.router.update_endpoints(lines, True, self.now)
+        self.router.update_endpoints(endpoints, True, self.now)
 
     def request(self, path, client="c"):
         self.last_id += 1
@@ -246,7 +249,7 @@
             return Reject(denied.retry_after)
         from quartzrouter.pool_routing.route_selection import traffic_class_name
 
-        req = Request(
+        request = Request(
             self.last_id,
             traffic_class_name(selection.route),
             selection.object_key,
@@ -256,22 +259,22 @@
             3 * S,
             max_attempts=self.router.max_attempts(selection),
         )
-        return self._take(self.router.route(req, self.now))
-
-    def _take(self, answer, id=None):
-        id = id or self.last_id
-        if isinstance(answer, Forward):
-            self.attempt_numbers[id] = answer.attempt_number
-        elif isinstance(answer, Reject | Fail) or answer is None:
-            self.router.release(id)
-        return answer
-
-    def finish(self, ending, id=None):
-        id = id or self.last_id
-        outcome = AttemptResult(
-            self.attempt_numbers[id], ending, 50 * MS, final=ending is AttemptStatus.SUCCEEDED
+        return self._record(self.router.route(request, self.now))
+
+    def _record(self, decision, request_id=None):
+        request_id = request_id or self.last_id
+        if isinstance(decision, Forward):
+            self.attempt_numbers[request_id] = decision.attempt_number
+        elif isinstance(decision, Reject | Fail) or decision is None:
+            self.router.release(request_id)
+        return decision
+
+    def finish(self, status, request_id=None):
+        request_id = request_id or self.last_id
+        result = AttemptResult(
+            self.attempt_numbers[request_id], status, 50 * MS, final=status is AttemptStatus.SUCCEEDED
         )
-        return self._take(self.router.attempt_finished(id, outcome, self.now), id)
+        return self._record(self.router.attempt_finished(request_id, result, self.now), request_id)
 
 
 @pytest.fixture
@@ -282,31 +285,30 @@
 def test_a_route_goes_to_its_pool_under_its_policy(scenario):
     assert scenario.request("/far/a").endpoint.startswith("s")
     assert scenario.request("/a").endpoint.startswith("n")
-    assert scenario.request("/shut/a") == Reject(2 * S)  # nine seconds are asked for, two may be named
-    answer = scenario.request("/once/a")
-    assert answer.endpoint.startswith("n") and answer.cache_priority == 0
-    assert not isinstance(
-        scenario.finish(AttemptStatus.CONNECTION_LOST), Forward
-    )  # a second one isn't permitted
-    again = scenario.request("/a")
-    assert isinstance(again, Forward) and isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST), Forward)
+    assert scenario.request("/shut/a") == Reject(2 * S)  # the policy asks for 9 s, the maximum is 2 s
+    decision = scenario.request("/once/a")
+    assert decision.endpoint.startswith("n") and decision.cache_priority == 0
+    # The policy permits no second attempt.
+    assert not isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST), Forward)
+    other = scenario.request("/a")
+    assert isinstance(other, Forward) and isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST), Forward)
 
 
 def test_a_retry_budget_allows_few_retries(scenario):
-    further = 0
+    retries = 0
     for n in range(300):
         scenario.now += 5 * MS
         scenario.request(f"/poor/{n}")
-        answer = scenario.finish(AttemptStatus.CONNECTION_LOST if n % 2 else AttemptStatus.SUCCEEDED)
-        if isinstance(answer, Forward):
-            further += 1
+        decision = scenario.finish(AttemptStatus.CONNECTION_LOST if n % 2 else AttemptStatus.SUCCEEDED)
+        if isinstance(decision, Forward):
+            retries += 1
             scenario.finish(AttemptStatus.SUCCEEDED)
-    assert 10 <= further <= 10 + 300 * 0.1 + 1
+    assert 10 <= retries <= 10 + 300 * 0.1 + 1
 
 
 def test_limits_reject_before_an_attempt_and_are_released(scenario):
-    first = [scenario.request("/few/a"), scenario.request("/few/b"), scenario.request("/few/c")]
-    assert [type(answer) for answer in first] == [Forward, Forward, Reject]
+    decisions = [scenario.request("/few/a"), scenario.request("/few/b"), scenario.request("/few/c")]
+    assert [type(decision) for decision in decisions] == [Forward, Forward, Reject]
     scenario.finish(AttemptStatus.SUCCEEDED, 1)
     scenario.router.release(1)
     assert isinstance(scenario.request("/few/d"), Forward)
@@ -327,8 +329,8 @@
     assert scenario.request("/a").endpoint.startswith("n")
 
 
-def test_a_new_plan_keeps_what_was_learnt_and_finishes_requests_in_flight(scenario):
-    answer = scenario.request("/a")
+def test_a_new_plan_keeps_the_state_of_routers_and_finishes_requests_in_flight(scenario):
+    decision = scenario.request("/a")
     router = scenario.router.pool_routers["near"].router
     scenario.router.record_purge(None, "00" * 8, 0, scenario.now)
     text = PLAN.replace("pools: {", 'pools: { third: { stores: ["north", "south"] },')
@@ -344,7 +346,7 @@
     )
     assert isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST, 1), Forward)
     assert scenario.finish(AttemptStatus.SUCCEEDED, 1) is None and not scenario.router.routers_by_request
-    assert answer.endpoint.startswith("n")
+    assert decision.endpoint.startswith("n")
 
 
 def test_a_plan_without_a_pool_finishes_the_requests_of_that_pool(scenario):
@@ -354,7 +356,7 @@
         'near: { fallback: "far", at_least: 2, back_after: 1s },', "near: {},"
     )
     text = text.replace('pool: "far"', 'pool: "near"')
-    for _ in range(2):  # twice within a second
+    for _ in range(2):  # two new plans within a second
         scenario.router.replace(scenario.load(text), scenario.now)
     assert scenario.router.draining_pool_routers == [far]
     assert isinstance(scenario.finish(AttemptStatus.CONNECTION_LOST, 1), Forward)
@@ -367,20 +369,22 @@
     assert scenario.request("/far/a").endpoint.startswith("n")
 
 
-def sent_to_slow_start(scenario, change):
-    """Counts attempts at a cache in slow start within a window, with a change of the plan in its middle."""
+def count_attempts_in_slow_start(scenario, change_plan):
+    """Returns the attempts at a cache in slow start within a window, if the plan changes in its middle."""
     scenario.update_endpoints(scenario.plan)
-    for name, line in list(scenario.router.endpoints.items()):
+    for name, endpoint in list(scenario.router.endpoints.items()):
         if name == "n1":
-            scenario.router.update_endpoints([replace(line, started_at=scenario.now)], False, scenario.now)
+            scenario.router.update_endpoints(
+                [replace(endpoint, started_at=scenario.now)], False, scenario.now
+            )
     sent = 0
     for n in range(400):
         if n == 200:
-            change()
+            change_plan()
         scenario.now += 2 * MS
-        answer = scenario.request(f"/{n}")
-        sent += isinstance(answer, Forward) and answer.endpoint == "n1"
-        if isinstance(answer, Forward):
+        decision = scenario.request(f"/{n}")
+        sent += isinstance(decision, Forward) and decision.endpoint == "n1"
+        if isinstance(decision, Forward):
             scenario.finish(AttemptStatus.SUCCEEDED)
     return sent
 
@@ -391,9 +395,11 @@
         f'm{n}: {{ match: {{ path: "/*{n}" }}, vhost: "page", pool: "m{n}" }}, ' for n in range(4)
     )
     text = PLAN.replace("pools: {", "pools: { " + pools).replace("routes: {", "routes: { " + routes)
-    steady, changed = PlanScenario(), PlanScenario()
-    before = sent_to_slow_start(steady, lambda: None)
-    after = sent_to_slow_start(changed, lambda: changed.router.replace(changed.load(text), changed.now))
+    unchanged, changed = PlanScenario(), PlanScenario()
+    before = count_attempts_in_slow_start(unchanged, lambda: None)
+    after = count_attempts_in_slow_start(
+        changed, lambda: changed.router.replace(changed.load(text), changed.now)
+    )
     assert 0 < after <= before
     routers = {
         pool_router.router.slow_start.budgets[Tier.CACHE].terms.routers
