--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -12,7 +12,7 @@
 import tracemalloc
 
 from quartzrouter.config.loader import load
-from quartzrouter.config.matcher import Matcher, plain
+from quartzrouter.config.matcher import Matcher, first_match
 from quartzrouter.config.model import Route
 from quartzrouter.config.patterns import METHODS, pattern
 from quartzrouter.config.platform_json import compiled
@@ -102,7 +102,7 @@
             asked.append(Asked("s1", host, path if chance.random() < 0.9 else path + "/none"))
         for req in asked[:50]:
             found = matcher.find(req)
-            assert (found.route if found else None) is plain(routes, req)
+            assert (found.route if found else None) is first_match(routes, req)
         began = time.perf_counter()
         for req in asked:
             matcher.find(req)
@@ -110,7 +110,7 @@
         few = asked[: max(5, min(2_000, 400_000 // count))]
         began = time.perf_counter()
         for req in few:
-            plain(routes, req)
+            first_match(routes, req)
         slow = (time.perf_counter() - began) / len(few)
         print(f"| {count:,} | {build * 1e3:.1f} | {memory:.1f} | {tree * 1e6:.1f} | {slow * 1e6:.1f} |")
 
--- a/quartzrouter/cli/parameter_types.py
+++ b/quartzrouter/cli/parameter_types.py
@@ -23,13 +23,13 @@
     name = "duration"
 
     def convert(self, value, param, ctx) -> int:
-        from quartzrouter.config.quantity import Duration, Wrong, quantity
+        from quartzrouter.config.quantity import Duration, QuantityError, parse_quantity
 
         if isinstance(value, int):
             return value
         try:
-            found = quantity(value)
-        except Wrong as error:
+            found = parse_quantity(value)
+        except QuantityError as error:
             self.fail(str(error), param, ctx)
         if not isinstance(found, Duration):
             self.fail(f"{value!r} is no duration, as 300ms", param, ctx)
--- a/quartzrouter/cli/plan.py
+++ b/quartzrouter/cli/plan.py
@@ -7,28 +7,28 @@
 
 import click
 
-from quartzrouter.config.problems import Broken, Fault, Faults, Source, Weight
+from quartzrouter.config.problems import Fault, Faults, PlanError, Severity, Source
 
 if TYPE_CHECKING:  # each command imports what it needs, so that the others start sooner
-    from quartzrouter.config.loader import Loaded
+    from quartzrouter.config.loader import LoadResult
     from quartzrouter.config.model import Plan
 
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON, for editors and CI.")
 PLAN = click.argument("path", metavar="PLAN")
 
 
-def read(path: str) -> "Loaded":
+def read(path: str) -> "LoadResult":
     """The plan at a path, `-` for standard input."""
-    from quartzrouter.config.loader import from_disk, load
+    from quartzrouter.config.loader import disk_loader, load
 
     if path == "-":
-        return load("-", from_disk(sys.stdin.buffer.read().decode(errors="surrogateescape")))
+        return load("-", disk_loader(sys.stdin.buffer.read().decode(errors="surrogateescape")))
     return load(path)
 
 
 def tell(faults: Faults, err: bool = True) -> None:
     for fault in faults.in_order():
-        colour = "red" if fault.weight is Weight.ERROR else "yellow"
+        colour = "red" if fault.severity is Severity.ERROR else "yellow"
         head, _, more = fault.shown().partition("\n")
         click.echo(click.style(head, fg=colour) + (f"\n{more}" if more else ""), err=err)
     if faults.left_out:
@@ -79,17 +79,17 @@
     """Lay files out in the one layout; `-` reads standard input and prints."""
     from quartzrouter.config.evaluator import Unreadable
     from quartzrouter.config.formatter import layout
-    from quartzrouter.config.loader import from_disk
+    from quartzrouter.config.loader import disk_loader
 
     bad = False
     for path in paths:
         try:
-            text = sys.stdin.read() if path == "-" else from_disk()(path)
+            text = sys.stdin.read() if path == "-" else disk_loader()(path)
             made = layout(Source(path, text))
         except Unreadable as error:
             click.echo(f"{path}: {error}", err=True)
             bad = True
-        except Broken as error:
+        except PlanError as error:
             tell(_one(error.fault))
             bad = True
         else:
@@ -174,13 +174,13 @@
 @PLAN
 def show(path: str) -> None:
     """Print a plan as evaluated: one record, as JSON, without templates and includes."""
-    from quartzrouter.config.values import POISON, plain
+    from quartzrouter.config.values import POISON, to_json_value
 
     loaded = read(path)
     if loaded.value is POISON:
         tell(loaded.faults)
         sys.exit(1)
-    click.echo(json.dumps(plain(loaded.value), indent=2))
+    click.echo(json.dumps(to_json_value(loaded.value), indent=2))
 
 
 @plan.command("compile", epilog="Example: quartzrouter plan compile main.plan > config.json")
--- a/quartzrouter/config/builder.py
+++ b/quartzrouter/config/builder.py
@@ -5,8 +5,8 @@
 from quartzrouter.config import patterns, request_sets
 from quartzrouter.config.keys import COLD
 from quartzrouter.config.model import Amount, Limit, Plan, Policy, Pool, Route, Split, belongs
-from quartzrouter.config.problems import Place, meant, names
-from quartzrouter.config.purge_settings import check_life
+from quartzrouter.config.problems import Place, joined_names, suggestion
+from quartzrouter.config.purge_settings import check_purge_life
 from quartzrouter.config.schema import BAD, Check, Path
 from quartzrouter.routing.model import Idempotency, TrafficClass
 
@@ -53,7 +53,7 @@
         known = self.known(*parts)
         if name in known:
             return name
-        remedy = meant(name, known) or (f"there are {names(known)}" if known else "none is there")
+        remedy = suggestion(name, known) or (f"there are {joined_names(known)}" if known else "none is there")
         self.check.note(
             self.place(*path),
             f"there is no {' or '.join(_one(part) for part in parts)} '{name}'",
@@ -89,7 +89,7 @@
             self._cache(name, cache)
         vhosts = {name: self._vhost(name, told) for name, told in self.parts["vhosts"].items()}
         readable_vhosts = {name: vhost for name, vhost in vhosts.items() if vhost}
-        check_life(self.told.get("purges"), readable_vhosts, self.check)
+        check_purge_life(self.told.get("purges"), readable_vhosts, self.check)
         policies = self._policies()
         limits = {name: self._limit(name, told) for name, told in self.parts["limits"].items()}
         pools = {name: self._pool(name, told) for name, told in self.parts["pools"].items()}
@@ -463,7 +463,7 @@
                     self.check.note(
                         self.place("routes", name, key),
                         f"'{{{asked}}}' is no capture of route '{name}'",
-                        meant(asked, have) or f"there are {names([*have, 'host', 'path'])}",
+                        suggestion(asked, have) or f"there are {joined_names([*have, 'host', 'path'])}",
                         "reference",
                     )
 
@@ -512,7 +512,7 @@
 
 def _why_empty(pool: Pool, caches: dict[str, dict[str, Any]]) -> str:
     asked = [
-        f"{key} {names(map(str, value))}"
+        f"{key} {joined_names(map(str, value))}"
         for key, value in (("stores", pool.stores), ("kinds", pool.kinds), ("cells", pool.cells))
         if value
     ]
--- a/quartzrouter/config/evaluator.py
+++ b/quartzrouter/config/evaluator.py
@@ -13,8 +13,17 @@
 
 from quartzrouter.config import quantity, syntax_tree
 from quartzrouter.config.parser import parse
-from quartzrouter.config.problems import Broken, Fault, Faults, Place, Source, meant, names
-from quartzrouter.config.values import POISON, Closure, ListOf, Poison, Rec, Slot, kind, shown
+from quartzrouter.config.problems import Fault, Faults, Place, PlanError, Source, joined_names, suggestion
+from quartzrouter.config.values import (
+    POISON,
+    Closure,
+    ListValue,
+    Poison,
+    RecordValue,
+    Slot,
+    format_value,
+    kind_name,
+)
 
 STEPS_MOST = 1_000_000  # two seconds; a plan of 5,000 routes from a template takes 120,000
 LEVELS_MOST = 1_000  # of evaluations within evaluations
@@ -30,7 +39,7 @@
     """A file can't be had; the text says why."""
 
 
-class Exhausted(Broken):
+class Exhausted(PlanError):
     """A bound on the whole evaluation is reached: it ends here."""
 
 
@@ -90,7 +99,7 @@
                 value = self.eval(parsed.root, Scope(None, BUILTINS))
         except Exhausted:
             raise
-        except Broken as error:
+        except PlanError as error:
             self.faults.add(error.fault)
             value = POISON
         finally:
@@ -123,7 +132,7 @@
             return self.eval(node, scope)
         except Exhausted:
             raise
-        except Broken as error:
+        except PlanError as error:
             self.faults.add(error.fault)
             return POISON
 
@@ -141,9 +150,9 @@
             value = self.eval(part, scope)
             if value is POISON:
                 return POISON
-            if isinstance(value, Rec | ListOf | Closure) or callable(value) or value is None:
-                raise _broken(part, f"{kind(value)} can't be put into a text", "put in one of its parts")
-            said.append(value if isinstance(value, str) else shown(value))
+            if isinstance(value, RecordValue | ListValue | Closure) or callable(value) or value is None:
+                raise _broken(part, f"{kind_name(value)} can't be put into a text", "put in one of its parts")
+            said.append(value if isinstance(value, str) else format_value(value))
         text = "".join(said)
         self.grow(len(text) // 16, node)
         return text
@@ -152,7 +161,7 @@
         try:
             return scope.find(node.name)
         except KeyError:
-            remedy = meant(node.name, scope.names()) or "names are seen only behind their `local`"
+            remedy = suggestion(node.name, scope.names()) or "names are seen only behind their `local`"
             raise _broken(node, f"'{node.name}' isn't known here", remedy, "name") from None
 
     def _let(self, node: syntax_tree.Let, scope: Scope) -> Any:
@@ -172,7 +181,7 @@
         if test is POISON:
             return POISON
         if not isinstance(test, bool):
-            raise _broken(node.test, f"{kind(test)} where true or false belongs")
+            raise _broken(node.test, f"{kind_name(test)} where true or false belongs")
         return self.eval(node.yes if test else node.no, scope)
 
     def _unary(self, node: syntax_tree.Unary, scope: Scope) -> Any:
@@ -183,7 +192,7 @@
             return not value
         if node.sign == "-" and isinstance(value, int | Fraction) and not isinstance(value, bool):
             return -value
-        raise _broken(node, f"'{node.sign}' of {kind(value)}", code="type")
+        raise _broken(node, f"'{node.sign}' of {kind_name(value)}", code="type")
 
     def _binary(self, node: syntax_tree.Binary, scope: Scope) -> Any:
         left = self.eval(node.left, scope)
@@ -199,17 +208,17 @@
             return self._signed(node, left, right)
         except TypeError:
             remedy = "say of which kind both are" if node.sign in "+-" else ""
-            reason = f"{kind(left)} {node.sign} {kind(right)}"
+            reason = f"{kind_name(left)} {node.sign} {kind_name(right)}"
             raise _broken(node, f"{reason} has no meaning", remedy, "type") from None
         except ZeroDivisionError:
             raise _broken(node, "a division by zero", code="range") from None
-        except quantity.Wrong as error:
+        except quantity.QuantityError as error:
             raise _broken(node, str(error), code="range") from None
 
     def _signed(self, node: syntax_tree.Binary, left: Any, right: Any) -> Any:
         sign = node.sign
         if sign in ("==", "!="):
-            return (plain_equal(left, right)) is (sign == "==")
+            return (equal_values(left, right)) is (sign == "==")
         if sign in ("&&", "||"):
             if isinstance(left, bool) and isinstance(right, bool):
                 return right
@@ -217,15 +226,19 @@
         if isinstance(left, bool) or isinstance(right, bool):
             raise TypeError
         if sign in ("<", "<=", ">", ">="):
-            if kind(left) != kind(right) or isinstance(left, Rec | ListOf | Closure) or left is None:
+            if (
+                kind_name(left) != kind_name(right)
+                or isinstance(left, RecordValue | ListValue | Closure)
+                or left is None
+            ):
                 raise TypeError
             return {"<": left < right, "<=": left <= right, ">": left > right, ">=": left >= right}[sign]
         if sign == "+":
-            if isinstance(left, Rec) and isinstance(right, Rec):
+            if isinstance(left, RecordValue) and isinstance(right, RecordValue):
                 return self.merge(left, right, node)
-            if isinstance(left, ListOf) and isinstance(right, ListOf):
+            if isinstance(left, ListValue) and isinstance(right, ListValue):
                 self.grow(len(left.slots) + len(right.slots), node)
-                return ListOf(left.slots + right.slots)
+                return ListValue(left.slots + right.slots)
             if isinstance(left, str) and isinstance(right, str):
                 self.grow((len(left) + len(right)) // 16, node)
                 return left + right
@@ -234,7 +247,7 @@
             return quantity.add(left, right, -1)
         return quantity.times(left, right) if sign == "*" else quantity.over(left, right)
 
-    def merge(self, left: Rec, right: Rec, node: syntax_tree.Node) -> Rec:
+    def merge(self, left: RecordValue, right: RecordValue, node: syntax_tree.Node) -> RecordValue:
         """What is said on the right comes over what is there; a field stays where it first stood."""
         self.grow(len(left.slots) + len(right.slots), node)
         slots = dict(left.slots)
@@ -244,24 +257,26 @@
                 slots[name] = slot
             elif there.value is POISON or slot.value is POISON:
                 slots[name] = Slot(POISON, slot.place)
-            elif slot.how == "+:":
+            elif slot.merge_mode == "+:":
                 slots[name] = self._into(name, there, slot, node)
             else:
                 value = slot.value if self._same_kind(name, there, slot) else POISON
-                slots[name] = Slot(value, slot.place, there.how, slot.named)
-        return Rec(slots)
+                slots[name] = Slot(value, slot.place, there.merge_mode, slot.key_place)
+        return RecordValue(slots)
 
     def _into(self, name: str, there: Slot, slot: Slot, node: syntax_tree.Node) -> Slot:
         both = (there.value, slot.value)
-        if all(isinstance(value, Rec) for value in both):
-            return Slot(self.merge(*both, node), slot.place, there.how, there.named)
-        if all(isinstance(value, ListOf) for value in both):
+        if all(isinstance(value, RecordValue) for value in both):
+            return Slot(self.merge(*both, node), slot.place, there.merge_mode, there.key_place)
+        if all(isinstance(value, ListValue) for value in both):
             self.grow(len(both[0].slots) + len(both[1].slots), node)
-            return Slot(ListOf(both[0].slots + both[1].slots), slot.place, there.how, there.named)
+            return Slot(
+                ListValue(both[0].slots + both[1].slots), slot.place, there.merge_mode, there.key_place
+            )
         self.faults.add(
             Fault(
-                slot.named or slot.place,
-                f"'{name}+' merges {kind(slot.value)} into {kind(there.value)}",
+                slot.key_place or slot.place,
+                f"'{name}+' merges {kind_name(slot.value)} into {kind_name(there.value)}",
                 "only records and lists can be merged",
                 code="type",
                 also=((there.place, "what is there"),),
@@ -270,11 +285,15 @@
         return Slot(POISON, slot.place)
 
     def _same_kind(self, name: str, there: Slot, slot: Slot) -> bool:
-        if there.value is None or slot.value is None or kind(there.value) == kind(slot.value):
+        if there.value is None or slot.value is None or kind_name(there.value) == kind_name(slot.value):
             return True
-        bare = kind(slot.value) == "a number" and isinstance(there.value, quantity.Quantity)
-        remedy = f"a unit is missing: it was {shown(there.value)}" if bare else f"give {kind(there.value)}"
-        reason = f"'{name}' changes from {kind(there.value)} to {kind(slot.value)}"
+        bare = kind_name(slot.value) == "a number" and isinstance(there.value, quantity.Quantity)
+        remedy = (
+            f"a unit is missing: it was {format_value(there.value)}"
+            if bare
+            else f"give {kind_name(there.value)}"
+        )
+        reason = f"'{name}' changes from {kind_name(there.value)} to {kind_name(slot.value)}"
         also = ((there.place, "before"),)
         self.faults.add(Fault(slot.place, reason, remedy, code="unit" if bare else "type", also=also))
         return False
@@ -283,26 +302,30 @@
         of = self.eval(node.of, scope)
         if of is POISON:
             return POISON
-        if not isinstance(of, Rec):
-            raise Broken(Fault(node.name_place, f"{kind(of)} has no field '{node.name}'", code="type"))
+        if not isinstance(of, RecordValue):
+            raise PlanError(
+                Fault(node.name_place, f"{kind_name(of)} has no field '{node.name}'", code="type")
+            )
         if node.name not in of.slots:
-            known = meant(node.name, of.slots) or (f"there are {names(of.slots)}" if of.slots else "")
-            raise Broken(Fault(node.name_place, f"there is no field '{node.name}'", known, code="name"))
+            known = suggestion(node.name, of.slots) or (
+                f"there are {joined_names(of.slots)}" if of.slots else ""
+            )
+            raise PlanError(Fault(node.name_place, f"there is no field '{node.name}'", known, code="name"))
         return of.slots[node.name].value
 
     def _index(self, node: syntax_tree.Index, scope: Scope) -> Any:
         of, at = self.eval(node.of, scope), self.eval(node.at, scope)
         if of is POISON or at is POISON:
             return POISON
-        if isinstance(of, Rec) and isinstance(at, str):
+        if isinstance(of, RecordValue) and isinstance(at, str):
             if at not in of.slots:
-                raise _broken(node.at, f"there is no field '{at}'", meant(at, of.slots), "name")
+                raise _broken(node.at, f"there is no field '{at}'", suggestion(at, of.slots), "name")
             return of.slots[at].value
-        if isinstance(of, ListOf) and isinstance(at, int) and not isinstance(at, bool):
+        if isinstance(of, ListValue) and isinstance(at, int) and not isinstance(at, bool):
             if not 0 <= at < len(of.slots):
                 raise _broken(node.at, f"item {at} of a list of {len(of.slots)}", code="range")
             return of.slots[at].value
-        raise _broken(node.at, f"{kind(at)} picks nothing out of {kind(of)}", code="type")
+        raise _broken(node.at, f"{kind_name(at)} picks nothing out of {kind_name(of)}", code="type")
 
     def _callof(self, node: syntax_tree.CallOf, scope: Scope) -> Any:
         of = self.eval(node.of, scope)
@@ -312,7 +335,7 @@
         if callable(of):
             return self._builtin(node, of, arguments)
         if not isinstance(of, Closure):
-            raise _broken(node.of, f"{kind(of)} can't be called", code="type")
+            raise _broken(node.of, f"{kind_name(of)} can't be called", code="type")
         wanted = of.function.parameters
         if len(arguments) != len(wanted):
             raise _broken(
@@ -331,9 +354,9 @@
     def holds_function(self, value: Any) -> bool:
         self.steps += 1  # what is looked through is paid for as well
         match value:
-            case ListOf(slots):
+            case ListValue(slots):
                 return any(self.holds_function(slot.value) for slot in slots)
-            case Rec(slots):
+            case RecordValue(slots):
                 return any(self.holds_function(slot.value) for slot in slots.values())
         return isinstance(value, Closure) or callable(value)
 
@@ -344,11 +367,11 @@
             made = of(*arguments)
         except (TypeError, AttributeError):
             raise _broken(node, f"{of.__name__}: {of.__doc__}", code="type") from None
-        except quantity.Wrong as error:
+        except quantity.QuantityError as error:
             raise _broken(node, f"{of.__name__}: {error}", code="range") from None
-        if isinstance(made, ListOf | str):
-            self.grow(len(made.slots) if isinstance(made, ListOf) else len(made) // 16, node)
-        if isinstance(made, ListOf):
+        if isinstance(made, ListValue | str):
+            self.grow(len(made.slots) if isinstance(made, ListValue) else len(made) // 16, node)
+        if isinstance(made, ListValue):
             for slot in made.slots:
                 slot.place = node.place
         return made
@@ -359,15 +382,15 @@
 
     def _items(self, node: syntax_tree.Items, scope: Scope) -> Any:
         self.grow(len(node.items), node)
-        return ListOf([Slot(self.safe(item, scope), item.place) for item in node.items])
+        return ListValue([Slot(self.safe(item, scope), item.place) for item in node.items])
 
     def _each(self, loop: syntax_tree.For, scope: Scope):
         among = self.eval(loop.among, scope)
         if among is POISON:
             return None
-        if not isinstance(among, ListOf):
-            reason = f"{kind(among)} where a list belongs"
-            remedy = "keys(r) lists the names of a record" if isinstance(among, Rec) else ""
+        if not isinstance(among, ListValue):
+            reason = f"{kind_name(among)} where a list belongs"
+            remedy = "keys(r) lists the names of a record" if isinstance(among, RecordValue) else ""
             raise _broken(loop.among, reason, remedy, "type")
         found = []
         for slot in among.slots:
@@ -375,7 +398,7 @@
             if loop.test is not None:
                 test = self.eval(loop.test, inner)
                 if not isinstance(test, bool | Poison):
-                    raise _broken(loop.test, f"{kind(test)} where true or false belongs", code="type")
+                    raise _broken(loop.test, f"{kind_name(test)} where true or false belongs", code="type")
                 if test is not True:
                     continue
             found.append(inner)
@@ -386,14 +409,14 @@
         if scopes is None:
             return POISON
         self.grow(len(scopes), node)
-        return ListOf([Slot(self.safe(node.item, inner), node.item.place) for inner in scopes])
+        return ListValue([Slot(self.safe(node.item, inner), node.item.place) for inner in scopes])
 
     def _record(self, node: syntax_tree.Record, scope: Scope) -> Any:
         self.grow(len(node.fields), node)
         scope, slots = self._locals(node.locals, scope), {}
         for field in node.fields:
             self._put(slots, field, scope)
-        return Rec(slots)
+        return RecordValue(slots)
 
     def _recordfor(self, node: syntax_tree.RecordFor, scope: Scope) -> Any:
         scopes = self._each(node.loop, scope)
@@ -403,7 +426,7 @@
         slots: dict[str, Slot] = {}
         for inner in scopes:
             self._put(slots, node.field_, inner)
-        return Rec(slots)
+        return RecordValue(slots)
 
     def _put(self, slots: dict[str, Slot], field: syntax_tree.Field, scope: Scope) -> None:
         key = field.key if isinstance(field.key, str) else self.safe(field.key, scope)
@@ -411,9 +434,9 @@
         if key is POISON:
             return
         if not isinstance(key, str):
-            self.faults.add(Fault(field.place, f"{kind(key)} where a name belongs", code="type"))
+            self.faults.add(Fault(field.place, f"{kind_name(key)} where a name belongs", code="type"))
         elif key in slots:
-            there = slots[key].named
+            there = slots[key].key_place
             self.faults.add(
                 Fault(
                     field.place,
@@ -424,26 +447,26 @@
                 )
             )
         else:
-            slots[key] = Slot(value, field.value.place, field.how, field.place)
+            slots[key] = Slot(value, field.value.place, field.merge_mode, field.place)
 
 
-def _broken(node: syntax_tree.Node, reason: str, remedy: str = "", code: str = "type") -> Broken:
-    return Broken(Fault(node.place, reason, remedy, code=code))
+def _broken(node: syntax_tree.Node, reason: str, remedy: str = "", code: str = "type") -> PlanError:
+    return PlanError(Fault(node.place, reason, remedy, code=code))
 
 
-def plain_equal(left: Any, right: Any) -> bool:
+def equal_values(left: Any, right: Any) -> bool:
     """Equal in kind and content; places don't count."""
-    if kind(left) != kind(right):
+    if kind_name(left) != kind_name(right):
         return False
     match left, right:
-        case ListOf(), ListOf():
+        case ListValue(), ListValue():
             pairs = zip(left.slots, right.slots, strict=False)
             return len(left.slots) == len(right.slots) and all(
-                plain_equal(a.value, b.value) for a, b in pairs
+                equal_values(a.value, b.value) for a, b in pairs
             )
-        case Rec(), Rec():
+        case RecordValue(), RecordValue():
             return left.slots.keys() == right.slots.keys() and all(
-                plain_equal(slot.value, right.slots[name].value) for name, slot in left.slots.items()
+                equal_values(slot.value, right.slots[name].value) for name, slot in left.slots.items()
             )
     return left == right
 
@@ -484,32 +507,32 @@
     if not (isinstance(start, int) and isinstance(stop, int)) or isinstance(start, bool):
         raise TypeError
     if stop - start > SIZE_MOST:
-        raise quantity.Wrong(f"{stop - start} items")
-    return ListOf([Slot(n, NOWHERE) for n in range(start, stop)])
+        raise quantity.QuantityError(f"{stop - start} items")
+    return ListValue([Slot(n, NOWHERE) for n in range(start, stop)])
 
 
 def keys(of):
     """takes a record"""
-    if not isinstance(of, Rec):
+    if not isinstance(of, RecordValue):
         raise TypeError
-    return ListOf([Slot(name, slot.place) for name, slot in of.slots.items()])
+    return ListValue([Slot(name, slot.place) for name, slot in of.slots.items()])
 
 
 def values(of):
     """takes a record"""
-    return ListOf([Slot(slot.value, slot.place) for slot in of.slots.values()])
+    return ListValue([Slot(slot.value, slot.place) for slot in of.slots.values()])
 
 
 def has(of, name):
     """takes a record and a name"""
-    if not (isinstance(of, Rec) and isinstance(name, str)):
+    if not (isinstance(of, RecordValue) and isinstance(name, str)):
         raise TypeError
     return name in of.slots
 
 
 def join(by, texts):
     """takes a text and a list of texts"""
-    if not isinstance(texts, ListOf):
+    if not isinstance(texts, ListValue):
         raise TypeError
     return by.join(slot.value for slot in texts.slots)
 
@@ -518,7 +541,7 @@
     """takes a text to cut at, and a text"""
     if not (by and isinstance(by, str) and isinstance(text, str)):
         raise TypeError
-    return ListOf([Slot(part, NOWHERE) for part in text.split(by)])
+    return ListValue([Slot(part, NOWHERE) for part in text.split(by)])
 
 
 def lower(text):
@@ -553,7 +576,7 @@
     slots: dict[str, Slot] = {}
     for slot in records.slots:
         slots |= slot.value.slots
-    return Rec(slots)
+    return RecordValue(slots)
 
 
 BUILTINS = {
--- a/quartzrouter/config/explain.py
+++ b/quartzrouter/config/explain.py
@@ -5,7 +5,7 @@
 from urllib.parse import parse_qsl
 
 from quartzrouter.config.keys import PLAN
-from quartzrouter.config.matcher import matcher, takes
+from quartzrouter.config.matcher import box_contains, build_matcher
 from quartzrouter.config.model import TRAFFIC_CLASS_FIELDS, Plan, Route
 from quartzrouter.config.problems import Place
 from quartzrouter.config.quantity import Duration
@@ -41,7 +41,7 @@
 
 def explain(plan: Plan, req: Asked) -> list[Line]:
     """Route, vhost, pool, policy and limits of a req, each value with its place."""
-    found = matcher(plan).find(req)
+    found = build_matcher(plan).find(req)
     if found is None:
         return [Line("route", "none: it is turned away with 404", None)]
     route = found.route
@@ -72,7 +72,7 @@
             if getattr(limit, key):
                 lines.append(_value(plan, f"  {key}", getattr(limit, key), "limits", name, key))
     behind = plan.routes[route.order + 1 :]
-    later = [other.name for other in behind if any(takes(box, req) for box in other.boxes)]
+    later = [other.name for other in behind if any(box_contains(box, req) for box in other.boxes)]
     if later:
         lines.append(Line("also matched by", ", ".join(later[:5]), plan.places.get(("routes", later[0]))))
     return lines
--- a/quartzrouter/config/formatter.py
+++ b/quartzrouter/config/formatter.py
@@ -7,7 +7,7 @@
 from quartzrouter.config import syntax_tree
 from quartzrouter.config.parser import parse
 from quartzrouter.config.problems import Place, Source
-from quartzrouter.config.values import name_shown
+from quartzrouter.config.values import format_key
 
 WIDTH = 100  # columns
 STEP = 2  # columns
@@ -30,7 +30,7 @@
 
 
 def layout(source: Source) -> str:
-    """The text of a file, laid out; raises Broken where it can't be parsed."""
+    """The text of a file, laid out; raises PlanError where it can't be parsed."""
     parsed = parse(source)
     return Layout(parsed.comments).file(parsed.root)
 
@@ -181,8 +181,8 @@
         return self._cat([["("], lines, [")"]]) if level_of(node) < level else lines
 
     def _key(self, node: syntax_tree.Field) -> str:
-        how = "override " if node.how == "override" else ""
-        return f"{how}{key_text(node)}{'+: ' if node.how == '+:' else ': '}"
+        how = "override " if node.merge_mode == "override" else ""
+        return f"{how}{key_text(node)}{'+: ' if node.merge_mode == '+:' else ': '}"
 
     def _local(self, node: syntax_tree.Local) -> str:
         head = f"local {node.name}"
@@ -235,7 +235,7 @@
 
 def key_text(node: syntax_tree.Field) -> str:
     if isinstance(node.key, str):
-        return name_shown(node.key)
+        return format_key(node.key)
     return node.key.text if isinstance(node.key, syntax_tree.Text) else f"[{flat(node.key)}]"
 
 
@@ -305,8 +305,8 @@
         case syntax_tree.Include():
             return f"include {quoted(node.path)}"
         case syntax_tree.Field():
-            how = "override " if node.how == "override" else ""
-            return f"{how}{key_text(node)}{'+: ' if node.how == '+:' else ': '}{flat(node.value)}"
+            how = "override " if node.merge_mode == "override" else ""
+            return f"{how}{key_text(node)}{'+: ' if node.merge_mode == '+:' else ': '}{flat(node.value)}"
         case syntax_tree.Local():
             parameters = node.value.parameters if isinstance(node.value, syntax_tree.Function) else None
             head = f"local {node.name}" + (f"({', '.join(parameters)})" if parameters is not None else "")
--- a/quartzrouter/config/keys.py
+++ b/quartzrouter/config/keys.py
@@ -44,7 +44,7 @@
     def test(text: str) -> str:
         try:
             patterns.pattern(text, sep)
-        except patterns.Unusable as error:
+        except patterns.InvalidPattern as error:
             return str(error)
         if sep == "/" and not text.startswith("/"):
             return "a path begins with '/'"
--- a/quartzrouter/config/loader.py
+++ b/quartzrouter/config/loader.py
@@ -10,21 +10,21 @@
 from quartzrouter.config.keys import PLAN
 from quartzrouter.config.model import Plan
 from quartzrouter.config.parser import TEXT_MOST
-from quartzrouter.config.problems import Broken, Faults, Place, Source
+from quartzrouter.config.problems import Faults, Place, PlanError, Source
 from quartzrouter.config.schema import BAD, Check
 from quartzrouter.config.shadowing import check_routes
 from quartzrouter.config.values import POISON, Slot
 
 
 @dataclass
-class Loaded:
+class LoadResult:
     plan: Plan | None  # None where it has errors
     faults: Faults
     value: object  # as evaluated
     sources: list[Source]
 
 
-def from_disk(stdin: str | None = None) -> Loader:
+def disk_loader(stdin: str | None = None) -> Loader:
     """Reads files; `-` is what came on standard input."""
 
     def load(path: str) -> str:
@@ -64,23 +64,23 @@
             gc.enable()
 
 
-def load(path: str, read: Loader | None = None) -> Loaded:
+def load(path: str, read: Loader | None = None) -> LoadResult:
     """Reads, evaluates and checks a plan; raises nothing for what is wrong with it."""
     with _uncollected():
         return _load(path, read)
 
 
-def _load(path: str, read: Loader | None) -> Loaded:
+def _load(path: str, read: Loader | None) -> LoadResult:
     faults = Faults()
-    evaluation = Evaluation(read or from_disk(), faults)
+    evaluation = Evaluation(read or disk_loader(), faults)
     try:
         value = evaluation.file(path)
-    except Broken as error:
+    except PlanError as error:
         faults.add(error.fault)
         value = POISON
     sources = evaluation.sources
     if value is POISON:
-        return Loaded(None, faults, value, sources)
+        return LoadResult(None, faults, value, sources)
     check = Check(faults)
     start = Place(sources[0], 1, 1)
     check.places[()] = start
@@ -91,4 +91,4 @@
     if plan is not None:
         check_routes(plan, check)
         plan = None if faults.errors else plan
-    return Loaded(plan, faults, value, sources)
+    return LoadResult(plan, faults, value, sources)
--- a/quartzrouter/config/matcher.py
+++ b/quartzrouter/config/matcher.py
@@ -24,7 +24,7 @@
         self.literal: dict[str, list[tuple[int, int, Box]]] = {}  # whole paths that end here
 
 
-class Found(NamedTuple):
+class RouteMatch(NamedTuple):
     route: Route
     captures: dict[str, str]
 
@@ -50,7 +50,7 @@
         into = node.literal.setdefault(pattern.text, []) if whole else node.here
         insort(into, (order, n, box), key=lambda item: item[:2])
 
-    def find(self, asked: Asked) -> Found | None:
+    def find(self, asked: Asked) -> RouteMatch | None:
         """The first route that takes the req."""
         best, node, path = NEVER, self.root, asked.path
         parts = path.split("/")[1:-1]
@@ -59,7 +59,7 @@
                 for order, _, box in items:
                     if order >= best:
                         break
-                    if takes(box, asked, literal):
+                    if box_contains(box, asked, literal):
                         best = order
                         break
             if depth == len(parts):
@@ -71,10 +71,10 @@
             return None
         route = self.routes[best]
         pattern = route.boxes[0].path.yes
-        return Found(route, pattern[0].capture(path) if pattern else {})
+        return RouteMatch(route, pattern[0].capture(path) if pattern else {})
 
 
-def takes(box: Box, asked: Asked, path_known: bool = False) -> bool:
+def box_contains(box: Box, asked: Asked, path_known: bool = False) -> bool:
     """Whether a req lies in a box."""
     if asked.store not in box.stores or asked.method not in box.methods:
         return False
@@ -96,10 +96,10 @@
     return True
 
 
-def plain(routes: tuple[Route, ...], asked: Asked) -> Route | None:
+def first_match(routes: tuple[Route, ...], asked: Asked) -> Route | None:
     """The same by trying one route after the other: what the tree is measured against."""
-    return next((route for route in routes if any(takes(box, asked) for box in route.boxes)), None)
+    return next((route for route in routes if any(box_contains(box, asked) for box in route.boxes)), None)
 
 
-def matcher(plan: Plan) -> Matcher:
+def build_matcher(plan: Plan) -> Matcher:
     return Matcher(plan.routes)
--- a/quartzrouter/config/parser.py
+++ b/quartzrouter/config/parser.py
@@ -1,4 +1,4 @@
-"""Text to nodes, by the grammar beside this file: any text ends in nodes or in one Broken."""
+"""Text to nodes, by the grammar beside this file: any text ends in nodes or in one PlanError."""
 
 from dataclasses import dataclass
 from functools import cache
@@ -8,7 +8,7 @@
 from lark.exceptions import UnexpectedCharacters, UnexpectedEOF, UnexpectedToken
 
 from quartzrouter.config import quantity, syntax_tree
-from quartzrouter.config.problems import Broken, Fault, Place, Source
+from quartzrouter.config.problems import Fault, Place, PlanError, Source
 
 DEPTH_MOST = 120  # nested nodes: past what anyone reads, well inside the interpreter's stack
 TEXT_MOST = 1 << 20  # bytes of one file
@@ -67,15 +67,15 @@
         depth = 1 + max((child.depth for child in below), default=0)
         place = place or self.first(children)
         if depth > DEPTH_MOST:
-            raise Broken(
+            raise PlanError(
                 Fault(place, f"nested more than {DEPTH_MOST} deep", "give parts of it names", code="depth")
             )
         last = children[-1]
         end = last.end if isinstance(last, syntax_tree.Node) else last.line + self.shift[0]
         return kind(place, *values, **named, depth=depth, end=end)
 
-    def wrong(self, token: Token, reason: str, remedy: str = "", code: str = "syntax") -> Broken:
-        return Broken(Fault(self.place(token), reason, remedy, code=code))
+    def wrong(self, token: Token, reason: str, remedy: str = "", code: str = "syntax") -> PlanError:
+        return PlanError(Fault(self.place(token), reason, remedy, code=code))
 
     # -- values ------------------------------------------------------------------------------------
 
@@ -83,8 +83,8 @@
         (token,) = children
         self._short(token)
         try:
-            return self.node(syntax_tree.Literal, children, quantity.quantity(token.value), token.value)
-        except quantity.Wrong as error:
+            return self.node(syntax_tree.Literal, children, quantity.parse_quantity(token.value), token.value)
+        except quantity.QuantityError as error:
             raise self.wrong(token, str(error), code="unit") from None
 
     def number(self, children):
@@ -312,18 +312,18 @@
 
 
 def parse(source: Source) -> Parsed:
-    """The nodes of a file; raises Broken with its first fault."""
+    """The nodes of a file; raises PlanError with its first fault."""
     parser()
     BUILDER.source, BUILDER.shift, BUILDER.comments = source, (0, 0), []
     start = Place(source, 1, 1)
     if len(source.text.encode(errors="replace")) > TEXT_MOST:
-        raise Broken(Fault(start, f"a file of more than {TEXT_MOST >> 20} MiB", "split it", code="size"))
+        raise PlanError(Fault(start, f"a file of more than {TEXT_MOST >> 20} MiB", "split it", code="size"))
     try:
         root = parser().parse(source.text)
     except UnexpectedToken as error:
-        raise Broken(_unexpected(source, error)) from None
+        raise PlanError(_unexpected(source, error)) from None
     except UnexpectedCharacters as error:
-        raise Broken(_unreadable(source, error)) from None
+        raise PlanError(_unreadable(source, error)) from None
     return Parsed(source, root, BUILDER.comments)
 
 
--- a/quartzrouter/config/patterns.py
+++ b/quartzrouter/config/patterns.py
@@ -20,11 +20,11 @@
 LIT, ONE, STAR = range(3)
 
 
-class Unusable(ValueError):
+class InvalidPattern(ValueError):
     """A text that is no pattern."""
 
 
-class Undecided(Exception):
+class SearchLimitExceeded(Exception):
     """A question too large to be answered within its bound."""
 
 
@@ -41,26 +41,26 @@
         for n, token in enumerate(tokens):
             said, name = token[0], token[1]
             if said in "{}" and name is None:
-                raise Unusable(f"a '{said}' without its other half")
+                raise InvalidPattern(f"a '{said}' without its other half")
             if name is None and not said.startswith("*"):
                 self.items += [(LIT, char, False) for char in said]
                 self.pieces.append(("text", said))
                 wild = False
                 continue
             if wild:
-                raise Unusable("two wildcards side by side")
+                raise InvalidPattern("two wildcards side by side")
             wild = True
             if name is not None:
                 if not CAPTURE.fullmatch(name):
-                    raise Unusable(f"'{{{name}}}' names no capture")
+                    raise InvalidPattern(f"'{{{name}}}' names no capture")
                 name = name.removesuffix("**")
                 if name in self.captures:
-                    raise Unusable(f"'{{{name}}}' stands twice")
+                    raise InvalidPattern(f"'{{{name}}}' stands twice")
                 self.captures.append(name)
             deep = said in ("**",) or said.endswith("**}") or not sep
             last, first = n == len(tokens) - 1, n == 0
             if deep and sep and not (last if sep == "/" else first):
-                raise Unusable(f"'{said}' stands only at the {'end' if sep == '/' else 'start'}")
+                raise InvalidPattern(f"'{said}' stands only at the {'end' if sep == '/' else 'start'}")
             if name is not None and not said.endswith("**}"):
                 self.items += [(ONE, "", deep), (STAR, "", deep)]
                 self.pieces.append(("one", name))
@@ -68,7 +68,7 @@
                 self.items.append((STAR, "", deep))
                 self.pieces.append(("deep" if deep else "star", name or ""))
         if len([piece for piece in self.pieces if piece[0] != "text"]) > WILDCARDS_MOST:
-            raise Unusable(f"more than {WILDCARDS_MOST} wildcards")
+            raise InvalidPattern(f"more than {WILDCARDS_MOST} wildcards")
         self.steps: dict[tuple[int, str], int] = {}
         self.chars = {char for kind, char, _ in self.items if kind == LIT}
         self.begin = self._close(1)
@@ -154,7 +154,7 @@
 
 @lru_cache(maxsize=1 << 17)
 def pattern(text: str, sep: str) -> Pattern:
-    """The pattern that a text stands for; raises Unusable with the reason."""
+    """The pattern that a text stands for; raises InvalidPattern with the reason."""
     return Pattern(text, sep)
 
 
@@ -193,7 +193,7 @@
             after = tuple(one.step(at, char) for one, at in zip(both, state, strict=True))
             if all(after[: len(yes)]) and after not in seen:
                 if len(seen) >= STATES_MOST:
-                    raise Undecided
+                    raise SearchLimitExceeded
                 seen.add(after)
                 queue.append((after, text + char))
     return None
--- a/quartzrouter/config/problems.py
+++ b/quartzrouter/config/problems.py
@@ -39,7 +39,7 @@
         return self.source.name, self.line, self.column
 
 
-class Weight(Enum):
+class Severity(Enum):
     ERROR = "error"
     WARNING = "warning"
 
@@ -49,13 +49,13 @@
     place: Place
     reason: str
     remedy: str = ""
-    weight: Weight = Weight.ERROR
+    severity: Severity = Severity.ERROR
     code: str = ""  # by which an editor knows the kind
     also: tuple[tuple[Place, str], ...] = ()  # further places, with what each of them is
 
     @property
     def head(self) -> str:
-        kind = "warning: " if self.weight is Weight.WARNING else ""
+        kind = "warning: " if self.severity is Severity.WARNING else ""
         return f"{self.place}: {kind}{self.reason}"
 
     def shown(self) -> str:
@@ -77,7 +77,7 @@
             "file": self.place.source.name,
             "line": self.place.line,
             "column": self.place.column,
-            "weight": self.weight.value,
+            "weight": self.severity.value,
             "code": self.code,
             "reason": self.reason,
             "remedy": self.remedy,
@@ -88,7 +88,7 @@
         }
 
 
-class Broken(Exception):
+class PlanError(Exception):
     """Carries one fault from where it is found to where it is kept."""
 
     def __init__(self, fault: Fault):
@@ -115,22 +115,22 @@
 
     @property
     def errors(self) -> list[Fault]:
-        return [fault for fault in self.kept if fault.weight is Weight.ERROR]
+        return [fault for fault in self.kept if fault.severity is Severity.ERROR]
 
     @property
     def warnings(self) -> list[Fault]:
-        return [fault for fault in self.kept if fault.weight is Weight.WARNING]
+        return [fault for fault in self.kept if fault.severity is Severity.WARNING]
 
     def in_order(self) -> list[Fault]:
         return sorted(self.kept, key=lambda fault: fault.place.order)
 
 
-def meant(word: str, known: Iterable[str]) -> str:
+def suggestion(word: str, known: Iterable[str]) -> str:
     """`did you mean X?` for the nearest known word, or nothing."""
     near = difflib.get_close_matches(word, list(known), n=1, cutoff=0.6)
     return f"did you mean '{near[0]}'?" if near else ""
 
 
-def names(known: Iterable[str], most: int = 8) -> str:
+def joined_names(known: Iterable[str], most: int = 8) -> str:
     listed = sorted(known)
     return ", ".join(listed[:most]) + (f" and {len(listed) - most} more" if len(listed) > most else "")
--- a/quartzrouter/config/purge_settings.py
+++ b/quartzrouter/config/purge_settings.py
@@ -19,7 +19,7 @@
     return settle_time(purges["grace"], kept)
 
 
-def check_life(purges: Any, vhosts: Mapping[str, TrafficClass], check: Check) -> None:
+def check_purge_life(purges: Any, vhosts: Mapping[str, TrafficClass], check: Check) -> None:
     """Notes a `life` that ends before purges settle: caches would never count as caught up under purges.
 
     :param purges: the plan's `purges` as they were read; None where there are none.
--- a/quartzrouter/config/quantity.py
+++ b/quartzrouter/config/quantity.py
@@ -11,7 +11,7 @@
 FIGURE_MOST = 10**24  # of any figure, or of its denominator: far past all that is meant
 
 
-class Wrong(ValueError):
+class QuantityError(ValueError):
     """Something that can't be said of figures; the text says what."""
 
 
@@ -47,7 +47,7 @@
     part: Fraction
 
     def __str__(self) -> str:
-        return f"{plain(self.part * 100)}%"
+        return f"{format_number(self.part * 100)}%"
 
 
 Quantity = Duration | Size | Rate | Share
@@ -62,7 +62,7 @@
     return f"{count // units[unit]}{unit}"
 
 
-def plain(number: Number) -> str:
+def format_number(number: Number) -> str:
     """A number as it would be written."""
     if isinstance(number, int) or number.denominator == 1:
         return str(int(number))
@@ -73,36 +73,40 @@
     """Whole where it is whole; refused where it is past all bounds."""
     if isinstance(number, Fraction):
         if number.denominator > FIGURE_MOST:
-            raise Wrong("a figure with too many places")
+            raise QuantityError("a figure with too many places")
         if number.denominator == 1:
             number = number.numerator
     if abs(number) > FIGURE_MOST:
-        raise Wrong("a figure past all bounds")
+        raise QuantityError("a figure past all bounds")
     return number
 
 
-def quantity(text: str) -> Quantity:
+def parse_quantity(text: str) -> Quantity:
     """The quantity that a literal names, as `250ms`, `64MiB`, `120/s`, `35%`."""
     found = LITERAL.fullmatch(text)
     if not found:
-        raise Wrong(f"{text} is no quantity")
+        raise QuantityError(f"{text} is no quantity")
     amount, unit = Fraction(found[1]), found[2]
     if unit == "%":
         return Share(amount / 100)
     if unit.startswith("/"):
         if unit[1:] not in PER:
-            raise Wrong(f"'{unit}' is no unit of a rate; those are {', '.join('/' + per for per in PER)}")
+            raise QuantityError(
+                f"'{unit}' is no unit of a rate; those are {', '.join('/' + per for per in PER)}"
+            )
         return Rate(amount / PER[unit[1:]])
     if unit in DURATIONS:
         return Duration(_whole(amount * DURATIONS[unit], text, "microseconds"))
     if unit in SIZES:
         return Size(_whole(amount * SIZES[unit], text, "bytes"))
-    raise Wrong(f"'{unit}' is no unit; those are {', '.join([*DURATIONS, *SIZES])}, /s, /min, /h and %")
+    raise QuantityError(
+        f"'{unit}' is no unit; those are {', '.join([*DURATIONS, *SIZES])}, /s, /min, /h and %"
+    )
 
 
 def _whole(amount: Fraction, text: str, of: str) -> int:
     if amount.denominator != 1:
-        raise Wrong(f"{text} isn't a whole number of {of}")
+        raise QuantityError(f"{text} isn't a whole number of {of}")
     return int(figure(amount))
 
 
--- a/quartzrouter/config/reference.py
+++ b/quartzrouter/config/reference.py
@@ -3,7 +3,7 @@
 from quartzrouter.config.keys import PLAN
 from quartzrouter.config.quantity import Duration, Share, Size
 from quartzrouter.config.schema import REQUIRED, Entry, Kind, MapOf, Quantified, RecordOf
-from quartzrouter.config.values import shown
+from quartzrouter.config.values import format_value
 
 HEAD = """# Plan reference
 
@@ -38,7 +38,7 @@
 def _kind(kind: Kind) -> str:
     said = kind.says.replace("|", "\\|")
     if isinstance(kind, Quantified) and kind.least is not None:
-        said += f", {shown(kind.least)} to {shown(kind.most)}"
+        said += f", {format_value(kind.least)} to {format_value(kind.most)}"
     return said
 
 
--- a/quartzrouter/config/schema.py
+++ b/quartzrouter/config/schema.py
@@ -9,9 +9,9 @@
 from fractions import Fraction
 from typing import Any
 
-from quartzrouter.config.problems import Fault, Faults, Place, Weight, meant, names
-from quartzrouter.config.quantity import Duration, Rate, Share, Size, plain
-from quartzrouter.config.values import POISON, Closure, ListOf, Rec, Slot, kind, shown
+from quartzrouter.config.problems import Fault, Faults, Place, Severity, joined_names, suggestion
+from quartzrouter.config.quantity import Duration, Rate, Share, Size, format_number
+from quartzrouter.config.values import POISON, Closure, ListValue, RecordValue, Slot, format_value, kind_name
 
 Path = tuple[str, ...]
 REQUIRED = object()
@@ -35,7 +35,7 @@
     places: dict[Path, Place] = field(default_factory=dict)
 
     def note(
-        self, place: Place, reason: str, remedy: str = "", code: str = "value", also=(), weight=Weight.ERROR
+        self, place: Place, reason: str, remedy: str = "", code: str = "value", also=(), weight=Severity.ERROR
     ) -> Bad:
         self.faults.add(Fault(place, reason, remedy, weight, code, tuple(also)))
         return BAD
@@ -67,7 +67,7 @@
         raise NotImplementedError
 
     def wrong(self, check: Check, path: Path, slot: Slot, remedy: str = "") -> Bad:
-        reason = f"{said(path)} is {kind(slot.value)} where {self.says} belongs"
+        reason = f"{said(path)} is {kind_name(slot.value)} where {self.says} belongs"
         return check.note(slot.place, reason, remedy, "type")
 
 
@@ -92,16 +92,20 @@
             return self.wrong(check, path, slot, "without a fraction")
         if not (number if self.of in (int, Fraction) else isinstance(value, self.of)):
             if number and self.of in (Duration, Size, Rate, Share):
-                reason = f"'{path[-1]}' is {plain(value)} without a unit"
+                reason = f"'{path[-1]}' is {format_number(value)} without a unit"
                 return check.note(slot.place, reason, f"{self.word} is written as {self.example}", "unit")
             return self.wrong(check, path, slot, f"as in {self.example}")
         if self.least is not None and value < self.least:
             return check.note(
-                slot.place, f"'{path[-1]}' is {shown(value)}, below {shown(self.least)}", code="range"
+                slot.place,
+                f"'{path[-1]}' is {format_value(value)}, below {format_value(self.least)}",
+                code="range",
             )
         if self.most is not None and value > self.most:
             return check.note(
-                slot.place, f"'{path[-1]}' is {shown(value)}, above {shown(self.most)}", code="range"
+                slot.place,
+                f"'{path[-1]}' is {format_value(value)}, above {format_value(self.most)}",
+                code="range",
             )
         match value:
             case Duration(us):
@@ -124,18 +128,28 @@
 
 
 def duration(least: str = "0us", most: str = "30d", **other: Any) -> Quantified:
-    from quartzrouter.config.quantity import quantity
+    from quartzrouter.config.quantity import parse_quantity
 
     return Quantified(
-        least=quantity(least), most=quantity(most), of=Duration, example="250ms", word="a duration", **other
+        least=parse_quantity(least),
+        most=parse_quantity(most),
+        of=Duration,
+        example="250ms",
+        word="a duration",
+        **other,
     )
 
 
 def size(least: str = "0B", most: str = "1000GiB", **other: Any) -> Quantified:
-    from quartzrouter.config.quantity import quantity
+    from quartzrouter.config.quantity import parse_quantity
 
     return Quantified(
-        least=quantity(least), most=quantity(most), of=Size, example="64MiB", word="a size", **other
+        least=parse_quantity(least),
+        most=parse_quantity(most),
+        of=Size,
+        example="64MiB",
+        word="a size",
+        **other,
     )
 
 
@@ -178,7 +192,9 @@
             return check.note(slot.place, f"'{path[-1]}' has more than {self.most} characters", code="range")
         fault = self.test(slot.value) if self.test else ""
         if fault:
-            return check.note(slot.place, f"'{path[-1]}' is {shown(slot.value)}: {fault}", code="value")
+            return check.note(
+                slot.place, f"'{path[-1]}' is {format_value(slot.value)}: {fault}", code="value"
+            )
         return slot.value
 
 
@@ -215,8 +231,10 @@
         if not isinstance(slot.value, str):
             return self.wrong(check, path, slot)
         if slot.value not in self.of:
-            remedy = meant(slot.value, self.of) or f"those are {', '.join(self.of)}"
-            return check.note(slot.place, f"'{path[-1]}' can't be {shown(slot.value)}", remedy, "value")
+            remedy = suggestion(slot.value, self.of) or f"those are {', '.join(self.of)}"
+            return check.note(
+                slot.place, f"'{path[-1]}' can't be {format_value(slot.value)}", remedy, "value"
+            )
         return slot.value
 
 
@@ -252,7 +270,7 @@
 
 
 def _sort_of(value: Any) -> str:
-    said = kind(value)
+    said = kind_name(value)
     return {"a number": "number", "a text": "text", "a list": "list", "a record": "record"}.get(said, said)
 
 
@@ -267,7 +285,7 @@
         return f"a list, each {self.of.says}"
 
     def make(self, check: Check, path: Path, slot: Slot) -> Any:
-        if not isinstance(slot.value, ListOf):
+        if not isinstance(slot.value, ListValue):
             if not self.one_too:
                 return self.wrong(check, path, slot)
             made = self.of.take(check, path, slot)
@@ -295,11 +313,11 @@
         return f"a record of {self.what}s, each {self.of.says}"
 
     def make(self, check: Check, path: Path, slot: Slot) -> Any:
-        if not isinstance(slot.value, Rec):
+        if not isinstance(slot.value, RecordValue):
             return self.wrong(check, path, slot)
         found = {}
         for name, inner in slot.value.slots.items():
-            place = inner.named or inner.place
+            place = inner.key_place or inner.place
             if unmet(check, path, name, inner, slot.value.slots):
                 continue
             fault = self.key(name) if self.key else ""
@@ -317,12 +335,14 @@
 
 def unmet(check: Check, path: Path, name: str, slot: Slot, among: dict[str, Slot]) -> bool:
     """An override or a merge that met nothing."""
-    if slot.how == ":":
+    if slot.merge_mode == ":":
         return False
-    word = "override" if slot.how == "override" else "merge into"
-    others = [other for other, there in among.items() if there.how == ":"]
-    remedy = meant(name, others) or (f"there are {names(others)}" if others else "write it with ':'")
-    check.note(slot.named or slot.place, f"there is no '{name}' to {word}", remedy, "override")
+    word = "override" if slot.merge_mode == "override" else "merge into"
+    others = [other for other, there in among.items() if there.merge_mode == ":"]
+    remedy = suggestion(name, others) or (
+        f"there are {joined_names(others)}" if others else "write it with ':'"
+    )
+    check.note(slot.key_place or slot.place, f"there is no '{name}' to {word}", remedy, "override")
     return True
 
 
@@ -343,14 +363,14 @@
         return self.word
 
     def make(self, check: Check, path: Path, slot: Slot) -> Any:
-        if not isinstance(slot.value, Rec):
+        if not isinstance(slot.value, RecordValue):
             return self.wrong(check, path, slot)
         found: dict[str, Any] = {}
         for name, inner in slot.value.slots.items():
-            place = inner.named or inner.place
+            place = inner.key_place or inner.place
             entry = self.entries.get(name)
             if entry is None:
-                remedy = meant(name, self.entries) or f"there are {names(self.entries, 12)}"
+                remedy = suggestion(name, self.entries) or f"there are {joined_names(self.entries, 12)}"
                 check.note(place, f"'{name}' is no key of {_of(path)}", remedy, "key")
             elif unmet(check, path, name, inner, slot.value.slots):
                 found[name] = BAD
--- a/quartzrouter/config/shadowing.py
+++ b/quartzrouter/config/shadowing.py
@@ -4,8 +4,8 @@
 
 from quartzrouter.config.matcher import Matcher
 from quartzrouter.config.model import Plan, Route
-from quartzrouter.config.patterns import Undecided
-from quartzrouter.config.problems import Weight
+from quartzrouter.config.patterns import SearchLimitExceeded
+from quartzrouter.config.problems import Severity
 from quartzrouter.config.request_sets import Box, TooMany, rest
 from quartzrouter.config.schema import Check
 
@@ -51,13 +51,13 @@
         try:
             if not _reached(route, matcher) and _shadowed(check, route, earlier):
                 continue
-        except (Undecided, TooMany):
+        except (SearchLimitExceeded, TooMany):
             check.note(
                 check.place(("routes", route.name)),
                 f"whether route '{route.name}' can be reached takes too long to say",
                 "its patterns overlap in too many ways",
                 "overlap",
-                weight=Weight.WARNING,
+                weight=Severity.WARNING,
             )
         found: list[tuple[Route, Box]] = []
         for other in earlier[:pairs]:
@@ -65,7 +65,7 @@
             try:
                 if shared := _overlap(other, route):
                     found.append((other, shared))
-            except (Undecided, TooMany):
+            except (SearchLimitExceeded, TooMany):
                 continue
         if found:
             _warn(check, route, found)
@@ -140,7 +140,7 @@
         f"{shared.witness().shown()} goes to '{first.name}'",
         "overlap",
         also,
-        Weight.WARNING,
+        Severity.WARNING,
     )
 
 
--- a/quartzrouter/config/syntax_tree.py
+++ b/quartzrouter/config/syntax_tree.py
@@ -105,7 +105,7 @@
 @dataclass(slots=True)
 class Field(Node):
     key: "str | Node"
-    how: str  # ":" says it, "+:" merges into it, "override" replaces it
+    merge_mode: str  # ":" says it, "+:" merges into it, "override" replaces it
     value: Node
 
 
--- a/quartzrouter/config/values.py
+++ b/quartzrouter/config/values.py
@@ -8,8 +8,8 @@
 from quartzrouter.config import quantity, syntax_tree
 from quartzrouter.config.problems import Place
 
-WORDS = {"local", "if", "then", "else", "for", "in", "include", "override", "true", "false", "null"}
-BARE = re.compile(r"[A-Za-z_][A-Za-z0-9_]*(-[A-Za-z0-9_]+)*")
+RESERVED_WORDS = {"local", "if", "then", "else", "for", "in", "include", "override", "true", "false", "null"}
+BARE_KEY = re.compile(r"[A-Za-z_][A-Za-z0-9_]*(-[A-Za-z0-9_]+)*")
 
 
 class Poison:
@@ -25,17 +25,17 @@
 
     value: Any
     place: Place
-    how: str = ":"
-    named: Place | None = None  # of the key
+    merge_mode: str = ":"
+    key_place: Place | None = None  # of the key
 
 
 @dataclass(slots=True)
-class ListOf:
+class ListValue:
     slots: list[Slot]
 
 
 @dataclass(slots=True)
-class Rec:
+class RecordValue:
     slots: dict[str, Slot] = field(default_factory=dict)
 
 
@@ -46,7 +46,7 @@
     scope: Any  # the names that were there before it: so that it can't call itself
 
 
-def kind(value: Any) -> str:
+def kind_name(value: Any) -> str:
     """What a value is, as a message says it."""
     match value:
         case None:
@@ -57,9 +57,9 @@
             return "a number"
         case str():
             return "a text"
-        case ListOf():
+        case ListValue():
             return "a list"
-        case Rec():
+        case RecordValue():
             return "a record"
         case Closure():
             return "a function"
@@ -68,7 +68,7 @@
     return "a function" if callable(value) else quantity.KINDS[type(value)]
 
 
-def shown(value: Any) -> str:
+def format_value(value: Any) -> str:
     """A value on one line, as it would be written."""
     match value:
         case None:
@@ -76,32 +76,34 @@
         case bool():
             return str(value).lower()
         case int() | Fraction():
-            return quantity.plain(value)
+            return quantity.format_number(value)
         case str():
             escaped = value.replace("\\", "\\\\").replace('"', '\\"').replace("$", "\\$")
             return '"' + escaped.replace("\n", "\\n").replace("\t", "\\t") + '"'
-        case ListOf(slots):
-            return "[" + ", ".join(shown(slot.value) for slot in slots) + "]"
-        case Rec(slots):
-            inner = ", ".join(f"{name_shown(name)}: {shown(slot.value)}" for name, slot in slots.items())
+        case ListValue(slots):
+            return "[" + ", ".join(format_value(slot.value) for slot in slots) + "]"
+        case RecordValue(slots):
+            inner = ", ".join(
+                f"{format_key(name)}: {format_value(slot.value)}" for name, slot in slots.items()
+            )
             return "{ " + inner + " }" if inner else "{}"
         case Closure(name):
             return f"{name}(...)"
     return str(value)
 
 
-def name_shown(name: str) -> str:
+def format_key(name: str) -> str:
     """A key as it would be written."""
-    return name if BARE.fullmatch(name) and name not in WORDS else shown(name)
+    return name if BARE_KEY.fullmatch(name) and name not in RESERVED_WORDS else format_value(name)
 
 
-def plain(value: Any) -> Any:
+def to_json_value(value: Any) -> Any:
     """As JSON would hold it: quantities as texts."""
     match value:
-        case ListOf(slots):
-            return [plain(slot.value) for slot in slots]
-        case Rec(slots):
-            return {name: plain(slot.value) for name, slot in slots.items()}
+        case ListValue(slots):
+            return [to_json_value(slot.value) for slot in slots]
+        case RecordValue(slots):
+            return {name: to_json_value(slot.value) for name, slot in slots.items()}
         case Fraction():
             return float(value)
         case None | bool() | int() | str():
--- a/quartzrouter/fault_scenarios/leases.py
+++ b/quartzrouter/fault_scenarios/leases.py
@@ -15,7 +15,7 @@
 
 import anyio
 
-from quartzrouter.config.quantity import quantity
+from quartzrouter.config.quantity import parse_quantity
 from quartzrouter.fault_harness import fault_schedule, history_checks
 from quartzrouter.fault_harness.fault_injection import FaultInjectedFleet
 from quartzrouter.fault_harness.fault_schedule import Fault
@@ -237,7 +237,7 @@
 def drawn(chance: random.Random, shape: ScenarioSize, faults: int) -> list[Fault]:
     """So many faults, most of them at claimants, and each of the hard ones once."""
     keepers, claimants = [f"k{n}" for n in range(shape.keepers)], [f"c{n}" for n in range(shape.claimants)]
-    until, length = round(shape.seconds * 1000) - 2_500, quantity(shape.length).us // 1000
+    until, length = round(shape.seconds * 1000) - 2_500, parse_quantity(shape.length).us // 1000
     kinds = {
         "cut": (claimants, (200, 3 * length), (0, 0, 1, 2)),
         "late": (claimants, (500, 3_000), (0.02, length / 4_000, length / 1_500)),
@@ -276,7 +276,7 @@
     @property
     def overlaps(self) -> list:
         return history_checks.overlaps(
-            self.fleet.history, quantity(self.fleet.shape.length).us // ACTION_TIME_DIVISOR
+            self.fleet.history, parse_quantity(self.fleet.shape.length).us // ACTION_TIME_DIVISOR
         )
 
     @property
@@ -407,7 +407,7 @@
     tally.figures["acts, under numbers, refused"] = (
         f"{len(found)}, {len({each.number for each in found})}, {seen.fleet.witness.refused}"
     )
-    length, seconds = quantity(shape.length).us, (seen.ended - seen.began) / S
+    length, seconds = parse_quantity(shape.length).us, (seen.ended - seen.began) / S
     gaps = sorted(
         each for each in history_checks.pauses(history, seen.began, seen.ended) if each > length // 4
     )
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -16,9 +16,9 @@
 from quartzrouter.config.diff import Diff
 from quartzrouter.config.evaluator import Unreadable
 from quartzrouter.config.formatter import layout
-from quartzrouter.config.loader import from_disk, load
-from quartzrouter.config.matcher import plain
-from quartzrouter.config.problems import Broken, Source
+from quartzrouter.config.loader import disk_loader, load
+from quartzrouter.config.matcher import first_match
+from quartzrouter.config.problems import PlanError, Source
 from quartzrouter.config.request_sets import Asked
 from quartzrouter.fakes.loopback import Cache, Client, free_port
 from quartzrouter.fault_scenarios import ScenarioReport
@@ -105,7 +105,7 @@
         (root / "latin").write_bytes(b'{ a: "\xe9" }')
         for name, said in {"dir": "a folder", "latin": "not UTF-8", "none": "no such file"}.items():
             (root / "main").write_text(f'include "{name}"')
-            errors = load(str(root / "main"), from_disk()).faults.errors
+            errors = load(str(root / "main"), disk_loader()).faults.errors
             tally.expect(len(errors) == 1 and said in errors[0].reason, f"include of {name}")
     tally.figures["includes that can't be read"] = 3
 
@@ -131,7 +131,7 @@
             )
             laid = layout(Source("main", text))
             tally.expect(layout(Source("main", laid)) == laid, f"another layout of a layout: {text!r}")
-        except Broken:
+        except PlanError:
             outcomes["not parsed"] += 1
         except Exception as error:
             tally.broken.append(f"{type(error).__name__} on {text!r}")
@@ -184,7 +184,7 @@
         sets += len(diff.changes)
         pairs = {change.pair for change in diff.changes}
         for asked in ASKED:
-            was, now = plain(old.routes, asked), plain(new.routes, asked)
+            was, now = first_match(old.routes, asked), first_match(new.routes, asked)
             changed = (was and was.pool) != (now and now.pool)
             differ += changed
             pair = (was.name if was else None, now.name if now else None)
--- a/quartzrouter/fault_scenarios/quota_fleet.py
+++ b/quartzrouter/fault_scenarios/quota_fleet.py
@@ -9,7 +9,7 @@
 import anyio
 
 from quartzrouter.config.loader import load
-from quartzrouter.config.quantity import quantity
+from quartzrouter.config.quantity import parse_quantity
 from quartzrouter.configuration_section import parse_address
 from quartzrouter.fault_harness.counting_cache import CountingCache
 from quartzrouter.fault_harness.fault_injection import FaultInjectedFleet
@@ -144,7 +144,7 @@
     def __init__(
         self, folder: Path, chance: random.Random, size: ScenarioSize, mutations: Sequence[str] = ()
     ):
-        super().__init__(folder, chance, quantity(size.purge_grace).us)
+        super().__init__(folder, chance, parse_quantity(size.purge_grace).us)
         self.size = size
         self.spoil = size.spoilt_share
         self.mutations = mutations
--- a/quartzrouter/pool_routing/route_selection.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from quartzrouter.config.matcher import Found, Matcher
+from quartzrouter.config.matcher import Matcher, RouteMatch
 from quartzrouter.config.model import Plan, Policy, Route
 from quartzrouter.config.patterns import TOKEN
 from quartzrouter.config.request_sets import Asked
@@ -112,20 +112,20 @@
     return f"{route.vhost}@{route.policy}" if route.policy else route.vhost
 
 
-def _tenant(route: Route, found: Found, asked: Asked) -> str:
+def _tenant(route: Route, found: RouteMatch, asked: Asked) -> str:
     """From the path where the route captures it, else from the header of that name."""
     if not route.tenant:
         return ""
     return found.captures.get(route.tenant) or asked.headers.get(route.tenant.lower(), "")
 
 
-def _filled(template: str, found: Found, asked: Asked) -> str:
+def _filled(template: str, found: RouteMatch, asked: Asked) -> str:
     """A template of the plan with its names replaced by what the path captures."""
     known = found.captures | {"host": asked.host, "path": asked.path}
     return TOKEN.sub(lambda token: known[token[1]] if token[1] is not None else token[0], template)
 
 
-def _path_without_chunk(found: Found, asked: Asked, has_chunk: bool) -> str:
+def _path_without_chunk(found: RouteMatch, asked: Asked, has_chunk: bool) -> str:
     """Host and path, with the chunk's number left out where the path names one."""
     path = asked.path
     if has_chunk:
--- a/quartzrouter/standalone/plan_reloader.py
+++ b/quartzrouter/standalone/plan_reloader.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from quartzrouter.config.loader import Loaded, load
+from quartzrouter.config.loader import LoadResult, load
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 
@@ -19,7 +19,7 @@
     :param log: is told of errors of the program.
     """
 
-    def __init__(self, path: str, apply: Callable[[Loaded], None], log: RateLimitedLog):
+    def __init__(self, path: str, apply: Callable[[LoadResult], None], log: RateLimitedLog):
         self._path = path
         self._apply = apply
         self._log = log
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from quartzrouter.config.loader import Loaded
+from quartzrouter.config.loader import LoadResult
 from quartzrouter.config.model import Plan
 from quartzrouter.config.platform_json import compiled, members
 from quartzrouter.configuration import Configuration
@@ -113,7 +113,7 @@
     def _reload(self) -> None:
         self._reloader.request(self.tasks)
 
-    def _apply(self, loaded: Loaded) -> None:
+    def _apply(self, loaded: LoadResult) -> None:
         """Puts a plan in force; a faulty one changes nothing and costs its messages."""
         if loaded.plan is None:
             faults = loaded.faults.errors
--- a/tests/test_plan_properties.py
+++ b/tests/test_plan_properties.py
@@ -13,12 +13,18 @@
 from quartzrouter.config.evaluator import Evaluation, Unreadable
 from quartzrouter.config.formatter import layout
 from quartzrouter.config.loader import load
-from quartzrouter.config.matcher import Matcher, plain
+from quartzrouter.config.matcher import Matcher
+from quartzrouter.config.matcher import first_match as plain
 from quartzrouter.config.parser import parse
-from quartzrouter.config.patterns import Unusable, pattern, witness
-from quartzrouter.config.problems import Broken, Faults, Source
+from quartzrouter.config.patterns import InvalidPattern as Unusable
+from quartzrouter.config.patterns import pattern, witness
+from quartzrouter.config.problems import Faults, Source
+from quartzrouter.config.problems import PlanError as Broken
 from quartzrouter.config.request_sets import Asked, rest
 
+# Imported as `plain`, `Unusable` and `Broken`: the derandomized tests take their examples from their own
+# source, so they keep these names.
+
 settings.register_profile("same", derandomize=True, deadline=None, database=None, print_blob=False)
 settings.load_profile("same")
 
