--- a/quartzrouter/config/matcher.py
+++ b/quartzrouter/config/matcher.py
@@ -1,8 +1,9 @@
-"""Which route takes a req: compiled from the plan, no I/O.
+"""Finds the route that matches a request.  The index is compiled from the plan; there is no I/O.
 
-Routes hang in a tree by the literal text with which their path begins, cut at '/'; a lookup walks the req's
-path down the tree, and on the way tries what hangs there in the order of the plan.  Each node knows the
-first route below it, so that a walk ends as soon as nothing earlier can come.
+Routes are kept in a prefix tree, by the literal text at the start of their path, split at '/'.  A lookup
+walks down the tree along the request's path and tries the routes of each node in the order of the plan.
+Each node holds the order of the first route in its subtree, so that a walk ends as soon as no earlier route
+can follow.
 """
 
 from bisect import insort
@@ -11,83 +12,98 @@
 from quartzrouter.config.model import Plan, Route
 from quartzrouter.config.request_sets import Asked, Box, Lang
 
-NEVER = 1 << 31  # an order that no route has
+NO_ORDER = 1 << 31  # greater than the order of any route
 
 
 class Node:
-    __slots__ = ("below", "first", "here", "literal")
+    """A node of the prefix tree.
+
+    :param children: the nodes below it, by the next part of the path.
+    :param first_order: the order of the first route at or below it.
+    :param patterns: the boxes whose path isn't a literal: the route's order, the box's index in it, the box.
+    :param literals: the boxes whose path is a literal, by that path.
+    """
+
+    __slots__ = ("children", "first_order", "literals", "patterns")
 
     def __init__(self) -> None:
-        self.below: dict[str, Node] = {}
-        self.first = NEVER  # the order of the first route here or below
-        self.here: list[tuple[int, int, Box]] = []  # order, which of its boxes, the box
-        self.literal: dict[str, list[tuple[int, int, Box]]] = {}  # whole paths that end here
+        self.children: dict[str, Node] = {}
+        self.first_order = NO_ORDER
+        self.patterns: list[tuple[int, int, Box]] = []
+        self.literals: dict[str, list[tuple[int, int, Box]]] = {}
 
 
 class RouteMatch(NamedTuple):
+    """The route that matches a request, and the text that each capture of its path stands for."""
+
     route: Route
     captures: dict[str, str]
 
 
 class Matcher:
+    """The index of a plan's routes."""
+
     def __init__(self, routes: tuple[Route, ...]):
         self.routes, self.root = routes, Node()
         for route in routes:
-            for n, box in enumerate(route.boxes):
-                self._hang(route.order, n, box)
+            for index, box in enumerate(route.boxes):
+                self._insert(route.order, index, box)
 
-    def _hang(self, order: int, n: int, box: Box) -> None:
+    def _insert(self, order: int, index: int, box: Box) -> None:
         pattern = box.path.yes[0] if box.path.yes else None
         node = self.root
-        node.first = min(node.first, order)
+        node.first_order = min(node.first_order, order)
         if pattern is None:
-            insort(node.here, (order, n, box), key=lambda item: item[:2])
+            insort(node.patterns, (order, index, box), key=lambda item: item[:2])
             return
-        whole = pattern.literal is not None
+        is_literal = pattern.literal is not None
         for part in pattern.prefix.split("/")[1:-1]:
-            node = node.below.setdefault(part, Node())
-            node.first = min(node.first, order)
-        into = node.literal.setdefault(pattern.text, []) if whole else node.here
-        insort(into, (order, n, box), key=lambda item: item[:2])
+            node = node.children.setdefault(part, Node())
+            node.first_order = min(node.first_order, order)
+        entries = node.literals.setdefault(pattern.text, []) if is_literal else node.patterns
+        insort(entries, (order, index, box), key=lambda item: item[:2])
 
     def find(self, asked: Asked) -> RouteMatch | None:
-        """The first route that takes the req."""
-        best, node, path = NEVER, self.root, asked.path
+        """Returns the first route that matches a request, or None."""
+        best, node, path = NO_ORDER, self.root, asked.path
         parts = path.split("/")[1:-1]
         for depth in range(len(parts) + 1):
-            for items, literal in ((node.literal.get(path, ()), True), (node.here, False)):
-                for order, _, box in items:
+            for entries, path_matches in ((node.literals.get(path, ()), True), (node.patterns, False)):
+                for order, _, box in entries:
                     if order >= best:
                         break
-                    if box_contains(box, asked, literal):
+                    if box_contains(box, asked, path_matches):
                         best = order
                         break
             if depth == len(parts):
                 break
-            node = node.below.get(parts[depth])
-            if node is None or node.first >= best:
+            node = node.children.get(parts[depth])
+            if node is None or node.first_order >= best:
                 break
-        if best == NEVER:
+        if best == NO_ORDER:
             return None
         route = self.routes[best]
         pattern = route.boxes[0].path.yes
         return RouteMatch(route, pattern[0].capture(path) if pattern else {})
 
 
-def box_contains(box: Box, asked: Asked, path_known: bool = False) -> bool:
-    """Whether a req lies in a box."""
+def box_contains(box: Box, asked: Asked, path_matches: bool = False) -> bool:
+    """Returns True if a request lies in a box.
+
+    :param path_matches: True if the path is known to match.
+    """
     if asked.store not in box.stores or asked.method not in box.methods:
         return False
-    if not path_known and not all(one.expression.fullmatch(asked.path) for one in box.path.yes):
+    if not path_matches and not all(one.expression.fullmatch(asked.path) for one in box.path.yes):
         return False
     if box.host.yes and not all(one.expression.fullmatch(asked.host) for one in box.host.yes):
         return False
-    return _hold(box.headers, asked.headers) and _hold(box.params, asked.params)
+    return _all_match(box.headers, asked.headers) and _all_match(box.params, asked.params)
 
 
-def _hold(told: dict[str, Lang], given: dict[str, str]) -> bool:
-    for name, lang in told.items():
-        value = given.get(name)
+def _all_match(conditions: dict[str, Lang], values: dict[str, str]) -> bool:
+    for name, lang in conditions.items():
+        value = values.get(name)
         if value is None:
             if not lang.absent:
                 return False
@@ -97,9 +113,10 @@
 
 
 def first_match(routes: tuple[Route, ...], asked: Asked) -> Route | None:
-    """The same by trying one route after the other: what the tree is measured against."""
+    """Returns the route that ``Matcher.find`` finds, by trying each in turn; for tests and benchmarks."""
     return next((route for route in routes if any(box_contains(box, asked) for box in route.boxes)), None)
 
 
 def build_matcher(plan: Plan) -> Matcher:
+    """Returns the index of a plan's routes."""
     return Matcher(plan.routes)
--- a/quartzrouter/config/patterns.py
+++ b/quartzrouter/config/patterns.py
@@ -1,7 +1,7 @@
-"""Patterns over hosts, paths and texts, and whether any text meets some of them and none of others.
+"""Patterns over hosts, paths and texts, and the search for a text that matches some and none of others.
 
-`{name}` stands for one or more characters but the separator, `*` for any number of them, `**` and `{name**}`
-for anything.  A set of patterns is decided exactly, on the automata that they are, with a witness.
+`{name}` matches one or more characters other than the separator, `*` any number of them, `**` and `{name**}`
+any text.  The search is exact: it runs the patterns as automata, and returns a text as a witness.
 """
 
 import re
@@ -10,163 +10,184 @@
 from functools import cached_property, lru_cache
 
 METHODS = ("GET", "HEAD", "POST", "PUT", "DELETE", "PATCH", "OPTIONS")
-WILDCARDS_MOST = 8  # of one pattern: more say nothing more
-STATES_MOST = 40_000  # looked at for one question: a second of work
+MAX_WILDCARDS = 8  # of one pattern; more would express nothing more
+MAX_STATES = 40_000  # that one search visits (a second of work), and steps that one pattern caches
 TOKEN = re.compile(r"\{([^{}]*)\}|\*\*|\*|[^{}*]+|[{}]")
 CAPTURE = re.compile(r"[A-Za-z_][A-Za-z0-9_-]*(\*\*)?")
-OTHER = "qxzjkvwy0123456789_~"  # of these one stands for all characters that no pattern names
-FILLERS = ("q7x", "zz", "k0v9")  # for a first guess at a witness
+# one of these represents all characters that no pattern contains
+OTHER_CHARACTERS = "qxzjkvwy0123456789_~"
+FILLERS = ("q7x", "zz", "k0v9")  # replace the wildcards in a first guess at a witness
 
-LIT, ONE, STAR = range(3)
+# what a position of the automaton takes: a given character, one character, any number of characters
+LITERAL, ONE, ANY_NUMBER = range(3)
 
 
 class InvalidPattern(ValueError):
-    """A text that is no pattern."""
+    """A text isn't a pattern; the message says why."""
 
 
 class SearchLimitExceeded(Exception):
-    """A question too large to be answered within its bound."""
+    """A search for a witness visits more than ``MAX_STATES`` states."""
 
 
 class Pattern:
-    """One pattern.  Equal texts are one object, by pattern()."""
+    """One pattern, both as a regular expression and as an automaton.
+
+    ``pattern()`` returns the same object for equal texts.
+
+    :param text: the pattern as the plan writes it.
+    :param sep: the separator that `{name}` and `*` don't match; empty if they match all characters.
+    """
 
     def __init__(self, text: str, sep: str):
         self.text, self.sep = text, sep
         self.captures: list[str] = []
-        self.items: list[tuple[int, str, bool]] = []  # kind, the character, whether it takes the separator
-        self.pieces: list[tuple[str, str]] = []  # for the expression and for guesses: what, text
-        wild = False
+        # the automaton's positions: the kind, the character of a literal, True if it takes the separator too
+        self.positions: list[tuple[int, str, bool]] = []
+        # for the expression and for guesses: the kind, with the literal text or the capture's name
+        self.pieces: list[tuple[str, str]] = []
+        after_wildcard = False
         tokens = list(TOKEN.finditer(text))
-        for n, token in enumerate(tokens):
-            said, name = token[0], token[1]
-            if said in "{}" and name is None:
-                raise InvalidPattern(f"a '{said}' without its other half")
-            if name is None and not said.startswith("*"):
-                self.items += [(LIT, char, False) for char in said]
-                self.pieces.append(("text", said))
-                wild = False
+        for index, token in enumerate(tokens):
+            token_text, name = token[0], token[1]
+            if token_text in "{}" and name is None:
+                raise InvalidPattern(f"unmatched '{token_text}'")
+            if name is None and not token_text.startswith("*"):
+                self.positions += [(LITERAL, char, False) for char in token_text]
+                self.pieces.append(("text", token_text))
+                after_wildcard = False
                 continue
-            if wild:
-                raise InvalidPattern("two wildcards side by side")
-            wild = True
+            if after_wildcard:
+                raise InvalidPattern("two adjacent wildcards")
+            after_wildcard = True
             if name is not None:
                 if not CAPTURE.fullmatch(name):
-                    raise InvalidPattern(f"'{{{name}}}' names no capture")
+                    raise InvalidPattern(f"'{{{name}}}' isn't a valid capture name")
                 name = name.removesuffix("**")
                 if name in self.captures:
-                    raise InvalidPattern(f"'{{{name}}}' stands twice")
+                    raise InvalidPattern(f"'{{{name}}}' is used twice")
                 self.captures.append(name)
-            deep = said in ("**",) or said.endswith("**}") or not sep
-            last, first = n == len(tokens) - 1, n == 0
-            if deep and sep and not (last if sep == "/" else first):
-                raise InvalidPattern(f"'{said}' stands only at the {'end' if sep == '/' else 'start'}")
-            if name is not None and not said.endswith("**}"):
-                self.items += [(ONE, "", deep), (STAR, "", deep)]
+            takes_separator = token_text in ("**",) or token_text.endswith("**}") or not sep
+            is_last, is_first = index == len(tokens) - 1, index == 0
+            if takes_separator and sep and not (is_last if sep == "/" else is_first):
+                raise InvalidPattern(
+                    f"'{token_text}' is allowed only at the {'end' if sep == '/' else 'start'}"
+                )
+            if name is not None and not token_text.endswith("**}"):
+                self.positions += [(ONE, "", takes_separator), (ANY_NUMBER, "", takes_separator)]
                 self.pieces.append(("one", name))
             else:
-                self.items.append((STAR, "", deep))
-                self.pieces.append(("deep" if deep else "star", name or ""))
-        if len([piece for piece in self.pieces if piece[0] != "text"]) > WILDCARDS_MOST:
-            raise InvalidPattern(f"more than {WILDCARDS_MOST} wildcards")
-        self.steps: dict[tuple[int, str], int] = {}
-        self.chars = {char for kind, char, _ in self.items if kind == LIT}
-        self.begin = self._close(1)
-        self.accept = 1 << len(self.items)
+                self.positions.append((ANY_NUMBER, "", takes_separator))
+                self.pieces.append(("deep" if takes_separator else "star", name or ""))
+        if len([piece for piece in self.pieces if piece[0] != "text"]) > MAX_WILDCARDS:
+            raise InvalidPattern(f"more than {MAX_WILDCARDS} wildcards")
+        self.cached_steps: dict[tuple[int, str], int] = {}
+        self.literal_chars = {char for kind, char, _ in self.positions if kind == LITERAL}
+        self.start_state = self._skip_optional(1)
+        self.accepting_bit = 1 << len(self.positions)
 
     def __repr__(self) -> str:
         return f"Pattern({self.text!r})"
 
     @cached_property
     def literal(self) -> str | None:
+        """The only text that the pattern matches, or None if it has a wildcard."""
         return None if any(kind != "text" for kind, _ in self.pieces) else self.text
 
     @cached_property
     def prefix(self) -> str:
-        """The characters with which all that it takes begins."""
+        """The text with which every match begins."""
         return self.pieces[0][1] if self.pieces and self.pieces[0][0] == "text" else ""
 
     @cached_property
     def expression(self) -> re.Pattern[str]:
-        """As a regular expression that takes linear time: what can't be wrong isn't tried twice."""
-        parts, skip = [], False
-        inner = f"[^{re.escape(self.sep)}]" if self.sep else "."
-        for n, (what, text) in enumerate(self.pieces):
-            if skip:  # it went with the wildcard before it
-                skip = False
+        """The pattern as a regular expression, which takes linear time: atomic groups avoid backtracking."""
+        parts, is_consumed = [], False
+        character = f"[^{re.escape(self.sep)}]" if self.sep else "."
+        for index, (kind, text) in enumerate(self.pieces):
+            if is_consumed:  # this text is in the group of the wildcard before it
+                is_consumed = False
                 continue
-            if what == "text":
+            if kind == "text":
                 parts.append(re.escape(text))
                 continue
-            take = {"one": inner + "+", "star": inner + "*", "deep": ".*"}[what]
-            skip = what != "deep" and any(piece[0] != "text" for piece in self.pieces[n + 1 :])
-            take += "?" if skip else ""
-            take = f"({take})" if text else take
-            # the shortest that reaches the next text is as good as any other
-            parts.append(f"(?>{take}{re.escape(self.pieces[n + 1][1])})" if skip else take)
+            wildcard = {"one": character + "+", "star": character + "*", "deep": ".*"}[kind]
+            is_consumed = kind != "deep" and any(piece[0] != "text" for piece in self.pieces[index + 1 :])
+            wildcard += "?" if is_consumed else ""
+            wildcard = f"({wildcard})" if text else wildcard
+            # if another wildcard follows, the shortest match up to the next text suffices: that wildcard can
+            # take whatever a longer match would have taken
+            parts.append(f"(?>{wildcard}{re.escape(self.pieces[index + 1][1])})" if is_consumed else wildcard)
         return re.compile("".join(parts), re.DOTALL)
 
     def match(self, text: str) -> bool:
+        """Returns True if the pattern matches a whole text."""
         return text == self.text if self.literal is not None else bool(self.expression.fullmatch(text))
 
     def walk(self, text: str) -> bool:
-        """The same by the automaton, which a search for a witness walks."""
-        state = self.begin
+        """Returns what ``match`` returns, by the automaton that the search for a witness uses."""
+        state = self.start_state
         for char in text:
             state = self.step(state, char)
-        return bool(state & self.accept)
+        return bool(state & self.accepting_bit)
 
     def capture(self, text: str) -> dict[str, str]:
-        """What the names of a pattern that takes the text stand for."""
+        """Returns the text of each capture; the pattern must match the given text."""
         if not self.captures:
             return {}
         found = self.expression.fullmatch(text)
         return dict(zip(self.captures, found.groups(), strict=True)) if found else {}
 
-    # -- as an automaton: a state is a set of positions, one bit each --------------------------------------
+    # -- the automaton: a state is a set of positions, one bit each ----------------------------------------
 
-    def _close(self, state: int) -> int:
-        for at, (kind, _, _) in enumerate(self.items):
-            if kind == STAR and state >> at & 1:
-                state |= 1 << at + 1
+    def _skip_optional(self, state: int) -> int:
+        """Returns a state with the positions that follow those that may take no character."""
+        for position, (kind, _, _) in enumerate(self.positions):
+            if kind == ANY_NUMBER and state >> position & 1:
+                state |= 1 << position + 1
         return state
 
     def step(self, state: int, char: str) -> int:
-        known = self.steps.get((state, char))
-        if known is not None:
-            return known
+        """Returns the state after a character; 0 if no match is possible any more."""
+        cached = self.cached_steps.get((state, char))
+        if cached is not None:
+            return cached
         after = 0
-        for at, (kind, taken, deep) in enumerate(self.items):
-            if not state >> at & 1:
+        for position, (kind, literal, takes_separator) in enumerate(self.positions):
+            if not state >> position & 1:
                 continue
-            if kind == LIT:
-                after |= (taken == char) << at + 1
-            elif deep or char != self.sep:
-                after |= 1 << (at + 1 if kind == ONE else at)
-        after = self._close(after)
-        if len(self.steps) < STATES_MOST:
-            self.steps[state, char] = after
+            if kind == LITERAL:
+                after |= (literal == char) << position + 1
+            elif takes_separator or char != self.sep:
+                after |= 1 << (position + 1 if kind == ONE else position)
+        after = self._skip_optional(after)
+        if len(self.cached_steps) < MAX_STATES:
+            self.cached_steps[state, char] = after
         return after
 
     def guess(self, filler: str) -> str:
-        return "".join(text if what == "text" else filler for what, text in self.pieces)
+        """Returns the pattern with each wildcard replaced by a text, which it may or may not match."""
+        return "".join(text if kind == "text" else filler for kind, text in self.pieces)
 
 
 @lru_cache(maxsize=1 << 17)
 def pattern(text: str, sep: str) -> Pattern:
-    """The pattern that a text stands for; raises InvalidPattern with the reason."""
+    """Returns the pattern that a text stands for; raises ``InvalidPattern`` with the reason if it is none."""
     return Pattern(text, sep)
 
 
 def witness(yes: Iterable[Pattern], no: Iterable[Pattern]) -> str | None:
-    """The shortest text, or a guess, that all of yes take and none of no; None where there is none."""
+    """Returns a text that all patterns of `yes` and none of `no` match, or None if there is none.
+
+    :raises SearchLimitExceeded: if the search is too large.
+    """
     yes, no = tuple(dict.fromkeys(yes)), tuple(dict.fromkeys(no))
     if any(one in yes for one in no):
         return None
     for one in yes:
         if one.literal is not None:
-            fits = all(other.match(one.text) for other in yes) and not any(o.match(one.text) for o in no)
-            return one.text if fits else None
+            matches = all(other.match(one.text) for other in yes) and not any(o.match(one.text) for o in no)
+            return one.text if matches else None
     for one in yes or (pattern("{x}", ""),):
         for filler in FILLERS:
             guess = one.guess(filler)
@@ -176,23 +197,26 @@
 
 
 def _search(yes: tuple[Pattern, ...], no: tuple[Pattern, ...]) -> str | None:
-    both = yes + no
-    chars = set().union(*(one.chars for one in both)) | {one.sep for one in both if one.sep}
-    other = next((char for char in OTHER if char not in chars), None) or next(
+    """Returns the shortest witness, by a breadth-first search over the product of the automata."""
+    patterns = yes + no
+    chars = set().union(*(one.literal_chars for one in patterns)) | {one.sep for one in patterns if one.sep}
+    other = next((char for char in OTHER_CHARACTERS if char not in chars), None) or next(
         chr(code) for code in range(0x100, 0x1000) if chr(code) not in chars
     )
     alphabet = [other, *sorted(chars)]
-    start = tuple(one.begin for one in both)
+    start = tuple(one.start_state for one in patterns)
     seen, queue = {start}, deque([(start, "")])
     while queue:
         state, text = queue.popleft()
-        taken = all(at & one.accept for one, at in zip(yes, state, strict=False))
-        if taken and not any(at & one.accept for one, at in zip(no, state[len(yes) :], strict=True)):
+        is_accepted = all(part & one.accepting_bit for one, part in zip(yes, state, strict=False))
+        if is_accepted and not any(
+            part & one.accepting_bit for one, part in zip(no, state[len(yes) :], strict=True)
+        ):
             return text
         for char in alphabet:
-            after = tuple(one.step(at, char) for one, at in zip(both, state, strict=True))
+            after = tuple(one.step(part, char) for one, part in zip(patterns, state, strict=True))
             if all(after[: len(yes)]) and after not in seen:
-                if len(seen) >= STATES_MOST:
+                if len(seen) >= MAX_STATES:
                     raise SearchLimitExceeded
                 seen.add(after)
                 queue.append((after, text + char))
