--- a/quartzrouter/config/evaluator.py
+++ b/quartzrouter/config/evaluator.py
@@ -1,7 +1,8 @@
-"""Nodes to values.  Evaluation always ends: no function can call itself; steps, depth and size are bounded.
+"""Evaluates syntax trees.
 
-A value that fails is POISON: it costs one fault, and what depends on it is silent.  Files come from a
-loader that the caller hands in, so that nothing here touches a disk.
+Evaluation always ends: functions can't recurse, and steps, depth and size are bounded.  A value that can't be
+evaluated becomes POISON: it is reported as one fault, and values that depend on it report no further ones.
+The caller passes the function that reads files, so that this module does no I/O.
 """
 
 import sys
@@ -25,111 +26,132 @@
     kind_name,
 )
 
-STEPS_MOST = 1_000_000  # two seconds; a plan of 5,000 routes from a template takes 120,000
-LEVELS_MOST = 1_000  # of evaluations within evaluations
-SIZE_MOST = 1_000_000  # items, fields and characters/16 made in all
-FILES_MOST = 500
-INCLUDES_MOST = 40  # one within another
-FRAMES = 20_000  # of the interpreter, for LEVELS_MOST at up to eight a level
+MAX_STEPS = 1_000_000  # take two seconds; a plan of 5,000 routes from a template takes 120,000 steps
+MAX_LEVELS = 1_000  # of nested evaluations
+MAX_SIZE = 1_000_000  # items and fields made in all, and sixteenths of the characters
+MAX_FILES = 500
+MAX_NESTED_INCLUDES = 40
+RECURSION_LIMIT = 20_000  # frames of the interpreter: up to eight for each of MAX_LEVELS levels
 
-Loader = Callable[[str], str]  # the text of a file, by its path; raises Unreadable
+Loader = Callable[[str], str]  # returns the text of the file at a path; raises Unreadable
 
 
 class Unreadable(Exception):
-    """A file can't be had; the text says why."""
+    """A file can't be read; the message says why."""
 
 
 class Exhausted(PlanError):
-    """A bound on the whole evaluation is reached: it ends here."""
+    """A bound on the whole evaluation is exceeded, which ends it."""
 
 
 class Scope:
-    """Names, each seen by what stands behind it only."""
+    """The names that an expression can use: those defined before it, and those of the enclosing scopes."""
 
-    __slots__ = ("above", "known")
+    __slots__ = ("bindings", "enclosing")
 
-    def __init__(self, above: "Scope | None", known: dict[str, Any]):
-        self.above, self.known = above, known
+    def __init__(self, enclosing: "Scope | None", bindings: dict[str, Any]):
+        self.enclosing, self.bindings = enclosing, bindings
 
     def find(self, name: str) -> Any:
+        """Returns the value of a name; raises KeyError if it isn't defined."""
         scope: Scope | None = self
         while scope is not None:
-            if name in scope.known:
-                return scope.known[name]
-            scope = scope.above
+            if name in scope.bindings:
+                return scope.bindings[name]
+            scope = scope.enclosing
         raise KeyError(name)
 
     def names(self) -> set[str]:
-        return set(self.known) | (self.above.names() if self.above else set())
+        return set(self.bindings) | (self.enclosing.names() if self.enclosing else set())
 
 
 class Evaluation:
+    """One evaluation of a plan and the files that it includes.
+
+    :param load: returns the text of a file.
+    :param faults: takes the faults that are found.
+    """
+
     def __init__(self, load: Loader, faults: Faults):
         self.load, self.faults = load, faults
         self.steps = self.levels = self.size = 0
         self.files: dict[str, Any] = {}
-        self.chain: list[tuple[str, Place | None]] = []
+        self.open_files: list[tuple[str, Place | None]] = []  # the files being evaluated, outermost first
         self.sources: list[Source] = []
 
     def file(self, path: str, at: Place | None = None) -> Any:
-        """The value of a file, evaluated once however often it is included."""
+        """Returns the value of a file, which is evaluated once even if it is included several times.
+
+        :param at: the place of the include; None for the main file.
+        """
         if path in self.files:
             return self.files[path]
-        if any(path == open_ for open_, _ in self.chain):
-            steps = [*[name for name, _ in self.chain[[n for n, _ in self.chain].index(path) :]], path]
+        if any(path == open_path for open_path, _ in self.open_files):
+            cycle = [
+                *[name for name, _ in self.open_files[[name for name, _ in self.open_files].index(path) :]],
+                path,
+            ]
             self.faults.add(
-                Fault(at, f"an include cycle: {' -> '.join(steps)}", "take one include out", code="cycle")
+                Fault(
+                    at, f"an include cycle: {' -> '.join(cycle)}", "remove one of the includes", code="cycle"
+                )
             )
             return POISON
         source = Source(path, "")
         start = at or Place(source, 1, 1)
         try:
-            if len(self.files) >= FILES_MOST or len(self.chain) >= INCLUDES_MOST:
-                raise Unreadable(f"more than {FILES_MOST} files, or {INCLUDES_MOST} one within another")
+            if len(self.files) >= MAX_FILES or len(self.open_files) >= MAX_NESTED_INCLUDES:
+                raise Unreadable(f"more than {MAX_FILES} files, or {MAX_NESTED_INCLUDES} nested includes")
             text = self.load(path)
         except Unreadable as error:
             self.faults.add(Fault(start, f"{path}: {error}", code="include"))
             return POISON
         source = Source(path, text)
         self.sources.append(source)
-        self.chain.append((path, at))
+        self.open_files.append((path, at))
         try:
             parsed = parse(source)
-            with _deep():
-                value = self.eval(parsed.root, Scope(None, BUILTINS))
+            with _raised_recursion_limit():
+                value = self.evaluate(parsed.root, Scope(None, BUILTINS))
         except Exhausted:
             raise
         except PlanError as error:
             self.faults.add(error.fault)
             value = POISON
         finally:
-            self.chain.pop()
+            self.open_files.pop()
         self.files[path] = value
         return value
 
     # -- bounds --------------------------------------------------------------------------------------
 
-    def grow(self, by: int, node: syntax_tree.Node) -> None:
-        self.size += by
-        if self.size > SIZE_MOST:
-            raise Exhausted(Fault(node.place, "the plan grows past all bounds", code="bound"))
+    def count_size(self, added: int, node: syntax_tree.Node) -> None:
+        """Adds to the size of what the evaluation made; raises ``Exhausted`` beyond ``MAX_SIZE``."""
+        self.size += added
+        if self.size > MAX_SIZE:
+            raise Exhausted(Fault(node.place, "the plan is too large to evaluate", code="bound"))
 
-    def eval(self, node: syntax_tree.Node, scope: Scope) -> Any:
+    def evaluate(self, node: syntax_tree.Node, scope: Scope) -> Any:
+        """Returns the value of a node, by the method named after its class.
+
+        :raises PlanError: if the value can't be evaluated.
+        :raises Exhausted: if the evaluation exceeds a bound.
+        """
         self.steps += 1
-        if self.steps > STEPS_MOST:
+        if self.steps > MAX_STEPS:
             raise Exhausted(Fault(node.place, "the plan takes too long to evaluate", code="bound"))
         self.levels += 1
-        if self.levels > LEVELS_MOST:
-            raise Exhausted(Fault(node.place, "the plan is nested too deep", code="bound"))
+        if self.levels > MAX_LEVELS:
+            raise Exhausted(Fault(node.place, "the plan is nested too deeply", code="bound"))
         try:
             return getattr(self, "_" + type(node).__name__.lower())(node, scope)
         finally:
             self.levels -= 1
 
-    def safe(self, node: syntax_tree.Node, scope: Scope) -> Any:
-        """The value, or POISON and a fault that is kept."""
+    def evaluate_or_poison(self, node: syntax_tree.Node, scope: Scope) -> Any:
+        """Returns the value of a node, or keeps its fault and returns POISON."""
         try:
-            return self.eval(node, scope)
+            return self.evaluate(node, scope)
         except Exhausted:
             raise
         except PlanError as error:
@@ -142,320 +164,354 @@
         return node.value
 
     def _text(self, node: syntax_tree.Text, scope: Scope) -> Any:
-        said = []
+        pieces = []
         for part in node.parts:
             if isinstance(part, str):
-                said.append(part)
+                pieces.append(part)
                 continue
-            value = self.eval(part, scope)
+            value = self.evaluate(part, scope)
             if value is POISON:
                 return POISON
             if isinstance(value, RecordValue | ListValue | Closure) or callable(value) or value is None:
-                raise _broken(part, f"{kind_name(value)} can't be put into a text", "put in one of its parts")
-            said.append(value if isinstance(value, str) else format_value(value))
-        text = "".join(said)
-        self.grow(len(text) // 16, node)
+                raise _error(
+                    part,
+                    f"{kind_name(value)} can't be inserted into a text",
+                    "insert a text, a number or a quantity",
+                )
+            pieces.append(value if isinstance(value, str) else format_value(value))
+        text = "".join(pieces)
+        self.count_size(len(text) // 16, node)
         return text
 
     def _name(self, node: syntax_tree.Name, scope: Scope) -> Any:
         try:
             return scope.find(node.name)
         except KeyError:
-            remedy = suggestion(node.name, scope.names()) or "names are seen only behind their `local`"
-            raise _broken(node, f"'{node.name}' isn't known here", remedy, "name") from None
+            remedy = suggestion(node.name, scope.names()) or "a name is defined only after its `local`"
+            raise _error(node, f"'{node.name}' isn't defined here", remedy, "name") from None
 
     def _let(self, node: syntax_tree.Let, scope: Scope) -> Any:
-        return self.eval(node.body, self._locals(node.locals, scope))
+        return self.evaluate(node.body, self._locals(node.locals, scope))
 
     def _locals(self, locals_: list[syntax_tree.Local], scope: Scope) -> Scope:
+        """Returns a scope with the locals; each is defined in those that follow it."""
         for local in locals_:
             if isinstance(local.value, syntax_tree.Function):
                 value: Any = Closure(local.name, local.value, scope)
             else:
-                value = self.safe(local.value, scope)
+                value = self.evaluate_or_poison(local.value, scope)
             scope = Scope(scope, {local.name: value})
         return scope
 
     def _if(self, node: syntax_tree.If, scope: Scope) -> Any:
-        test = self.eval(node.test, scope)
-        if test is POISON:
+        condition = self.evaluate(node.condition, scope)
+        if condition is POISON:
             return POISON
-        if not isinstance(test, bool):
-            raise _broken(node.test, f"{kind_name(test)} where true or false belongs")
-        return self.eval(node.yes if test else node.no, scope)
+        if not isinstance(condition, bool):
+            raise _error(node.condition, f"{kind_name(condition)} where true or false belongs")
+        return self.evaluate(node.then_value if condition else node.else_value, scope)
 
     def _unary(self, node: syntax_tree.Unary, scope: Scope) -> Any:
-        value = self.eval(node.of, scope)
+        value = self.evaluate(node.operand, scope)
         if value is POISON:
             return POISON
-        if node.sign == "!" and isinstance(value, bool):
+        if node.operator == "!" and isinstance(value, bool):
             return not value
-        if node.sign == "-" and isinstance(value, int | Fraction) and not isinstance(value, bool):
+        if node.operator == "-" and isinstance(value, int | Fraction) and not isinstance(value, bool):
             return -value
-        raise _broken(node, f"'{node.sign}' of {kind_name(value)}", code="type")
+        raise _error(node, f"'{node.operator}' can't be applied to {kind_name(value)}", code="type")
 
     def _binary(self, node: syntax_tree.Binary, scope: Scope) -> Any:
-        left = self.eval(node.left, scope)
-        if node.sign in ("&&", "||"):
+        left = self.evaluate(node.left, scope)
+        if node.operator in ("&&", "||"):
             if left is POISON:
                 return POISON
-            if isinstance(left, bool) and left is (node.sign == "||"):
+            if isinstance(left, bool) and left is (node.operator == "||"):
                 return left
-        right = self.eval(node.right, scope)
+        right = self.evaluate(node.right, scope)
         if left is POISON or right is POISON:
             return POISON
         try:
-            return self._signed(node, left, right)
+            return self._apply_operator(node, left, right)
         except TypeError:
-            remedy = "say of which kind both are" if node.sign in "+-" else ""
-            reason = f"{kind_name(left)} {node.sign} {kind_name(right)}"
-            raise _broken(node, f"{reason} has no meaning", remedy, "type") from None
+            remedy = (
+                "numbers, or quantities of one kind, can be added and subtracted"
+                if node.operator in "+-"
+                else ""
+            )
+            reason = f"{kind_name(left)} {node.operator} {kind_name(right)}"
+            raise _error(node, f"{reason} isn't defined", remedy, "type") from None
         except ZeroDivisionError:
-            raise _broken(node, "a division by zero", code="range") from None
+            raise _error(node, "division by zero", code="range") from None
         except quantity.QuantityError as error:
-            raise _broken(node, str(error), code="range") from None
-
-    def _signed(self, node: syntax_tree.Binary, left: Any, right: Any) -> Any:
-        sign = node.sign
-        if sign in ("==", "!="):
-            return (equal_values(left, right)) is (sign == "==")
-        if sign in ("&&", "||"):
+            raise _error(node, str(error), code="range") from None
+
+    def _apply_operator(self, node: syntax_tree.Binary, left: Any, right: Any) -> Any:
+        """Returns the value of an operation; raises TypeError if it isn't defined for the operands' kinds."""
+        operator = node.operator
+        if operator in ("==", "!="):
+            return (equal_values(left, right)) is (operator == "==")
+        if operator in ("&&", "||"):
             if isinstance(left, bool) and isinstance(right, bool):
                 return right
             raise TypeError
         if isinstance(left, bool) or isinstance(right, bool):
             raise TypeError
-        if sign in ("<", "<=", ">", ">="):
+        if operator in ("<", "<=", ">", ">="):
             if (
                 kind_name(left) != kind_name(right)
                 or isinstance(left, RecordValue | ListValue | Closure)
                 or left is None
             ):
                 raise TypeError
-            return {"<": left < right, "<=": left <= right, ">": left > right, ">=": left >= right}[sign]
-        if sign == "+":
+            return {"<": left < right, "<=": left <= right, ">": left > right, ">=": left >= right}[operator]
+        if operator == "+":
             if isinstance(left, RecordValue) and isinstance(right, RecordValue):
                 return self.merge(left, right, node)
             if isinstance(left, ListValue) and isinstance(right, ListValue):
-                self.grow(len(left.slots) + len(right.slots), node)
+                self.count_size(len(left.slots) + len(right.slots), node)
                 return ListValue(left.slots + right.slots)
             if isinstance(left, str) and isinstance(right, str):
-                self.grow((len(left) + len(right)) // 16, node)
+                self.count_size((len(left) + len(right)) // 16, node)
                 return left + right
             return quantity.add(left, right)
-        if sign == "-":
+        if operator == "-":
             return quantity.add(left, right, -1)
-        return quantity.times(left, right) if sign == "*" else quantity.over(left, right)
+        return quantity.multiply(left, right) if operator == "*" else quantity.divide(left, right)
 
     def merge(self, left: RecordValue, right: RecordValue, node: syntax_tree.Node) -> RecordValue:
-        """What is said on the right comes over what is there; a field stays where it first stood."""
-        self.grow(len(left.slots) + len(right.slots), node)
+        """Returns two records merged: the right one's values count, and a field keeps its first position."""
+        self.count_size(len(left.slots) + len(right.slots), node)
         slots = dict(left.slots)
         for name, slot in right.slots.items():
-            there = slots.get(name)
-            if there is None:
+            earlier = slots.get(name)
+            if earlier is None:
                 slots[name] = slot
-            elif there.value is POISON or slot.value is POISON:
+            elif earlier.value is POISON or slot.value is POISON:
                 slots[name] = Slot(POISON, slot.place)
             elif slot.merge_mode == "+:":
-                slots[name] = self._into(name, there, slot, node)
+                slots[name] = self._merged_slot(name, earlier, slot, node)
             else:
-                value = slot.value if self._same_kind(name, there, slot) else POISON
-                slots[name] = Slot(value, slot.place, there.merge_mode, slot.key_place)
+                value = slot.value if self._keeps_kind(name, earlier, slot) else POISON
+                slots[name] = Slot(value, slot.place, earlier.merge_mode, slot.key_place)
         return RecordValue(slots)
 
-    def _into(self, name: str, there: Slot, slot: Slot, node: syntax_tree.Node) -> Slot:
-        both = (there.value, slot.value)
+    def _merged_slot(self, name: str, earlier: Slot, slot: Slot, node: syntax_tree.Node) -> Slot:
+        """Returns the value of `name+:` merged into the earlier value of the field."""
+        both = (earlier.value, slot.value)
         if all(isinstance(value, RecordValue) for value in both):
-            return Slot(self.merge(*both, node), slot.place, there.merge_mode, there.key_place)
+            return Slot(self.merge(*both, node), slot.place, earlier.merge_mode, earlier.key_place)
         if all(isinstance(value, ListValue) for value in both):
-            self.grow(len(both[0].slots) + len(both[1].slots), node)
+            self.count_size(len(both[0].slots) + len(both[1].slots), node)
             return Slot(
-                ListValue(both[0].slots + both[1].slots), slot.place, there.merge_mode, there.key_place
+                ListValue(both[0].slots + both[1].slots), slot.place, earlier.merge_mode, earlier.key_place
             )
         self.faults.add(
             Fault(
                 slot.key_place or slot.place,
-                f"'{name}+' merges {kind_name(slot.value)} into {kind_name(there.value)}",
+                f"'{name}+' merges {kind_name(slot.value)} into {kind_name(earlier.value)}",
                 "only records and lists can be merged",
                 code="type",
-                also=((there.place, "what is there"),),
+                related_places=((earlier.place, "the earlier value"),),
             )
         )
         return Slot(POISON, slot.place)
 
-    def _same_kind(self, name: str, there: Slot, slot: Slot) -> bool:
-        if there.value is None or slot.value is None or kind_name(there.value) == kind_name(slot.value):
+    def _keeps_kind(self, name: str, earlier: Slot, slot: Slot) -> bool:
+        """Returns True if a new value may replace an earlier one; notes a fault if it changes the kind."""
+        if earlier.value is None or slot.value is None or kind_name(earlier.value) == kind_name(slot.value):
             return True
-        bare = kind_name(slot.value) == "a number" and isinstance(there.value, quantity.Quantity)
+        lacks_unit = kind_name(slot.value) == "a number" and isinstance(earlier.value, quantity.Quantity)
         remedy = (
-            f"a unit is missing: it was {format_value(there.value)}"
-            if bare
-            else f"give {kind_name(there.value)}"
+            f"a unit is missing: it was {format_value(earlier.value)}"
+            if lacks_unit
+            else f"give {kind_name(earlier.value)}"
+        )
+        reason = f"'{name}' changes from {kind_name(earlier.value)} to {kind_name(slot.value)}"
+        related = ((earlier.place, "before"),)
+        self.faults.add(
+            Fault(slot.place, reason, remedy, code="unit" if lacks_unit else "type", related_places=related)
         )
-        reason = f"'{name}' changes from {kind_name(there.value)} to {kind_name(slot.value)}"
-        also = ((there.place, "before"),)
-        self.faults.add(Fault(slot.place, reason, remedy, code="unit" if bare else "type", also=also))
         return False
 
     def _member(self, node: syntax_tree.Member, scope: Scope) -> Any:
-        of = self.eval(node.of, scope)
-        if of is POISON:
+        record = self.evaluate(node.operand, scope)
+        if record is POISON:
             return POISON
-        if not isinstance(of, RecordValue):
+        if not isinstance(record, RecordValue):
             raise PlanError(
-                Fault(node.name_place, f"{kind_name(of)} has no field '{node.name}'", code="type")
+                Fault(node.name_place, f"{kind_name(record)} has no field '{node.name}'", code="type")
             )
-        if node.name not in of.slots:
-            known = suggestion(node.name, of.slots) or (
-                f"there are {joined_names(of.slots)}" if of.slots else ""
+        if node.name not in record.slots:
+            remedy = suggestion(node.name, record.slots) or (
+                f"there are {joined_names(record.slots)}" if record.slots else ""
             )
-            raise PlanError(Fault(node.name_place, f"there is no field '{node.name}'", known, code="name"))
-        return of.slots[node.name].value
+            raise PlanError(Fault(node.name_place, f"there is no field '{node.name}'", remedy, code="name"))
+        return record.slots[node.name].value
 
     def _index(self, node: syntax_tree.Index, scope: Scope) -> Any:
-        of, at = self.eval(node.of, scope), self.eval(node.at, scope)
-        if of is POISON or at is POISON:
+        container, index = self.evaluate(node.container, scope), self.evaluate(node.index, scope)
+        if container is POISON or index is POISON:
             return POISON
-        if isinstance(of, RecordValue) and isinstance(at, str):
-            if at not in of.slots:
-                raise _broken(node.at, f"there is no field '{at}'", suggestion(at, of.slots), "name")
-            return of.slots[at].value
-        if isinstance(of, ListValue) and isinstance(at, int) and not isinstance(at, bool):
-            if not 0 <= at < len(of.slots):
-                raise _broken(node.at, f"item {at} of a list of {len(of.slots)}", code="range")
-            return of.slots[at].value
-        raise _broken(node.at, f"{kind_name(at)} picks nothing out of {kind_name(of)}", code="type")
-
-    def _callof(self, node: syntax_tree.CallOf, scope: Scope) -> Any:
-        of = self.eval(node.of, scope)
-        arguments = [self.eval(argument, scope) for argument in node.arguments]
-        if of is POISON:
+        if isinstance(container, RecordValue) and isinstance(index, str):
+            if index not in container.slots:
+                raise _error(
+                    node.index, f"there is no field '{index}'", suggestion(index, container.slots), "name"
+                )
+            return container.slots[index].value
+        if isinstance(container, ListValue) and isinstance(index, int) and not isinstance(index, bool):
+            if not 0 <= index < len(container.slots):
+                raise _error(
+                    node.index,
+                    f"index {index} is out of range: the list has a length of {len(container.slots)}",
+                    code="range",
+                )
+            return container.slots[index].value
+        raise _error(
+            node.index, f"{kind_name(index)} can't be an index into {kind_name(container)}", code="type"
+        )
+
+    def _call(self, node: syntax_tree.Call, scope: Scope) -> Any:
+        callee = self.evaluate(node.function, scope)
+        arguments = [self.evaluate(argument, scope) for argument in node.arguments]
+        if callee is POISON:
             return POISON
-        if callable(of):
-            return self._builtin(node, of, arguments)
-        if not isinstance(of, Closure):
-            raise _broken(node.of, f"{kind_name(of)} can't be called", code="type")
-        wanted = of.function.parameters
-        if len(arguments) != len(wanted):
-            raise _broken(
+        if callable(callee):
+            return self._builtin(node, callee, arguments)
+        if not isinstance(callee, Closure):
+            raise _error(node.function, f"{kind_name(callee)} can't be called", code="type")
+        parameters = callee.function.parameters
+        if len(arguments) != len(parameters):
+            raise _error(
                 node,
-                f"{of.name} takes {len(wanted)} arguments, not {len(arguments)}",
-                f"those are {', '.join(wanted)}" if wanted else "",
+                f"{callee.name} takes {len(parameters)} arguments, not {len(arguments)}",
+                f"its parameters are {', '.join(parameters)}" if parameters else "",
                 "type",
             )
-        for argument, made in zip(node.arguments, arguments, strict=True):
-            if self.holds_function(made):
-                raise _broken(
-                    argument, "a function can't be handed to a function", "so that all ends", "type"
+        for argument, value in zip(node.arguments, arguments, strict=True):
+            if self.contains_function(value):
+                raise _error(
+                    argument,
+                    "a function can't be passed to a function",
+                    "otherwise evaluation might not end",
+                    "type",
                 )
-        return self.eval(of.function.body, Scope(of.scope, dict(zip(wanted, arguments, strict=True))))
+        return self.evaluate(
+            callee.function.body, Scope(callee.scope, dict(zip(parameters, arguments, strict=True)))
+        )
 
-    def holds_function(self, value: Any) -> bool:
-        self.steps += 1  # what is looked through is paid for as well
+    def contains_function(self, value: Any) -> bool:
+        """Returns True if a value is a function or contains one."""
+        self.steps += 1  # the search counts against MAX_STEPS as well
         match value:
             case ListValue(slots):
-                return any(self.holds_function(slot.value) for slot in slots)
+                return any(self.contains_function(slot.value) for slot in slots)
             case RecordValue(slots):
-                return any(self.holds_function(slot.value) for slot in slots.values())
+                return any(self.contains_function(slot.value) for slot in slots.values())
         return isinstance(value, Closure) or callable(value)
 
-    def _builtin(self, node: syntax_tree.CallOf, of: Callable, arguments: list[Any]) -> Any:
+    def _builtin(self, node: syntax_tree.Call, function: Callable, arguments: list[Any]) -> Any:
         if any(argument is POISON for argument in arguments):
             return POISON
         try:
-            made = of(*arguments)
+            result = function(*arguments)
         except (TypeError, AttributeError):
-            raise _broken(node, f"{of.__name__}: {of.__doc__}", code="type") from None
+            raise _error(node, f"{function.__name__}: {function.__doc__}", code="type") from None
         except quantity.QuantityError as error:
-            raise _broken(node, f"{of.__name__}: {error}", code="range") from None
-        if isinstance(made, ListValue | str):
-            self.grow(len(made.slots) if isinstance(made, ListValue) else len(made) // 16, node)
-        if isinstance(made, ListValue):
-            for slot in made.slots:
+            raise _error(node, f"{function.__name__}: {error}", code="range") from None
+        if isinstance(result, ListValue | str):
+            self.count_size(len(result.slots) if isinstance(result, ListValue) else len(result) // 16, node)
+        if isinstance(result, ListValue):
+            for slot in result.slots:
                 slot.place = node.place
-        return made
+        return result
 
     def _include(self, node: syntax_tree.Include, scope: Scope) -> Any:
         here = PurePosixPath(node.place.source.name)
-        return self.file(normal(here.parent / node.path), node.place)
+        return self.file(normalized_path(here.parent / node.path), node.place)
 
-    def _items(self, node: syntax_tree.Items, scope: Scope) -> Any:
-        self.grow(len(node.items), node)
-        return ListValue([Slot(self.safe(item, scope), item.place) for item in node.items])
+    def _list(self, node: syntax_tree.List, scope: Scope) -> Any:
+        self.count_size(len(node.items), node)
+        return ListValue([Slot(self.evaluate_or_poison(item, scope), item.place) for item in node.items])
 
-    def _each(self, loop: syntax_tree.For, scope: Scope):
-        among = self.eval(loop.among, scope)
-        if among is POISON:
+    def _loop_scopes(self, loop: syntax_tree.ForClause, scope: Scope):
+        """Returns a scope for each item that a `for` clause selects; None if its list is POISON."""
+        iterable = self.evaluate(loop.iterable, scope)
+        if iterable is POISON:
             return None
-        if not isinstance(among, ListValue):
-            reason = f"{kind_name(among)} where a list belongs"
-            remedy = "keys(r) lists the names of a record" if isinstance(among, RecordValue) else ""
-            raise _broken(loop.among, reason, remedy, "type")
-        found = []
-        for slot in among.slots:
-            inner = Scope(scope, {loop.name: slot.value})
-            if loop.test is not None:
-                test = self.eval(loop.test, inner)
-                if not isinstance(test, bool | Poison):
-                    raise _broken(loop.test, f"{kind_name(test)} where true or false belongs", code="type")
-                if test is not True:
+        if not isinstance(iterable, ListValue):
+            reason = f"{kind_name(iterable)} where a list belongs"
+            remedy = "keys(r) lists the names of a record" if isinstance(iterable, RecordValue) else ""
+            raise _error(loop.iterable, reason, remedy, "type")
+        scopes = []
+        for slot in iterable.slots:
+            item_scope = Scope(scope, {loop.name: slot.value})
+            if loop.condition is not None:
+                condition = self.evaluate(loop.condition, item_scope)
+                if not isinstance(condition, bool | Poison):
+                    raise _error(
+                        loop.condition, f"{kind_name(condition)} where true or false belongs", code="type"
+                    )
+                if condition is not True:
                     continue
-            found.append(inner)
-        return found
+            scopes.append(item_scope)
+        return scopes
 
-    def _itemsfor(self, node: syntax_tree.ItemsFor, scope: Scope) -> Any:
-        scopes = self._each(node.loop, scope)
+    def _listcomprehension(self, node: syntax_tree.ListComprehension, scope: Scope) -> Any:
+        scopes = self._loop_scopes(node.loop, scope)
         if scopes is None:
             return POISON
-        self.grow(len(scopes), node)
-        return ListValue([Slot(self.safe(node.item, inner), node.item.place) for inner in scopes])
+        self.count_size(len(scopes), node)
+        return ListValue(
+            [Slot(self.evaluate_or_poison(node.item, item_scope), node.item.place) for item_scope in scopes]
+        )
 
     def _record(self, node: syntax_tree.Record, scope: Scope) -> Any:
-        self.grow(len(node.fields), node)
+        self.count_size(len(node.fields), node)
         scope, slots = self._locals(node.locals, scope), {}
         for field in node.fields:
-            self._put(slots, field, scope)
+            self._add_field(slots, field, scope)
         return RecordValue(slots)
 
-    def _recordfor(self, node: syntax_tree.RecordFor, scope: Scope) -> Any:
-        scopes = self._each(node.loop, scope)
+    def _recordcomprehension(self, node: syntax_tree.RecordComprehension, scope: Scope) -> Any:
+        scopes = self._loop_scopes(node.loop, scope)
         if scopes is None:
             return POISON
-        self.grow(len(scopes), node)
+        self.count_size(len(scopes), node)
         slots: dict[str, Slot] = {}
-        for inner in scopes:
-            self._put(slots, node.field_, inner)
+        for item_scope in scopes:
+            self._add_field(slots, node.entry, item_scope)
         return RecordValue(slots)
 
-    def _put(self, slots: dict[str, Slot], field: syntax_tree.Field, scope: Scope) -> None:
-        key = field.key if isinstance(field.key, str) else self.safe(field.key, scope)
-        value = self.safe(field.value, scope)
+    def _add_field(self, slots: dict[str, Slot], field: syntax_tree.Field, scope: Scope) -> None:
+        """Evaluates a field and adds it to a record; notes a fault for a key that the record has already."""
+        key = field.key if isinstance(field.key, str) else self.evaluate_or_poison(field.key, scope)
+        value = self.evaluate_or_poison(field.value, scope)
         if key is POISON:
             return
         if not isinstance(key, str):
             self.faults.add(Fault(field.place, f"{kind_name(key)} where a name belongs", code="type"))
         elif key in slots:
-            there = slots[key].key_place
+            first = slots[key].key_place
             self.faults.add(
                 Fault(
                     field.place,
-                    f"'{key}' stands twice",
-                    "take one out, or merge with +",
+                    f"'{key}' is defined twice",
+                    "remove one, or merge with +",
                     code="duplicate",
-                    also=((there, "the first"),),
+                    related_places=((first, "the first"),),
                 )
             )
         else:
             slots[key] = Slot(value, field.value.place, field.merge_mode, field.place)
 
 
-def _broken(node: syntax_tree.Node, reason: str, remedy: str = "", code: str = "type") -> PlanError:
+def _error(node: syntax_tree.Node, reason: str, remedy: str = "", code: str = "type") -> PlanError:
     return PlanError(Fault(node.place, reason, remedy, code=code))
 
 
 def equal_values(left: Any, right: Any) -> bool:
-    """Equal in kind and content; places don't count."""
+    """Returns True if two values are equal in kind and content, wherever they were defined."""
     if kind_name(left) != kind_name(right):
         return False
     match left, right:
@@ -471,8 +527,8 @@
     return left == right
 
 
-def normal(path: PurePosixPath) -> str:
-    """The path without `.` and `..`, as far as they can be taken out."""
+def normalized_path(path: PurePosixPath) -> str:
+    """Returns a path without `.`, and without `..` where a part before it can be removed."""
     parts: list[str] = []
     for part in path.parts:
         if part == ".." and parts and parts[-1] not in ("..", "/"):
@@ -483,65 +539,65 @@
 
 
 @contextmanager
-def _deep():
+def _raised_recursion_limit():
     before = sys.getrecursionlimit()
-    sys.setrecursionlimit(max(before, FRAMES))
+    sys.setrecursionlimit(max(before, RECURSION_LIMIT))
     try:
         yield
     finally:
         sys.setrecursionlimit(before)
 
 
-# -- what is known everywhere --------------------------------------------------------------------------
+# -- built-in functions: the docstrings end error messages such as "len: takes a list, a record or a text" ---
 
-NOWHERE = Place(Source("", ""), 0, 0)
+NO_PLACE = Place(Source("", ""), 0, 0)
 
 
-def length(of):
+def length(value):
     """takes a list, a record or a text"""
-    return len(of) if isinstance(of, str) else len(of.slots)
+    return len(value) if isinstance(value, str) else len(value.slots)
 
 
-def count(start, stop):
+def integer_range(start, stop):
     """takes two whole numbers: the first, and the one to stop before"""
     if not (isinstance(start, int) and isinstance(stop, int)) or isinstance(start, bool):
         raise TypeError
-    if stop - start > SIZE_MOST:
-        raise quantity.QuantityError(f"{stop - start} items")
-    return ListValue([Slot(n, NOWHERE) for n in range(start, stop)])
+    if stop - start > MAX_SIZE:
+        raise quantity.QuantityError(f"{stop - start} items are too many")
+    return ListValue([Slot(n, NO_PLACE) for n in range(start, stop)])
 
 
-def keys(of):
+def keys(record):
     """takes a record"""
-    if not isinstance(of, RecordValue):
+    if not isinstance(record, RecordValue):
         raise TypeError
-    return ListValue([Slot(name, slot.place) for name, slot in of.slots.items()])
+    return ListValue([Slot(name, slot.place) for name, slot in record.slots.items()])
 
 
-def values(of):
+def values(record):
     """takes a record"""
-    return ListValue([Slot(slot.value, slot.place) for slot in of.slots.values()])
+    return ListValue([Slot(slot.value, slot.place) for slot in record.slots.values()])
 
 
-def has(of, name):
+def has(record, name):
     """takes a record and a name"""
-    if not (isinstance(of, RecordValue) and isinstance(name, str)):
+    if not (isinstance(record, RecordValue) and isinstance(name, str)):
         raise TypeError
-    return name in of.slots
+    return name in record.slots
 
 
-def join(by, texts):
+def join(separator, texts):
     """takes a text and a list of texts"""
     if not isinstance(texts, ListValue):
         raise TypeError
-    return by.join(slot.value for slot in texts.slots)
+    return separator.join(slot.value for slot in texts.slots)
 
 
-def split(by, text):
-    """takes a text to cut at, and a text"""
-    if not (by and isinstance(by, str) and isinstance(text, str)):
+def split(separator, text):
+    """takes a separator, which can't be empty, and a text"""
+    if not (separator and isinstance(separator, str) and isinstance(text, str)):
         raise TypeError
-    return ListValue([Slot(part, NOWHERE) for part in text.split(by)])
+    return ListValue([Slot(part, NO_PLACE) for part in text.split(separator)])
 
 
 def lower(text):
@@ -554,13 +610,13 @@
     return text.upper()
 
 
-def least(a, b):
-    """takes two figures of one kind"""
+def minimum(a, b):
+    """takes two numbers or quantities of one kind"""
     return a if a < b else b
 
 
-def most(a, b):
-    """takes two figures of one kind"""
+def maximum(a, b):
+    """takes two numbers or quantities of one kind"""
     return b if a < b else a
 
 
@@ -581,7 +637,7 @@
 
 BUILTINS = {
     "len": length,
-    "range": count,
+    "range": integer_range,
     "keys": keys,
     "values": values,
     "has": has,
@@ -589,8 +645,8 @@
     "split": split,
     "lower": lower,
     "upper": upper,
-    "min": least,
-    "max": most,
+    "min": minimum,
+    "max": maximum,
     "round": round_,
     "merge": merge_all,
 }
--- a/quartzrouter/config/formatter.py
+++ b/quartzrouter/config/formatter.py
@@ -1,7 +1,7 @@
-"""The one layout of a plan.  It changes no meaning, keeps every comment, and lays out its own output alike.
+"""Formats plans.  Formatting keeps the meaning and every comment, and leaves formatted text unchanged.
 
-A record or list goes over several lines where it was written so, holds comments or another such, or is too
-long; each comment stays before or behind the entry that it was written at.
+A record or list takes several lines if it was written so, contains a comment or another that takes several
+lines, or is too long for one.  Each comment stays before or after the entry next to which it was written.
 """
 
 from quartzrouter.config import syntax_tree
@@ -9,8 +9,8 @@
 from quartzrouter.config.problems import Place, Source
 from quartzrouter.config.values import format_key
 
-WIDTH = 100  # columns
-STEP = 2  # columns
+MAX_COLUMNS = 100
+INDENT_COLUMNS = 2
 LEVELS = {
     "||": 1,
     "&&": 2,
@@ -25,275 +25,319 @@
     "*": 5,
     "/": 5,
 }
-UNARY, POSTFIX, PRIMARY = 6, 7, 8
+UNARY_PRECEDENCE, POSTFIX_PRECEDENCE, PRIMARY_PRECEDENCE = 6, 7, 8
 Entry = syntax_tree.Field | syntax_tree.Local | syntax_tree.Node
 
 
 def layout(source: Source) -> str:
-    """The text of a file, laid out; raises PlanError where it can't be parsed."""
+    """Returns the formatted text of a file; raises PlanError if it can't be parsed."""
     parsed = parse(source)
-    return Layout(parsed.comments).file(parsed.root)
+    return Formatter(parsed.comments).file(parsed.root)
 
 
-class Layout:
+class Formatter:
+    """Formats one file.
+
+    :param comments: the comments of the file.
+    """
+
     def __init__(self, comments: list) -> None:
         self.comments = sorted(comments, key=lambda token: token.start_pos)
-        self.at = 0
-        self.forced: set[int] = set()  # nodes that go over several lines as what they stand in is too long
+        self.next_comment = 0  # the index of the first comment that isn't written yet
+        # ids of the operands of expressions that are too long for one line
+        self.forced_multiline: set[int] = set()
 
     def file(self, root: syntax_tree.Node) -> str:
-        lines = self._entries([root], 0, "")
-        lines += self._rest(10**9, 0)
+        lines = self._entry_lines([root], 0, "")
+        lines += self._comments_before_line(10**9, 0)
         return "\n".join(line.rstrip() for line in lines) + "\n"
 
     # -- comments --------------------------------------------------------------------------------------
 
-    def _next(self):
-        return self.comments[self.at] if self.at < len(self.comments) else None
+    def _peek_comment(self):
+        return self.comments[self.next_comment] if self.next_comment < len(self.comments) else None
 
-    def _take(self) -> str:
-        self.at += 1
-        return self.comments[self.at - 1].value.rstrip()
+    def _take_comment(self) -> str:
+        self.next_comment += 1
+        return self.comments[self.next_comment - 1].value.rstrip()
 
-    def _rest(self, line: int, indent: int) -> list[str]:
-        """Comments that begin before a line, each on lines of its own."""
+    def _comments_before_line(self, line: int, indent: int) -> list[str]:
+        """Takes the comments that begin before a line, each on lines of its own."""
         lines: list[str] = []
-        while (token := self._next()) and token.line < line:
-            lines.append(" " * indent + self._take())
+        while (token := self._peek_comment()) and token.line < line:
+            lines.append(" " * indent + self._take_comment())
         return lines
 
-    def _before(self, place: Place) -> bool:
-        token = self._next()
+    def _comment_precedes(self, place: Place) -> bool:
+        """Returns True if the next comment begins before a place."""
+        token = self._peek_comment()
         return token is not None and (token.line, token.column) < (place.line, place.column)
 
-    def _holds(self, node: syntax_tree.Node) -> bool:
-        """Whether a comment stands inside, on a line before its last."""
+    def _contains_comment(self, node: syntax_tree.Node) -> bool:
+        """Returns True if a comment begins inside a node, on a line before its last."""
         start = (node.place.line, node.place.column)
         return any(
-            start < (token.line, token.column) and token.line < node.end for token in self.comments[self.at :]
+            start < (token.line, token.column) and token.line < node.end_line
+            for token in self.comments[self.next_comment :]
         )
 
-    # -- entries, one a line or more -----------------------------------------------------------------------
+    # -- entries, each on lines of its own ----------------------------------------------------------------
+
+    def _entry_lines(self, entries: list[Entry], indent: int, separator: str) -> list[str]:
+        """Returns the lines of entries with their comments; blank lines between two entries become one.
 
-    def _entries(self, entries: list[Entry], indent: int, end: str) -> list[str]:
+        :param separator: the text after each entry; ";" stands only after locals.
+        """
         lines: list[str] = []
-        last = None  # the source's line where the entry before this one ended
+        previous_end = None  # the source line on which the previous entry ended
         for entry in entries:
-            lead: list[str] = []
-            nested = end == ";" and isinstance(entry, syntax_tree.Let)  # names behind names, in parentheses
-            first = entry.place.line
-            while self._before(entry.place):
-                first = min(first, self._next().line)
-                lead.append(" " * indent + self._take())
+            comments_above: list[str] = []
+            is_nested_let = separator == ";" and isinstance(entry, syntax_tree.Let)  # goes into parentheses
+            first_line = entry.place.line
+            while self._comment_precedes(entry.place):
+                first_line = min(first_line, self._peek_comment().line)
+                comments_above.append(" " * indent + self._take_comment())
             body = (
-                self._cat([["("], self._part(entry, indent), [")"]]) if nested else self._lay(entry, indent)
+                self._concatenate([["("], self._inner_lines(entry, indent), [")"]])
+                if is_nested_let
+                else self._node_lines(entry, indent)
             )
             body[0] = " " * indent + body[0]
             body[-1] += (
-                ";" if isinstance(entry, syntax_tree.Local) and end == ";" else end if end != ";" else ""
+                ";"
+                if isinstance(entry, syntax_tree.Local) and separator == ";"
+                else separator
+                if separator != ";"
+                else ""
             )
-            while (token := self._next()) and token.line < entry.end:
-                lead.append(" " * indent + self._take())  # inside of what has no lines of its own
-            behind, closing = [], entry.end
-            while (token := self._next()) and token.line == entry.end:
+            while (token := self._peek_comment()) and token.line < entry.end_line:
+                comments_above.append(" " * indent + self._take_comment())  # from within a node on one line
+            comments_after, last_line = [], entry.end_line
+            while (token := self._peek_comment()) and token.line == entry.end_line:
                 if "\n" in token.value:
-                    closing = token.line + token.value.count("\n")
-                    lead.append(" " * indent + self._take())
+                    last_line = token.line + token.value.count("\n")
+                    comments_above.append(" " * indent + self._take_comment())
                     break
-                behind.append(self._take())
-                if not behind[-1].startswith("/*"):
+                comments_after.append(self._take_comment())
+                if not comments_after[-1].startswith("/*"):
                     break
-            if last is not None and first - last > 1:
+            if previous_end is not None and first_line - previous_end > 1:
                 lines.append("")
-            lines += lead + body
-            if behind:
-                lines[-1] += "  " + " ".join(behind)
-            last = closing
+            lines += comments_above + body
+            if comments_after:
+                lines[-1] += "  " + " ".join(comments_after)
+            previous_end = last_line
         return lines
 
     # -- nodes: lines, the first without its indent --------------------------------------------------------
 
-    def _lay(self, node: Entry, indent: int, head: int = 0) -> list[str]:
-        """The lines of a node, behind so many characters on its first."""
+    def _node_lines(self, node: Entry, indent: int, columns_before: int = 0) -> list[str]:
+        """Returns the lines of a node.
+
+        :param columns_before: the columns that the first line has before the node, beside the indent.
+        """
         match node:
             case syntax_tree.Field():
-                key = self._key(node)
-                return self._cat([[key], self._lay(node.value, indent, len(key))])
+                key = self._key_head(node)
+                return self._concatenate([[key], self._node_lines(node.value, indent, len(key))])
             case syntax_tree.Local():
-                name = self._local(node)
-                return self._cat([[name], self._lay(body_of(node), indent, len(name))])
+                name = self._local_head(node)
+                return self._concatenate([[name], self._node_lines(local_body(node), indent, len(name))])
             case syntax_tree.Let():
-                return self._let(node, indent)
+                return self._let_lines(node, indent)
             case syntax_tree.Record():
-                return self._container(node, [*node.locals, *node.fields], "{}", indent, head)
-            case syntax_tree.Items():
-                return self._container(node, node.items, "[]", indent, head)
-            case syntax_tree.RecordFor():
-                return self._loop(node, node.field_, "{}", indent, head)
-            case syntax_tree.ItemsFor():
-                return self._loop(node, node.item, "[]", indent, head)
+                return self._container_lines(node, [*node.locals, *node.fields], "{}", indent, columns_before)
+            case syntax_tree.List():
+                return self._container_lines(node, node.items, "[]", indent, columns_before)
+            case syntax_tree.RecordComprehension():
+                return self._comprehension_lines(node, node.entry, "{}", indent, columns_before)
+            case syntax_tree.ListComprehension():
+                return self._comprehension_lines(node, node.item, "[]", indent, columns_before)
             case syntax_tree.Binary():
-                level = syntax_tree.BINDS[node.sign]
-                if id(node) in self.forced or indent + head + len(flat(node)) > WIDTH:
-                    self.forced.update(id(part) for part in (node.left, node.right))
-                right = self._inside(node.right, level + 1, indent)
-                left_level = level + 1 if level == syntax_tree.COMPARES else level
-                return self._cat([self._inside(node.left, left_level, indent), [f" {node.sign} "], right])
+                precedence = syntax_tree.PRECEDENCE[node.operator]
+                if (
+                    id(node) in self.forced_multiline
+                    or indent + columns_before + len(flat(node)) > MAX_COLUMNS
+                ):
+                    self.forced_multiline.update(id(part) for part in (node.left, node.right))
+                right = self._operand_lines(node.right, precedence + 1, indent)
+                left_precedence = (
+                    precedence + 1 if precedence == syntax_tree.COMPARISON_PRECEDENCE else precedence
+                )
+                return self._concatenate(
+                    [self._operand_lines(node.left, left_precedence, indent), [f" {node.operator} "], right]
+                )
             case syntax_tree.Unary():
-                return self._cat([[node.sign], self._inside(node.of, UNARY, indent)])
+                return self._concatenate(
+                    [[node.operator], self._operand_lines(node.operand, UNARY_PRECEDENCE, indent)]
+                )
             case syntax_tree.If():
-                return self._cat(
+                return self._concatenate(
                     [
                         ["if "],
-                        self._part(node.test, indent),
+                        self._inner_lines(node.condition, indent),
                         [" then "],
-                        self._part(node.yes, indent),
+                        self._inner_lines(node.then_value, indent),
                         [" else "],
-                        self._part(node.no, indent),
+                        self._inner_lines(node.else_value, indent),
                     ]
                 )
             case syntax_tree.Member():
-                return self._cat([self._inside(node.of, POSTFIX, indent), [f".{node.name}"]])
+                return self._concatenate(
+                    [self._operand_lines(node.operand, POSTFIX_PRECEDENCE, indent), [f".{node.name}"]]
+                )
             case syntax_tree.Index():
-                of = self._inside(node.of, POSTFIX, indent)
-                return self._cat([of, ["["], self._part(node.at, indent), ["]"]])
-            case syntax_tree.CallOf():
-                pieces = [self._inside(node.of, POSTFIX, indent), ["("]]
+                container = self._operand_lines(node.container, POSTFIX_PRECEDENCE, indent)
+                return self._concatenate([container, ["["], self._inner_lines(node.index, indent), ["]"]])
+            case syntax_tree.Call():
+                pieces = [self._operand_lines(node.function, POSTFIX_PRECEDENCE, indent), ["("]]
                 for n, argument in enumerate(node.arguments):
                     pieces += [[", "]] if n else []
-                    pieces.append(self._part(argument, indent))
-                return self._cat([*pieces, [")"]])
+                    pieces.append(self._inner_lines(argument, indent))
+                return self._concatenate([*pieces, [")"]])
         return [flat(node)]
 
-    def _cat(self, pieces: list[list[str]]) -> list[str]:
+    def _concatenate(self, pieces: list[list[str]]) -> list[str]:
+        """Returns pieces joined: the first line of each continues the last line of the one before it."""
         lines = [""]
         for piece in pieces:
             lines[-1] += piece[0]
             lines += piece[1:]
         return lines
 
-    def _part(self, node: syntax_tree.Node, indent: int) -> list[str]:
-        """What stands in the middle of a line: names given there stay on it."""
-        return [flat(node)] if isinstance(node, syntax_tree.Let) else self._lay(node, indent)
+    def _inner_lines(self, node: syntax_tree.Node, indent: int) -> list[str]:
+        """Returns the lines of a node inside another; locals there stay on one line."""
+        return [flat(node)] if isinstance(node, syntax_tree.Let) else self._node_lines(node, indent)
 
-    def _inside(self, node: syntax_tree.Node, level: int, indent: int) -> list[str]:
-        lines = self._part(node, indent)
-        return self._cat([["("], lines, [")"]]) if level_of(node) < level else lines
+    def _operand_lines(self, node: syntax_tree.Node, precedence: int, indent: int) -> list[str]:
+        """Returns the lines of an operand, in parentheses if it binds less strongly than `precedence`."""
+        lines = self._inner_lines(node, indent)
+        return self._concatenate([["("], lines, [")"]]) if precedence_of(node) < precedence else lines
 
-    def _key(self, node: syntax_tree.Field) -> str:
-        how = "override " if node.merge_mode == "override" else ""
-        return f"{how}{key_text(node)}{'+: ' if node.merge_mode == '+:' else ': '}"
+    def _key_head(self, node: syntax_tree.Field) -> str:
+        prefix = "override " if node.merge_mode == "override" else ""
+        return f"{prefix}{key_text(node)}{'+: ' if node.merge_mode == '+:' else ': '}"
 
-    def _local(self, node: syntax_tree.Local) -> str:
+    def _local_head(self, node: syntax_tree.Local) -> str:
         head = f"local {node.name}"
         if isinstance(node.value, syntax_tree.Function):
             head += f"({', '.join(node.value.parameters)})"
         return f"{head} = "
 
-    def _let(self, node: syntax_tree.Let, indent: int) -> list[str]:
-        lines = self._entries([*node.locals, node.body], indent, ";")
+    def _let_lines(self, node: syntax_tree.Let, indent: int) -> list[str]:
+        lines = self._entry_lines([*node.locals, node.body], indent, ";")
         lines[0] = lines[0][indent:] if lines[0].startswith(" " * indent) else lines[0]
         return lines
 
-    def _spreads(self, node: syntax_tree.Node, parts: list[Entry], indent: int, head: int) -> bool:
-        if not parts and not self._holds(node):
+    def _is_multiline(
+        self, node: syntax_tree.Node, parts: list[Entry], indent: int, columns_before: int
+    ) -> bool:
+        """Returns True if a list or record takes several lines."""
+        if not parts and not self._contains_comment(node):
             return False
-        if id(node) in self.forced or getattr(node, "spread", False):
+        if id(node) in self.forced_multiline or getattr(node, "multiline", False):
             return True
-        if self._holds(node) or any(map(spread_within, parts)):
+        if self._contains_comment(node) or any(map(contains_multiline, parts)):
             return True
-        return indent + head + len(flat(node)) > WIDTH
+        return indent + columns_before + len(flat(node)) > MAX_COLUMNS
 
-    def _container(self, node, parts: list[Entry], marks: str, indent: int, head: int) -> list[str]:
-        if not self._spreads(node, parts, indent, head):
+    def _container_lines(
+        self, node, parts: list[Entry], brackets: str, indent: int, columns_before: int
+    ) -> list[str]:
+        if not self._is_multiline(node, parts, indent, columns_before):
             return [flat(node)]
-        inner = indent + STEP
-        lines = [marks[0], *self._entries(parts, inner, ",")]
-        lines += self._rest(node.end, inner)
-        return [*lines, " " * indent + marks[1]]
-
-    def _loop(self, node, made: Entry, marks: str, indent: int, head: int) -> list[str]:
-        if not self._spreads(node, [made, node.loop.among], indent, head):
+        inner = indent + INDENT_COLUMNS
+        lines = [brackets[0], *self._entry_lines(parts, inner, ",")]
+        lines += self._comments_before_line(node.end_line, inner)
+        return [*lines, " " * indent + brackets[1]]
+
+    def _comprehension_lines(
+        self, node, element: Entry, brackets: str, indent: int, columns_before: int
+    ) -> list[str]:
+        if not self._is_multiline(node, [element, node.loop.iterable], indent, columns_before):
             return [flat(node)]
-        inner = indent + STEP
-        lines = [marks[0], *self._entries([made], inner, "")]
+        inner = indent + INDENT_COLUMNS
+        lines = [brackets[0], *self._entry_lines([element], inner, "")]
         loop = node.loop
-        among = self._cat([[f"for {loop.name} in "], self._lay(loop.among, inner)])
-        among[0] = " " * inner + among[0]
-        lines += self._rest(loop.among.place.line, inner) + among
-        if loop.test is not None:
-            test = self._cat([["if "], self._lay(loop.test, inner)])
-            test[0] = " " * inner + test[0]
-            lines += test
-        lines += self._rest(node.end, inner)
-        return [*lines, " " * indent + marks[1]]
-
-
-def body_of(local: syntax_tree.Local) -> syntax_tree.Node:
+        iterable = self._concatenate([[f"for {loop.name} in "], self._node_lines(loop.iterable, inner)])
+        iterable[0] = " " * inner + iterable[0]
+        lines += self._comments_before_line(loop.iterable.place.line, inner) + iterable
+        if loop.condition is not None:
+            condition = self._concatenate([["if "], self._node_lines(loop.condition, inner)])
+            condition[0] = " " * inner + condition[0]
+            lines += condition
+        lines += self._comments_before_line(node.end_line, inner)
+        return [*lines, " " * indent + brackets[1]]
+
+
+def local_body(local: syntax_tree.Local) -> syntax_tree.Node:
+    """Returns the value of a local, or the body if it takes parameters."""
     return local.value.body if isinstance(local.value, syntax_tree.Function) else local.value
 
 
 def key_text(node: syntax_tree.Field) -> str:
+    """Returns the key of a field as a plan writes it."""
     if isinstance(node.key, str):
         return format_key(node.key)
     return node.key.text if isinstance(node.key, syntax_tree.Text) else f"[{flat(node.key)}]"
 
 
-def level_of(node: syntax_tree.Node) -> int:
+def precedence_of(node: syntax_tree.Node) -> int:
+    """Returns how strongly a node binds; a greater number binds more strongly."""
     match node:
         case syntax_tree.Let() | syntax_tree.If():
             return 0
         case syntax_tree.Binary():
-            return syntax_tree.BINDS[node.sign]
+            return syntax_tree.PRECEDENCE[node.operator]
         case syntax_tree.Unary():
-            return UNARY
-        case syntax_tree.Member() | syntax_tree.Index() | syntax_tree.CallOf():
-            return POSTFIX
-    return PRIMARY
+            return UNARY_PRECEDENCE
+        case syntax_tree.Member() | syntax_tree.Index() | syntax_tree.Call():
+            return POSTFIX_PRECEDENCE
+    return PRIMARY_PRECEDENCE
 
 
-def below(node: Entry) -> list[Entry]:
-    """What a node is made of."""
+def children_of(node: Entry) -> list[Entry]:
+    """Returns the nodes of which a node directly consists."""
     match node:
         case syntax_tree.Field():
             return [node.value] if isinstance(node.key, str) else [node.key, node.value]
         case syntax_tree.Local():
-            return [body_of(node)]
+            return [local_body(node)]
         case syntax_tree.Let():
             return [*node.locals, node.body]
         case syntax_tree.Record():
             return [*node.locals, *node.fields]
-        case syntax_tree.Items():
+        case syntax_tree.List():
             return list(node.items)
-        case syntax_tree.RecordFor() | syntax_tree.ItemsFor():
-            made = node.field_ if isinstance(node, syntax_tree.RecordFor) else node.item
-            return [made, node.loop.among, *([node.loop.test] if node.loop.test else [])]
+        case syntax_tree.RecordComprehension() | syntax_tree.ListComprehension():
+            element = node.entry if isinstance(node, syntax_tree.RecordComprehension) else node.item
+            return [element, node.loop.iterable, *([node.loop.condition] if node.loop.condition else [])]
         case syntax_tree.Binary():
             return [node.left, node.right]
         case syntax_tree.Unary() | syntax_tree.Member():
-            return [node.of]
+            return [node.operand]
         case syntax_tree.If():
-            return [node.test, node.yes, node.no]
+            return [node.condition, node.then_value, node.else_value]
         case syntax_tree.Index():
-            return [node.of, node.at]
-        case syntax_tree.CallOf():
-            return [node.of, *node.arguments]
+            return [node.container, node.index]
+        case syntax_tree.Call():
+            return [node.function, *node.arguments]
     return []
 
 
-def spread_within(node: Entry) -> bool:
-    """Whether a part of it goes over several lines."""
+def contains_multiline(node: Entry) -> bool:
+    """Returns True if a node, or one inside it, takes several lines."""
     return (
         isinstance(node, syntax_tree.Let)
-        or getattr(node, "spread", False)
-        or any(map(spread_within, below(node)))
+        or getattr(node, "multiline", False)
+        or any(map(contains_multiline, children_of(node)))
     )
 
 
-def flat(node: Entry, level: int = 0) -> str:
-    """A node on one line, in parentheses where it binds less than the level asks for."""
+def flat(node: Entry, precedence: int = 0) -> str:
+    """Returns a node on one line, in parentheses if it binds less strongly than `precedence`."""
     text = _flat(node)
-    return f"({text})" if level_of(node) < level else text
+    return f"({text})" if precedence_of(node) < precedence else text
 
 
 def _flat(node: Entry) -> str:
@@ -305,45 +349,51 @@
         case syntax_tree.Include():
             return f"include {quoted(node.path)}"
         case syntax_tree.Field():
-            how = "override " if node.merge_mode == "override" else ""
-            return f"{how}{key_text(node)}{'+: ' if node.merge_mode == '+:' else ': '}{flat(node.value)}"
+            prefix = "override " if node.merge_mode == "override" else ""
+            return f"{prefix}{key_text(node)}{'+: ' if node.merge_mode == '+:' else ': '}{flat(node.value)}"
         case syntax_tree.Local():
             parameters = node.value.parameters if isinstance(node.value, syntax_tree.Function) else None
             head = f"local {node.name}" + (f"({', '.join(parameters)})" if parameters is not None else "")
-            return f"{head} = {flat(body_of(node))}"
+            return f"{head} = {flat(local_body(node))}"
         case syntax_tree.Let():
             body = f"({flat(node.body)})" if isinstance(node.body, syntax_tree.Let) else flat(node.body)
             return " ".join([*(flat(local) + ";" for local in node.locals), body])
         case syntax_tree.Record():
-            inner = ", ".join(flat(part) for part in below(node))
-            return f"{{ {inner} }}" if inner else "{}"
-        case syntax_tree.Items():
+            entries = ", ".join(flat(part) for part in children_of(node))
+            return f"{{ {entries} }}" if entries else "{}"
+        case syntax_tree.List():
             return "[" + ", ".join(flat(item) for item in node.items) + "]"
-        case syntax_tree.ItemsFor():
+        case syntax_tree.ListComprehension():
             return f"[{flat(node.item)} {loop_text(node.loop)}]"
-        case syntax_tree.RecordFor():
-            return f"{{ {flat(node.field_)} {loop_text(node.loop)} }}"
+        case syntax_tree.RecordComprehension():
+            return f"{{ {flat(node.entry)} {loop_text(node.loop)} }}"
         case syntax_tree.Binary():
-            level = syntax_tree.BINDS[node.sign]
-            left = flat(node.left, level + 1 if level == syntax_tree.COMPARES else level)
-            return f"{left} {node.sign} {flat(node.right, level + 1)}"
+            precedence = syntax_tree.PRECEDENCE[node.operator]
+            left = flat(
+                node.left, precedence + 1 if precedence == syntax_tree.COMPARISON_PRECEDENCE else precedence
+            )
+            return f"{left} {node.operator} {flat(node.right, precedence + 1)}"
         case syntax_tree.Unary():
-            return f"{node.sign}{flat(node.of, UNARY)}"
+            return f"{node.operator}{flat(node.operand, UNARY_PRECEDENCE)}"
         case syntax_tree.If():
-            return f"if {flat(node.test)} then {flat(node.yes)} else {flat(node.no)}"
+            return f"if {flat(node.condition)} then {flat(node.then_value)} else {flat(node.else_value)}"
         case syntax_tree.Member():
-            return f"{flat(node.of, POSTFIX)}.{node.name}"
+            return f"{flat(node.operand, POSTFIX_PRECEDENCE)}.{node.name}"
         case syntax_tree.Index():
-            return f"{flat(node.of, POSTFIX)}[{flat(node.at)}]"
-        case syntax_tree.CallOf():
-            return f"{flat(node.of, POSTFIX)}({', '.join(flat(argument) for argument in node.arguments)})"
+            return f"{flat(node.container, POSTFIX_PRECEDENCE)}[{flat(node.index)}]"
+        case syntax_tree.Call():
+            return (
+                f"{flat(node.function, POSTFIX_PRECEDENCE)}"
+                f"({', '.join(flat(argument) for argument in node.arguments)})"
+            )
     raise TypeError(type(node).__name__)
 
 
-def loop_text(loop: syntax_tree.For) -> str:
-    test = f" if {flat(loop.test)}" if loop.test is not None else ""
-    return f"for {loop.name} in {flat(loop.among)}{test}"
+def loop_text(loop: syntax_tree.ForClause) -> str:
+    condition = f" if {flat(loop.condition)}" if loop.condition is not None else ""
+    return f"for {loop.name} in {flat(loop.iterable)}{condition}"
 
 
 def quoted(path: str) -> str:
+    """Returns a path as a text of a plan, in quotes and with its escapes."""
     return '"' + path.replace("\\", "\\\\").replace('"', '\\"').replace("$", "\\$") + '"'
--- a/quartzrouter/config/loader.py
+++ b/quartzrouter/config/loader.py
@@ -1,4 +1,4 @@
-"""A plan from files to a checked Plan, with all that is wrong with it."""
+"""Loads a plan: reads and evaluates its files, checks the result and builds a Plan, or lists its faults."""
 
 import gc
 from contextlib import contextmanager
@@ -9,7 +9,7 @@
 from quartzrouter.config.evaluator import Evaluation, Loader, Unreadable
 from quartzrouter.config.keys import PLAN
 from quartzrouter.config.model import Plan
-from quartzrouter.config.parser import TEXT_MOST
+from quartzrouter.config.parser import MAX_FILE_BYTES
 from quartzrouter.config.problems import Faults, Place, PlanError, Source
 from quartzrouter.config.schema import BAD, Check
 from quartzrouter.config.shadowing import check_routes
@@ -18,20 +18,30 @@
 
 @dataclass
 class LoadResult:
-    plan: Plan | None  # None where it has errors
+    """What loading a plan gave.
+
+    :param plan: None if it has errors.
+    :param value: the plan as evaluated, before its check; POISON if the evaluation failed.
+    :param sources: the files of the plan; its main file is the first.
+    """
+
+    plan: Plan | None
     faults: Faults
-    value: object  # as evaluated
+    value: object
     sources: list[Source]
 
 
 def disk_loader(stdin: str | None = None) -> Loader:
-    """Reads files; `-` is what came on standard input."""
+    """Returns a function that reads files.
+
+    :param stdin: the text that the path `-` stands for; None if `-` is a file like any other.
+    """
 
     def load(path: str) -> str:
         if path == "-" and stdin is not None:
             return stdin
         try:
-            data = Path(path).read_bytes() if _fits(path) else b""
+            data = Path(path).read_bytes() if _is_small_enough(path) else b""
         except IsADirectoryError:
             raise Unreadable("is a folder, not a file") from None
         except FileNotFoundError:
@@ -46,27 +56,31 @@
     return load
 
 
-def _fits(path: str) -> bool:
-    if Path(path).is_file() and Path(path).stat().st_size > TEXT_MOST:
-        raise Unreadable(f"is larger than {TEXT_MOST >> 20} MiB")
+def _is_small_enough(path: str) -> bool:
+    """Returns True, or raises ``Unreadable`` for a file that is too large."""
+    if Path(path).is_file() and Path(path).stat().st_size > MAX_FILE_BYTES:
+        raise Unreadable(f"is larger than {MAX_FILE_BYTES >> 20} MiB")
     return True
 
 
 @contextmanager
-def _uncollected():
-    """Without the collector, which would walk all that is made again and again: a third of the time."""
-    on = gc.isenabled()
+def _garbage_collection_paused():
+    """Pauses the garbage collector, which would take a third of the time to traverse the growing plan."""
+    was_enabled = gc.isenabled()
     gc.disable()
     try:
         yield
     finally:
-        if on:
+        if was_enabled:
             gc.enable()
 
 
 def load(path: str, read: Loader | None = None) -> LoadResult:
-    """Reads, evaluates and checks a plan; raises nothing for what is wrong with it."""
-    with _uncollected():
+    """Reads, evaluates and checks a plan; its faults are part of the result and raise no exception.
+
+    :param read: returns the text of a file; reads from the disk if left out.
+    """
+    with _garbage_collection_paused():
         return _load(path, read)
 
 
@@ -84,10 +98,10 @@
     check = Check(faults)
     start = Place(sources[0], 1, 1)
     check.places[()] = start
-    told = PLAN.take(check, (), Slot(value, start))
+    checked = PLAN.take(check, (), Slot(value, start))
     plan = None
-    if told is not BAD:
-        plan = Build(told, check).plan()
+    if checked is not BAD:
+        plan = Build(checked, check).plan()
     if plan is not None:
         check_routes(plan, check)
         plan = None if faults.errors else plan
--- a/quartzrouter/config/parser.py
+++ b/quartzrouter/config/parser.py
@@ -1,4 +1,4 @@
-"""Text to nodes, by the grammar beside this file: any text ends in nodes or in one PlanError."""
+"""Parses the text of a plan with ``grammar.lark``: the result is a syntax tree, or one PlanError."""
 
 from dataclasses import dataclass
 from functools import cache
@@ -10,11 +10,11 @@
 from quartzrouter.config import quantity, syntax_tree
 from quartzrouter.config.problems import Fault, Place, PlanError, Source
 
-DEPTH_MOST = 120  # nested nodes: past what anyone reads, well inside the interpreter's stack
-TEXT_MOST = 1 << 20  # bytes of one file
-DIGITS_MOST = 18  # of a number
+MAX_DEPTH = 120  # levels of nodes: deeper than is readable, and well within the interpreter's stack
+MAX_FILE_BYTES = 1 << 20
+MAX_DIGITS = 18  # of a number
 ESCAPES = {"n": "\n", "t": "\t", '"': '"', "\\": "\\", "$": "$", "/": "/"}
-SAID = {
+TOKEN_NAMES = {
     "NAME": "a name",
     "STRING": "a text",
     "NUMBER": "a number",
@@ -33,120 +33,151 @@
     "DOT": "'.'",
     "$END": "the end",
 }
-VALUES = {"STRING", "NUMBER", "LBRACE"}  # where these may stand, a value may
+VALUE_TOKENS = {"STRING", "NUMBER", "LBRACE"}  # if the parser accepts these, it accepts any value
 
 
 @dataclass
 class Parsed:
+    """The syntax tree of a file, and its comments in the order of the file."""
+
     source: Source
     root: syntax_tree.Node
     comments: list[Token]
 
 
-class Builder(Transformer):
-    """Makes nodes as the parser goes; children are nodes and all tokens, so that each place is known."""
+class TreeBuilder(Transformer):
+    """Builds the nodes while the parser runs.
+
+    The parser calls the method named after each rule of the grammar with the rule's nodes and all its tokens,
+    so that the place of every node is known.
+    """
 
     def __init__(self) -> None:
         super().__init__(visit_tokens=False)
         self.source = Source("", "")
-        self.shift = (0, 0)  # lines and columns before a text that stands inside another
+        # lines and columns before the text that is parsed; not 0 for an expression in `${...}`
+        self.offset = (0, 0)
         self.comments: list[Token] = []
 
     # -- places ------------------------------------------------------------------------------------
 
-    def place(self, token: Token) -> Place:
-        lines, columns = self.shift
+    def place_of(self, token: Token) -> Place:
+        """Returns the place at which a token begins."""
+        lines, columns = self.offset
         return Place(self.source, token.line + lines, token.column + (columns if token.line == 1 else 0))
 
-    def first(self, children: list) -> Place:
+    def first_place(self, children: list) -> Place:
+        """Returns the place at which a rule begins."""
         first = children[0]
-        return first.place if isinstance(first, syntax_tree.Node) else self.place(first)
-
-    def node(self, kind: type, children: list, *values: object, place: Place | None = None, **named: object):
-        below = [child for child in children if isinstance(child, syntax_tree.Node)]
-        depth = 1 + max((child.depth for child in below), default=0)
-        place = place or self.first(children)
-        if depth > DEPTH_MOST:
+        return first.place if isinstance(first, syntax_tree.Node) else self.place_of(first)
+
+    def make_node(
+        self, node_type: type, children: list, *values: object, place: Place | None = None, **fields: object
+    ):
+        """Returns a node with its place, depth and end; raises PlanError if it is nested too deeply.
+
+        :param children: the nodes and tokens of the rule.
+        :param values: the node's own fields.
+        :param place: where it begins, if not at the first of the children.
+        """
+        child_nodes = [child for child in children if isinstance(child, syntax_tree.Node)]
+        depth = 1 + max((child.depth for child in child_nodes), default=0)
+        place = place or self.first_place(children)
+        if depth > MAX_DEPTH:
             raise PlanError(
-                Fault(place, f"nested more than {DEPTH_MOST} deep", "give parts of it names", code="depth")
+                Fault(
+                    place,
+                    f"nested more than {MAX_DEPTH} levels deep",
+                    "move parts of it into locals",
+                    code="depth",
+                )
             )
         last = children[-1]
-        end = last.end if isinstance(last, syntax_tree.Node) else last.line + self.shift[0]
-        return kind(place, *values, **named, depth=depth, end=end)
+        end_line = last.end_line if isinstance(last, syntax_tree.Node) else last.line + self.offset[0]
+        return node_type(place, *values, **fields, depth=depth, end_line=end_line)
 
-    def wrong(self, token: Token, reason: str, remedy: str = "", code: str = "syntax") -> PlanError:
-        return PlanError(Fault(self.place(token), reason, remedy, code=code))
+    def error(self, token: Token, reason: str, remedy: str = "", code: str = "syntax") -> PlanError:
+        return PlanError(Fault(self.place_of(token), reason, remedy, code=code))
 
     # -- values ------------------------------------------------------------------------------------
 
     def quantity(self, children):
         (token,) = children
-        self._short(token)
+        self._check_digits(token)
         try:
-            return self.node(syntax_tree.Literal, children, quantity.parse_quantity(token.value), token.value)
+            return self.make_node(
+                syntax_tree.Literal, children, quantity.parse_quantity(token.value), token.value
+            )
         except quantity.QuantityError as error:
-            raise self.wrong(token, str(error), code="unit") from None
+            raise self.error(token, str(error), code="unit") from None
 
     def number(self, children):
         (token,) = children
-        self._short(token)
-        value = quantity.figure(quantity.Fraction(token.value))
-        return self.node(syntax_tree.Literal, children, value, token.value)
+        self._check_digits(token)
+        value = quantity.bounded_number(quantity.Fraction(token.value))
+        return self.make_node(syntax_tree.Literal, children, value, token.value)
 
-    def _short(self, token: Token) -> None:
-        if sum(map(str.isdigit, token.value)) > DIGITS_MOST:
-            raise self.wrong(token, f"a figure of more than {DIGITS_MOST} digits", code="range")
+    def _check_digits(self, token: Token) -> None:
+        if sum(map(str.isdigit, token.value)) > MAX_DIGITS:
+            raise self.error(token, f"a number of more than {MAX_DIGITS} digits", code="range")
 
     def true(self, children):
-        return self.node(syntax_tree.Literal, children, True, "true")
+        return self.make_node(syntax_tree.Literal, children, True, "true")
 
     def false(self, children):
-        return self.node(syntax_tree.Literal, children, False, "false")
+        return self.make_node(syntax_tree.Literal, children, False, "false")
 
     def null(self, children):
-        return self.node(syntax_tree.Literal, children, None, "null")
+        return self.make_node(syntax_tree.Literal, children, None, "null")
 
     def name(self, children):
-        return self.node(syntax_tree.Name, children, children[0].value)
+        return self.make_node(syntax_tree.Name, children, children[0].value)
 
     def string(self, children):
         token = children[0]
-        parts = self._parts(token)
-        node = self.node(syntax_tree.Text, children, parts, token.value)
+        parts = self._text_parts(token)
+        node = self.make_node(syntax_tree.Text, children, parts, token.value)
         node.depth += max((part.depth for part in parts if isinstance(part, syntax_tree.Node)), default=0)
         return node
 
-    def _parts(self, token: Token) -> list[str | syntax_tree.Node]:
-        body, parts, text, at = token.value[1:-1], [], "", 0
-        while at < len(body):
-            if body[at] == "\\":
-                if body[at + 1] not in ESCAPES:
-                    raise self.wrong(
-                        token, f"'\\{body[at + 1]}' is no escape", f"those are {' '.join(ESCAPES)}"
+    def _text_parts(self, token: Token) -> list[str | syntax_tree.Node]:
+        """Returns the parts of a quoted text: literal text with its escapes resolved, and expressions."""
+        body, parts, text, position = token.value[1:-1], [], "", 0
+        while position < len(body):
+            if body[position] == "\\":
+                if body[position + 1] not in ESCAPES:
+                    raise self.error(
+                        token,
+                        f"'\\{body[position + 1]}' isn't an escape sequence",
+                        f"after a backslash, use one of {' '.join(ESCAPES)}",
                     )
-                text, at = text + ESCAPES[body[at + 1]], at + 2
-            elif body.startswith("${", at):
-                end = body.index("}", at) if "}" in body[at:] else -1
+                text, position = text + ESCAPES[body[position + 1]], position + 2
+            elif body.startswith("${", position):
+                end = body.index("}", position) if "}" in body[position:] else -1
                 if end < 0:
-                    raise self.wrong(token, "'${' without '}'", "write \\$ for a dollar sign")
+                    raise self.error(token, "'${' without '}'", "write \\$ for a dollar sign")
                 parts += [text] if text else []
-                parts.append(self._inside(token, body[at + 2 : end], at + 3))
-                text, at = "", end + 1
+                parts.append(self._insertion(token, body[position + 2 : end], position + 3))
+                text, position = "", end + 1
             else:
-                text, at = text + body[at], at + 1
+                text, position = text + body[position], position + 1
         return parts + ([text] if text else [])
 
-    def _inside(self, token: Token, text: str, column: int) -> syntax_tree.Node:
-        """What stands in `${...}`, parsed where it stands."""
-        place = self.place(token)
-        before = self.shift
-        self.shift = (place.line - 1, place.column - 1 + column)
+    def _insertion(self, token: Token, text: str, column: int) -> syntax_tree.Node:
+        """Returns the expression in `${...}`.
+
+        :param token: the text that contains it.
+        :param column: the columns from the start of the token to the expression.
+        """
+        place = self.place_of(token)
+        before = self.offset
+        self.offset = (place.line - 1, place.column - 1 + column)
         try:
             return parser().parse(text)
         except (UnexpectedCharacters, UnexpectedToken, UnexpectedEOF):
-            raise self.wrong(token, f"'${{{text}}}' holds no expression") from None
+            raise self.error(token, f"'${{{text}}}' isn't a valid expression") from None
         finally:
-            self.shift = before
+            self.offset = before
 
     # -- expressions ---------------------------------------------------------------------------------
 
@@ -154,50 +185,57 @@
         return children[0]
 
     def chain(self, children):
-        """Operands with signs between them, by what binds before what; from the left among equals."""
-        operands, signs = [children[0]], []
-        for sign, operand in zip(children[1::2], children[2::2], strict=True):
-            while signs and syntax_tree.BINDS[signs[-1].value] >= syntax_tree.BINDS[sign.value]:
+        """Returns the tree of a chain of operators: by precedence, and from left to right among equal ones.
+
+        The precedences aren't in the grammar: a rule for each would be entered for every value.
+        """
+        operands, operators = [children[0]], []
+        for operator, operand in zip(children[1::2], children[2::2], strict=True):
+            while (
+                operators
+                and syntax_tree.PRECEDENCE[operators[-1].value] >= syntax_tree.PRECEDENCE[operator.value]
+            ):
                 if (
-                    syntax_tree.BINDS[sign.value]
-                    == syntax_tree.COMPARES
-                    == syntax_tree.BINDS[signs[-1].value]
+                    syntax_tree.PRECEDENCE[operator.value]
+                    == syntax_tree.COMPARISON_PRECEDENCE
+                    == syntax_tree.PRECEDENCE[operators[-1].value]
                 ):
-                    raise self.wrong(sign, "comparisons one after the other", "join them with &&")
-                self._join(operands, signs)
+                    raise self.error(operator, "comparisons can't be chained", "join them with &&")
+                self._join_last(operands, operators)
             operands.append(operand)
-            signs.append(sign)
-        while signs:
-            self._join(operands, signs)
+            operators.append(operator)
+        while operators:
+            self._join_last(operands, operators)
         return operands[0]
 
-    def _join(self, operands: list[syntax_tree.Node], signs: list[Token]) -> None:
+    def _join_last(self, operands: list[syntax_tree.Node], operators: list[Token]) -> None:
+        """Replaces the last two operands by one node with the last operator."""
         right, left = operands.pop(), operands.pop()
-        operands.append(self.node(syntax_tree.Binary, [left, right], signs.pop().value, left, right))
+        operands.append(self.make_node(syntax_tree.Binary, [left, right], operators.pop().value, left, right))
 
     def unary(self, children):
-        sign, of = children
-        return self.node(syntax_tree.Unary, children, sign.value, of)
+        operator, operand = children
+        return self.make_node(syntax_tree.Unary, children, operator.value, operand)
 
     def conditional(self, children):
-        _, test, _, yes, _, no = children
-        return self.node(syntax_tree.If, children, test, yes, no)
+        _, condition, _, then_value, _, else_value = children
+        return self.make_node(syntax_tree.If, children, condition, then_value, else_value)
 
     def let(self, children):
-        return self.node(syntax_tree.Let, children, children[:-1], children[-1])
+        return self.make_node(syntax_tree.Let, children, children[:-1], children[-1])
 
     def local_value(self, children):
         _, name, _, value, _ = children
-        return self.node(syntax_tree.Local, children, name.value, value)
+        return self.make_node(syntax_tree.Local, children, name.value, value)
 
     def local_function(self, children):
         node = self._function(children[:-1])
-        node.end = children[-1].line + self.shift[0]
+        node.end_line = children[-1].line + self.offset[0]
         return node
 
     def entry_local(self, children):
         _, name, _, value = children
-        return self.node(syntax_tree.Local, children, name.value, value)
+        return self.make_node(syntax_tree.Local, children, name.value, value)
 
     def entry_function(self, children):
         return self._function(children)
@@ -205,67 +243,71 @@
     def _function(self, children):
         parameters = [child.value for child in children[2:-1] if getattr(child, "type", "") == "NAME"]
         if len(set(parameters)) < len(parameters):
-            raise self.wrong(children[1], "a parameter is named twice", code="duplicate")
-        function = self.node(syntax_tree.Function, children, parameters, children[-1])
-        return self.node(syntax_tree.Local, children, children[1].value, function)
+            raise self.error(children[1], "a parameter is named twice", code="duplicate")
+        function = self.make_node(syntax_tree.Function, children, parameters, children[-1])
+        return self.make_node(syntax_tree.Local, children, children[1].value, function)
 
     def member(self, children):
-        of, _, name = children
-        return self.node(syntax_tree.Member, children, of, name.value, self.place(name))
+        operand, _, name = children
+        return self.make_node(syntax_tree.Member, children, operand, name.value, self.place_of(name))
 
     def index(self, children):
-        return self.node(syntax_tree.Index, children, children[0], children[2])
+        return self.make_node(syntax_tree.Index, children, children[0], children[2])
 
     def call(self, children):
         arguments = [child for child in children[1:] if isinstance(child, syntax_tree.Node)]
-        return self.node(syntax_tree.CallOf, children, children[0], arguments)
+        return self.make_node(syntax_tree.Call, children, children[0], arguments)
 
     def merged(self, children):
-        return self.node(syntax_tree.Binary, children, "+", *children)
+        return self.make_node(syntax_tree.Binary, children, "+", *children)
 
     def include(self, children):
         path = self.string(children[1:])
         if any(isinstance(part, syntax_tree.Node) for part in path.parts):
-            raise self.wrong(children[1], "the path of an include can't be put together", "write it out")
-        return self.node(syntax_tree.Include, children, "".join(path.parts))
+            raise self.error(children[1], "the path of an include can't contain ${...}", "write the path out")
+        return self.make_node(syntax_tree.Include, children, "".join(path.parts))
 
     def group(self, children):
         inner = children[1]
-        inner.end = children[2].line + self.shift[0]
+        inner.end_line = children[2].line + self.offset[0]
         return inner
 
     def items(self, children):
         items = [child for child in children if isinstance(child, syntax_tree.Node)]
-        return self.node(syntax_tree.Items, children, items, self._spread(children))
+        return self.make_node(syntax_tree.List, children, items, self._is_multiline(children))
 
     def items_for(self, children):
-        return self.node(syntax_tree.ItemsFor, children, children[1], children[2], self._spread(children))
+        return self.make_node(
+            syntax_tree.ListComprehension, children, children[1], children[2], self._is_multiline(children)
+        )
 
     def loop(self, children):
-        test = children[5] if len(children) > 5 else None
-        return self.node(syntax_tree.For, children, children[1].value, children[3], test)
+        condition = children[5] if len(children) > 5 else None
+        return self.make_node(syntax_tree.ForClause, children, children[1].value, children[3], condition)
 
     def record(self, children):
         entries = [child for child in children if isinstance(child, syntax_tree.Node)]
         locals_ = [entry for entry in entries if isinstance(entry, syntax_tree.Local)]
         fields = [entry for entry in entries if isinstance(entry, syntax_tree.Field)]
-        return self.node(syntax_tree.Record, children, locals_, fields, self._spread(children))
+        return self.make_node(syntax_tree.Record, children, locals_, fields, self._is_multiline(children))
 
     def record_for(self, children):
-        return self.node(syntax_tree.RecordFor, children, children[1], children[2], self._spread(children))
+        return self.make_node(
+            syntax_tree.RecordComprehension, children, children[1], children[2], self._is_multiline(children)
+        )
 
-    def _spread(self, children) -> bool:
-        """Whether what follows the bracket begins on a line of its own."""
+    def _is_multiline(self, children) -> bool:
+        """Returns True if the first item or entry begins on a line below the bracket."""
         first = children[1]
-        line = first.place.line if isinstance(first, syntax_tree.Node) else first.line + self.shift[0]
-        return line > children[0].line + self.shift[0]
+        line = first.place.line if isinstance(first, syntax_tree.Node) else first.line + self.offset[0]
+        return line > children[0].line + self.offset[0]
 
-    def _field(self, children, how):
+    def _field(self, children, merge_mode):
         key, value = children[-3], children[-1]
-        place = self.first(children) if not isinstance(key, tuple) else key[0]
+        place = self.first_place(children) if not isinstance(key, tuple) else key[0]
         if isinstance(key, tuple):
             key = key[1]
-        return self.node(syntax_tree.Field, children[-1:], key, how, value, place=place)
+        return self.make_node(syntax_tree.Field, children[-1:], key, merge_mode, value, place=place)
 
     def field_new(self, children):
         return self._field(children, ":")
@@ -277,19 +319,19 @@
         return self._field(children, "override")
 
     def key_name(self, children):
-        return self.place(children[0]), children[0].value
+        return self.place_of(children[0]), children[0].value
 
     def key_string(self, children):
         text = self.string(children)
         if any(isinstance(part, syntax_tree.Node) for part in text.parts):
-            return self.place(children[0]), text
-        return self.place(children[0]), "".join(text.parts)
+            return self.place_of(children[0]), text
+        return self.place_of(children[0]), "".join(text.parts)
 
     def key_computed(self, children):
-        return self.place(children[0]), children[1]
+        return self.place_of(children[0]), children[1]
 
 
-BUILDER = Builder()
+TREE_BUILDER = TreeBuilder()
 
 
 @cache
@@ -299,67 +341,80 @@
         grammar,
         parser="lalr",
         lexer="contextual",
-        transformer=BUILDER,
+        transformer=TREE_BUILDER,
         keep_all_tokens=True,
         maybe_placeholders=False,
-        lexer_callbacks={"COMMENT": _keep},
+        lexer_callbacks={"COMMENT": _collect_comment},
     )
 
 
-def _keep(token: Token) -> Token:
-    BUILDER.comments.append(token)
+def _collect_comment(token: Token) -> Token:
+    TREE_BUILDER.comments.append(token)
     return token
 
 
 def parse(source: Source) -> Parsed:
-    """The nodes of a file; raises PlanError with its first fault."""
+    """Returns the syntax tree of a file; raises PlanError with the first fault."""
     parser()
-    BUILDER.source, BUILDER.shift, BUILDER.comments = source, (0, 0), []
+    TREE_BUILDER.source, TREE_BUILDER.offset, TREE_BUILDER.comments = source, (0, 0), []
     start = Place(source, 1, 1)
-    if len(source.text.encode(errors="replace")) > TEXT_MOST:
-        raise PlanError(Fault(start, f"a file of more than {TEXT_MOST >> 20} MiB", "split it", code="size"))
+    if len(source.text.encode(errors="replace")) > MAX_FILE_BYTES:
+        raise PlanError(
+            Fault(start, f"a file of more than {MAX_FILE_BYTES >> 20} MiB", "split it", code="size")
+        )
     try:
         root = parser().parse(source.text)
     except UnexpectedToken as error:
-        raise PlanError(_unexpected(source, error)) from None
+        raise PlanError(_syntax_fault(source, error)) from None
     except UnexpectedCharacters as error:
-        raise PlanError(_unreadable(source, error)) from None
-    return Parsed(source, root, BUILDER.comments)
+        raise PlanError(_lexical_fault(source, error)) from None
+    return Parsed(source, root, TREE_BUILDER.comments)
 
 
-def _unreadable(source: Source, error: UnexpectedCharacters) -> Fault:
+def _lexical_fault(source: Source, error: UnexpectedCharacters) -> Fault:
+    """Returns the fault for text that is no token."""
     place = Place(source, error.line, error.column)
     char = source.text[error.pos_in_stream] if error.pos_in_stream < len(source.text) else ""
     if char == '"':
-        return Fault(place, "a text without an end", 'close it with " on the same line', code="syntax")
+        return Fault(place, "a text that isn't closed", 'close it with " on the same line', code="syntax")
     if char == "'":
         return Fault(place, "a text in single quotes", 'write "..."', code="syntax")
     if source.text.startswith("/*", error.pos_in_stream):
-        return Fault(place, "a comment without an end", "close it with */", code="syntax")
-    return Fault(place, f"{char!r} has no meaning here", code="syntax")
+        return Fault(place, "a comment that isn't closed", "close it with */", code="syntax")
+    return Fault(place, f"unexpected character {char!r}", code="syntax")
 
 
-def _unexpected(source: Source, error: UnexpectedToken) -> Fault:
+def _syntax_fault(source: Source, error: UnexpectedToken) -> Fault:
+    """Returns the fault for a token that can't follow the ones before it."""
     token, expected = error.token, set(error.accepts or error.expected)
     before = error.token_history[-1] if getattr(error, "token_history", None) else None
     if token.type == "$END":
         line = max(1, len(source.lines))
         place = Place(source, line, len(source.lines[line - 1]) + 1)
         if not source.text.strip():
-            return Fault(place, "an empty file", "a plan is a record: { ... }", code="syntax")
-        wanted = next((SAID[kind] for kind in ("RBRACE", "RSQB", "RPAR") if kind in expected), "")
+            return Fault(place, "the file is empty", "a plan is a record: { ... }", code="syntax")
+        missing = next((TOKEN_NAMES[kind] for kind in ("RBRACE", "RSQB", "RPAR") if kind in expected), "")
         return Fault(
-            place, f"the file ends too early{f': {wanted} is missing' if wanted else ''}", code="syntax"
+            place, f"the file ends too early{f': {missing} is missing' if missing else ''}", code="syntax"
         )
     place = Place(source, token.line, token.column)
-    starts = token.type in ("NAME", "STRING", "NUMBER", "QUANTITY", "LSQB", "LBRACE", "OVERRIDE", "LOCAL")
-    if "COMMA" in expected and starts and before is not None:
+    starts_entry = token.type in (
+        "NAME",
+        "STRING",
+        "NUMBER",
+        "QUANTITY",
+        "LSQB",
+        "LBRACE",
+        "OVERRIDE",
+        "LOCAL",
+    )
+    if "COMMA" in expected and starts_entry and before is not None:
         place = Place(source, before.end_line, before.end_column)
         return Fault(place, "a comma is missing", f"put ',' before {token.value!r:.40}", code="syntax")
     if token.type == "EQUAL" and "COLON" in expected:
         return Fault(place, "'=' where ':' belongs", "fields are written `name: value`", code="syntax")
-    if expected >= VALUES:
+    if expected >= VALUE_TOKENS:
         return Fault(place, f"{token.value!r:.40} where a value belongs", code="syntax")
-    wanted = " or ".join(sorted(SAID[kind] for kind in expected if kind in SAID)[:3])
-    reason = f"{token.value!r:.40} doesn't belong here"
-    return Fault(place, reason, f"{wanted} would" if wanted else "", code="syntax")
+    wanted = " or ".join(sorted(TOKEN_NAMES[kind] for kind in expected if kind in TOKEN_NAMES)[:3])
+    reason = f"unexpected {token.value!r:.40}"
+    return Fault(place, reason, f"expected {wanted}" if wanted else "", code="syntax")
--- a/quartzrouter/config/problems.py
+++ b/quartzrouter/config/problems.py
@@ -1,4 +1,4 @@
-"""What is wrong with a plan: where, why, and what to do about it; shown with the line and a caret."""
+"""Faults of a plan: the place, the reason and the remedy, shown with the source line and a caret."""
 
 import difflib
 from collections.abc import Iterable
@@ -7,13 +7,13 @@
 from functools import cached_property
 from typing import Any
 
-FAULTS_MOST = 200  # messages of one run: more are read by nobody
-LINE_MOST = 160  # characters of a source line that are shown
+MAX_FAULTS = 200  # messages of one run; nobody reads more
+MAX_SHOWN_COLUMNS = 160  # characters of a source line that a message shows
 
 
 @dataclass(frozen=True)
 class Source:
-    """A file's text, by the name under which messages speak of it."""
+    """A file's text, and the name that messages give the file."""
 
     name: str
     text: str
@@ -35,44 +35,56 @@
         return f"{self.source.name}:{self.line}:{self.column}"
 
     @property
-    def order(self) -> tuple[str, int, int]:
+    def sort_key(self) -> tuple[str, int, int]:
         return self.source.name, self.line, self.column
 
 
 class Severity(Enum):
+    """Tells whether a fault makes a plan unusable (an error) or only deserves attention (a warning)."""
+
     ERROR = "error"
     WARNING = "warning"
 
 
 @dataclass(frozen=True)
 class Fault:
+    """One fault of a plan.
+
+    :param reason: what is wrong.
+    :param remedy: what to do about it; may be empty.
+    :param code: the kind of fault, for editors.
+    :param related_places: further places that the fault concerns, each with what it is.
+    """
+
     place: Place
     reason: str
     remedy: str = ""
     severity: Severity = Severity.ERROR
-    code: str = ""  # by which an editor knows the kind
-    also: tuple[tuple[Place, str], ...] = ()  # further places, with what each of them is
+    code: str = ""
+    related_places: tuple[tuple[Place, str], ...] = ()
 
     @property
     def head(self) -> str:
+        """Returns the first line of the message."""
         kind = "warning: " if self.severity is Severity.WARNING else ""
         return f"{self.place}: {kind}{self.reason}"
 
     def shown(self) -> str:
-        """`file:line:column: reason`, the line with a caret, what to do."""
+        """Returns the message: `file:line:column: reason`, the source line with a caret, and the remedy."""
         text = [self.head]
         lines = self.place.source.lines
         if 0 < self.place.line <= len(lines):
             line = lines[self.place.line - 1]
-            start = max(0, self.place.column - LINE_MOST)
-            cut = line[start : start + LINE_MOST].replace("\t", " ")
-            text += [f"    {cut}", "    " + " " * (self.place.column - 1 - start) + "^"]
-        text += [f"    {place}: {what}" for place, what in self.also]
+            start = max(0, self.place.column - MAX_SHOWN_COLUMNS)
+            excerpt = line[start : start + MAX_SHOWN_COLUMNS].replace("\t", " ")
+            text += [f"    {excerpt}", "    " + " " * (self.place.column - 1 - start) + "^"]
+        text += [f"    {place}: {what}" for place, what in self.related_places]
         if self.remedy:
             text.append(f"    {self.remedy}")
         return "\n".join(text)
 
     def as_json(self) -> dict[str, Any]:
+        """Returns the fault as `plan check --json` prints it."""
         return {
             "file": self.place.source.name,
             "line": self.place.line,
@@ -83,13 +95,13 @@
             "remedy": self.remedy,
             "also": [
                 {"file": place.source.name, "line": place.line, "column": place.column, "what": what}
-                for place, what in self.also
+                for place, what in self.related_places
             ],
         }
 
 
 class PlanError(Exception):
-    """Carries one fault from where it is found to where it is kept."""
+    """A fault that ends the evaluation of the value, or the parsing of the file, in which it is found."""
 
     def __init__(self, fault: Fault):
         super().__init__(fault.head)
@@ -98,16 +110,21 @@
 
 @dataclass
 class Faults:
-    """The faults of one run: each once, and no more than can be read."""
+    """The faults of one run: each once, and at most ``MAX_FAULTS`` of them.
+
+    :param heads: the first lines of the faults that are kept.
+    :param left_out: the number of faults beyond ``MAX_FAULTS``.
+    """
 
     kept: list[Fault] = field(default_factory=list)
     heads: set[str] = field(default_factory=set)
     left_out: int = 0
 
     def add(self, fault: Fault) -> None:
+        """Keeps a fault, unless one with the same first line is kept already or there are too many."""
         if fault.head in self.heads:
             return
-        if len(self.kept) >= FAULTS_MOST:
+        if len(self.kept) >= MAX_FAULTS:
             self.left_out += 1
             return
         self.heads.add(fault.head)
@@ -122,15 +139,17 @@
         return [fault for fault in self.kept if fault.severity is Severity.WARNING]
 
     def in_order(self) -> list[Fault]:
-        return sorted(self.kept, key=lambda fault: fault.place.order)
+        """Returns the faults by file, line and column."""
+        return sorted(self.kept, key=lambda fault: fault.place.sort_key)
 
 
 def suggestion(word: str, known: Iterable[str]) -> str:
-    """`did you mean X?` for the nearest known word, or nothing."""
-    near = difflib.get_close_matches(word, list(known), n=1, cutoff=0.6)
-    return f"did you mean '{near[0]}'?" if near else ""
+    """Returns `did you mean X?` with the known word nearest to a misspelt one, or an empty text."""
+    closest = difflib.get_close_matches(word, list(known), n=1, cutoff=0.6)
+    return f"did you mean '{closest[0]}'?" if closest else ""
 
 
-def joined_names(known: Iterable[str], most: int = 8) -> str:
-    listed = sorted(known)
-    return ", ".join(listed[:most]) + (f" and {len(listed) - most} more" if len(listed) > most else "")
+def joined_names(known: Iterable[str], limit: int = 8) -> str:
+    """Returns names in alphabetical order, separated by commas; beyond the limit only their number."""
+    ordered = sorted(known)
+    return ", ".join(ordered[:limit]) + (f" and {len(ordered) - limit} more" if len(ordered) > limit else "")
--- a/quartzrouter/config/values.py
+++ b/quartzrouter/config/values.py
@@ -1,4 +1,4 @@
-"""What an evaluated plan consists of: figures, texts, lists, records and functions, each with its place."""
+"""The values of an evaluated plan: numbers, quantities, texts, lists, records and functions."""
 
 import re
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 
 class Poison:
-    """Where a value would be, had its evaluation not failed; what depends on it says nothing more."""
+    """Stands for a value whose evaluation failed; values that depend on it report no further faults."""
 
 
 POISON = Poison()
@@ -21,33 +21,46 @@
 
 @dataclass(slots=True)
 class Slot:
-    """A value of a record or list, the place that gave it, and how it meets what is there already."""
+    """A value in a record or list, with the place that gave it.
+
+    :param merge_mode: how the value combines with an earlier one of the same key, see ``syntax_tree.Field``.
+    :param key_place: the place of the key; None in a list.
+    """
 
     value: Any
     place: Place
     merge_mode: str = ":"
-    key_place: Place | None = None  # of the key
+    key_place: Place | None = None
 
 
 @dataclass(slots=True)
 class ListValue:
+    """A list of a plan."""
+
     slots: list[Slot]
 
 
 @dataclass(slots=True)
 class RecordValue:
+    """A record of a plan: its values by key, in the order of the plan."""
+
     slots: dict[str, Slot] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Closure:
+    """A function that a plan defines.
+
+    :param scope: the names defined before the function; it isn't among them, so it can't call itself.
+    """
+
     name: str
     function: syntax_tree.Function
-    scope: Any  # the names that were there before it: so that it can't call itself
+    scope: Any
 
 
 def kind_name(value: Any) -> str:
-    """What a value is, as a message says it."""
+    """Returns the name of a value's kind, as messages give it."""
     match value:
         case None:
             return "null"
@@ -65,11 +78,11 @@
             return "a function"
         case Poison():
             return "nothing"
-    return "a function" if callable(value) else quantity.KINDS[type(value)]
+    return "a function" if callable(value) else quantity.KIND_NAMES[type(value)]
 
 
 def format_value(value: Any) -> str:
-    """A value on one line, as it would be written."""
+    """Returns a value on one line, as a plan would write it."""
     match value:
         case None:
             return "null"
@@ -83,22 +96,22 @@
         case ListValue(slots):
             return "[" + ", ".join(format_value(slot.value) for slot in slots) + "]"
         case RecordValue(slots):
-            inner = ", ".join(
+            fields = ", ".join(
                 f"{format_key(name)}: {format_value(slot.value)}" for name, slot in slots.items()
             )
-            return "{ " + inner + " }" if inner else "{}"
+            return "{ " + fields + " }" if fields else "{}"
         case Closure(name):
             return f"{name}(...)"
     return str(value)
 
 
 def format_key(name: str) -> str:
-    """A key as it would be written."""
+    """Returns a key as a plan would write it."""
     return name if BARE_KEY.fullmatch(name) and name not in RESERVED_WORDS else format_value(name)
 
 
 def to_json_value(value: Any) -> Any:
-    """As JSON would hold it: quantities as texts."""
+    """Returns a value as JSON holds it, with quantities as texts."""
     match value:
         case ListValue(slots):
             return [to_json_value(slot.value) for slot in slots]
--- a/tests/test_plan_properties.py
+++ b/tests/test_plan_properties.py
@@ -74,7 +74,7 @@
 def meaning(node):
     """A tree without its places and its layout."""
     if is_dataclass(node) and isinstance(node, syntax_tree.Node):
-        left_out = {"place", "depth", "end", "spread", "name_place"}
+        left_out = {"place", "depth", "end_line", "multiline", "name_place"}
         if isinstance(node, syntax_tree.Text):
             left_out.add("text")
         told = [meaning(getattr(node, f.name)) for f in fields(node) if f.name not in left_out]
