--- a/quartzrouter/config/__init__.py
+++ b/quartzrouter/config/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration language: read, checked, formatted, compared, compiled; see docs/plan.md."""
+"""The plan language: parsing, checks, formatting, comparison and compilation; see docs/plan.md."""
--- a/quartzrouter/config/purge_settings.py
+++ b/quartzrouter/config/purge_settings.py
@@ -1,4 +1,4 @@
-"""How long a purge takes to settle under a plan, and the check that routers hold it for so long."""
+"""Computes how long a purge takes to settle under a plan, and checks that routers keep purges that long."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -10,20 +10,21 @@
 
 
 def settle_time_of(purges: Mapping[str, Any], vhosts: Mapping[str, TrafficClass]) -> int:
-    """Returns how long a purge takes to settle under a plan, in microseconds, see ``settle_time.py``.
+    """Returns how long a purge takes to settle under a plan, in microseconds; see ``settle_time.py``.
 
     :param purges: the plan's `purges`.
-    :param vhosts: by name.
+    :param vhosts: the plan's traffic classes, by name.
     """
-    kept = [vhost.client_timeout for vhost in vhosts.values() if not vhost.uncacheable]
-    return settle_time(purges["grace"], kept)
+    client_timeouts = [vhost.client_timeout for vhost in vhosts.values() if not vhost.uncacheable]
+    return settle_time(purges["grace"], client_timeouts)
 
 
 def check_purge_life(purges: Any, vhosts: Mapping[str, TrafficClass], check: Check) -> None:
-    """Notes a `life` that ends before purges settle: caches would never count as caught up under purges.
+    """Notes a fault if `life` ends before purges settle: caches would never count as caught up under purges.
 
-    :param purges: the plan's `purges` as they were read; None where there are none.
-    :param vhosts: those that could be read, by name.
+    :param purges: the plan's `purges` as they were read; None if there are none.
+    :param vhosts: the traffic classes that could be read, by name.
+    :param check: takes the fault.
     """
     if not isinstance(purges, dict) or BAD in (purges["life"], purges["grace"]):
         return
--- a/tests/test_plan_broken.py
+++ b/tests/test_plan_broken.py
@@ -1,4 +1,4 @@
-"""The corpus of broken plans: one cause each, one message each, kept beside the plan."""
+"""The corpus of broken plans: each has one fault and one message, which is stored beside the plan."""
 
 import os
 from functools import cache
@@ -15,8 +15,8 @@
 
 
 @cache
-def message(path):
-    """What a check says, with places as seen from the corpus."""
+def check(path):
+    """Returns the faults of a plan and their messages, with paths relative to the corpus."""
     before = Path.cwd()
     os.chdir(BROKEN)
     try:
@@ -26,22 +26,22 @@
     return faults, "\n".join(fault.shown() for fault in faults.in_order()) + "\n"
 
 
-def kept(path):
+def message_file(path):
     return path.with_suffix(".txt") if path.parent == BROKEN else path.parent / "said.txt"
 
 
-@pytest.mark.parametrize("path", PLANS, ids=lambda path: kept(path).relative_to(BROKEN).as_posix())
-def test_a_broken_plan_costs_its_one_message(path, request):
-    faults, said = message(path)
+@pytest.mark.parametrize("path", PLANS, ids=lambda path: message_file(path).relative_to(BROKEN).as_posix())
+def test_a_broken_plan_gives_its_one_message(path, request):
+    faults, message = check(path)
     if request.config.getoption("--retrace"):
-        kept(path).write_text(said)
-    assert len(faults.errors) == 1, said
+        message_file(path).write_text(message)
+    assert len(faults.errors) == 1, message
     assert faults.errors[0].code
-    assert said == kept(path).read_text()
+    assert message == message_file(path).read_text()
 
 
 def test_the_corpus_is_large_and_each_kind_of_fault_is_in_it():
-    codes = {message(path)[0].errors[0].code for path in PLANS}
+    codes = {check(path)[0].errors[0].code for path in PLANS}
     assert len(PLANS) >= 80
     assert codes >= {
         "syntax",
@@ -66,7 +66,7 @@
     }
 
 
-def test_examples_are_good_and_laid_out():
+def test_the_example_plans_are_valid_and_formatted():
     from quartzrouter.config.formatter import layout
     from quartzrouter.config.problems import Source
 
