--- a/quartzrouter/config/parser.py
+++ b/quartzrouter/config/parser.py
@@ -38,7 +38,7 @@
 
 @dataclass
 class Parsed:
-    """The syntax tree of a file, and its comments in the order of the file."""
+    """The syntax tree of a file, and its comments."""
 
     source: Source
     root: syntax_tree.Node
