--- a/quartzrouter/pool_routing/route_selection.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from quartzrouter.config.matcher import Found, Matcher
+from quartzrouter.config.matcher import Matcher, RouteMatch
 from quartzrouter.config.model import Plan, Policy, Route
 from quartzrouter.config.patterns import TOKEN
 from quartzrouter.config.request_sets import Asked
@@ -112,20 +112,20 @@
     return f"{route.vhost}@{route.policy}" if route.policy else route.vhost
 
 
-def _tenant(route: Route, found: Found, asked: Asked) -> str:
+def _tenant(route: Route, found: RouteMatch, asked: Asked) -> str:
     """Returns the tenant, from a capture of the path, else from the header of that name."""
     if not route.tenant:
         return ""
     return found.captures.get(route.tenant) or asked.headers.get(route.tenant.lower(), "")
 
 
-def _fill_template(template: str, found: Found, asked: Asked) -> str:
+def _fill_template(template: str, found: RouteMatch, asked: Asked) -> str:
     """Returns a template of the plan with its placeholders replaced by captures of the path."""
     values = found.captures | {"host": asked.host, "path": asked.path}
     return TOKEN.sub(lambda token: values[token[1]] if token[1] is not None else token[0], template)
 
 
-def _path_without_chunk(found: Found, asked: Asked, has_chunk: bool) -> str:
+def _path_without_chunk(found: RouteMatch, asked: Asked, has_chunk: bool) -> str:
     """Returns the host and path, without the chunk number if the path has one."""
     path = asked.path
     if has_chunk:
