--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -42,7 +42,7 @@
 class CacheConnections:
     """Makes attempts and health checks on pooled connections.
 
-    :param feed: takes events.
+    :param on_event: takes events.
     :param pool: the connections to caches.
     :param response_memory: bytes that responses may hold until their clients have them; at least one
         response always fits.
@@ -52,13 +52,13 @@
 
     def __init__(
         self,
-        feed: Callable[[Event], None],
+        on_event: Callable[[Event], None],
         pool: ConnectionPool,
         response_memory: int,
         read_copy: CopyReader | None = None,
         with_load_report: bool = False,
     ):
-        self.feed = feed
+        self.on_event = on_event
         self.pool = pool
         self.response_memory = ByteBudget(max(response_memory, MAX_BODY_SIZE))
         self.read_copy = read_copy
@@ -97,7 +97,7 @@
         finally:
             if connection is not None:
                 self.pool.discard(connection)
-            self.feed(HealthCheckDone(endpoint, status))
+            self.on_event(HealthCheckDone(endpoint, status))
 
     async def _exchange_health_check(self, connection: CacheConnection) -> AttemptStatus:
         status = AttemptStatus.ERROR
@@ -174,7 +174,7 @@
     async def _exchange(self) -> None:
         """Sends the request and reads the response."""
         self._stage = AttemptStage.CONNECTED
-        self._connections.feed(ConnectionReady(self._request_id, self._number))
+        self._connections.on_event(ConnectionReady(self._request_id, self._number))
         request = await self._owner.request_to_send()
         self._stage = AttemptStage.SENDING
         sent_at = anyio.current_time()
@@ -206,7 +206,7 @@
             self._connections.read_copy,
             self._connections.with_load_report,
         )
-        self._connections.feed(head)
+        self._connections.on_event(head)
         needed = MAX_BODY_SIZE if head.content_length is None else head.content_length
         await self._connections.response_memory.take(needed)
         self._reserved = needed
@@ -235,4 +235,4 @@
         """
         self._has_ended = True
         failure = None if cause is None else AttemptFailure(self._stage, cause, f"{self._endpoint}: {detail}")
-        self._connections.feed(AttemptEnded(self._request_id, self._number, failure, bytes(self._body)))
+        self._connections.on_event(AttemptEnded(self._request_id, self._number, failure, bytes(self._body)))
--- a/quartzrouter/server/client_connection.py
+++ b/quartzrouter/server/client_connection.py
@@ -213,7 +213,7 @@
             return
         request_id = self.request_ids.get(fastcgi_id)
         if request_id is not None:
-            self._connections.feed(ClientGone(request_id))
+            self._connections.on_event(ClientGone(request_id))
             self.respond(request_id, b"", completed=False)
 
     def _handle_content(
@@ -247,10 +247,10 @@
         self.awaited[request_id] = AwaitedResponse(fastcgi_id, incoming.keep_connection, incoming.size)
         self.has_begun_request = True
         if incoming.request is None:
-            self._connections.feed(StatusQueried(request_id))
+            self._connections.on_event(StatusQueried(request_id))
         else:
             request = incoming.request._replace(body=incoming.body, queueing_time=queueing_time)
-            self._connections.feed(RequestReceived(request_id, request))
+            self._connections.on_event(RequestReceived(request_id, request))
 
     # -- rejecting ---------------------------------------------------------------------------------
 
@@ -338,7 +338,7 @@
         for request_id, awaited in list(self.awaited.items()):
             self._connections.free_request_memory += awaited.size
             self._connections.by_request_id.pop(request_id, None)
-            self._connections.feed(ClientGone(request_id))
+            self._connections.on_event(ClientGone(request_id))
         self.incoming.clear()
         self.awaited.clear()
         self.writer.discard()
--- a/quartzrouter/server/client_connections.py
+++ b/quartzrouter/server/client_connections.py
@@ -29,7 +29,7 @@
 class ClientConnections:
     """Serves clients' connections, to a bound on their number and on the bytes of their requests.
 
-    :param feed: takes events.
+    :param on_event: takes events.
     :param max_connections: that may be open at once.
     :param request_memory: bytes that requests of all clients may hold.
     :param parse_params: makes a request of a client's parameters.
@@ -39,14 +39,14 @@
 
     def __init__(
         self,
-        feed: Callable[[Event], None],
+        on_event: Callable[[Event], None],
         max_connections: int,
         request_memory: int,
         parse_params: ParamsParser,
         log: RateLimitedLog,
         retry_after: int = 0,
     ):
-        self.feed = feed
+        self.on_event = on_event
         self.max_connections = max_connections
         self.free_request_memory = request_memory
         self.parse_params = parse_params
--- a/quartzrouter/server/endpoint_watch.py
+++ b/quartzrouter/server/endpoint_watch.py
@@ -30,7 +30,7 @@
 
     :param address: host and port.
     :param last_sequence: the number of the last event held.
-    :param feed: is called with each later event, in order.
+    :param on_event: is called with each later event, in order.
     """
 
     def __init__(
@@ -38,13 +38,13 @@
         address: tuple[str, int],
         last_sequence: int,
         settings: DeploymentSettings,
-        feed: Callable[[WatchEvent], None],
+        on_event: Callable[[WatchEvent], None],
         log: RateLimitedLog,
     ):
         self.address = address
         self.last_sequence = last_sequence
         self.settings = settings
-        self.feed = feed
+        self.on_event = on_event
         self.log = log
         self._reconnect_delay = MIN_RECONNECT_DELAY
         self._scope: anyio.CancelScope | None = None  # of the connection, or of the wait for the next one
@@ -103,4 +103,4 @@
         self.last_sequence = max(self.last_sequence, frame.sequence)
         self._reconnect_delay = MIN_RECONNECT_DELAY
         if event is not None:
-            self.feed(event)
+            self.on_event(event)
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -1,7 +1,8 @@
 """The router's process: events into the state machine, and its effects out to the sockets.
 
-One task group holds all tasks. ``feed`` is the only way to the state machine: connections, timers, signals
-and the endpoint watch call it with an event, and it carries out the effects that the state machine returns.
+One task group holds all tasks. ``handle_event`` is the only way to the state machine: connections, timers,
+signals and the endpoint watch call it with an event, and it carries out the effects that the state machine
+returns.
 """
 
 import asyncio
@@ -89,7 +90,7 @@
             configuration.discovery_address,
             configuration.initial_sequence,
             configuration.settings,
-            self.feed,
+            self.handle_event,
             self.log,
         )
         self.listener = Listener(self.client_connections, self.log)
@@ -97,10 +98,10 @@
         self.clock = RouterClock(wall_clock, steady_clock)
         self._now = 0  # us, of the last event
         self._events: deque[Event] = deque()  # to be played
-        self._is_feeding = False
-        self._events_played = 0  # but for timer ticks without effects
+        self._is_handling_events = False
+        self._events_handled = 0  # but for timer ticks without effects
         self._tick_guard = TickGuard(self.log)
-        self._spin_guard = SpinGuard(lambda: self._events_played, self.log)
+        self._spin_guard = SpinGuard(lambda: self._events_handled, self.log)
         self._next_timer_changed = anyio.Event()
         self.tasks: anyio.abc.TaskGroup
 
@@ -136,7 +137,7 @@
     def _create_client_connections(self) -> ClientConnections:
         configuration = self.configuration
         return ClientConnections(
-            self.feed,
+            self.handle_event,
             configuration.max_descriptors // CLIENT_DESCRIPTORS_DIVISOR,
             configuration.memory_limit // REQUEST_MEMORY_DIVISOR,
             self._create_params_parser(),
@@ -153,7 +154,7 @@
             configuration.settings.connect_timeout / 1e6,
         )
         return CacheConnections(
-            self.feed,
+            self.handle_event,
             pool,
             configuration.memory_limit // RESPONSE_MEMORY_DIVISOR,
             self._create_copy_reader(),
@@ -162,23 +163,23 @@
 
     # -- events and effects --------------------------------------------------------------------------
 
-    def feed(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Plays an event, and whatever its effects bring about at once, in their order."""
         self._events.append(event)
-        if self._is_feeding:
+        if self._is_handling_events:
             return
-        self._is_feeding = True
+        self._is_handling_events = True
         try:
             while self._events:
-                self._play(self._events.popleft())
+                self._handle_next(self._events.popleft())
         finally:
-            self._is_feeding = False
+            self._is_handling_events = False
 
     def _read_clock(self) -> int:
         self._now = self.clock()
         return self._now
 
-    def _play(self, event: Event) -> None:
+    def _handle_next(self, event: Event) -> None:
         """Plays one event; a fault in it costs the request that it is about, and nothing else."""
         due_before = self.state_machine.due
         failed_request_id = None
@@ -193,7 +194,7 @@
             if failed_request_id is not None:
                 self._events.append(ClientGone(failed_request_id))
         if effects or not isinstance(event, TimerFired):
-            self._events_played += 1
+            self._events_handled += 1
         for effect in effects:
             try:
                 self._perform(effect)
@@ -249,18 +250,18 @@
 
     async def _run_timers(self) -> None:
         """Plays a tick whenever the state machine's next timer is due; runs for ever."""
-        events_played_before = 0
+        events_handled_before = 0
         while True:
             self._next_timer_changed = anyio.Event()
             wait = (self.state_machine.due - self._read_clock()) / 1e6
             with anyio.move_on_after(max(wait, self._tick_guard.pause)):
                 await self._next_timer_changed.wait()
             if self.state_machine.due <= self._read_clock():
-                self.feed(TimerFired())
+                self.handle_event(TimerFired())
                 is_due_again = self.state_machine.due - self._now < MIN_PAUSE * 1e6
                 due_again = self.state_machine.due_for if is_due_again else None
-                self._tick_guard.record_tick(self._events_played > events_played_before, due_again)
-                events_played_before = self._events_played
+                self._tick_guard.record_tick(self._events_handled > events_handled_before, due_again)
+                events_handled_before = self._events_handled
 
     async def _handle_signals(self) -> None:
         """Plays signals in their order; runs for ever."""
@@ -274,7 +275,7 @@
                     self._reload()
                 else:
                     self.log.say("process", f"{number.name}: draining, in-flight requests are finished")
-                    self.feed(ShutdownRequested())
+                    self.handle_event(ShutdownRequested())
                 await anyio.sleep(0)  # what one has started is under way when the next is taken up
             await arrived.wait()
             arrived = anyio.Event()
@@ -298,7 +299,7 @@
         change = f"{', '.join(kept)} kept until the next start" if kept else "read anew"
         host, port = configuration.discovery_address
         self.log.say("process", f"SIGHUP: journal at {host}:{port}; {change}")
-        self.feed(ConfigurationReloaded(configuration.discovery_address))
+        self.handle_event(ConfigurationReloaded(configuration.discovery_address))
 
     async def _exit(self) -> None:
         """Ends the process once nobody waits for it any more."""
--- a/quartzrouter/standalone/fleet_tasks.py
+++ b/quartzrouter/standalone/fleet_tasks.py
@@ -26,7 +26,7 @@
     :param fleet: the fleet's purges at this router.
     :param multi_pool_router: holds this router's part of shared limits.
     :param state_machine: holds what was refused, and which purges were applied.
-    :param feed: takes events.
+    :param on_event: takes events.
     :param log: is told what the fleet costs here.
     """
 
@@ -35,13 +35,13 @@
         fleet: FleetPurges,
         multi_pool_router: MultiPoolRouter,
         state_machine: StandaloneStateMachine,
-        feed: Callable[[StandaloneEvent], None],
+        on_event: Callable[[StandaloneEvent], None],
         log: RateLimitedLog,
     ):
         self._fleet = fleet
         self._multi_pool_router = multi_pool_router
         self._state_machine = state_machine
-        self._feed = feed
+        self._on_event = on_event
         self._log = log
 
     def start(self, tasks: anyio.abc.TaskGroup, reports_health: bool, purges_file: str) -> None:
@@ -80,7 +80,7 @@
             if slow_start_wait := self._multi_pool_router.slow_start_client.request_interval():
                 wait = min(wait, slow_start_wait)
             await anyio.sleep(wait / MICROSECONDS)
-            self._feed(RequestQuota())
+            self._on_event(RequestQuota())
 
     async def _report_health(self) -> None:
         """Reports failures at each short interval, and all that was seen at each long one."""
@@ -88,7 +88,7 @@
         while True:
             for number in range(reports_per_round):
                 await anyio.sleep(URGENT_REPORT_INTERVAL / MICROSECONDS)
-                self._feed(ReportHealth(only_failures=number < reports_per_round - 1))
+                self._on_event(ReportHealth(only_failures=number < reports_per_round - 1))
 
     async def _log_quota(self) -> None:
         """Logs when this router begins and ends to act on its safe capacity, and what was refused."""
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -96,9 +96,11 @@
         settings = self.plan.purges
         silence_timeout = purge_membership.SILENCE_TIMEOUT_LEASES * self.fleet.lease.length
         addresses = [parse_address(text, "purges.ledgers") for text in settings["ledgers"]]
-        self.link = MemberClient(addresses, silence_timeout, self.feed, self.log)
+        self.link = MemberClient(addresses, silence_timeout, self.handle_event, self.log)
         self.tasks.start_soon(self.link.run)
-        fleet_tasks = FleetTasks(self.fleet, self.multi_pool_router, self.state_machine, self.feed, self.log)
+        fleet_tasks = FleetTasks(
+            self.fleet, self.multi_pool_router, self.state_machine, self.handle_event, self.log
+        )
         fleet_tasks.start(self.tasks, self.plan.deployment["hearsay"], settings["file"])
 
     def _perform_extension(self, effect: object) -> None:
@@ -131,7 +133,7 @@
         self.plan = loaded.plan
         note = f"; {', '.join(kept)} kept until the next start" if kept else ""
         self.log.say("process", f"SIGHUP: the plan is in force, {len(self.plan.routes)} routes{note}")
-        self.feed(ConfigurationReplaced(self.plan, endpoints))
+        self.handle_event(ConfigurationReplaced(self.plan, endpoints))
 
     def _kept_until_restart(self, plan: Plan) -> list[str]:
         """Keys of the deployment, and `purges`, that differ from what the process was started with.
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -367,7 +367,9 @@
         assert "first" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REUSE_DELAY)
         if purged:
-            world.router_process.feed(events.PurgeNotice(None, f"{7:016x}", world.router_process.clock()))
+            world.router_process.handle_event(
+                events.PurgeNotice(None, f"{7:016x}", world.router_process.clock())
+            )
         world.responses = {7: [gate, FIRST_RESPONSE, OK_RESPONSE]}
         await client.send_request(2, **same)
         await wait_until(lambda: request_count(world, 7) == 2)
@@ -905,8 +907,8 @@
 
     async def scene(connect):
         service, purged = world.router_process, []
-        feed = service.endpoint_watch.feed
-        service.endpoint_watch.feed = lambda event: (purged.append(event), feed(event))
+        on_event = service.endpoint_watch.on_event
+        service.endpoint_watch.on_event = lambda event: (purged.append(event), on_event(event))
         await connect()
         half = anyio.Event()
 
