--- a/quartzrouter/server/byte_budget.py
+++ b/quartzrouter/server/byte_budget.py
@@ -27,7 +27,7 @@
         self.free = size
         self.waiters: deque[Waiter] = deque()  # one an attempt at most
 
-    async def take(self, count: int) -> None:
+    async def acquire(self, count: int) -> None:
         """Reserves bytes, once they are free and nobody waits before.
 
         :param count: at most the size of the budget, else it waits for ever.
@@ -41,13 +41,13 @@
             await waiter.granted.wait()
         except BaseException:
             if waiter.granted.is_set():  # cancelled in the very iteration in which it was granted
-                self.give(count)
+                self.release(count)
             else:
                 self.waiters.remove(waiter)
-                self.give(0)  # those behind it may fit
+                self.release(0)  # those behind it may fit
             raise
 
-    def give(self, count: int) -> None:
+    def release(self, count: int) -> None:
         """Gives bytes back, and grants what fits to those that wait."""
         self.free += count
         while self.waiters and self.waiters[0].count <= self.free:
--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -147,7 +147,7 @@
                 self._end(FailureCause.INTERNAL_ERROR, f"{type(error).__name__}: {error}")
         finally:
             self._connections.in_use.pop((self._request_id, self._number), None)
-            self._connections.response_memory.give(self._reserved)
+            self._connections.response_memory.release(self._reserved)
             if self._connection is not None:
                 self._pool.discard(self._connection)
 
@@ -208,7 +208,7 @@
         )
         self._connections.on_event(head)
         needed = MAX_BODY_SIZE if head.content_length is None else head.content_length
-        await self._connections.response_memory.take(needed)
+        await self._connections.response_memory.acquire(needed)
         self._reserved = needed
 
     def _handle_data(self, data: bytes) -> None:
@@ -219,12 +219,12 @@
     def _succeed(self, request: SendRequest) -> None:
         """Feeds the whole response; its bytes are given back once the client has them."""
         response_memory = self._connections.response_memory
-        response_memory.give(self._reserved - len(self._body))  # of a response that announced no length
+        response_memory.release(self._reserved - len(self._body))  # of a response that announced no length
         self._reserved = len(self._body)
         self._end()
         connection = self._connection
         self._connection = None
-        self._owner.call_when_sent(partial(response_memory.give, self._reserved))
+        self._owner.call_when_sent(partial(response_memory.release, self._reserved))
         self._reserved = 0
         self._pool.release(self._endpoint, connection, request.target, self._copy)
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -414,11 +414,11 @@
         budget = byte_budget.ByteBudget(cache_responses.MAX_BODY_SIZE)
 
         async def answer(name, count):
-            await budget.take(count)
+            await budget.acquire(count)
             order.append(name)
 
         async with anyio.create_task_group() as tasks:
-            await budget.take(cache_responses.MAX_BODY_SIZE)
+            await budget.acquire(cache_responses.MAX_BODY_SIZE)
             gone = anyio.CancelScope()
 
             async def given_up():
@@ -428,16 +428,16 @@
             for task in (lambda: answer("large", 200_000), given_up):
                 tasks.start_soon(task)
                 await anyio.sleep(0)
-            budget.give(60_000)
+            budget.release(60_000)
             tasks.start_soon(answer, "small", 50_000)  # which would fit
             await anyio.sleep(0.01)
             assert order == []
             gone.cancel()
             await anyio.sleep(0)
-            budget.give(cache_responses.MAX_BODY_SIZE - 60_000)
+            budget.release(cache_responses.MAX_BODY_SIZE - 60_000)
             await anyio.sleep(0.01)
             assert order == ["large"]
-            budget.give(200_000)
+            budget.release(200_000)
         assert order == ["large", "small"] and budget.free == cache_responses.MAX_BODY_SIZE - 50_000
         assert not budget.waiters
 
