--- a/quartzrouter/lease_service/queries.py
+++ b/quartzrouter/lease_service/queries.py
@@ -7,7 +7,7 @@
 from quartzrouter.leases.terms import AcceptorStatus
 from quartzrouter.purge_log.line_connection import connect, describe_error, read_lines
 from quartzrouter.purges.messages import MalformedMessageError, encode_line
-from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.attempt_failure import CONNECTION_ERRORS
 
 ANSWER_TIMEOUT = 1.0  # s
 
@@ -31,7 +31,7 @@
                     if isinstance(answer, messages.StatusReply):
                         return answer.status
         return "it hung up"
-    except (*CONNECTION_LOST, TimeoutError, MalformedMessageError, messages.MalformedMessageError) as error:
+    except (*CONNECTION_ERRORS, TimeoutError, MalformedMessageError, messages.MalformedMessageError) as error:
         return describe_error(error)
 
 
--- a/quartzrouter/purge_log/cache_connection.py
+++ b/quartzrouter/purge_log/cache_connection.py
@@ -9,7 +9,7 @@
 from quartzrouter.purge_log.errors import PurgeLogError
 from quartzrouter.purge_log.line_connection import connect, describe_error
 from quartzrouter.purges.delivery_plan import DELIVERY_TIMEOUT
-from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.attempt_failure import CONNECTION_ERRORS
 
 PURGED_UP_TO = b"x-purged-to"  # response header: the number up to which the cache has purged without a gap
 HIGHEST_LEASE_SEEN = b"x-purge-lease-seen"  # header of a 409 response: a later lease's fencing token
@@ -17,7 +17,7 @@
 CONFLICT = 409
 MAX_READ_BYTES = 1 << 14  # per call of receive()
 MICROSECONDS_PER_SECOND = 1e6
-EXCHANGE_ERRORS = (*CONNECTION_LOST, TimeoutError, h11.ProtocolError, ValueError)
+EXCHANGE_ERRORS = (*CONNECTION_ERRORS, TimeoutError, h11.ProtocolError, ValueError)
 
 
 class DeliveryError(PurgeLogError):
--- a/quartzrouter/purge_log/line_connection.py
+++ b/quartzrouter/purge_log/line_connection.py
@@ -9,12 +9,12 @@
 import anyio
 
 from quartzrouter.purges.messages import MAX_LINE_BYTES, MalformedMessageError
-from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.attempt_failure import CONNECTION_ERRORS
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 MAX_READ_BYTES = 1 << 16  # per call of receive()
-CONNECTION_ENDED = (*CONNECTION_LOST, TimeoutError)  # errors that are no fault of this process
+CONNECTION_ENDED = (*CONNECTION_ERRORS, TimeoutError)  # errors that are no fault of this process
 
 
 async def read_lines(stream: anyio.abc.ByteStream) -> AsyncIterator[bytes]:
--- a/quartzrouter/server/attempt_failure.py
+++ b/quartzrouter/server/attempt_failure.py
@@ -12,7 +12,7 @@
 from quartzrouter.routing.model import AttemptStatus
 
 # what a stream raises once its connection has ended
-CONNECTION_LOST = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
+CONNECTION_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 class AttemptStage(IntEnum):
--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -9,7 +9,7 @@
 
 from quartzrouter.routing.model import AttemptStatus
 from quartzrouter.server import cache_responses
-from quartzrouter.server.attempt_failure import CONNECTION_LOST, AttemptFailure, AttemptStage, FailureCause
+from quartzrouter.server.attempt_failure import CONNECTION_ERRORS, AttemptFailure, AttemptStage, FailureCause
 from quartzrouter.server.byte_budget import ByteBudget
 from quartzrouter.server.cache_connection import CacheConnection
 from quartzrouter.server.cache_responses import (
@@ -90,7 +90,7 @@
                 status = AttemptStatus.TIMED_OUT
         except ConnectionUnavailableError as error:
             status = error.failure.attempt_status()
-        except CONNECTION_LOST:
+        except CONNECTION_ERRORS:
             status = AttemptStatus.CONNECTION_LOST
         except Exception:
             status = AttemptStatus.ERROR
@@ -140,7 +140,7 @@
             self._end(error.cause, error)
         except (h11.RemoteProtocolError, MalformedResponseError) as error:
             self._end(FailureCause.MALFORMED, error)
-        except CONNECTION_LOST as error:
+        except CONNECTION_ERRORS as error:
             self._end(FailureCause.RESET, error)
         except Exception as error:
             if not self._has_ended:
--- a/quartzrouter/server/client_connections.py
+++ b/quartzrouter/server/client_connections.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.attempt_failure import CONNECTION_ERRORS
 from quartzrouter.server.client_connection import ClientConnection
 from quartzrouter.server.events import Event
 from quartzrouter.server.fastcgi import ProtocolError
@@ -102,7 +102,7 @@
             tasks.start_soon(self._write, client, tasks)
             try:
                 await client.read()
-            except CONNECTION_LOST:
+            except CONNECTION_ERRORS:
                 pass
             except ProtocolError as error:
                 self.log.say("client", f"connection ended: {error}")
@@ -110,7 +110,7 @@
 
     async def _write(self, client: ClientConnection, tasks: anyio.abc.TaskGroup) -> None:
         """Writes responses; at their end lingers, so that a close over unread bytes resets nothing."""
-        with contextlib.suppress(*CONNECTION_LOST):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             await client.writer.run()
             client.responses_ended = True
             client.stream.finish_sending()
--- a/quartzrouter/server/endpoint_watch.py
+++ b/quartzrouter/server/endpoint_watch.py
@@ -11,7 +11,7 @@
 
 from quartzrouter.deployment_settings import DeploymentSettings
 from quartzrouter.server import discovery_protocol
-from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.attempt_failure import CONNECTION_ERRORS
 from quartzrouter.server.discovery_protocol import RECEIVE_BUFFER_SIZE, Frame, MalformedFrameError, WatchEvent
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 from quartzrouter.server.ring_buffer import RingBuffer
@@ -67,7 +67,7 @@
                 self._scope = scope
                 try:
                     await self._connect_and_read()
-                except (*CONNECTION_LOST, MalformedFrameError) as error:
+                except (*CONNECTION_ERRORS, MalformedFrameError) as error:
                     reason = f"{type(error).__name__} {error}"
                     self.log.say("discovery", f"{reason} after event {self.last_sequence}, reconnecting")
                 await anyio.sleep(self._reconnect_delay * random.uniform(*RECONNECT_JITTER))
