--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -44,7 +44,7 @@
     """
 
     state_machine: StandaloneStateMachine
-    link: MemberClient  # to the purge log, once the process runs as a member of a fleet
+    member_client: MemberClient  # to the purge log, once the process runs as a member of a fleet
 
     def __init__(self, path: str, plan: Plan, log: Any, signals: Signals | None = None):
         self.plan = plan
@@ -96,8 +96,8 @@
         settings = self.plan.purges
         silence_timeout = purge_membership.SILENCE_TIMEOUT_LEASES * self.fleet.lease.length
         addresses = [parse_address(text, "purges.ledgers") for text in settings["ledgers"]]
-        self.link = MemberClient(addresses, silence_timeout, self.handle_event, self.log)
-        self.tasks.start_soon(self.link.run)
+        self.member_client = MemberClient(addresses, silence_timeout, self.handle_event, self.log)
+        self.tasks.start_soon(self.member_client.run)
         fleet_tasks = FleetTasks(
             self.fleet, self.multi_pool_router, self.state_machine, self.handle_event, self.log
         )
@@ -106,9 +106,9 @@
     def _perform_extension(self, effect: object) -> None:
         match effect:
             case QueueMessage(message):
-                self.link.send(message)
+                self.member_client.send(message)
             case CloseConnection(reason, retry_after):
-                self.link.reconnect(reason, retry_after)
+                self.member_client.reconnect(reason, retry_after)
 
     # -- reloading -----------------------------------------------------------------------------------
 
--- a/tests/test_standalone_purges.py
+++ b/tests/test_standalone_purges.py
@@ -364,7 +364,7 @@
         assert multi_pool_router.purge_bounds.max_age(route, from_parent, now) == 3 * SECOND
         deployment.proxy.hold()
         await deployment.stop_purge_log()
-        client = deployment.router.link
+        client = deployment.router.member_client
         while client.is_connected:
             await anyio.sleep(0.02)
         client.send(MemberLeave())
