--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -196,7 +196,7 @@
     )
 
 
-class Play:
+class StateMachineHarness:
     """A state machine of two caches, a parent and the origin; prints each event and its effects."""
 
     def __init__(self, lines):
@@ -294,8 +294,8 @@
 
 
 @pytest.fixture
-def play(trace):
-    return Play(trace)
+def harness(trace):
+    return StateMachineHarness(trace)
 
 
 @pytest.fixture
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 
 import anyio
 import pytest
-from conftest import SETUP, Play, frame
+from conftest import SETUP, StateMachineHarness, frame
 from standins import COPY_TAG, OK_RESPONSE, free_port
 
 from quartzrouter.server import (
@@ -478,21 +478,21 @@
     By then caches may have forgotten the key by which they know a repeat: the operation would run twice.
     """
     lines = []
-    play = Play(lines)
-    play.request_received(1, "hold", idempotency_key="a" * 32, timeout=6_000_000)
-    play.connection_ready(1)
-    play.attempt_failed(1, attempt_failure.AttemptStage.SENDING, attempt_failure.FailureCause.RESET)
+    harness = StateMachineHarness(lines)
+    harness.request_received(1, "hold", idempotency_key="a" * 32, timeout=6_000_000)
+    harness.connection_ready(1)
+    harness.attempt_failed(1, attempt_failure.AttemptStage.SENDING, attempt_failure.FailureCause.RESET)
     assert any("OpenConnection 1, 1" in line for line in lines)
-    play.advance_to(2_940)
+    harness.advance_to(2_940)
     lines.clear()
-    play.connection_ready(1, attempt=1)
+    harness.connection_ready(1, attempt=1)
     assert any("SendRequest 1, 1" in line for line in lines)
-    play.request_received(2, "hold", idempotency_key="b" * 32, timeout=6_000_000)
-    play.connection_ready(2)
-    play.attempt_failed(2, attempt_failure.AttemptStage.SENDING, attempt_failure.FailureCause.RESET)
-    play.advance_to(2_940 + 2_960)
+    harness.request_received(2, "hold", idempotency_key="b" * 32, timeout=6_000_000)
+    harness.connection_ready(2)
+    harness.attempt_failed(2, attempt_failure.AttemptStage.SENDING, attempt_failure.FailureCause.RESET)
+    harness.advance_to(2_940 + 2_960)
     lines.clear()
-    play.connection_ready(2, attempt=1)
+    harness.connection_ready(2, attempt=1)
     assert not any("SendRequest" in line for line in lines)
 
 
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -7,95 +7,95 @@
 from quartzrouter.server.attempt_failure import AttemptStage, FailureCause
 
 
-def assert_idle(play):
+def assert_idle(harness):
     """No request is left in the state machine or in its router, and none counts as load."""
-    state_machine = play.state_machine
+    state_machine = harness.state_machine
     assert not state_machine.in_flight and not state_machine.open_correlation_ids
     assert not state_machine.router.in_flight
     assert not any(state_machine.router.load.in_flight.values())
 
 
-def test_a_request_is_forwarded_and_its_response_passed_on(play):
-    play.request_received(1, if_none_match=f"{9:016x}")
-    play.connection_ready(1)
-    play.response_head(1, length=6)
-    play.response_complete(1, body=b"abcdef")
-    play.request_received(2, if_none_match=f"{9:016x}")
-    play.connection_ready(2)
-    play.response_head(2, 304)
-    play.response_complete(2)
-    play.request_received(3, traffic_class="hold", idempotency_key="k", body=b"two pots")
-    play.connection_ready(3)
-    play.response_head(3, length=0, has_copy_headers=False)
-    play.response_complete(3)
-    assert_idle(play)
+def test_a_request_is_forwarded_and_its_response_passed_on(harness):
+    harness.request_received(1, if_none_match=f"{9:016x}")
+    harness.connection_ready(1)
+    harness.response_head(1, length=6)
+    harness.response_complete(1, body=b"abcdef")
+    harness.request_received(2, if_none_match=f"{9:016x}")
+    harness.connection_ready(2)
+    harness.response_head(2, 304)
+    harness.response_complete(2)
+    harness.request_received(3, traffic_class="hold", idempotency_key="k", body=b"two pots")
+    harness.connection_ready(3)
+    harness.response_head(3, length=0, has_copy_headers=False)
+    harness.response_complete(3)
+    assert_idle(harness)
 
 
-def test_a_client_that_goes_at_any_stage_leaves_no_state(play):
+def test_a_client_that_goes_at_any_stage_leaves_no_state(harness):
     """A client may go at any time, and a response may come after that.
 
     The attempt ends with the client where it can be cancelled, and what still comes of it is passed over.
     """
     for request_id, stage in enumerate(("connecting", "sent", "response started", "complete"), 1):
-        play.request_received(request_id)
+        harness.request_received(request_id)
         if stage != "connecting":
-            play.connection_ready(request_id)
+            harness.connection_ready(request_id)
         if stage in ("response started", "complete"):
-            play.response_head(request_id, length=3)
+            harness.response_head(request_id, length=3)
         if stage == "complete":
-            play.response_complete(request_id, body=b"abc")
-        play.client_gone(request_id, f" while {stage}")
-        play.response_complete(request_id, body=b"abc")
-    assert_idle(play)
+            harness.response_complete(request_id, body=b"abc")
+        harness.client_gone(request_id, f" while {stage}")
+        harness.response_complete(request_id, body=b"abc")
+    assert_idle(harness)
 
 
-def test_a_drain_or_purge_before_sending_decides_anew(play):
+def test_a_drain_or_purge_before_sending_decides_anew(harness):
     """A connection takes time to come up, and the decision ages meanwhile.
 
     An endpoint that drains may get no new request, and a copy older than a purge may not be served: where
     either came before the request was sent, the router decides again.
     """
-    play.request_received(1)
-    endpoint = play.state_machine.in_flight[1].attempt.decision.endpoint
-    play.endpoint_update(**{endpoint: "draining"})
-    play.connection_ready(1)
-    play.request_received(2)
-    play.step("purge of another tag", events.PurgeNotice(6, None, play.now))
-    play.step("purge of another object", events.PurgeNotice(None, f"{8:016x}", play.now))
-    play.connection_ready(2)
-    play.request_received(3)
-    play.step("purge of the object", events.PurgeNotice(None, f"{7:016x}", play.now))
-    play.connection_ready(3)
-    play.request_received(4)
-    play.step("purge of the tag", events.PurgeNotice(5, None, play.now))
-    play.connection_ready(4)
-    play.now += 2_500_000
-    play.timer_fired()
-    play.request_received(5, timeout=1000)
-    play.now += 2_000_000
-    play.connection_ready(5)
-
-
-def test_a_truncated_response_is_retried(play):
+    harness.request_received(1)
+    endpoint = harness.state_machine.in_flight[1].attempt.decision.endpoint
+    harness.endpoint_update(**{endpoint: "draining"})
+    harness.connection_ready(1)
+    harness.request_received(2)
+    harness.step("purge of another tag", events.PurgeNotice(6, None, harness.now))
+    harness.step("purge of another object", events.PurgeNotice(None, f"{8:016x}", harness.now))
+    harness.connection_ready(2)
+    harness.request_received(3)
+    harness.step("purge of the object", events.PurgeNotice(None, f"{7:016x}", harness.now))
+    harness.connection_ready(3)
+    harness.request_received(4)
+    harness.step("purge of the tag", events.PurgeNotice(5, None, harness.now))
+    harness.connection_ready(4)
+    harness.now += 2_500_000
+    harness.timer_fired()
+    harness.request_received(5, timeout=1000)
+    harness.now += 2_000_000
+    harness.connection_ready(5)
+
+
+def test_a_truncated_response_is_retried(harness):
     """A cache breaks off in the middle of a response.
 
     Nothing of it has been passed on, so an idempotent request is sent again, and its client notices nothing.
     """
-    play.request_received(1)
-    play.connection_ready(1)
-    play.response_head(1, length=9)
-    play.attempt_failed(1, AttemptStage.RECEIVING, FailureCause.RESET)
-    play.connection_ready(1, attempt=1)
-    play.response_head(1, length=9, attempt=1)
-    play.response_complete(1, attempt=1, body=b"abcdefghi")
-    play.request_received(2)
-    play.connection_ready(2)
-    play.response_head(2, length=9)
-    play.advance_to(2_000)
-    assert_idle(play)
-
-
-def test_only_attempts_that_never_ran_are_retried_for_non_idempotent_requests(play):
+    harness.request_received(1)
+    harness.connection_ready(1)
+    harness.response_head(1, length=9)
+    harness.attempt_failed(1, AttemptStage.RECEIVING, FailureCause.RESET)
+    harness.connection_ready(1, attempt=1)
+    harness.response_head(1, length=9, attempt=1)
+    harness.response_complete(1, attempt=1, body=b"abcdefghi")
+    harness.request_received(2)
+    harness.connection_ready(2)
+    harness.response_head(2, length=9)
+    harness.advance_to(2_000)
+    assert_idle(harness)
+
+
+def test_only_attempts_that_never_ran_are_retried_for_non_idempotent_requests(harness):
     """A sale may not run twice.
 
     An attempt that may have run fails the request; one that certainly did not is sent again.
@@ -115,129 +115,129 @@
         FailureCause.INTERNAL_ERROR,
     ]
     for request_id, way in enumerate(ways, 1):
-        play.request_received(request_id, traffic_class="sale")
+        harness.request_received(request_id, traffic_class="sale")
         if way in (FailureCause.REFUSED, FailureCause.OUT_OF_DESCRIPTORS):
-            play.attempt_failed(request_id, AttemptStage.CONNECTING, way)
+            harness.attempt_failed(request_id, AttemptStage.CONNECTING, way)
         else:
-            play.connection_ready(request_id)
+            harness.connection_ready(request_id)
             if isinstance(way, tuple):
                 status, never_ran = way
-                play.response_head(request_id, status, never_ran=never_ran)
-                play.response_complete(request_id)
+                harness.response_head(request_id, status, never_ran=never_ran)
+                harness.response_complete(request_id)
             else:
-                play.attempt_failed(request_id, AttemptStage.SENDING, way)
-        play.client_gone(request_id)
-        play.advance_to(10_000 * request_id)
-    assert_idle(play)
+                harness.attempt_failed(request_id, AttemptStage.SENDING, way)
+        harness.client_gone(request_id)
+        harness.advance_to(10_000 * request_id)
+    assert_idle(harness)
 
 
-def test_unusable_responses_are_not_passed_on(play):
+def test_unusable_responses_are_not_passed_on(harness):
     """A cache says nothing of the copy it sends, or sends 304 to a client that holds no copy."""
-    play.request_received(1)
-    play.connection_ready(1)
-    play.response_head(1, length=3, has_copy_headers=False)
-    play.response_complete(1, body=b"abc")
-    play.request_received(2)
-    play.connection_ready(2)
-    play.response_head(2, 304)
+    harness.request_received(1)
+    harness.connection_ready(1)
+    harness.response_head(1, length=3, has_copy_headers=False)
+    harness.response_complete(1, body=b"abc")
+    harness.request_received(2)
+    harness.connection_ready(2)
+    harness.response_head(2, 304)
 
 
-def test_attempt_timeout_before_and_after_sending(play):
+def test_attempt_timeout_before_and_after_sending(harness):
     """A connection doesn't come up, or a cache doesn't answer: the attempt ends before its client goes."""
-    play.request_received(1)
-    play.advance_to(2_000)
-    play.request_received(2)
-    play.connection_ready(2)
-    play.advance_to(4_100)
-    play.request_received(3, traffic_class="hold", idempotency_key="k")
-    play.connection_ready(3)
-    play.advance_to(6_200)
-    assert_idle(play)
-
-
-def test_addresses_of_gone_endpoints_are_dropped(play):
+    harness.request_received(1)
+    harness.advance_to(2_000)
+    harness.request_received(2)
+    harness.connection_ready(2)
+    harness.advance_to(4_100)
+    harness.request_received(3, traffic_class="hold", idempotency_key="k")
+    harness.connection_ready(3)
+    harness.advance_to(6_200)
+    assert_idle(harness)
+
+
+def test_addresses_of_gone_endpoints_are_dropped(harness):
     """Endpoints come and go for months under ever new names; what was known of them may not pile up."""
     for number in range(100):
         name = f"c{number + 10}"
         for state in ("up", "gone"):
             update = events.EndpointUpdate(listed({name: state}), {name: ("127.0.0.9", number)}, False)
-            play.step("", update, quiet=True)
-    play.lines[1:] = [f"kept: {', '.join(play.state_machine.addresses)}"]
-    play.endpoint_update(is_snapshot=True, c1="up", o="up")
-    play.lines.append(f"kept: {', '.join(play.state_machine.addresses)}")
-    play.endpoint_update(is_snapshot=True, c1="up", o="up")
+            harness.step("", update, quiet=True)
+    harness.lines[1:] = [f"kept: {', '.join(harness.state_machine.addresses)}"]
+    harness.endpoint_update(is_snapshot=True, c1="up", o="up")
+    harness.lines.append(f"kept: {', '.join(harness.state_machine.addresses)}")
+    harness.endpoint_update(is_snapshot=True, c1="up", o="up")
 
 
-def test_a_reload_follows_discovery_at_its_new_address(play):
-    play.step("reload", events.ConfigurationReloaded(("127.0.0.9", 4222)))
-    play.step("shutdown", events.ShutdownRequested())
-    play.step("reload", events.ConfigurationReloaded(("127.0.0.8", 4222)))
+def test_a_reload_follows_discovery_at_its_new_address(harness):
+    harness.step("reload", events.ConfigurationReloaded(("127.0.0.9", 4222)))
+    harness.step("shutdown", events.ShutdownRequested())
+    harness.step("reload", events.ConfigurationReloaded(("127.0.0.8", 4222)))
 
 
-def test_sigterm_with_requests_in_flight(play):
+def test_sigterm_with_requests_in_flight(harness):
     """A router is told to end while requests are in flight and others still arrive.
 
     It accepts requests until the grace period is over, rejects later ones, and exits after the last response.
     """
-    play.step("health", events.StatusQueried(90))
-    play.request_received(1, timeout=3_000_000)
-    play.connection_ready(1)
-    play.step("shutdown", events.ShutdownRequested())
-    play.step("health", events.StatusQueried(91))
-    play.advance_to(900)
-    play.request_received(2)
-    play.advance_to(1_100)
-    play.request_received(3)
-    play.connection_ready(2)
+    harness.step("health", events.StatusQueried(90))
+    harness.request_received(1, timeout=3_000_000)
+    harness.connection_ready(1)
+    harness.step("shutdown", events.ShutdownRequested())
+    harness.step("health", events.StatusQueried(91))
+    harness.advance_to(900)
+    harness.request_received(2)
+    harness.advance_to(1_100)
+    harness.request_received(3)
+    harness.connection_ready(2)
     for request_id in (1, 2):
-        play.response_head(request_id, length=1)
-        play.response_complete(request_id, body=b"x")
-    play.advance_to(1_200)
-    assert_idle(play)
+        harness.response_head(request_id, length=1)
+        harness.response_complete(request_id, body=b"x")
+    harness.advance_to(1_200)
+    assert_idle(harness)
 
 
-def test_a_refusing_endpoint_is_health_checked_and_its_connections_closed(play):
+def test_a_refusing_endpoint_is_health_checked_and_its_connections_closed(harness):
     """A cache refuses connections; it is checked until it answers, and is then taken out of the list."""
     for request_id in (1, 2, 3):
-        play.request_received(request_id, object_key=f"{request_id:016x}")
-        play.attempt_failed(request_id, AttemptStage.CONNECTING, FailureCause.REFUSED)
-    play.advance_to(600)
-    name = min(play.state_machine.health_checks)
-    play.step(f"health check of {name} done", events.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
-    play.endpoint_update(c1="gone", c2="up")
+        harness.request_received(request_id, object_key=f"{request_id:016x}")
+        harness.attempt_failed(request_id, AttemptStage.CONNECTING, FailureCause.REFUSED)
+    harness.advance_to(600)
+    name = min(harness.state_machine.health_checks)
+    harness.step(f"health check of {name} done", events.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
+    harness.endpoint_update(c1="gone", c2="up")
 
 
-def test_a_response_read_before_its_overdue_timeout_counts(play):
+def test_a_response_read_before_its_overdue_timeout_counts(harness):
     """The process stood still for a while, and a response had come in time.
 
     Any event once fired the timers that were due, so the attempt timed out ahead of the response to be read.
     """
-    play.request_received(1)
-    play.connection_ready(1)
-    play.now = play.state_machine.due + 1
-    play.response_head(1, length=3)
-    play.response_complete(1, body=b"abc")
-    assert_idle(play)
+    harness.request_received(1)
+    harness.connection_ready(1)
+    harness.now = harness.state_machine.due + 1
+    harness.response_head(1, length=3)
+    harness.response_complete(1, body=b"abc")
+    assert_idle(harness)
 
 
-def test_queueing_time_counts_against_the_client_timeout(play):
+def test_queueing_time_counts_against_the_client_timeout(harness):
     """A busy process reads requests late; their clients have waited since they arrived."""
-    play.request_received(1, queueing_time=1_000)
-    play.request_received(2, queueing_time=1_900_000)
-    play.request_received(3, queueing_time=2_500_000)
-    assert set(play.state_machine.in_flight) == {1}
+    harness.request_received(1, queueing_time=1_000)
+    harness.request_received(2, queueing_time=1_900_000)
+    harness.request_received(3, queueing_time=2_500_000)
+    assert set(harness.state_machine.in_flight) == {1}
 
 
-def test_a_decision_that_always_defers_by_zero_does_not_loop_in_one_step(play):
+def test_a_decision_that_always_defers_by_zero_does_not_loop_in_one_step(harness):
     """A fault in the decisions defers a request by no time, over and over.
 
     Each step has to end all the same, so that other requests go on, and the client's deadline ends this one.
     """
-    play.state_machine.router.route = lambda request, now: Defer(0)
-    play.request_received(1)
+    harness.state_machine.router.route = lambda request, now: Defer(0)
+    harness.request_received(1)
     for _ in range(3):
-        play.timer_fired()
-        assert play.state_machine.due <= play.now
-    play.now += 2_000_001
-    play.timer_fired()
-    assert_idle(play)
+        harness.timer_fired()
+        assert harness.state_machine.due <= harness.now
+    harness.now += 2_000_001
+    harness.timer_fired()
+    assert_idle(harness)
