--- a/quartzrouter/server/cache_connection.py
+++ b/quartzrouter/server/cache_connection.py
@@ -48,7 +48,7 @@
         stream.raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_RECEIVE_BUFFER)
 
     async def send_request(self, target: str, headers: list[tuple[str, str]], body: bytes) -> None:
-        """Sends a request; raises what ``attempt_failure.CONNECTION_LOST`` lists.
+        """Sends a request; raises what ``attempt_failure.CONNECTION_ERRORS`` lists.
 
         :param headers: name and value, beside Host and Content-Length.
         """
@@ -69,7 +69,7 @@
     async def next_event(self) -> h11.Event:
         """Reads the next part of the response: an interim or final head, data, or its end.
 
-        Raises what ``attempt_failure.CONNECTION_LOST`` lists.
+        Raises what ``attempt_failure.CONNECTION_ERRORS`` lists.
 
         :raises h11.RemoteProtocolError: the bytes are no HTTP.
         """
--- a/quartzrouter/server/client_connection.py
+++ b/quartzrouter/server/client_connection.py
@@ -85,7 +85,7 @@
         complete request is begun. And the reading never stops: where it stopped for responses that the
         client didn't take, neither an abort nor an end was noticed.
 
-        Raises what ``attempt_failure.CONNECTION_LOST`` lists.
+        Raises what ``attempt_failure.CONNECTION_ERRORS`` lists.
 
         :raises fastcgi.ProtocolError: the client doesn't speak FastCGI.
         """
--- a/quartzrouter/server/response_writer.py
+++ b/quartzrouter/server/response_writer.py
@@ -82,7 +82,7 @@
     async def run(self) -> None:
         """Writes what is queued, and returns once all is written and nothing more will come.
 
-        Raises what ``attempt_failure.CONNECTION_LOST`` lists.
+        Raises what ``attempt_failure.CONNECTION_ERRORS`` lists.
         """
         while True:
             self._fill_buffer()
--- a/quartzrouter/server/stream.py
+++ b/quartzrouter/server/stream.py
@@ -30,7 +30,7 @@
 class Stream:
     """One TCP connection, as its socket.
 
-    Reads and writes raise what ``attempt_failure.CONNECTION_LOST`` lists once the connection has ended.
+    Reads and writes raise what ``attempt_failure.CONNECTION_ERRORS`` lists once the connection has ended.
 
     :param raw: a connected socket, which the stream owns from now on.
     :raises OSError: the connection has ended already.
