--- a/quartzrouter/server/__init__.py
+++ b/quartzrouter/server/__init__.py
@@ -1,1 +1,1 @@
-"""The real router: FastCGI from clients, HTTP to the caches, the journal service for list and purges."""
+"""The router process: FastCGI from clients, HTTP to caches, a discovery service for endpoints and purges."""
--- a/quartzrouter/server/attempt_failure.py
+++ b/quartzrouter/server/attempt_failure.py
@@ -1,7 +1,7 @@
-"""How an attempt or a health check failed, and what that proves about whether the request has run.
+"""How an attempt or a health check failed, and whether that proves that the request was not executed.
 
-Failures are values, not exceptions: they travel in events to the state machine, which asks one thing of
-them, whether the request may be sent again.
+Failures are values, not exceptions: events carry them to the state machine, which only needs to know from
+them if the request may be sent again.
 """
 
 from enum import IntEnum
@@ -11,27 +11,27 @@
 
 from quartzrouter.routing.model import AttemptStatus
 
-# what a stream raises once its connection has ended
+# Exceptions that a stream raises once its connection has ended.
 CONNECTION_ERRORS = (OSError, anyio.EndOfStream, anyio.BrokenResourceError, anyio.ClosedResourceError)
 
 
 class AttemptStage(IntEnum):
-    """How far an attempt had come; a later stage is a greater number."""
+    """How far an attempt got; later stages have greater numbers."""
 
     CONNECTING = 0
-    CONNECTED = 1  # nothing of the request has gone out
-    SENDING = 2  # some bytes of the request have gone out, perhaps all
-    RECEIVING = 3  # the head of the response has come
+    CONNECTED = 1  # nothing of the request has been sent
+    SENDING = 2  # some bytes of the request have been sent, perhaps all
+    RECEIVING = 3  # the head of the response has arrived
 
 
 class FailureCause(IntEnum):
     """What ended an attempt."""
 
-    REFUSED = 0  # connection refused, or not up within the connect timeout
-    OUT_OF_DESCRIPTORS = 1  # this process has no descriptor left for a connection
+    REFUSED = 0  # the connection was refused, or not open within the connect timeout
+    OUT_OF_DESCRIPTORS = 1  # this process has no free descriptor for a connection
     RESET = 2  # the connection ended
-    MALFORMED = 3  # the response breaks HTTP or the platform's protocol
-    INTERNAL_ERROR = 4  # a fault of this program
+    MALFORMED = 3  # the response violates HTTP or the platform's protocol
+    INTERNAL_ERROR = 4  # a bug in this program
 
 
 class AttemptFailure(NamedTuple):
@@ -45,13 +45,14 @@
     detail: str = ""
 
     def attempt_status(self) -> AttemptStatus:
-        """What the failure says of the attempt.
+        """Returns the attempt's status that follows from the failure.
 
-        Guards against effects that run twice: once a byte of the request may have reached the endpoint, only
-        ``CONNECTION_LOST`` is said, which proves nothing; the statuses before that prove that it never ran.
+        Guards against operations that are executed twice: once a byte of the request may have reached the
+        endpoint, the status is ``CONNECTION_LOST``, which proves nothing; the statuses before that prove that
+        the request was never executed.
 
-        :returns: ``NOT_CONNECTED`` for a connection that broke off at once, which says less of the endpoint
-            than one that was refused; ``NOT_SENT`` where the cause is this process's own.
+        :returns: ``NOT_CONNECTED`` for a connection that ended while it was opened, which tells less about
+            the endpoint than a refused one; ``NOT_SENT`` if the cause lies in this process.
         """
         if self.stage >= AttemptStage.SENDING:
             return AttemptStatus.CONNECTION_LOST
--- a/quartzrouter/server/attempt_task.py
+++ b/quartzrouter/server/attempt_task.py
@@ -1,4 +1,4 @@
-"""The task of one attempt, and what connects it with the client's request that it is made for."""
+"""The task of one attempt, and its access to the connection of the client that sent the request."""
 
 from collections.abc import Callable
 
@@ -9,10 +9,10 @@
 
 
 class AttemptTask:
-    """A running attempt, as its ``AttemptOwner``.
+    """A running attempt; implements ``AttemptOwner``.
 
-    :param request_id: the request that it is made for.
-    :param client: its connection; None where the client has gone already.
+    :param request_id: the request that the attempt is made for.
+    :param client: the client's connection; None if the client has already disconnected.
     """
 
     def __init__(self, request_id: int, client: ClientConnection | None):
@@ -23,23 +23,23 @@
         self._has_request = anyio.Event()
 
     def set_request(self, request: SendRequest) -> None:
-        """Hands over what the attempt is to send."""
+        """Sets the request that the attempt is to send."""
         self._request = request
         self._has_request.set()
 
     async def read_pending(self) -> None:
-        """Returns once what the client has sent by now is read."""
+        """Waits until what the client has sent so far is read, for a few iterations of the loop at most."""
         if self._client:
             await self._client.read_pending(self._request_id)
 
     async def request_to_send(self) -> SendRequest:
-        """Waits for ``set_request``, which mostly was called before."""
+        """Returns the request; waits for ``set_request``, which has usually been called before."""
         if self._request is None:
             await self._has_request.wait()
         return self._request
 
     def call_when_sent(self, callback: Callable[[], None]) -> None:
-        """Calls the callback once the response is on its way to the client."""
+        """Calls the callback once nothing of the response is queued, at once if the client has gone."""
         if self._client:
             self._client.call_when_sent(self._request_id, callback)
         else:
--- a/quartzrouter/server/clock.py
+++ b/quartzrouter/server/clock.py
@@ -1,12 +1,13 @@
-"""Clocks: the wall clock, the machine's steady clock, and a time for decisions that follows both."""
+"""Clocks: the wall clock, the machine's steady clock, and the router's clock, which follows both."""
 
 import time
 from collections.abc import Callable
 
 STEADY_CLOCK_ID = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-WALL_CLOCK_INTERVAL = 1_000  # us between two looks at the wall clock: less than a timer's resolution
-SLEW_DIVISOR = 10  # the time runs faster or slower by one part in this many until it is the wall clock's
-MAX_SLEWED_LEAD = 60_000_000  # us: a wall clock further ahead was wrong before, and is taken over at once
+WALL_CLOCK_INTERVAL = 1_000  # microseconds between reads of the wall clock: less than a timer's resolution
+SLEW_DIVISOR = 10  # to approach the wall clock, the time runs faster or slower by one part in this many
+# Microseconds. A wall clock that is further ahead was wrong before, so its time is adopted at once.
+MAX_SLEWED_LEAD = 60_000_000
 
 
 def wall_clock() -> int:
@@ -15,20 +16,20 @@
 
 
 def steady_clock() -> int:
-    """Returns whole microseconds of the machine's clock that nobody sets, and that runs while it sleeps."""
+    """Returns microseconds of the machine's clock that can't be set, and that runs during suspend."""
     return time.clock_gettime_ns(STEADY_CLOCK_ID) // 1000
 
 
 class RouterClock:
-    """Unix time that runs with the steady clock and slews towards the wall clock.
+    """Unix time that advances with the steady clock and slews towards the wall clock.
 
-    Guards against a wall clock that is set. Time may not run backwards, so a router that simply read the
-    wall clock stood still after it had been set ahead for half a second and back again: no timer fired
-    for as long as the clock had been ahead, and requests were without a response for seconds. A slewed
-    time neither jumps nor stands.
+    Guards against a wall clock that is set. Time may not run backwards, so the time of a router that read
+    the wall clock alone stood still after the clock had been set ahead for half a second and back again: no
+    timer fired for as long as the clock had been ahead, and requests had no response for seconds. A slewed
+    time neither jumps nor stops.
 
-    :param wall: reads the wall clock, in microseconds of Unix time.
-    :param steady: reads a clock that nobody sets, in microseconds.
+    :param wall: returns the wall clock's time, in microseconds of Unix time.
+    :param steady: returns the time of a clock that can't be set, in microseconds.
     """
 
     def __init__(self, wall: Callable[[], int], steady: Callable[[], int]):
@@ -38,7 +39,7 @@
         self._steady_at_now = steady()
 
     def __call__(self) -> int:
-        """Returns the time in microseconds; never less than the last time."""
+        """Returns the time in microseconds, never less than the previous result."""
         steady_now = self._steady()
         elapsed = max(0, steady_now - self._steady_at_now)
         if elapsed < WALL_CLOCK_INTERVAL:
--- a/quartzrouter/server/discovery_protocol.py
+++ b/quartzrouter/server/discovery_protocol.py
@@ -1,10 +1,11 @@
-"""The discovery service's data: what the platform tells of it at start, and the frames that it sends.
+"""Decoding of the discovery service's data: initial events from the configuration, and its frames.
 
-The platform's page calls it the journal service.  It numbers its events; each is a snapshot of the endpoint
-list, a change of it, or a purge.  Its field names become ours here and nowhere else.  No I/O.
+The platform's documentation calls it the journal service.  It numbers its events.  Each is a snapshot of the
+endpoint list, a change of it, or a purge.  Only this module translates its field names to the router's.  It
+does no I/O.
 
-A frame is big-endian: a length of 4 bytes that counts what follows, a sequence number of 8, a kind of 1,
-and the payload.  An empty frame of kind ``HEARTBEAT`` shows that the service is alive.
+A frame is big-endian: a length of 4 bytes that counts what follows, a sequence number of 8 bytes, a kind of
+1 byte, and the payload.  An empty frame of kind ``HEARTBEAT`` shows that the service is alive.
 """
 
 import struct
@@ -19,7 +20,7 @@
 
 MICROSECONDS_PER_MS = 1_000
 
-# kinds of frames
+# Kinds of frames.
 HEARTBEAT = 0
 ENDPOINT_SNAPSHOT = 1
 ENDPOINT_CHANGES = 2
@@ -27,16 +28,17 @@
 PURGE_OF_TAG = 4
 
 FRAME_HEAD = struct.Struct(">IQB")  # length, sequence number, kind
-LENGTH_SIZE = 4  # bytes of the length, which it doesn't count itself
+LENGTH_SIZE = 4  # bytes of the length field, which doesn't count itself
 HEAD_SIZE_COUNTED = FRAME_HEAD.size - LENGTH_SIZE  # bytes of the head that the length counts
-# id, IPv4 address, port, state, zone, machine type, cell, capacity rating in thousandths, start in ms
+# Id, IPv4 address, port, state, zone, machine type, cell, capacity rating in thousandths, start time in
+# milliseconds.
 ENDPOINT_RECORD = struct.Struct(">IIHBBBHIQ")
 CAPACITY_RATING_SCALE = 1_000
 OBJECT_KEY_SIZE = 8  # bytes
 TAG_SIZE = 2  # bytes
 PURGE_TIME_SIZE = 8  # bytes, milliseconds since the epoch
 
-RECEIVE_BUFFER_SIZE = 1 << 16  # bytes; a snapshot of 2,400 endpoints
+RECEIVE_BUFFER_SIZE = 1 << 16  # bytes, enough for a snapshot of 2,400 endpoints
 MAX_FRAME_LENGTH = RECEIVE_BUFFER_SIZE - LENGTH_SIZE
 
 STATES_BY_NAME = {
@@ -50,24 +52,27 @@
 
 
 class MalformedFrameError(ServerError):
-    """Bytes that no discovery service sends; ends the connection."""
+    """Bytes that violate the discovery protocol; the connection is closed."""
 
 
 class Frame(NamedTuple):
-    """A frame as it came; ``sequence`` is the number of its event, or of the last one for a heartbeat."""
+    """A received frame.
+
+    :param sequence: the number of its event; in a heartbeat, that of the last event.
+    """
 
     sequence: int
     kind: int
     payload: bytes
 
 
-# -- what is told at start -------------------------------------------------------------------------
+# -- initial events --------------------------------------------------------------------------------
 
 
 def initial_events(entries: list[ConfigurationSection], settings: DeploymentSettings) -> list[WatchEvent]:
-    """The events that the configuration tells; entries of unknown kinds are passed over.
+    """Returns the events that the configuration contains; entries of unknown kinds are ignored.
 
-    :raises ConfigurationError: where an entry can't be used.
+    :raises ConfigurationError: if an entry is invalid.
     """
     events: list[WatchEvent] = []
     for entry in entries:
@@ -115,14 +120,14 @@
 def take_frame(buffer: RingBuffer) -> Frame | None:
     """Removes and returns the next frame of a receive buffer.
 
-    :returns: None where it hasn't come whole yet.
-    :raises MalformedFrameError: where its length is none that a frame can have.
+    :returns: None if the frame is still incomplete.
+    :raises MalformedFrameError: if no frame can have its length.
     """
     if len(buffer) < FRAME_HEAD.size:
         return None
     length, sequence, kind = FRAME_HEAD.unpack(buffer.peek(FRAME_HEAD.size))
     if not HEAD_SIZE_COUNTED <= length <= MAX_FRAME_LENGTH:
-        raise MalformedFrameError(f"a frame of {length} bytes")
+        raise MalformedFrameError(f"frame length {length} is out of range")
     if len(buffer) < LENGTH_SIZE + length:
         return None
     buffer.drop(FRAME_HEAD.size)
@@ -130,11 +135,11 @@
 
 
 def decode_frame(frame: Frame, last_sequence: int, settings: DeploymentSettings) -> WatchEvent | None:
-    """The event that a frame tells.
+    """Returns the event that a frame contains.
 
-    :param last_sequence: the number of the last event held.
-    :returns: None for a heartbeat, and for an event that is held already.
-    :raises MalformedFrameError: where it can't be read, or an event between the two is missing.
+    :param last_sequence: the number of the last event received.
+    :returns: None for a heartbeat, and for an event that was received before.
+    :raises MalformedFrameError: if the frame is invalid, or an event between the two is missing.
     """
     sequence, kind, payload = frame
     if sequence <= last_sequence:
@@ -153,7 +158,7 @@
 
 
 def _decode_time(data: bytes) -> int:
-    """Microseconds since the epoch."""
+    """Returns a time in microseconds since the epoch."""
     return int.from_bytes(data, "big") * MICROSECONDS_PER_MS
 
 
@@ -181,9 +186,9 @@
 
 
 def _check_indices(state: int, zone: int, machine_type: int, settings: DeploymentSettings) -> None:
-    """Refuses a record whose numbers name nothing in this deployment.
+    """Checks that the numbers in a record exist in this deployment.
 
-    :raises MalformedFrameError: where one does.
+    :raises MalformedFrameError: if one doesn't.
     """
     is_known = (
         state < len(STATES_BY_NUMBER)
@@ -191,4 +196,6 @@
         and machine_type < len(settings.machine_types)
     )
     if not is_known:
-        raise MalformedFrameError(f"a line with state {state}, zone {zone}, kind {machine_type}")
+        raise MalformedFrameError(
+            f"endpoint record with state {state}, zone {zone}, machine type {machine_type}"
+        )
--- a/quartzrouter/server/effects.py
+++ b/quartzrouter/server/effects.py
@@ -1,14 +1,14 @@
 """Effects of the router's state machine: what it asks its process to do.
 
-``RouterStateMachine.step()`` returns them in the order in which they are to be carried out.  What
-becomes of them comes back as events (``quartzrouter.server.events``).  Durations are microseconds.
+``RouterStateMachine.step()`` returns them in the order in which they are to be carried out.  Their outcome
+comes back as events (``quartzrouter.server.events``).  Durations are microseconds.
 """
 
 from typing import NamedTuple
 
 
 class OpenConnection(NamedTuple):
-    """Get a connection for an attempt, and answer with ``ConnectionReady``.
+    """Get a pooled or a new connection for an attempt; ``ConnectionReady`` follows once it is open.
 
     :param address: host and port of the endpoint.
     """
@@ -20,9 +20,9 @@
 
 
 class SendRequest(NamedTuple):
-    """Send a request on the connection that is ready, and read the response.
+    """Send a request on the attempt's connection, and read the response.
 
-    :param target: path of the request.
+    :param target: the request target (its path).
     :param headers: name and value of each header, in the order in which they are sent.
     """
 
@@ -34,7 +34,7 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Give an attempt up: close its connection; no event of it follows."""
+    """Abandon an attempt: close its connection, and send no more events for it."""
 
     request_id: int
     attempt_number: int
@@ -43,7 +43,7 @@
 class SendResponse(NamedTuple):
     """Send the final response to a client.
 
-    :param data: head and body, as the client's server reads them from a FastCGI responder.
+    :param data: headers and body in the output format of a FastCGI responder.
     """
 
     request_id: int
@@ -51,9 +51,9 @@
 
 
 class StartHealthCheck(NamedTuple):
-    """Check an endpoint, and answer with ``HealthCheckDone``.
+    """Check an endpoint's health; ``HealthCheckDone`` follows.
 
-    :param timeout: an endpoint that has not answered by then counts as hanging.
+    :param timeout: an endpoint that has not responded by then counts as hanging.
     """
 
     endpoint: str
@@ -62,19 +62,19 @@
 
 
 class CloseIdleConnections(NamedTuple):
-    """Close the pooled connections of an endpoint."""
+    """Close the pooled connections to an endpoint."""
 
     endpoint: str
 
 
 class FollowDiscovery(NamedTuple):
-    """Follow the discovery service at this address, from the last event held."""
+    """Connect to the discovery service at this address, and resume after the last event received."""
 
     address: tuple[str, int]
 
 
 class ExitProcess(NamedTuple):
-    """End the process: each request that was accepted has had its response."""
+    """End the process: every accepted request has its response."""
 
 
 Effect = (
--- a/quartzrouter/server/endpoint_watch.py
+++ b/quartzrouter/server/endpoint_watch.py
@@ -1,7 +1,7 @@
-"""Follows the discovery service: a connection that always resumes after the last event held.
+"""Follows the discovery service; each connection resumes after the last event received.
 
-On connecting, the router sends the number of the last event that it holds, and gets every later one in order,
-with heartbeats between them.  What the bytes mean is said in ``discovery_protocol``.
+On connecting, the router sends the number of the last event that it received, and gets every later one in
+order, with heartbeats between them.  ``discovery_protocol`` decodes the frames.
 """
 
 import random
@@ -17,20 +17,20 @@
 from quartzrouter.server.ring_buffer import RingBuffer
 from quartzrouter.server.stream import Stream, connect
 
-CONNECT_TIMEOUT = 1.0  # s: the service is near
-SILENCE_TIMEOUT = 2.5  # s without a whole frame: two heartbeats and a half have not come
-MIN_RECONNECT_DELAY = 0.1  # s until it reconnects at first, ...
-MAX_RECONNECT_DELAY = 1.0  # ... doubling to this: purges and drained endpoints may not wait longer
-RECONNECT_JITTER = (0.5, 1.0)  # share of the delay, so that the routers of a fleet don't reconnect at once
-SEQUENCE_SIZE = 8  # bytes of the number that is sent on connecting, big-endian
+CONNECT_TIMEOUT = 1.0  # seconds; the service is near
+SILENCE_TIMEOUT = 2.5  # seconds without a complete frame: two and a half heartbeat intervals
+MIN_RECONNECT_DELAY = 0.1  # seconds before the first reconnection; each further delay is twice as long
+MAX_RECONNECT_DELAY = 1.0  # seconds; purges and drained endpoints may not wait longer
+RECONNECT_JITTER = (0.5, 1.0)  # factor of the delay, so that a fleet's routers don't reconnect all at once
+SEQUENCE_SIZE = 8  # bytes of the sequence number that is sent on connecting, big-endian
 
 
 class EndpointWatch:
     """Follows the discovery service at an address that may change.
 
     :param address: host and port.
-    :param last_sequence: the number of the last event held.
-    :param on_event: is called with each later event, in order.
+    :param last_sequence: the number of the last event received.
+    :param on_event: called with each later event, in order.
     """
 
     def __init__(
@@ -47,13 +47,13 @@
         self.on_event = on_event
         self.log = log
         self._reconnect_delay = MIN_RECONNECT_DELAY
-        self._scope: anyio.CancelScope | None = None  # of the connection, or of the wait for the next one
+        self._scope: anyio.CancelScope | None = None  # of the connection, or of the delay before the next
 
     def move(self, address: tuple[str, int]) -> None:
-        """Follows the service at another address from now on.
+        """Switches to the service at another address.
 
-        Guards against a mix of the two: what the old connection has read but not fed yet is given up with
-        it, and the new one is asked for the same events.
+        Guards against a mix of the two services' events: what was read from the old connection but not yet
+        handled is dropped with it, and the same events are requested on the new one.
         """
         self.address = address
         self._reconnect_delay = MIN_RECONNECT_DELAY
@@ -61,7 +61,7 @@
             self._scope.cancel()
 
     async def follow(self) -> None:
-        """Feeds every later event until it is cancelled; a connection that fails is made again."""
+        """Reads events until it is cancelled; reconnects when a connection fails."""
         while True:
             with anyio.CancelScope() as scope:
                 self._scope = scope
@@ -84,10 +84,10 @@
     async def _read_events(self, stream: Stream) -> None:
         """Reads frames until the connection ends.
 
-        Guards against a service that hangs: whole frames put the end of the wait off, bytes don't, as half a
-        frame that trickles in tells no more than silence.
+        Guards against a service that hangs: only complete frames extend the timeout, as a part of a frame
+        that arrives slowly shows no more than silence.
 
-        :raises TimeoutError: where no whole frame has come for ``SILENCE_TIMEOUT``.
+        :raises TimeoutError: if no complete frame has arrived for ``SILENCE_TIMEOUT``.
         """
         with anyio.fail_after(SILENCE_TIMEOUT) as silence:
             await stream.send(self.last_sequence.to_bytes(SEQUENCE_SIZE, "big"))
@@ -96,9 +96,9 @@
                 buffer.put(await stream.receive(buffer.free))
                 while (frame := discovery_protocol.take_frame(buffer)) is not None:
                     silence.deadline = anyio.current_time() + SILENCE_TIMEOUT
-                    self._take(frame)
+                    self._handle_frame(frame)
 
-    def _take(self, frame: Frame) -> None:
+    def _handle_frame(self, frame: Frame) -> None:
         event = discovery_protocol.decode_frame(frame, self.last_sequence, self.settings)
         self.last_sequence = max(self.last_sequence, frame.sequence)
         self._reconnect_delay = MIN_RECONNECT_DELAY
--- a/quartzrouter/server/errors.py
+++ b/quartzrouter/server/errors.py
@@ -1,9 +1,9 @@
-"""The base of all errors that the server package raises itself."""
+"""The base class of all errors that the server package raises."""
 
 
 class ServerError(Exception):
-    """What a peer sent, or what it asks for, can't be served.
+    """Data or a request of a peer that can't be handled.
 
-    Each subclass says in its text what is wrong and where. None of them ends the process: they stop at
-    the connection or at the request that they are about.
+    The text says what is wrong and where. These errors don't end the process: they are handled at the
+    connection or the request that they concern.
     """
--- a/quartzrouter/server/event_loop.py
+++ b/quartzrouter/server/event_loop.py
@@ -1,4 +1,4 @@
-"""The event loop under every process of the program: uvloop, with deadlines that it can keep."""
+"""The event loop of all processes of the program: uvloop with timers that never fire early."""
 
 import asyncio
 import math
@@ -8,23 +8,25 @@
 
 import uvloop
 
-CLOCK_RESOLUTION = 1_000  # ticks a second: uvloop's clock and its timers go by whole milliseconds
-LATE_AFTER = 0.02  # s behind its time at which a timer counts as late: usual iterations take a few ms
-# Iterations that a late timer lets pass: what has arrived is read, its task runs, and its event is handled.
+CLOCK_RESOLUTION = 1_000  # ticks a second: uvloop's clock and its timers use whole milliseconds
+# Seconds behind its due time after which a timer counts as late; usual iterations take a few milliseconds.
+LATE_AFTER = 0.02
+# Iterations by which a late timer is deferred, so that arrived data is read, its task runs, and its event is
+# handled.
 LATE_TIMER_ITERATIONS = 6
-# Methods that have a callback run, with the position of the callback among their arguments.
+# Methods that schedule a callback, with the position of the callback among their arguments.
 SCHEDULING_METHODS = {"call_soon": 0, "call_at": 1, "call_later": 1}
 
 
 class EventLoop(uvloop.Loop):
-    """A uvloop whose timers never fire ahead of their time.
+    """A uvloop event loop whose timers never fire early.
 
-    uvloop rounds a timer to the nearest millisecond of a clock that goes by milliseconds. One set for
-    12.3 ms fires at 12 ms of that clock; a cancel scope then finds its deadline still ahead and sets its
-    timer anew, which for less than half a millisecond means at once, and so spins until the clock has gone
-    on. Rounded up to a whole millisecond, a deadline has passed when its timer fires.
+    uvloop rounds a timer to the nearest millisecond of a clock that counts milliseconds. A timer set for
+    12.3 ms fires at 12 ms of that clock. A cancel scope then finds its deadline still ahead and sets its
+    timer again, which for less than half a millisecond means at once, so it spins until the clock has
+    advanced. Rounded up to a whole millisecond, a deadline has passed when its timer fires.
 
-    Callbacks can be counted for a while (``start_counting``), which costs too much to do all the time.
+    Callbacks can be counted for a limited time (``start_counting``); counting always would cost too much.
     """
 
     callback_counts: Counter[str] | None = None
@@ -34,14 +36,14 @@
     ) -> asyncio.TimerHandle:
         """Schedules a callback, as asyncio's loop does.
 
-        :param when: s of this loop's clock; the callback runs up to a millisecond later.
+        :param when: seconds of this loop's clock; the callback runs up to a millisecond later.
         """
         timer = PendingTimer(self, math.ceil(when * CLOCK_RESOLUTION) / CLOCK_RESOLUTION, callback, args)
         timer.handle = super().call_at(timer.when, timer, context=context)
         return timer.handle
 
     def add_reader(self, fd: Any, callback: Callable[..., object], *args: Any) -> None:
-        """Watches a descriptor for bytes to read, as asyncio's loop does."""
+        """Watches a descriptor until it is readable, as asyncio's loop does."""
         super().add_reader(fd, self._run_reader, callback, args)
 
     def _run_reader(self, callback: Callable[..., object], args: tuple) -> None:
@@ -50,22 +52,22 @@
         callback(*args)
 
     def start_counting(self, counts: Counter[str]) -> None:
-        """Counts what is scheduled from now on, until ``stop_counting``.
+        """Starts to count scheduled callbacks, until ``stop_counting``.
 
-        :param counts: filled by name of the callback.
+        :param counts: filled with the number of callbacks by their name.
         """
         self.callback_counts = counts
         for method_name, callback_position in SCHEDULING_METHODS.items():
             method = getattr(self, method_name)
-            setattr(self, method_name, self._counting(method, callback_position))
+            setattr(self, method_name, self._counting_method(method, callback_position))
 
     def stop_counting(self) -> None:
-        """Ends the counting; scheduling costs what it did before."""
+        """Stops the counting and its overhead."""
         self.callback_counts = None
         for method_name in SCHEDULING_METHODS:
             delattr(self, method_name)
 
-    def _counting(self, method: Callable[..., Any], callback_position: int) -> Callable[..., Any]:
+    def _counting_method(self, method: Callable[..., Any], callback_position: int) -> Callable[..., Any]:
         def counted(*arguments: Any, **keywords: Any) -> Any:
             self.callback_counts[callback_name(arguments[callback_position])] += 1
             return method(*arguments, **keywords)
@@ -74,13 +76,13 @@
 
 
 class PendingTimer:
-    """What a timer runs at its time.
+    """The callback of a timer, which is deferred if the timer fires late.
 
-    Guards against timeouts that go ahead of responses: a loop that has stood still (the process was
-    stopped, or got no CPU) runs its timers before it looks at what has arrived meanwhile, so requests
-    whose responses are there would time out. A late timer therefore lets some iterations go first.
+    Guards against timeouts that precede responses: a loop that was blocked (the process was stopped, or got
+    no CPU) runs its timers before it reads what has arrived meanwhile, so requests whose responses have
+    arrived would time out. A late timer therefore lets some iterations run first.
 
-    :param when: s of the loop's clock.
+    :param when: seconds of the loop's clock.
     """
 
     __slots__ = ("args", "callback", "handle", "iterations_left", "loop", "when")
@@ -94,7 +96,7 @@
         self.handle: asyncio.TimerHandle | None = None
 
     def __call__(self) -> None:
-        """Runs the callback, or comes back at the next iteration where the loop is late."""
+        """Runs the callback, or defers it to the next iteration if the loop is late."""
         if self.iterations_left and self.loop.time() - self.when > LATE_AFTER:
             self.iterations_left -= 1
             self.loop.call_soon(self)
@@ -103,7 +105,7 @@
 
 
 def callback_name(callback: Any) -> str:
-    """Names what a callback of the loop does: the task whose step it is, else the function."""
+    """Returns the name of the task whose step a callback is, or else of the function."""
     callback = getattr(callback, "callback", callback)
     task = getattr(callback, "__self__", None)
     if isinstance(task, asyncio.Task):
@@ -111,4 +113,4 @@
     return getattr(callback, "__qualname__", None) or type(callback).__name__
 
 
-BACKEND_OPTIONS = {"loop_factory": EventLoop}  # ``backend_options`` of anyio.run
+BACKEND_OPTIONS = {"loop_factory": EventLoop}  # for the parameter ``backend_options`` of anyio.run
--- a/quartzrouter/server/events.py
+++ b/quartzrouter/server/events.py
@@ -1,11 +1,11 @@
 """Events of the router's state machine: what has happened outside of it.
 
-The process (``quartzrouter.server.process``) and the connections make them and hand each one to
-``RouterStateMachine.step()``.  Times and durations are whole microseconds.
+The process (``quartzrouter.server.process``) and the connections create them, and the process passes each
+one to ``RouterStateMachine.step()``.  Times and durations are whole microseconds.
 
 ``request_id`` numbers requests within this process; ``attempt_number`` counts the attempts of one
-request from 0.  Together they name an attempt, and an event of an attempt that has been cancelled
-meanwhile is passed over.
+request from 0.  Together they identify an attempt.  Events of an attempt that has been cancelled meanwhile
+are ignored.
 """
 
 from typing import Any, NamedTuple
@@ -17,16 +17,16 @@
 class ClientRequest(NamedTuple):
     """A request as its client sent it.
 
-    :param correlation_id: the client's own name for it; one at a time may be in use.
-    :param traffic_class: name of the class that it is routed under.
-    :param object_key: the object that it asks for.
-    :param chunk: which part of the object.
+    :param correlation_id: the client's id for the request; unique among requests without a response.
+    :param traffic_class: name of the class that determines how it is routed.
+    :param object_key: the requested object.
+    :param chunk: number of the requested part of the object.
     :param tag: the purge group of the object, if it is in one.
     :param timeout: microseconds for which the client waits.
-    :param idempotency_key: by which caches recognise a repeat of the same operation.
-    :param if_none_match: the entity tag of the copy that the client holds, if it holds one.
-    :param queueing_time: microseconds between the arrival of its last byte at this machine and its reading.
-    :param route_selection: the route and policy that apply to it, in a router under its own configuration.
+    :param idempotency_key: identifies the operation, so that caches recognise a repeated request.
+    :param if_none_match: the entity tag of the client's copy, if it has one.
+    :param queueing_time: microseconds from the arrival of the last byte at this machine until it was read.
+    :param route_selection: the route and policy that apply, in a standalone router.
     """
 
     correlation_id: str
@@ -43,20 +43,20 @@
 
 
 class RequestReceived(NamedTuple):
-    """A request has come whole, and its client has not taken it back."""
+    """A complete request has arrived, and its client has not aborted it."""
 
     request_id: int
     client_request: ClientRequest
 
 
 class ClientGone(NamedTuple):
-    """The client of a request has gone, or has stopped waiting."""
+    """The client of a request has disconnected, or has stopped waiting."""
 
     request_id: int
 
 
 class ConnectionReady(NamedTuple):
-    """The connection for an attempt is up; nothing has been written on it."""
+    """The connection for an attempt is open; nothing of the request has been written to it."""
 
     request_id: int
     attempt_number: int
@@ -66,11 +66,11 @@
     """Status and headers of the response to an attempt.
 
     :param status: the HTTP status code.
-    :param content_length: bytes of the body; None where the response doesn't say.
-    :param never_ran: the endpoint says that the request had no effect there.
-    :param has_copy_headers: it names the copy in the response and the time it was made.
-    :param fill_status: where the response says that it came from.
-    :param cached_copy: what a router under its own configuration reads of the copy's age.
+    :param content_length: size of the body in bytes; None if the response doesn't tell it.
+    :param never_ran: the endpoint reports that the request had no effect there.
+    :param has_copy_headers: the headers identify the copy and the time at which it was made.
+    :param fill_status: where the endpoint got the object from, or which side failed, if the response tells.
+    :param cached_copy: what a standalone router reads about the copy's age.
     """
 
     request_id: int
@@ -85,9 +85,9 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended: with the whole of a response, or with a failure.
+    """An attempt has ended with a complete response or with a failure.
 
-    :param failure: None where the whole response has come.
+    :param failure: None if the response is complete.
     """
 
     request_id: int
@@ -104,10 +104,10 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """A part of the endpoint list, or all of it.
+    """Changed endpoints, or a complete endpoint list.
 
     :param addresses: host and port by the endpoint's name.
-    :param is_snapshot: the list is whole; endpoints that it lacks are gone.
+    :param is_snapshot: True for a complete list; endpoints that it doesn't contain are gone.
     """
 
     endpoints: list[Endpoint]
@@ -116,7 +116,7 @@
 
 
 class PurgeNotice(NamedTuple):
-    """All copies that are older than the purge have to go: of one object, or of all objects with a tag.
+    """A purge of one object, or of all objects with a tag: copies older than it may not be served.
 
     :param purged_at: microseconds since the epoch.
     """
@@ -127,17 +127,17 @@
 
 
 class StatusQueried(NamedTuple):
-    """Somebody asks /health whether the router is ready."""
+    """A request to /health asks if the router is ready."""
 
     request_id: int
 
 
 class TimerFired(NamedTuple):
-    """The time that ``RouterStateMachine.due`` named has come."""
+    """The time that ``RouterStateMachine.due`` returned has come."""
 
 
 class ConfigurationReloaded(NamedTuple):
-    """SIGHUP, and a configuration that can be used.
+    """SIGHUP was received, and the configuration is valid.
 
     :param discovery_address: host and port of the discovery service.
     """
@@ -146,7 +146,7 @@
 
 
 class ShutdownRequested(NamedTuple):
-    """SIGTERM."""
+    """SIGTERM was received."""
 
 
 Event = (
--- a/quartzrouter/server/pending_request.py
+++ b/quartzrouter/server/pending_request.py
@@ -1,4 +1,4 @@
-"""What the state machine holds of a request in flight and of its attempt.  Times are whole microseconds."""
+"""The state machine's state of a request in flight and of its attempt.  Times are whole microseconds."""
 
 from collections.abc import Set
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 
 @dataclass(slots=True)
 class PendingAttempt:
-    """The attempt of a request that is under way; a request has one at most.
-
-    :param decision: what the router decided.
-    :param started_at: when the connection for it was asked for.
-    :param times_out_at: grows once the response's head has told how long the body is.
-    :param is_sent: the connection was ready, and the request has been handed over to be written.
-    :param is_outdated: an endpoint of the decision has become unusable, or a purge has come, since it was
-        made.  Until it is sent it can be decided anew at no cost.
+    """The running attempt of a request, which has one at most.
+
+    :param decision: the routing decision that it carries out.
+    :param started_at: when its connection was requested.
+    :param times_out_at: later for a long body, once the response's head has told its length.
+    :param is_sent: the connection was ready, and the request has been passed on to be written.
+    :param is_outdated: since the decision, one of its endpoints has become unusable or a purge has arrived.
+        Until the request is sent it can be routed again at no cost.
     """
 
     decision: Forward
@@ -28,17 +28,17 @@
 
     @property
     def number(self) -> int:
-        """Counts the attempts of the request from 0."""
+        """Returns the number of the attempt, counted from 0 for each request."""
         return self.decision.attempt_number
 
     def uses_any(self, endpoints: Set[str]) -> bool:
-        """Whether it goes to one of these endpoints, or has one of them fill its miss."""
+        """Returns True if it is sent to one of these endpoints, or one of them is to fill a miss."""
         return self.decision.endpoint in endpoints or self.decision.fill_source in endpoints
 
     def result(self, status: AttemptStatus, is_final: bool, now: int) -> AttemptResult:
-        """What the router is told at its end.
+        """Returns the attempt's result for the router.
 
-        :param is_final: the request ends with it.
+        :param is_final: True if the request ends with this attempt.
         """
         head = self.response_head
         return AttemptResult(
@@ -53,10 +53,10 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request in flight: its client is owed a response, or its attempt is still under way.
+    """A request in flight: its client is owed a response, or its attempt is still running.
 
-    :param is_response_owed: False once the client has its response or has gone; the attempt may have to
-        run to its end all the same.
+    :param is_response_owed: False once the client has its response or has disconnected; the attempt may
+        nevertheless have to run to its end.
     """
 
     client_request: ClientRequest
@@ -65,11 +65,11 @@
 
     @property
     def correlation_id(self) -> str:
-        """In lower case, as clients may spell it either way."""
+        """Returns the correlation id in lower case, as clients may send it in either case."""
         return self.client_request.correlation_id.lower()
 
     def is_purged_by(self, purge: PurgeNotice) -> bool:
-        """Whether it asks for an object that the purge names."""
+        """Returns True if the requested object is affected by the purge."""
         if purge.object_key:
             return self.client_request.object_key.lower() == purge.object_key
         return self.client_request.tag == purge.tag
--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -1,8 +1,7 @@
-"""The router's process: events into the state machine, and its effects out to the sockets.
+"""The router's process: passes events to the state machine and carries out the effects that it returns.
 
 One task group holds all tasks. ``handle_event`` is the only way to the state machine: connections, timers,
-signals and the endpoint watch call it with an event, and it carries out the effects that the state machine
-returns.
+signals and the endpoint watch call it with an event, and it carries out the effects.
 """
 
 import asyncio
@@ -59,17 +58,17 @@
 
 # Descriptors for the listener, the discovery service, the event loop, the log and Python itself.
 RESERVED_DESCRIPTORS = 24
-CLIENT_DESCRIPTORS_DIVISOR = 3  # one descriptor in so many is for clients' connections
-REQUEST_MEMORY_DIVISOR = 8  # one part of the memory in so many may hold requests, parameters and bodies
-RESPONSE_MEMORY_DIVISOR = 8  # and one in so many may hold responses that their clients don't have yet
+CLIENT_DESCRIPTORS_DIVISOR = 3  # a third of the descriptors is for clients' connections
+REQUEST_MEMORY_DIVISOR = 8  # an eighth of the memory is for requests, with their parameters and bodies
+RESPONSE_MEMORY_DIVISOR = 8  # an eighth is for responses that their clients haven't received yet
 
 
 class RouterProcess:
-    """One router: its state machine, its connections, and the tasks that move events between them.
+    """One router: its state machine, its connections, and the tasks that pass events between them.
 
-    :param configuration: as it was read at start.
+    :param configuration: the configuration read at startup.
     :param reread: reads the configuration again at SIGHUP; raises ConfigurationError.
-    :param signals: those that are handled already; what came before the router runs is played once it does.
+    :param signals: installed signal handlers; signals from before the router runs are handled once it does.
     """
 
     def __init__(
@@ -96,10 +95,10 @@
         self.listener = Listener(self.client_connections, self.log)
         self.attempts: dict[tuple[int, int], AttemptTask] = {}  # by request id and attempt number
         self.clock = RouterClock(wall_clock, steady_clock)
-        self._now = 0  # us, of the last event
-        self._events: deque[Event] = deque()  # to be played
+        self._now = 0  # time of the last event in microseconds
+        self._events: deque[Event] = deque()  # events still to be handled
         self._is_handling_events = False
-        self._events_handled = 0  # but for timer ticks without effects
+        self._events_handled = 0  # number of events, except for timer ticks without effects
         self._tick_guard = TickGuard(self.log)
         self._spin_guard = SpinGuard(lambda: self._events_handled, self.log)
         self._next_timer_changed = anyio.Event()
@@ -114,7 +113,7 @@
         return RouterStateMachine(Router(**self.configuration.settings.router_arguments))
 
     def _create_params_parser(self) -> ParamsParser:
-        """Makes the function that reads a request out of a client's parameters."""
+        """Returns the function that reads a request from a client's CGI parameters."""
         requires_key = {
             traffic_class.name: traffic_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY
             for traffic_class in self.configuration.settings.traffic_classes
@@ -122,14 +121,14 @@
         return partial(parse_request, requires_key=requires_key.get)
 
     def _create_copy_reader(self) -> CopyReader | None:
-        """Makes the function that reads more of a response's fields than the platform's protocol does."""
+        """Returns the function that reads header fields beyond the platform's protocol, or None."""
         return None
 
     def _start_background_tasks(self) -> None:
-        """Starts tasks beside those of every router."""
+        """Starts tasks that only a standalone router has."""
 
     def _perform_extension(self, effect: object) -> None:
-        """Carries out effects that only a standalone router asks for."""
+        """Carries out an effect that only a standalone router has."""
         raise NotImplementedError(type(effect).__name__)
 
     # -- connections ---------------------------------------------------------------------------------
@@ -164,7 +163,7 @@
     # -- events and effects --------------------------------------------------------------------------
 
     def handle_event(self, event: Event) -> None:
-        """Plays an event, and whatever its effects bring about at once, in their order."""
+        """Handles an event, and then the events that its effects cause at once, in their order."""
         self._events.append(event)
         if self._is_handling_events:
             return
@@ -180,7 +179,7 @@
         return self._now
 
     def _handle_next(self, event: Event) -> None:
-        """Plays one event; a fault in it costs the request that it is about, and nothing else."""
+        """Handles one event; an exception fails the request that the event is about, and nothing else."""
         due_before = self.state_machine.due
         failed_request_id = None
         self._log_failure(event)
@@ -220,7 +219,7 @@
                 self.attempts[request_id, attempt_number] = AttemptTask(request_id, client)
                 self.tasks.start_soon(self._run_attempt, effect)
             case SendRequest(request_id, attempt_number):
-                if attempt := self.attempts.get((request_id, attempt_number)):  # else it has just ended
+                if attempt := self.attempts.get((request_id, attempt_number)):  # None if it has just ended
                     attempt.set_request(effect)
             case CancelAttempt(request_id, attempt_number):
                 self.cache_connections.cancel_attempt(request_id, attempt_number)
@@ -237,19 +236,19 @@
             case _:
                 self._perform_extension(effect)
 
-    async def _run_attempt(self, order: OpenConnection) -> None:
-        key = order.request_id, order.attempt_number
+    async def _run_attempt(self, effect: OpenConnection) -> None:
+        key = effect.request_id, effect.attempt_number
         attempt = self.attempts[key]
         try:
             with attempt.scope:
-                await self.cache_connections.run_attempt(order, attempt)
+                await self.cache_connections.run_attempt(effect, attempt)
         finally:
             del self.attempts[key]
 
     # -- tasks ---------------------------------------------------------------------------------------
 
     async def _run_timers(self) -> None:
-        """Plays a tick whenever the state machine's next timer is due; runs for ever."""
+        """Handles a ``TimerFired`` event whenever the state machine's next timer is due; runs forever."""
         events_handled_before = 0
         while True:
             self._next_timer_changed = anyio.Event()
@@ -259,12 +258,12 @@
             if self.state_machine.due <= self._read_clock():
                 self.handle_event(TimerFired())
                 is_due_again = self.state_machine.due - self._now < MIN_PAUSE * 1e6
-                due_again = self.state_machine.due_for if is_due_again else None
+                due_again = self.state_machine.next_timer_description if is_due_again else None
                 self._tick_guard.record_tick(self._events_handled > events_handled_before, due_again)
                 events_handled_before = self._events_handled
 
     async def _handle_signals(self) -> None:
-        """Plays signals in their order; runs for ever."""
+        """Handles signals in their order; runs forever."""
         loop = asyncio.get_running_loop()
         arrived = anyio.Event()
         self._signals.wake = lambda: loop.call_soon_threadsafe(arrived.set)
@@ -276,15 +275,15 @@
                 else:
                     self.log.say("process", f"{number.name}: draining, in-flight requests are finished")
                     self.handle_event(ShutdownRequested())
-                await anyio.sleep(0)  # what one has started is under way when the next is taken up
+                await anyio.sleep(0)  # starts the tasks of one signal before the next is handled
             await arrived.wait()
             arrived = anyio.Event()
 
     def _reload(self) -> None:
-        """Reads the configuration again and follows its discovery address, and nothing else of it.
+        """Reads the configuration again and switches to its discovery address.
 
-        All other settings stay as they were at the start. The log line names those of ``restart_only`` that
-        differ. A configuration that can't be used changes nothing.
+        All other settings stay as they were at startup. The log line names those of ``restart_only`` that
+        differ. An invalid configuration changes nothing.
         """
         try:
             configuration = self._reread()
@@ -302,7 +301,7 @@
         self.handle_event(ConfigurationReloaded(configuration.discovery_address))
 
     async def _exit(self) -> None:
-        """Ends the process once nobody waits for it any more."""
+        """Ends the process once all clients have their responses."""
         await drain_and_close(
             self.listener,
             self.client_connections,
@@ -317,9 +316,9 @@
     # -- running -------------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Runs until the process is told to stop.
+        """Runs until SIGTERM.
 
-        :raises ConfigurationError: the address to listen on can't be bound.
+        :raises ConfigurationError: if the address to listen on can't be bound.
         """
         with self._signals:
             await self._run()
@@ -331,7 +330,7 @@
             return
         await self._listen()
         gc.collect()
-        gc.freeze()  # what was loaded stays: the collector needn't look at it again
+        gc.freeze()  # exempts what was loaded at startup from later collections
         async with anyio.create_task_group() as self.tasks:
             self.tasks.start_soon(self._handle_signals)
             self.tasks.start_soon(self._run_timers)
@@ -345,11 +344,11 @@
         self.log.say("process", "stopped")
 
     def _load_initial_snapshot(self) -> None:
-        """Plays the endpoints that the configuration lists."""
+        """Handles the endpoints and purges that the configuration contains."""
         now = self._read_clock()
         self.state_machine.step(TimerFired(), now)
-        known = self.configuration.initial_entries
-        for event in discovery_protocol.initial_events(known, self.configuration.settings):
+        entries = self.configuration.initial_entries
+        for event in discovery_protocol.initial_events(entries, self.configuration.settings):
             self.state_machine.step(event, now)
 
     async def _listen(self) -> None:
@@ -362,7 +361,7 @@
 
 
 def forward_decisions(log: RateLimitedLog) -> None:
-    """Has the routing package's log lines written to this log, in place of any before."""
+    """Replaces the handlers of the routing package's logger by one that writes to this log."""
     decisions_log = logging.getLogger(LOGGER_NAME)
     decisions_log.handlers = [ForwardingHandler(log)]
     decisions_log.propagate = False
@@ -370,11 +369,11 @@
 
 
 def main(environ, signals: Signals | None = None) -> int:
-    """Runs one router to its end.
+    """Runs one router until it ends.
 
-    :param environ: NODE_CONFIG, NODE_LISTEN and NODE_NAME.
-    :param signals: those that are handled already.
-    :returns: the exit status: 1 where the configuration can't be used.
+    :param environ: contains NODE_CONFIG, NODE_LISTEN and NODE_NAME.
+    :param signals: installed signal handlers.
+    :returns: the exit status, 1 if the configuration is invalid.
     """
     try:
         router_process = RouterProcess(
--- a/quartzrouter/server/rate_limited_log.py
+++ b/quartzrouter/server/rate_limited_log.py
@@ -1,13 +1,13 @@
-"""A log to standard error with a rate limit per kind of line; what was suppressed is counted."""
+"""A log to standard error with a rate limit per kind of line; suppressed lines are counted."""
 
 import logging
 import sys
 from collections.abc import Callable
 from dataclasses import dataclass
 
-BURST = 20  # lines of a kind at once: the start of a trouble in full
-INTERVAL = 500_000  # us for each further line: two a second can still be read
-MAX_KINDS = 64  # kinds that are counted apart; beyond, the oldest is forgotten
+BURST = 20  # lines of a kind without a limit, so that the start of a problem is logged completely
+INTERVAL = 500_000  # microseconds for each further line: two a second are still readable
+MAX_KINDS = 64  # kinds with a limit of their own; beyond that the oldest kind is forgotten
 
 
 @dataclass(slots=True)
@@ -15,18 +15,18 @@
     """The token bucket of one kind of line."""
 
     tokens: float  # lines that may be written now
-    refilled_at: int  # us
-    suppressed: int = 0  # lines left out since the last one that was written
+    refilled_at: int  # microseconds
+    suppressed: int = 0  # lines since the last one that was written
 
 
 class RateLimitedLog:
-    """Writes lines with a kind, so many of each kind in a time.
+    """Writes lines, each of a kind, with a rate limit for each kind.
 
-    Guards against floods: a client that sends what can't be used makes a line each time, which would be
-    more than a log takes, and would keep the process from its requests.
+    Guards against floods: a client that keeps sending invalid data causes a line each time, more than a log
+    can hold, and writing them would keep the process from handling requests.
 
-    :param name: the router's, at the head of each line.
-    :param clock: gives the time in microseconds.
+    :param name: the router's name, at the start of each line.
+    :param clock: returns the time in microseconds.
     """
 
     def __init__(self, name: str, clock: Callable[[], int]):
@@ -35,7 +35,7 @@
         self.kinds: dict[str, KindState] = {}
 
     def say(self, kind: str, line: str) -> None:
-        """Writes a line, or counts it as suppressed where its kind is over the limit."""
+        """Writes a line, or counts it as suppressed if its kind is over the limit."""
         now = self.clock()
         state = self.kinds.get(kind)
         if state is None:
@@ -54,18 +54,18 @@
         self.write(kind, line, suppressed)
 
     def write(self, kind: str, line: str, suppressed: int) -> None:
-        """Writes one line; subclasses write elsewhere.
+        """Writes one line to standard error; subclasses write elsewhere.
 
-        :param suppressed: lines of the kind that were left out since the last one.
+        :param suppressed: number of lines of the kind that were suppressed since the last one.
         """
         note = f" ({suppressed} similar lines suppressed)" if suppressed else ""
         print(f"quartzrouter {self.name}: {kind}: {line}{note}", file=sys.stderr, flush=True)
 
 
 class ForwardingHandler(logging.Handler):
-    """Writes what the routing package logs as lines of the kind ``decisions``.
+    """Writes the log records of the routing package as lines of the kind ``decisions``.
 
-    :param log: takes the lines.
+    :param log: receives the lines.
     """
 
     def __init__(self, log: RateLimitedLog):
@@ -73,5 +73,5 @@
         self.log = log
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Forwards one record."""
+        """Writes one record."""
         self.log.say("decisions", record.getMessage())
--- a/quartzrouter/server/ring_buffer.py
+++ b/quartzrouter/server/ring_buffer.py
@@ -1,13 +1,13 @@
-"""A ring buffer of bytes: one per connection and direction."""
+"""A ring buffer of bytes, one for each connection and direction."""
 
 
 class RingBuffer:
     """A first-in, first-out buffer of bytes with a fixed capacity.
 
-    Most connections are idle most of the time, so an empty buffer holds no memory: the storage is
-    allocated by the first write and released when the last byte is taken.
+    Most connections are idle most of the time, so an empty buffer uses no memory: the storage is allocated
+    by the first write and released when the last byte is removed.
 
-    :param capacity: bytes that it can hold.
+    :param capacity: number of bytes that the buffer can hold.
     """
 
     def __init__(self, capacity: int):
@@ -17,21 +17,21 @@
         self._storage = bytearray()
 
     def __len__(self) -> int:
-        """Bytes that it holds."""
+        """Returns the number of bytes in the buffer."""
         return self._length
 
     @property
     def free(self) -> int:
-        """Bytes that can be added."""
+        """Returns the number of bytes that can be added."""
         return self.capacity - self._length
 
     def put(self, data: bytes | memoryview) -> None:
         """Appends all of the data.
 
-        :raises ValueError: it doesn't fit; nothing is appended then.
+        :raises ValueError: if the data doesn't fit; then nothing is appended.
         """
         if len(data) > self.free:
-            raise ValueError("no room in the ring")
+            raise ValueError("the data doesn't fit into the ring buffer")
         if not self._length:
             self._storage = bytearray(self.capacity)
         write_position = (self._start + self._length) % self.capacity
@@ -41,9 +41,9 @@
         self._length += len(data)
 
     def peek(self, count: int) -> bytes:
-        """Copies bytes from the front, which stay in the buffer.
+        """Returns bytes from the front without removing them.
 
-        :returns: ``count`` bytes, or all that there are where they are fewer.
+        :returns: ``count`` bytes, or all bytes if there are fewer.
         """
         count = min(count, self._length)
         end = self._start + count
@@ -54,10 +54,10 @@
     def drop(self, count: int) -> None:
         """Removes bytes from the front.
 
-        :raises ValueError: it holds fewer; nothing is removed then.
+        :raises ValueError: if the buffer holds fewer; then nothing is removed.
         """
         if count > self._length:
-            raise ValueError("more than the ring holds")
+            raise ValueError("the ring buffer holds fewer bytes")
         self._length -= count
         self._start = (self._start + count) % self.capacity
         if not self._length:
--- a/quartzrouter/server/shutdown.py
+++ b/quartzrouter/server/shutdown.py
@@ -1,4 +1,4 @@
-"""The end of the process: nobody who has connected or sent something is left without a response."""
+"""Shutdown of the process: every client that has connected or sent a request gets its responses."""
 
 from collections.abc import Callable
 
@@ -7,8 +7,9 @@
 from quartzrouter.server.client_connections import ClientConnections
 from quartzrouter.server.listener import Listener
 
-POLL_INTERVAL = 0.005  # s between looks whether the last responses have gone out
-# us in which what clients have sent is read and responded to, should some never stop sending.
+POLL_INTERVAL = 0.005  # seconds between checks whether the last responses have been sent
+# Microseconds during which requests are still read and answered; the limit is for clients that never stop
+# sending.
 MAX_DRAIN_TIME = 1_500_000
 
 
@@ -19,16 +20,16 @@
     clock: Callable[[], int],
     max_client_timeout: int,
 ) -> None:
-    """Accepts what waits, responds to what was read, and closes once every response has arrived.
+    """Accepts waiting connections, answers what was read, and closes once every response has arrived.
 
-    Guards against resets: a close over unread bytes resets a connection, and its client loses responses
-    that it hasn't read. So connections end one way first, what crosses that end is read and dropped, and
-    only then are they closed.
+    Guards against resets: closing a connection with unread bytes resets it, and its client loses responses
+    that it hasn't read. So a connection is first shut down for writing, bytes that still arrive are read and
+    dropped, and only then is it closed.
 
-    :param has_requests: whether requests are in flight.
-    :param clock: gives microseconds.
-    :param max_client_timeout: us after which no client waits for a response any more; clients that don't
-        read keep the process no longer than that.
+    :param has_requests: returns True if requests are in flight.
+    :param clock: returns the time in microseconds.
+    :param max_client_timeout: microseconds after which no client waits for a response any more. Clients that
+        don't read delay the end of the process no longer than that.
     """
     drain_until = clock() + MAX_DRAIN_TIME
     while listener.accept_waiting() or not clients.all_read or has_requests():
@@ -40,5 +41,5 @@
         await anyio.sleep(POLL_INTERVAL)
     with anyio.move_on_after(max_client_timeout / 1e6):
         while clients.open or clients.admitted:
-            clients.close_when_answered()  # what was accepted last has an iteration to be read in
+            clients.close_when_answered()  # leaves an iteration to read the connections accepted last
             await anyio.sleep(POLL_INTERVAL)
--- a/quartzrouter/server/spin_guard.py
+++ b/quartzrouter/server/spin_guard.py
@@ -1,8 +1,8 @@
-"""A guard against an event loop that spins: iterations that repeat without progress, whatever makes them.
+"""A guard against an event loop that spins: iterations that repeat without progress, whatever the cause.
 
-A router that spins burns the CPU that its requests need, and nothing else shows it: it is alive and
-responds, late. Progress is an event of a request or of the endpoint list that the state machine has
-handled. Nothing here decides about requests: a spin is named in the log and slowed down.
+A router that spins uses up the CPU that its requests need, and nothing else shows it: it is alive and
+responds, but late. Progress is an event of a request or of the endpoint list that the state machine has
+handled. This module makes no decisions about requests: it logs a spin and slows it down.
 """
 
 import asyncio
@@ -13,42 +13,48 @@
 from quartzrouter.server.event_loop import EventLoop
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-MIN_PAUSE = 0.001  # s that an iteration takes at least while it is slowed down ...
-MAX_PAUSE = 0.008  # ... doubling to this without progress: a final response comes no later than that
+MIN_PAUSE = 0.001  # seconds; the minimum pause of an iteration that is slowed down, doubled without progress
+MAX_PAUSE = 0.008  # seconds; the limit of the doubling: a final response is delayed by no more
 
-IDLE_TICKS_PER_STEP = 32  # timer ticks in a row without an effect until the pause between two doubles
+IDLE_TICKS_PER_STEP = 32  # successive timer ticks without an effect after which the pause is doubled
 
-CHECK_INTERVAL = 0.25  # s between two checks: a few lost to a spin harm no request
-MIN_CPU = 25_000_000  # ns of CPU between two checks: under a tenth of them, a spin isn't worth a line
-MAX_CPU_PER_EVENT = 1_500_000  # ns of CPU for an event that arouse suspicion; about 250,000 are usual
-SAMPLE_DURATION = 0.03  # s of counted callbacks: hundreds of a spin, a few of a router that works
-MAX_CHECK_INTERVAL = 16.0  # s, where the last samples found nothing: a slow machine is no spin
-MIN_REPEATS = 60  # runs of one callback in a sample that make a spin, and ...
-MIN_REPEATS_PER_EVENT = 25  # ... for each event: a request's tasks take a handful of each kind
-SLOWDOWN = 1.0  # s for which iterations are slowed down until the next check, at first ...
-MAX_SLOWDOWN = 16.0  # ... doubling to this while the same is found again
+CHECK_INTERVAL = 0.25  # seconds between two checks; a spin that lasts for a few of them harms no request
+# Nanoseconds of CPU time between two checks; a spin that uses less than a tenth of a core isn't logged.
+MIN_CPU = 25_000_000
+# Nanoseconds of CPU time for an event above which a sample is taken; about 250,000 are usual.
+MAX_CPU_PER_EVENT = 1_500_000
+# Seconds for which callbacks are counted: there are hundreds of them in a spin, a few in a working router.
+SAMPLE_DURATION = 0.03
+# Seconds between two checks if the last samples found nothing, as on a slow machine that doesn't spin.
+MAX_CHECK_INTERVAL = 16.0
+MIN_REPEATS = 60  # runs of one callback in a sample that count as a spin
+# Runs of one callback for each event that count as a spin; a request's tasks need a handful of each kind.
+MIN_REPEATS_PER_EVENT = 25
+# Seconds for which iterations are slowed down before the next check, doubled while the spin goes on.
+SLOWDOWN = 1.0
+MAX_SLOWDOWN = 16.0  # seconds; the limit of the doubling
 
 
 class TickGuard:
-    """The least time between two timer ticks of the state machine.
+    """Determines the minimum time between two timer ticks of the state machine.
 
-    Guards against a timer that is always due and against a decision that always says "now": both would
-    have the loop run ticks without end. Each tick that does nothing, with the next due at once, counts;
-    many of them in a row lengthen the pause.
+    Guards against a timer that is always due, and against a decision that always defers by no time: both
+    would make the loop run ticks endlessly. Ticks without an effect whose next tick is due at once are
+    counted; many of them in a row lengthen the pause.
 
-    :param log: is told which timer it is.
+    :param log: receives a line that names the timer.
     """
 
     def __init__(self, log: RateLimitedLog):
         self.log = log
-        self.pause = MIN_PAUSE  # s
+        self.pause = MIN_PAUSE  # seconds
         self._idle_ticks = 0  # in a row
 
     def record_tick(self, made_progress: bool, due_again: str | None) -> None:
-        """Notes that a tick was played.
+        """Records a timer tick.
 
-        :param made_progress: it had effects, or another event has come since the last tick.
-        :param due_again: what the timer is for that is due at once again, if there is one.
+        :param made_progress: the tick had effects, or another event was handled since the last tick.
+        :param due_again: description of the timer that is due at once again, if there is one.
         """
         if made_progress or due_again is None:
             self.pause = MIN_PAUSE
@@ -59,18 +65,18 @@
             self.pause = min(2 * self.pause, MAX_PAUSE)
         is_power_of_two = not self._idle_ticks & (self._idle_ticks - 1)
         if self._idle_ticks >= 2 * IDLE_TICKS_PER_STEP and is_power_of_two:  # 64, 128, 256 ...
-            what = f"{self._idle_ticks} timer ticks in a row without effect; due again: {due_again}"
-            self.log.say("event loop", f"{what}; ticks now {1e3 * self.pause:.0f} ms apart")
+            found = f"{self._idle_ticks} timer ticks in a row without effect; due again: {due_again}"
+            self.log.say("event loop", f"{found}; ticks now {1e3 * self.pause:.0f} ms apart")
 
 
 class SpinGuard:
-    """Compares CPU time with progress, samples callbacks where they don't fit, and slows down what spins.
+    """Compares CPU time with progress, samples callbacks if they don't match, and slows down a spin.
 
-    A check costs two reads of a clock; only suspicion starts a sample, which counts every callback for
-    ``SAMPLE_DURATION``. Its loop is an ``EventLoop``.
+    A check costs two reads of a clock. Only if it finds too much CPU time for the events does it start a
+    sample, which counts every callback for ``SAMPLE_DURATION``. The loop has to be an ``EventLoop``.
 
-    :param event_count: how many events were handled so far, ticks without effects left out.
-    :param log: is told what spins.
+    :param event_count: returns how many events were handled so far, except for ticks without effects.
+    :param log: receives a line that names what spins.
     """
 
     loop: EventLoop
@@ -81,14 +87,14 @@
         self._check_interval = CHECK_INTERVAL
         self._slowdown = SLOWDOWN
         self._callback_counts: Counter[str] = Counter()
-        self._cpu_at_check = 0  # ns
-        self._events_at_check = 0  # also at the start of a sample
+        self._cpu_at_check = 0  # nanoseconds of CPU time at the last check
+        self._events_at_check = 0  # event count at the last check or at the start of the sample
         self._events_at_pause = 0
         self._pause = MIN_PAUSE
-        self._slow_until = 0.0  # s of the loop's clock
+        self._slow_until = 0.0  # seconds of the loop's clock
 
     def start(self) -> None:
-        """Checks from now on, within the running loop."""
+        """Starts the checks in the running loop."""
         self.loop = asyncio.get_running_loop()
         self._schedule_check()
 
@@ -107,19 +113,19 @@
         self._callback_counts.clear()
         self._events_at_check = self._event_count()
         self.loop.start_counting(self._callback_counts)
-        self.loop.call_later(SAMPLE_DURATION, self._judge_sample, cpu, events)
+        self.loop.call_later(SAMPLE_DURATION, self._evaluate_sample, cpu, events)
 
-    def _judge_sample(self, cpu: int, events: int) -> None:
-        """Decides by a sample whether the loop spins; if so, says it in one line and slows the loop down.
+    def _evaluate_sample(self, cpu: int, events: int) -> None:
+        """Decides by a sample if the loop spins; if so, logs one line and slows the loop down.
 
-        The line's figures are of two intervals. "ms of CPU for ... events" is of the check interval
-        before the sample: CPU time of the loop's thread, and events that the state machine
-        handled. "ran ... times in ... ms for ..." is of the sample: runs of the callback that ran most
-        often, the length of the sample, and events handled during it. The rest is the remedy: the shortest
-        and the longest pause of an iteration, and for how long the loop is slowed down.
+        The figures of the line concern two intervals. "ms of CPU for ... events" concerns the check interval
+        before the sample: the CPU time of the loop's thread, and the events that the state machine handled.
+        "ran ... times in ... ms for ..." concerns the sample: the runs of the most frequent callback, the
+        length of the sample, and the events handled during it. The rest is the remedy: the shortest and the
+        longest pause of an iteration, and for how long the loop is slowed down.
 
-        :param cpu: ns of CPU time in the check interval.
-        :param events: handled in the check interval, ticks without effects left out.
+        :param cpu: nanoseconds of CPU time in the check interval.
+        :param events: number of events handled in the check interval, except for ticks without effects.
         """
         self.loop.stop_counting()
         events_in_sample = self._event_count() - self._events_at_check
@@ -145,7 +151,7 @@
         self.loop.call_soon(self._pause_iteration)
 
     def _pause_iteration(self) -> None:
-        """Sleeps once in each iteration until the slowdown is over; shorter where there is progress."""
+        """Sleeps once in each iteration until the slowdown is over; sleeps shorter if there is progress."""
         if self.loop.time() >= self._slow_until:
             self._check_interval = CHECK_INTERVAL
             self._schedule_check()
--- a/quartzrouter/server/state_machine.py
+++ b/quartzrouter/server/state_machine.py
@@ -1,8 +1,8 @@
 """The state machine of the router process: ``step(event, now)`` returns effects, and does no I/O.
 
-It owns the Router, the requests in flight with their attempts, the timers and the health checks under
-way.  Reading and writing are effects that it asks for; what becomes of them comes back as events.  An
-event is taken in whole before the next one, so no two of them can interleave.
+It owns the Router, the requests in flight with their attempts, the timers and the running health checks.
+It requests I/O by effects, and the outcome comes back as events.  Each event is handled completely before
+the next one, so events never interleave.
 
 Times are whole microseconds.
 """
@@ -51,36 +51,37 @@
     TimerQueue,
 )
 
-MS = 1_000  # us
+MICROSECONDS_PER_MS = 1_000
 
-SHUTDOWN_GRACE = 1_000 * MS  # from SIGTERM: requests keep arriving for 0.7 s, and a busy machine reads late
-EXIT_RETRY = 10 * MS  # between two looks whether the last request has its response
+# Time from SIGTERM: requests keep arriving for 0.7 s, and a busy machine reads them late.
+SHUTDOWN_GRACE = 1_000 * MICROSECONDS_PER_MS
+EXIT_CHECK_INTERVAL = 10 * MICROSECONDS_PER_MS  # between checks whether the last request has its response
 
 
 class RouterStateMachine(RouterDriver):
-    """The router process without its I/O; see the module.
+    """The router process without its I/O; see the module docstring.
 
-    :param router: decides on the requests.
+    :param router: makes the routing decisions.
     """
 
     def __init__(self, router: Router):
         super().__init__(router)
         self.in_flight: dict[int, PendingRequest] = {}  # by request id
-        self.open_correlation_ids: set[str] = set()  # of the requests that are owed a response, in lower case
+        self.open_correlation_ids: set[str] = set()  # of requests without a response, in lower case
         self.timers = TimerQueue()
-        self.addresses: dict[str, tuple[str, int]] = {}  # of the endpoints that are listed
-        self.has_endpoint_list = False  # once any endpoint was listed
-        self.health_checks: set[str] = set()  # endpoints with a health check under way
-        self.is_shutting_down = False  # after SIGTERM
-        self.is_closed = False  # once the grace period is over, and new requests are rejected
-        self.effects: list[Effect] = []  # of the step under way
-        self.now = 0  # of the step under way
+        self.addresses: dict[str, tuple[str, int]] = {}  # host and port by the name of a listed endpoint
+        self.has_endpoint_list = False  # True once any endpoint was listed
+        self.health_checks: set[str] = set()  # endpoints whose health check is running
+        self.is_shutting_down = False  # True from SIGTERM on
+        self.is_closed = False  # True once the grace period is over; new requests are rejected
+        self.effects: list[Effect] = []  # of the current step
+        self.now = 0  # time of the current step
 
     def step(self, event: Event, now: int) -> list[Effect]:
         """Handles one event.
 
-        :param now: the time; never before that of the previous step.
-        :returns: the effects that it brings about, in order.
+        :param now: the time, not earlier than that of the previous step.
+        :returns: the effects to carry out, in order.
         """
         self.effects = []
         self.now = now
@@ -125,12 +126,12 @@
 
     @property
     def due(self) -> int:
-        """When the next timer fires: the process hands in ``TimerFired`` then."""
+        """Returns the time at which the process has to send ``TimerFired`` for the next timer."""
         return self.timers.next_due(self._is_obsolete)
 
     @property
-    def due_for(self) -> str:
-        """What the next timer is for, in words for the log."""
+    def next_timer_description(self) -> str:
+        """Describes the next timer, for the log."""
         return self.timers.describe_next()
 
     def _is_obsolete(self, timer: Timer) -> bool:
@@ -142,17 +143,17 @@
         return False
 
     def _add_timer(self, due: int, timer: Timer) -> None:
-        """Sets a timer, for now at the earliest: one in the past would go ahead of those already due."""
+        """Sets a timer, at the earliest for now: a time in the past would put it before those already due."""
         self.timers.set(max(due, self.now), timer)
 
     def _timers_due(self, now: int) -> None:
-        """Fires all timers that are due, and nothing else does.
+        """Fires all timers that are due; only the ``TimerFired`` event does this.
 
-        Guards against a process that stood still: responses have come meanwhile, and if any event fired the
-        timers, they would time out the attempts ahead of the responses that are still to be read.
+        Guards against a process that was stopped or got no CPU: if every event fired the timers, attempts
+        would time out before the responses that have arrived meanwhile are read.
 
-        A timer that is set for now while others fire waits for the next step: a router that always defers
-        by 0 would keep this step for ever.
+        A timer that is set for now while others fire waits for the next step. Otherwise a router that always
+        defers by 0 would keep this step running forever.
         """
         last_number = self.timers.last_number
         while (timer := self.timers.pop_due(now, last_number)) is not None:
@@ -161,7 +162,7 @@
     def _timer_fired(self, timer: Timer, now: int) -> None:
         match timer:
             case MaintenanceTimer():
-                pass  # each step ends with it
+                pass  # each step ends with maintenance
             case DeferredRequest(number):
                 self.resume_deferred(number, now)
             case AttemptTimeout(request_id, attempt_number):
@@ -173,30 +174,30 @@
 
     def _attempt_timed_out(self, request_id: int, attempt_number: int, now: int) -> None:
         attempt = self._attempt_under_way(request_id, attempt_number)
-        if attempt is None or now < attempt.times_out_at:  # over, or it has got more time
+        if attempt is None or now < attempt.times_out_at:  # it has ended, or was given more time
             return
         status = AttemptStatus.TIMED_OUT if attempt.is_sent else AttemptStatus.NOT_CONNECTED
         self._abandon_attempt(request_id, attempt, status, now)
 
     def _client_deadline_passed(self, request_id: int, now: int) -> None:
-        """Fails a request that the router has not ended by itself in time, which it should have done."""
+        """Fails a request that the router should have ended before its client stops waiting."""
         pending = self.in_flight.get(request_id)
         if pending and pending.is_response_owed:
             self.effects.append(SendResponse(request_id, responses.failed()))
             self._client_gone(request_id, now)
 
     def _close(self, now: int) -> None:
-        """Rejects new requests from now on, and exits once no request is in flight."""
+        """Starts to reject new requests, and exits once no request is in flight."""
         self.is_closed = True
         if self.in_flight:
-            self._add_timer(now + EXIT_RETRY, ShutdownGracePeriod())
+            self._add_timer(now + EXIT_CHECK_INTERVAL, ShutdownGracePeriod())
         else:
             self.effects.append(ExitProcess())
 
-    # -- what the router decides -------------------------------------------------------------------
+    # -- decisions of the router -------------------------------------------------------------------
 
     def forward(self, request_id: int, decision: Forward, now: int) -> None:
-        """Asks for a connection, and sets the attempt's timeout."""
+        """Starts an attempt: opens a connection and sets the timeout."""
         times_out_at = now + decision.timeout
         self.in_flight[request_id].attempt = PendingAttempt(decision, now, times_out_at)
         self._add_timer(times_out_at, AttemptTimeout(request_id, decision.attempt_number))
@@ -204,7 +205,7 @@
         self.effects.append(OpenConnection(request_id, decision.attempt_number, decision.endpoint, address))
 
     def cancel_attempt(self, request_id: int, attempt_number: int, now: int) -> None:
-        """Gives the attempt up."""
+        """Abandons the attempt."""
         attempt = self.in_flight[request_id].attempt
         self._abandon_attempt(request_id, attempt, AttemptStatus.CANCELLED, now)
 
@@ -217,16 +218,16 @@
         self._respond(request_id, responses.failed())
 
     def start_health_check(self, endpoint: str, timeout: int) -> None:
-        """Starts a health check, unless one of this endpoint is under way."""
+        """Starts a health check, unless one of this endpoint is running."""
         if endpoint not in self.health_checks:
             self.health_checks.add(endpoint)
             self.effects.append(StartHealthCheck(endpoint, self.addresses[endpoint], timeout))
 
     def subscribe_to_endpoints(self) -> None:
-        """Does nothing: the discovery service sends the list without being asked."""
+        """Does nothing: the discovery service sends the endpoint list unasked."""
 
     def set_timer(self, due: int, now: int, number: int) -> None:
-        """Sets the driver's timer."""
+        """Sets a timer of the driver."""
         timer = MaintenanceTimer() if number == MAINTENANCE_TIMER else DeferredRequest(number)
         self._add_timer(due, timer)
 
@@ -248,7 +249,7 @@
         self.accept_request(self._to_request(request_id, client_request), now)
 
     def _to_request(self, request_id: int, client_request: ClientRequest) -> Request:
-        """The request as the router takes it."""
+        """Converts a client's request to the router's form."""
         return Request(
             id=request_id,
             traffic_class=client_request.traffic_class,
@@ -261,11 +262,11 @@
         )
 
     def _is_cacheable(self, client_request: ClientRequest) -> bool:
-        """Whether caches keep copies of it, so that a response says which copy it is and how old."""
+        """Returns True if caches keep copies of the object, so that responses tell the copy and its age."""
         return not self.router.traffic_classes[client_request.traffic_class].uncacheable
 
     def _extra_headers(self, client_request: ClientRequest) -> list[tuple[str, str]]:
-        """Headers that are passed on beside those of the platform's protocol."""
+        """Returns headers that are sent in addition to those of the platform's protocol."""
         return []
 
     def _client_gone(self, request_id: int, now: int) -> None:
@@ -275,7 +276,7 @@
         pending.is_response_owed = False
         self.open_correlation_ids.discard(pending.correlation_id)
         self.cancel_request(request_id, now)
-        if pending.attempt and not pending.attempt.is_sent:  # nothing of it has gone out, and nothing will
+        if pending.attempt and not pending.attempt.is_sent:  # nothing was sent, and nothing will be
             self._abandon_attempt(request_id, pending.attempt, AttemptStatus.NOT_SENT, now)
         if not pending.attempt:
             self.in_flight.pop(request_id, None)
@@ -293,13 +294,13 @@
     # -- events of attempts ------------------------------------------------------------------------
 
     def _attempt_under_way(self, request_id: int, attempt_number: int) -> PendingAttempt | None:
-        """The attempt that an event or a timer is about; None if it has ended or was cancelled meanwhile."""
+        """Returns the attempt of an event or a timer, or None if it has ended or was cancelled meanwhile."""
         pending = self.in_flight.get(request_id)
         attempt = pending.attempt if pending else None
         return attempt if attempt and attempt.number == attempt_number else None
 
     def _connection_ready(self, request_id: int, attempt: PendingAttempt, now: int) -> None:
-        """Sends the request, or ends the attempt unsent where its decision no longer holds."""
+        """Sends the request, or ends the attempt without sending if its decision is no longer valid."""
         client_request, decision = self.in_flight[request_id].client_request, attempt.decision
         is_too_late = now >= min(attempt.times_out_at, decision.send_by)
         if attempt.is_outdated or is_too_late:
@@ -314,10 +315,10 @@
         )
 
     def _response_head(self, request_id: int, attempt: PendingAttempt, head: ResponseHead, now: int) -> None:
-        """Gives up a response that can't be passed on; one that has begun gets time by its length."""
+        """Abandons a response that can't be passed on; extends the timeout of any other by its length."""
         attempt.response_head = head
         if not self._is_usable(self.in_flight[request_id].client_request, head):
-            # the request may have run
+            # The request may have been executed.
             self._abandon_attempt(request_id, attempt, AttemptStatus.CONNECTION_LOST, now)
         elif head.content_length:
             deadline = self.router.response_deadline(request_id, head.content_length / BYTES_PER_KB)
@@ -326,7 +327,7 @@
                 self._add_timer(deadline, AttemptTimeout(request_id, attempt.number))
 
     def _is_usable(self, client_request: ClientRequest, head: ResponseHead) -> bool:
-        """Whether a response may be passed on: its copy is named, and a 304 was asked for."""
+        """Returns True if a response may be passed on: a cacheable copy is named, a 304 requested."""
         if head.status not in (HTTP_OK, HTTP_NOT_MODIFIED):
             return True
         if self._is_cacheable(client_request) and not head.has_copy_headers:
@@ -334,7 +335,7 @@
         return head.status == HTTP_OK or bool(client_request.if_none_match)
 
     def _attempt_ended(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded, now: int) -> None:
-        """Passes a complete response on, and tells the router how the attempt has ended."""
+        """Passes on a complete response, and tells the router how the attempt ended."""
         head = attempt.response_head
         status = event.failure.attempt_status() if event.failure else cache_protocol.attempt_status(head)
         if status is AttemptStatus.SUCCEEDED:
@@ -345,14 +346,14 @@
     def _abandon_attempt(
         self, request_id: int, attempt: PendingAttempt, status: AttemptStatus, now: int
     ) -> None:
-        """Closes the attempt's connection, and ends the attempt."""
+        """Closes the attempt's connection and ends the attempt."""
         self.effects.append(CancelAttempt(request_id, attempt.number))
         self._finish_attempt(request_id, attempt, status, now)
 
     def _finish_attempt(
         self, request_id: int, attempt: PendingAttempt, status: AttemptStatus, now: int
     ) -> None:
-        """Ends an attempt of which nothing more is heard, and tells the router."""
+        """Removes an attempt, of which no more events count, and tells the router."""
         pending = self.in_flight[request_id]
         pending.attempt = None
         is_final = not pending.is_response_owed or status is AttemptStatus.SUCCEEDED
@@ -380,7 +381,7 @@
                 pending.attempt.is_outdated = True
 
     def _update_addresses(self, addresses: dict[str, tuple[str, int]]) -> None:
-        """Records where endpoints are; connections to an endpoint's former address are closed."""
+        """Records the endpoints' addresses, and closes connections to former addresses."""
         for name, address in addresses.items():
             if self.addresses.get(name, address) != address:
                 self.effects.append(CloseIdleConnections(name))
@@ -395,5 +396,5 @@
 
     def _health_check_done(self, endpoint: str, status: AttemptStatus, now: int) -> None:
         self.health_checks.discard(endpoint)
-        if status is not AttemptStatus.NOT_SENT:  # this process had no descriptor left: nothing was learnt
+        if status is not AttemptStatus.NOT_SENT:  # no descriptor was free: nothing was learned
             self.router.record_health_check(endpoint, status, now)
--- a/quartzrouter/server/timers.py
+++ b/quartzrouter/server/timers.py
@@ -1,4 +1,4 @@
-"""The timers of the router's state machine: what each is for, and the queue that orders them.
+"""The timers of the router's state machine, one type for each purpose, and the queue that orders them.
 
 Times are whole microseconds.
 """
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-NEVER = 1 << 62  # us, later than any time that the clock can show
+NEVER = 1 << 62  # microseconds, later than any time that the clock can return
 
 
 class AttemptTimeout(NamedTuple):
-    """An attempt has no complete response in the time that it has."""
+    """An attempt has no complete response within its timeout."""
 
     request_id: int
     attempt_number: int
@@ -30,9 +30,9 @@
 
 
 class DeferredRequest(NamedTuple):
-    """A request that the router has deferred is to be decided again.
+    """A request that the router has deferred is to be routed again.
 
-    :param number: the driver's number for it, see ``RouterDriver.set_timer``.
+    :param number: the driver's number of the timer, see ``RouterDriver.set_timer``.
     """
 
     number: int
@@ -49,7 +49,7 @@
 
 
 class ShutdownGracePeriod(NamedTuple):
-    """The time after SIGTERM in which new requests are still accepted is over."""
+    """The time after SIGTERM during which new requests are accepted is over."""
 
     def __str__(self) -> str:
         return "shutdown grace period"
@@ -59,14 +59,14 @@
 
 
 class TimerQueue:
-    """Timers by the time at which they are due; of those due at once, the one set first goes first.
+    """Timers ordered by due time; those with the same time fire in the order in which they were set.
 
-    A timer can't be taken back.  One whose subject is over stays until it is the next in line.
+    A timer can't be removed.  One that has become obsolete stays until it is the first in the queue.
     """
 
     def __init__(self) -> None:
-        self.last_number = 0  # of the timer that was set last
-        self._heap: list[tuple[int, int, Timer]] = []  # when due, the timer's number, the timer
+        self.last_number = 0  # number of the timer that was set last
+        self._heap: list[tuple[int, int, Timer]] = []  # due time, number, timer
 
     def set(self, due: int, timer: Timer) -> None:
         """Adds a timer."""
@@ -74,10 +74,10 @@
         heapq.heappush(self._heap, (due, self.last_number, timer))
 
     def pop_due(self, now: int, last_number: int) -> Timer | None:
-        """Removes the next timer that is due.
+        """Removes and returns the next timer that is due.
 
-        :param last_number: timers with higher numbers are left; they were set after the caller began.
-        :returns: None where there is none.
+        :param last_number: timers with higher numbers are not returned: they were set after the caller began.
+        :returns: None if there is none.
         """
         if not self._heap:
             return None
@@ -88,14 +88,14 @@
         return timer
 
     def next_due(self, is_obsolete: Callable[[Timer], bool]) -> int:
-        """Removes obsolete timers at the head of the queue, so that nobody wakes up for them.
+        """Removes obsolete timers at the head of the queue, so that the process isn't woken up for them.
 
-        :returns: when the next timer is due; ``NEVER`` where there is none.
+        :returns: when the next timer is due; ``NEVER`` if there is none.
         """
         while self._heap and is_obsolete(self._heap[0][2]):
             heapq.heappop(self._heap)
         return self._heap[0][0] if self._heap else NEVER
 
     def describe_next(self) -> str:
-        """What the next timer is for, in words for the log."""
+        """Describes the next timer, for the log."""
         return str(self._heap[0][2]) if self._heap else "nothing"
