--- a/quartzrouter/standalone/__init__.py
+++ b/quartzrouter/standalone/__init__.py
@@ -1,1 +1,1 @@
-"""A router under a plan, in an installation of our own: `quartzrouter run PLAN`."""
+"""The standalone router, which is configured by a plan: `quartzrouter run PLAN`."""
--- a/quartzrouter/standalone/fleet_tasks.py
+++ b/quartzrouter/standalone/fleet_tasks.py
@@ -1,4 +1,4 @@
-"""Background tasks of a standalone router that belongs to a fleet: what it asks, reports, stores and logs."""
+"""Background tasks of a standalone router in a fleet: quota requests, reports, stored purges, and logs."""
 
 from collections.abc import Callable
 
@@ -17,17 +17,17 @@
     StandaloneStateMachine,
 )
 
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6
 
 
 class FleetTasks:
-    """The tasks; each runs until it is cancelled.
+    """The background tasks; each runs until it is cancelled.
 
     :param fleet: the fleet's purges at this router.
-    :param multi_pool_router: holds this router's part of shared limits.
-    :param state_machine: holds what was refused, and which purges were applied.
-    :param on_event: takes events.
-    :param log: is told what the fleet costs here.
+    :param multi_pool_router: holds this router's shares of shared limits.
+    :param state_machine: holds refusals of quota, and which purges were applied.
+    :param on_event: called with each event.
+    :param log: receives lines about stale copies, merged purges, quota and failures to store purges.
     """
 
     def __init__(
@@ -47,8 +47,8 @@
     def start(self, tasks: anyio.abc.TaskGroup, reports_health: bool, purges_file: str) -> None:
         """Starts the tasks.
 
-        :param reports_health: whether routers tell each other which endpoints fail.
-        :param purges_file: where purges in force are stored; empty: nowhere.
+        :param reports_health: True if the routers tell each other which endpoints fail.
+        :param purges_file: the file for purges in force; empty if they are not stored.
         """
         tasks.start_soon(self._log_purge_costs)
         tasks.start_soon(self._request_quota)
@@ -59,7 +59,7 @@
             tasks.start_soon(self._store_purges, purges_file)
 
     async def _log_purge_costs(self) -> None:
-        """Logs responses that were too old and index entries that were merged, where there were any."""
+        """Logs the number of responses that were too old and of index entries that were merged, if any."""
         stale_copies = 0
         merged = 0
         while True:
@@ -74,24 +74,24 @@
             merged = self._fleet.index.merged_entries
 
     async def _request_quota(self) -> None:
-        """Requests shares of limits and of slow starts when they are due."""
+        """Requests shares of limits and of slow starts at the times at which they are due."""
         while True:
             wait = self._multi_pool_router.quota_client.time_until_next_request()
             if slow_start_wait := self._multi_pool_router.slow_start_client.request_interval():
                 wait = min(wait, slow_start_wait)
-            await anyio.sleep(wait / MICROSECONDS)
+            await anyio.sleep(wait / MICROSECONDS_PER_SECOND)
             self._on_event(RequestQuota())
 
     async def _report_health(self) -> None:
-        """Reports failures at each short interval, and all that was seen at each long one."""
+        """Reports failures at each short interval, and all observations at each long one."""
         reports_per_round = REPORT_INTERVAL // URGENT_REPORT_INTERVAL
         while True:
             for number in range(reports_per_round):
-                await anyio.sleep(URGENT_REPORT_INTERVAL / MICROSECONDS)
+                await anyio.sleep(URGENT_REPORT_INTERVAL / MICROSECONDS_PER_SECOND)
                 self._on_event(ReportHealth(only_failures=number < reports_per_round - 1))
 
     async def _log_quota(self) -> None:
-        """Logs when this router begins and ends to act on its safe capacity, and what was refused."""
+        """Logs when this router starts and stops using its safe capacity, and which requests were refused."""
         counters_before: dict[str, QuotaCounters] = {}
         while True:
             await anyio.sleep(purge_membership.REPORT_INTERVAL)
@@ -105,10 +105,10 @@
             self._state_machine.quota_refusals.clear()
 
     async def _store_purges(self, path: str) -> None:
-        """Stores the purges in force where there are new ones.
+        """Stores the purges in force whenever there are new ones.
 
-        In a thread: encoding and writing 100,000 of them takes a tenth of a second, for which the event
-        loop would stand still.
+        This runs in a thread: encoding and writing 100,000 purges takes a tenth of a second, which would
+        block the event loop.
         """
         stored_up_to = self._state_machine.replica.applied_up_to
         while True:
@@ -121,4 +121,4 @@
                 await anyio.to_thread.run_sync(purge_membership.save, path, stored)
                 stored_up_to = applied_up_to
             except OSError as error:
-                self._log.say("ledger", f"{path}: {error.strerror or error}; it is written again later")
+                self._log.say("ledger", f"{path}: {error.strerror or error}; writing it is retried")
--- a/quartzrouter/standalone/plan_reloader.py
+++ b/quartzrouter/standalone/plan_reloader.py
@@ -1,4 +1,4 @@
-"""Reads the plan anew at SIGHUP, beside the event loop."""
+"""Reads the plan again at SIGHUP without blocking the event loop."""
 
 from collections.abc import Callable
 
@@ -9,14 +9,14 @@
 
 
 class PlanReloader:
-    """Reads a plan in a thread, one reading at a time: thousands of routes take seconds.
+    """Reads a plan in a thread, as thousands of routes take seconds; one read runs at a time.
 
-    A reload that is asked for while one is under way is done behind it, so that the last state of the
-    file counts; several of them are one.
+    A reload that is requested during a read runs after it, so that the last state of the file is applied.
+    Several such requests cause one reload.
 
     :param path: the plan's file.
-    :param apply: takes what was read, a faulty plan too.
-    :param log: is told of errors of the program.
+    :param apply: called with the result, also if the plan is invalid.
+    :param log: receives errors of the program.
     """
 
     def __init__(self, path: str, apply: Callable[[Loaded], None], log: RateLimitedLog):
@@ -27,7 +27,10 @@
         self._is_reading = False
 
     def request(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Asks for a reload, which runs among these tasks."""
+        """Requests a reload.
+
+        :param tasks: the task group in which it runs.
+        """
         self._is_requested = True
         if not self._is_reading:
             self._is_reading = True
@@ -38,6 +41,6 @@
             self._is_requested = False
             try:
                 self._apply(await anyio.to_thread.run_sync(load, self._path))
-            except Exception as error:  # a fault of the program may not end the process
+            except Exception as error:  # a bug may not end the process
                 self._log.say("process", f"SIGHUP: nothing changes: {type(error).__name__}: {error}")
         self._is_reading = False
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -1,4 +1,4 @@
-"""The process of a standalone router: the platform's one under a plan, read anew at SIGHUP as one event."""
+"""The process of a standalone router: configured by a plan, which is read again and replaced at SIGHUP."""
 
 import sys
 from dataclasses import replace
@@ -30,30 +30,30 @@
 from quartzrouter.standalone.state_machine import ConfigurationReplaced, StandaloneStateMachine
 from quartzrouter.standalone.structured_log import StructuredLog
 
-# Keys of the deployment that a reload puts in force: health reports and budgets of shared limits read them.
+# Keys of the deployment that a reload applies: they are used by health reports and shared limits' budgets.
 TAKES_EFFECT_AT_RELOAD = ("counts", "routers", "routers_here")
 
 
 class StandaloneProcess(process.RouterProcess):
-    """A router under a plan.
+    """A router that is configured by a plan.
 
     :param path: the plan's file, read again at SIGHUP.
-    :param plan: as it was read at start.
+    :param plan: the plan read at startup.
     :param log: a structlog logger.
-    :param signals: those that are handled already.
+    :param signals: installed signal handlers.
     """
 
     state_machine: StandaloneStateMachine
-    member_client: MemberClient  # to the purge log, once the process runs as a member of a fleet
+    member_client: MemberClient  # connection to the purge log; set in a running member of a fleet
 
     def __init__(self, path: str, plan: Plan, log: Any, signals: Signals | None = None):
         self.plan = plan
         self._started_with = plan
         self._logger = log
-        super().__init__(configuration(plan), signals=signals)
+        super().__init__(platform_configuration(plan), signals=signals)
         self._reloader = PlanReloader(path, self._apply, self.log)
 
-    # -- parts in place of the platform's ------------------------------------------------------------
+    # -- parts that replace the platform router's ----------------------------------------------------
 
     def _create_log(self) -> RateLimitedLog:
         return StructuredLog(self.configuration.name, process.wall_clock, self._logger)
@@ -76,7 +76,7 @@
         return StandaloneStateMachine(self.multi_pool_router, replica)
 
     def _restore_purges(self, replica: Any) -> None:
-        """Applies the purges that were in force when this router last ran, where they are stored."""
+        """Applies the stored purges that were in force when this router last ran."""
         path = self.plan.purges["file"] if self.fleet else None
         if not path:
             return
@@ -107,8 +107,8 @@
         match effect:
             case QueueMessage(message):
                 self.member_client.send(message)
-            case CloseConnection(reason, retry_after):
-                self.member_client.reconnect(reason, retry_after)
+            case CloseConnection(reason, reconnect_after):
+                self.member_client.reconnect(reason, reconnect_after)
 
     # -- reloading -----------------------------------------------------------------------------------
 
@@ -116,7 +116,7 @@
         self._reloader.request(self.tasks)
 
     def _apply(self, loaded: Loaded) -> None:
-        """Puts a plan in force; a faulty one changes nothing and costs its messages."""
+        """Applies a plan; an invalid one changes nothing, and its first error is logged."""
         if loaded.plan is None:
             faults = loaded.faults.errors
             more = f" (and {len(faults) - 1} more)" if len(faults) > 1 else ""
@@ -124,7 +124,7 @@
             return
         home = self.configuration.settings.router_arguments["home_location"]
         if home not in loaded.plan.stores:
-            reason = f"the home store '{home}' is gone; restart for that"
+            reason = f"the home store '{home}' is missing from the plan; changing it needs a restart"
             self.log.say("process", f"SIGHUP: nothing changes: {reason}")
             return
         kept = self._kept_until_restart(loaded.plan)
@@ -136,10 +136,10 @@
         self.handle_event(ConfigurationReplaced(self.plan, endpoints))
 
     def _kept_until_restart(self, plan: Plan) -> list[str]:
-        """Keys of the deployment, and `purges`, that differ from what the process was started with.
+        """Returns the keys of the deployment, and `purges`, that differ from the plan at startup.
 
-        It keeps those until a restart, so each reload names them again. `journal` is named, though whether
-        the listed endpoints count is read from the new plan.
+        The process keeps their values until a restart, so each reload names them again. `journal` is named
+        too, although the new plan decides if its list of endpoints is used.
         """
         started_with = self._started_with
         kept = [
@@ -152,10 +152,10 @@
         return kept
 
     def _endpoints_of(self, plan: Plan) -> EndpointUpdate:
-        """The endpoints that a plan lists; those that weren't listed before are taken for just started."""
+        """Returns the endpoints that a plan lists; those not listed before count as just started."""
         hosts = {"hosts": {"complete": True, "members": members(plan)}}
         (update,) = initial_events([ConfigurationSection(hosts)], self.configuration.settings)
-        assert isinstance(update, EndpointUpdate)  # of an entry of hosts
+        assert isinstance(update, EndpointUpdate)  # as for every entry with hosts
         listed = self.state_machine.addresses
         now = self._read_clock()
         endpoints = [
@@ -165,8 +165,8 @@
         return update._replace(endpoints=endpoints)
 
 
-def configuration(plan: Plan) -> Configuration:
-    """The platform's configuration that says what a plan says of the router itself."""
+def platform_configuration(plan: Plan) -> Configuration:
+    """Converts a plan's settings of the router itself to the platform's configuration."""
     return Configuration(compiled(plan), {}, needs_discovery=False)
 
 
@@ -175,8 +175,8 @@
 
     :param path: the plan's file, read again at SIGHUP.
     :param log: a structlog logger.
-    :param signals: those that are handled already.
-    :returns: the exit status: 1 where the address to listen on can't be bound.
+    :param signals: installed signal handlers.
+    :returns: the exit status, 1 if the address to listen on can't be bound.
     """
     try:
         router_process = StandaloneProcess(path, plan, log, signals)
--- a/quartzrouter/standalone/purge_membership.py
+++ b/quartzrouter/standalone/purge_membership.py
@@ -1,4 +1,4 @@
-"""A standalone router as a member of the purge log: what responses tell of copies, and its stored purges."""
+"""A standalone router's membership in the purge log: ages of copies in responses, and stored purges."""
 
 import re
 import secrets
@@ -15,18 +15,20 @@
 
 AGE = re.compile(r"-?\d{1,12}")  # value of X-Age-Ms
 MICROSECONDS_PER_MILLISECOND = 1_000
-AGE_ROUNDING = MICROSECONDS_PER_MILLISECOND - 1  # us that an age in milliseconds may be too short
-REPORT_INTERVAL = 10.0  # s between log lines about stale copies and merged index entries
-SAVE_INTERVAL = 2.0  # s between writings of the file: so much is received again after a restart
-SILENCE_TIMEOUT_LEASES = 4  # without a message, until the connection to the purge log counts as broken
+# Microseconds by which an age in milliseconds may be too short.
+AGE_ROUNDING = MICROSECONDS_PER_MILLISECOND - 1
+REPORT_INTERVAL = 10.0  # seconds between log lines about stale copies, merged index entries and quota
+SAVE_INTERVAL = 2.0  # seconds between writes of the file; after a restart, later purges are received again
+# Lengths of a lease without a message after which the connection to the purge log counts as broken.
+SILENCE_TIMEOUT_LEASES = 4
 
 
 class StoredPurges(msgspec.Struct):
-    """The file of purges in force, by this machine's clock.
+    """The content of the file of purges in force, with times of this machine's clock in microseconds.
 
     :param applied_up_to: the sequence number up to which every purge was in force.
-    :param low_watermark: microseconds; some purges accepted before it are missing.
-    :param recent: purges in force, each behind its time in microseconds of this machine's clock.
+    :param low_watermark: some purges accepted before this time are missing.
+    :param recent: purges in force, each preceded by its time.
     """
 
     applied_up_to: int = msgspec.field(name="held")
@@ -35,7 +37,7 @@
 
 
 class Membership(NamedTuple):
-    """The fleet's purges at this router, and the replica that receives them."""
+    """A router's purges of the fleet, and the replica that receives them."""
 
     fleet_purges: FleetPurges
     replica: PurgeReplica
@@ -46,7 +48,7 @@
 
 
 def join_fleet(plan: Plan) -> Membership | None:
-    """Returns this router's membership; None where the plan names no purge log."""
+    """Returns this router's membership, or None if the plan names no purge log."""
     settings = plan.purges
     if not settings:
         return None
@@ -66,9 +68,9 @@
 
 
 def copy_from_headers(headers: dict[str, str]) -> CachedCopy:
-    """Returns what a response tells of its copy.
+    """Returns the copy's age and tags from a response.
 
-    :param headers: by names in lower case; ``x-minted`` is among them.
+    :param headers: by name in lower case; has to contain ``x-minted``.
     """
     age_ms = headers.get("x-age-ms", "")
     age = int(age_ms) * MICROSECONDS_PER_MILLISECOND + AGE_ROUNDING if AGE.fullmatch(age_ms) else None
@@ -77,30 +79,30 @@
 
 
 def stored_purges(fleet_purges: FleetPurges, applied_up_to: int) -> StoredPurges:
-    """Returns what is to be stored of the purges in force."""
+    """Returns the content for the file of purges in force."""
     return StoredPurges(applied_up_to, fleet_purges.recent_low_watermark, tuple(fleet_purges.recent))
 
 
 def save(path: str, stored: StoredPurges) -> None:
-    """Replaces the file, whole or not at all.
+    """Replaces the file atomically.
 
-    :raises OSError: where it can't be written.
+    :raises OSError: if it can't be written.
     """
     write_atomically(path, _encode(stored))
 
 
 def restore(path: str, fleet_purges: FleetPurges, replica: PurgeReplica, now: int) -> str:
-    """Puts the purges of the file in force, where there is one.
+    """Applies the purges in the file, if it exists.
 
     :param now: microseconds of this machine's wall clock.
-    :returns: what is wrong with the file, in which case all is received from the purge log; otherwise empty.
+    :returns: empty, or what is wrong with the file; then all purges are received from the purge log.
     """
     try:
         stored = _decode(Path(path).read_bytes())
     except FileNotFoundError:
         return ""
     except (msgspec.DecodeError, OSError) as error:
-        return f"{path}: {error}; the ledger is asked for all that matters"
+        return f"{path}: {error}; purges are received from the ledger instead"
     fleet_purges.restore(stored.recent, stored.applied_up_to, stored.low_watermark, now)
     replica.applied_up_to = stored.applied_up_to
     return ""
--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -1,7 +1,7 @@
-"""Reads requests of a router under its own configuration: route by host, path, headers and query.
+"""Parses requests to a standalone router, and selects the route by host, path, headers and query.
 
-On the platform a client names class, object and tag of its request in headers.  Here the route does, and a
-client may send any HTTP request; the headers of the platform's protocol that it sends all the same go ahead.
+On the platform, a client names the class, object and tag of its request in headers.  Here the route
+determines them, and a client may send any HTTP request; headers of the platform's protocol take precedence.
 """
 
 import secrets
@@ -21,15 +21,15 @@
     InvalidRequestError,
 )
 
-MAX_PATH_LENGTH = 2_048  # characters; the configuration has no longer ones
+MAX_PATH_LENGTH = 2_048  # characters; the configuration allows no longer paths
 MAX_QUERY_PARAMETERS = 64
-GENERATED_ID_SIZE = 8  # bytes of a correlation id for a client that sends none
+GENERATED_ID_SIZE = 8  # bytes of the correlation id if the client sends none
 MICROSECONDS_PER_MS = 1_000
-HEADER_PREFIX = "HTTP_"  # of the CGI parameters that are headers
+HEADER_PREFIX = "HTTP_"  # of CGI parameters that contain headers
 
 
 class RequestParser:
-    """Reads requests under the configuration in force.
+    """Parses requests under the current configuration.
 
     :param home: the store of requests that name none in ``X-Store``.
     """
@@ -39,10 +39,10 @@
         self.home = home
 
     def parse(self, params: dict[str, str]) -> ClientRequest:
-        """Reads one request.
+        """Parses one request.
 
         :param params: CGI parameters by name.
-        :raises InvalidRequestError: a field can't be used, or no route takes the request.
+        :raises InvalidRequestError: if a field is invalid, or no route matches.
         """
         route_query = self.route_query(params)
         client = params.get("HTTP_X_CLIENT") or params.get("REMOTE_ADDR", "")
@@ -64,9 +64,9 @@
         )
 
     def route_query(self, params: dict[str, str]) -> Asked:
-        """What routes are selected by.
+        """Returns the properties of a request by which its route is selected.
 
-        :raises InvalidRequestError: path, method, store or query can't be used.
+        :raises InvalidRequestError: if path, method, store or query are invalid.
         """
         path = params.get("SCRIPT_NAME", "") + params.get("PATH_INFO", "")
         if not path.startswith("/") or len(path) > MAX_PATH_LENGTH:
@@ -83,7 +83,7 @@
 
 
 def _headers(params: dict[str, str]) -> dict[str, str]:
-    """Headers by name, in lower case."""
+    """Returns the headers' values by name in lower case."""
     return {
         name.removeprefix(HEADER_PREFIX).replace("_", "-").lower(): value
         for name, value in params.items()
@@ -92,7 +92,10 @@
 
 
 def _query(params: dict[str, str]) -> dict[str, str]:
-    """Parameters of the query by name; of several with one name, the last."""
+    """Returns the query's parameters by name; if a name occurs several times, the last value.
+
+    :raises InvalidRequestError: if there are too many parameters.
+    """
     text = params.get("QUERY_STRING", "")
     try:
         return dict(parse_qsl(text, keep_blank_values=True, max_num_fields=MAX_QUERY_PARAMETERS))
@@ -101,7 +104,10 @@
 
 
 def _idempotency_key(params: dict[str, str], selection: RouteSelection) -> str | None:
-    """The key by which caches recognise a repeat; a class that goes by keys requires it."""
+    """Returns the key by which caches recognise a repeated request.
+
+    :raises InvalidRequestError: if it is invalid, or missing although the traffic class requires it.
+    """
     key = params.get("HTTP_X_OPERATION_KEY")
     if key is None and selection.traffic_class.idempotency is Idempotency.IDEMPOTENT_WITH_KEY:
         raise InvalidRequestError("X-Operation-Key is missing")
@@ -111,7 +117,10 @@
 
 
 def _deadline_ms(params: dict[str, str]) -> int:
-    """Milliseconds for which the client waits; 0 where it doesn't say."""
+    """Returns the milliseconds for which the client waits, or 0 if it doesn't tell.
+
+    :raises InvalidRequestError: if the value is invalid.
+    """
     text = params.get("HTTP_X_DEADLINE_MS")
     if text is None:
         return 0
@@ -121,7 +130,10 @@
 
 
 def _token(params: dict[str, str], name: str) -> str | None:
-    """A header whose value is a token; None where the client doesn't send it."""
+    """Returns the value of a header that has to be a token, or None if the client doesn't send it.
+
+    :raises InvalidRequestError: if the value is invalid.
+    """
     value = params.get(name)
     if value is not None and not TOKEN_PATTERN.fullmatch(value):
         header = name.removeprefix(HEADER_PREFIX).replace("_", "-").title()
--- a/quartzrouter/standalone/state_machine.py
+++ b/quartzrouter/standalone/state_machine.py
@@ -1,9 +1,9 @@
-"""The state machine of a router under its own configuration.
+"""The state machine of a standalone router.
 
-It adds to ``RouterStateMachine``: rate limits before the routing decisions, pools behind them, and a new
-configuration as one event.  Where the configuration names a purge log, the log's messages are events too:
-purges, grants of shared quota, and what other routers have seen of endpoints.  Every copy that comes back
-is then checked against the purges before it is passed on.
+It adds to ``RouterStateMachine``: rate limits before the routing decisions, pools in which these choose
+endpoints, and replacement of the configuration as one event.  If the configuration names a purge log, the
+log's messages are events too: purges, grants of shared quota, and other routers' observations of endpoints.
+Then every copy in a response is checked against the purges before it is passed on.
 
 Times are whole microseconds.
 """
@@ -44,16 +44,16 @@
 from quartzrouter.server.pending_request import PendingAttempt
 from quartzrouter.server.state_machine import RouterStateMachine
 
-log = logging.getLogger(f"{LOGGER_NAME}.router")  # what changes the decisions is logged with them
+log = logging.getLogger(f"{LOGGER_NAME}.router")  # ejections change the decisions and are logged with them
 
-MAX_PEERS_LOGGED = 5  # in the log line of an ejection
-MAX_REFUSALS_KEPT = 64  # until they are logged; beyond that the oldest are dropped
+MAX_PEERS_LOGGED = 5  # names of peers in the log line of an ejection
+MAX_REFUSALS_KEPT = 64  # refusals that wait to be logged; beyond that the oldest are dropped
 
 
 class ConfigurationReplaced(NamedTuple):
-    """SIGHUP, and a configuration that can be used.
+    """SIGHUP was received, and the new configuration is valid.
 
-    :param endpoints: those that it lists; None where the discovery service names them.
+    :param endpoints: the endpoints that it lists; None if they come from the discovery service.
     """
 
     plan: Plan
@@ -61,16 +61,16 @@
 
 
 class ReportHealth(NamedTuple):
-    """It is time to tell other routers what this one has seen of endpoints.
+    """It is time to report this router's observations of endpoints to the other routers.
 
-    :param only_failures: only if an endpoint has failed since the last report.
+    :param only_failures: report only if an endpoint has failed since the last report.
     """
 
     only_failures: bool = False
 
 
 class RequestQuota(NamedTuple):
-    """It is time to look which shares of quota are to be asked for."""
+    """It is time to request the shares of quota that are due."""
 
 
 StandaloneEvent = (
@@ -80,22 +80,22 @@
 
 
 class StandaloneStateMachine(RouterStateMachine):
-    """A router process under its own configuration, without its I/O; see the module.
+    """A standalone router's process without its I/O; see the module docstring.
 
-    :param replica: follows the purge log, where there is one.
+    :param replica: follows the purge log; None if there is none.
     """
 
     def __init__(self, multi_pool_router: MultiPoolRouter, replica: PurgeReplica | None = None):
         super().__init__(multi_pool_router)
         self.multi_pool_router = multi_pool_router
         self.replica = replica
-        self.rejected_by_limit: dict[str, int] = {}  # requests rejected before an attempt, by limit
-        self.reported: dict[str, HealthObservation] = {}  # by endpoint, as last told to others
-        self.ejected_by_peers: dict[str, int] = {}  # endpoints, and until when
+        self.rejected_by_limit: dict[str, int] = {}  # number of requests rejected before an attempt, by limit
+        self.reported: dict[str, HealthObservation] = {}  # by endpoint, as of the last report
+        self.ejected_by_peers: dict[str, int] = {}  # end of the ejection by endpoint
         self.quota_refusals: dict[str, QuotaRefusal] = {}  # by budget, until they are logged
 
     def step(self, event: StandaloneEvent, now: int) -> list[StandaloneEffect]:
-        """Takes in one event; events of the purge log don't concern requests, and end without maintenance."""
+        """Handles one event; those of the purge log don't concern requests and run no maintenance."""
         match event:
             case RequestQuota():
                 return self._request_quota(now)
@@ -116,7 +116,7 @@
             limit: count for limit, count in self.rejected_by_limit.items() if limit in plan.limits
         }
 
-    # -- purge log: messages in --------------------------------------------------------------------
+    # -- messages from the purge log ---------------------------------------------------------------
 
     def _message_received(
         self, message: messages.FromPurgeLog, now: int
@@ -129,21 +129,21 @@
                 case CaughtUp(caches):
                     self.multi_pool_router.fleet_purges.caches_caught_up = caches
                 case QuotaGrants():
-                    self._take_grants(effect)
+                    self._apply_grants(effect)
                 case EjectionVerdicts(verdicts, loads):
                     self._eject_by_peers(verdicts, now)
-                    self._take_fleet_load(loads, now)
+                    self._update_fleet_load(loads, now)
                 case SendMessage(reply):
                     effects.append(QueueMessage(reply))
-                case EndConnection(reason, retry_after):
-                    effects.append(CloseConnection(reason, retry_after))
+                case EndConnection(reason, reconnect_after):
+                    effects.append(CloseConnection(reason, reconnect_after))
         return effects
 
     def _apply_purges(self, purges: ApplyPurges, now: int) -> None:
-        """Puts purges in force.
+        """Applies purges.
 
-        Attempts that are not sent yet, and whose decision allows a copy that is now too old, are decided
-        anew.  Those that are sent are checked when their copy comes.
+        Attempts that are not sent yet, and whose decision allows a copy that is now too old, are routed
+        again.  For those that are sent, the copy is checked when it arrives.
         """
         self.multi_pool_router.fleet_purges.apply(purges, self.replica.applied_up_to, now)
         if not purges.purges:
@@ -154,7 +154,7 @@
             if attempt and not attempt.is_sent and not selection.traffic_class.uncacheable:
                 attempt.is_outdated |= self.multi_pool_router.is_outdated(selection, attempt.decision, now)
 
-    def _take_grants(self, grants: QuotaGrants) -> None:
+    def _apply_grants(self, grants: QuotaGrants) -> None:
         self.multi_pool_router.quota_client.apply_grants(grants.grants)
         if self.multi_pool_router.slow_start_client:
             self.multi_pool_router.slow_start_client.apply_grants(grants.slow_start_grants)
@@ -163,15 +163,15 @@
             while len(self.quota_refusals) > MAX_REFUSALS_KEPT:
                 del self.quota_refusals[next(iter(self.quota_refusals))]
 
-    def _take_fleet_load(self, loads: dict[str, int] | None, now: int) -> None:
-        """Takes in how many requests all routers have in flight at each endpoint, if that was asked for."""
+    def _update_fleet_load(self, loads: dict[str, int] | None, now: int) -> None:
+        """Applies the number of requests that all routers have in flight at each endpoint, if requested."""
         if loads is None:
             return
         own_load = {name: observation.in_flight for name, observation in self.reported.items()}
         self.multi_pool_router.set_fleet_load(loads, own_load, now)
 
     def _eject_by_peers(self, verdicts: tuple[EjectionVerdict, ...], now: int) -> None:
-        """Ejects endpoints for as long as other routers say, few at a time; each ejection ends by itself."""
+        """Ejects endpoints that other routers report, few at a time; each ejection expires by itself."""
         known_endpoints = len(self.multi_pool_router.health_observations(now))
         until = accepted_ejections(verdicts, known_endpoints, now)
         for endpoint in until.keys() - self.ejected_by_peers.keys():
@@ -180,33 +180,33 @@
         self.ejected_by_peers = until
         self.multi_pool_router.set_ejected_by_peers(until, now)
 
-    # -- purge log: messages out -------------------------------------------------------------------
+    # -- messages to the purge log -----------------------------------------------------------------
 
     def _request_quota(self, now: int) -> list[QueueMessage]:
-        """Asks for shares of quota, where the purge log grants them and there is something to ask for."""
+        """Requests shares of quota that are due, if the purge log grants any."""
         if not (self.replica and self.replica.grants_quota):
             return []
-        asks = self.multi_pool_router.quota_client.due_requests()
-        slow_start_asks = ()
+        requests = self.multi_pool_router.quota_client.due_requests()
+        slow_start_requests = ()
         slow_start = self.multi_pool_router.slow_start_client
         if slow_start and slow_start.terms:
-            slow_start_asks = slow_start.due_requests(self.multi_pool_router.slow_start_demand(now))
-        if not (asks or slow_start_asks):
+            slow_start_requests = slow_start.due_requests(self.multi_pool_router.slow_start_demand(now))
+        if not (requests or slow_start_requests):
             return []
-        return [QueueMessage(QuotaRequests(asks, slow_start_asks))]
+        return [QueueMessage(QuotaRequests(requests, slow_start_requests))]
 
     def _report_health(self, only_failures: bool, now: int) -> list[QueueMessage]:
-        """Tells other routers what this one has seen of endpoints since its last report."""
+        """Reports this router's observations of endpoints since its last report to the other routers."""
         if not (self.replica and self.replica.aggregates_health):
             return []
         observations = self.multi_pool_router.health_observations(now)
         if only_failures and not self._has_new_failure(observations):
             return []
-        before = self.reported
+        last_report = self.reported
         self.reported = observations
         entries = []
         for name, observation in observations.items():
-            entry = _since(before.get(name), observation)
+            entry = _change_since(last_report.get(name), observation)
             if entry.ejected or entry.succeeded or entry.failed or entry.in_flight:
                 entries.append(entry)
         home = self.multi_pool_router.router_arguments["home_location"]
@@ -215,7 +215,7 @@
         return [QueueMessage(report)]
 
     def _has_new_failure(self, observations: dict[str, HealthObservation]) -> bool:
-        """Whether an endpoint that was in the last report has failed since."""
+        """Returns True if an endpoint of the last report has failed since."""
         return any(
             observation.failed > self.reported.get(name, observation).failed
             for name, observation in observations.items()
@@ -226,7 +226,7 @@
     def _request_received(self, request_id: int, client_request: ClientRequest, now: int) -> None:
         exceeded = self.multi_pool_router.admit(request_id, client_request.route_selection, now)
         if self.multi_pool_router.quota_client and self.multi_pool_router.quota_client.has_new_demand:
-            self.effects += self._request_quota(now)  # a budget that nothing is held of waits for no timer
+            self.effects += self._request_quota(now)  # a budget without a share is requested at once
         if exceeded is not None:
             self.rejected_by_limit[exceeded.limit] = self.rejected_by_limit.get(exceeded.limit, 0) + 1
             self.effects.append(SendResponse(request_id, responses.overloaded(exceeded.retry_after)))
@@ -251,7 +251,10 @@
         )
 
     def _is_cacheable(self, client_request: ClientRequest) -> bool:
-        """By the configuration that the request came under, which may have been replaced since."""
+        """Returns True if caches keep copies, by the configuration under which the request was routed.
+
+        The configuration may have been replaced since.
+        """
         return not client_request.route_selection.traffic_class.uncacheable
 
     def _extra_headers(self, client_request: ClientRequest) -> list[tuple[str, str]]:
@@ -269,16 +272,16 @@
     def _attempt_ended(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded, now: int) -> None:
         if self._is_copy_too_old(request_id, attempt, event):
             selection = self.in_flight[request_id].client_request.route_selection
-            # A request that may run again is retried as if nothing had been sent. Any other is treated as
-            # possibly executed: its connection is taken for lost.
-            may_run_again = selection.traffic_class.idempotency is Idempotency.IDEMPOTENT
-            status = AttemptStatus.NOT_SENT if may_run_again else AttemptStatus.CONNECTION_LOST
+            # An idempotent request is retried as if nothing had been sent. Any other may have been executed,
+            # so its connection counts as lost.
+            is_idempotent = selection.traffic_class.idempotency is Idempotency.IDEMPOTENT
+            status = AttemptStatus.NOT_SENT if is_idempotent else AttemptStatus.CONNECTION_LOST
             self._finish_attempt(request_id, attempt, status, now)
         else:
             super()._attempt_ended(request_id, attempt, event, now)
 
     def _is_copy_too_old(self, request_id: int, attempt: PendingAttempt, event: AttemptEnded) -> bool:
-        """Whether a response brings a copy that the fleet's purges no longer allow."""
+        """Returns True if a response contains a copy that the fleet's purges no longer allow."""
         head = attempt.response_head
         if event.failure is not None or head.status not in (HTTP_OK, HTTP_NOT_MODIFIED):
             return False
@@ -288,9 +291,9 @@
         )
 
 
-def _since(before: HealthObservation | None, observation: HealthObservation) -> CacheObservation:
-    """What has been seen of an endpoint since the last report of it; counters that went back count as 0."""
-    last = before or replace(observation, completed=0, failed=0, in_flight=0)
+def _change_since(previous: HealthObservation | None, observation: HealthObservation) -> CacheObservation:
+    """Returns what was observed of an endpoint since its last report; counters that decreased count as 0."""
+    last = previous or replace(observation, completed=0, failed=0, in_flight=0)
     succeeded = max(0, observation.completed - last.completed)
     failed = max(0, observation.failed - last.failed)
     started = max(0, succeeded + failed + observation.in_flight - last.in_flight)
--- a/quartzrouter/standalone/structured_log.py
+++ b/quartzrouter/standalone/structured_log.py
@@ -1,6 +1,6 @@
-"""Structured logs of a standalone router: logfmt on a terminal, a JSON object a line otherwise.
+"""Structured logs of a standalone router: logfmt on a terminal, one JSON object for each line otherwise.
 
-Lines are counted and suppressed by ``RateLimitedLog``, as on the platform; structlog writes those that go.
+``RateLimitedLog`` counts and suppresses lines, as on the platform; structlog writes the others.
 """
 
 import sys
@@ -12,16 +12,16 @@
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
 LEVELS = {"debug": 10, "info": 20, "warning": 30, "error": 40}
-# By kind of line; all others are written at "info".
+# Level by kind of line; all other kinds are written at "info".
 LEVEL_BY_KIND = {"fault": "error", "attempt": "warning", "client": "warning", "discovery": "warning"}
 
 
 def logger(level: str = "info", form: str = "auto", out: Any = None) -> Any:
-    """Makes a structlog logger for a process.
+    """Creates a structlog logger for a process.
 
-    :param level: the least level that is written, a key of ``LEVELS``.
-    :param form: "logfmt", "json", or "auto" by whether ``out`` is a terminal.
-    :param out: a text stream; standard error where it is left out.
+    :param level: the lowest level that is written, a key of ``LEVELS``.
+    :param form: "logfmt", "json", or "auto", which is "logfmt" on a terminal and else "json".
+    :param out: a text stream; standard error if None.
     """
     out = out or sys.stderr
     if form == "auto":
@@ -43,10 +43,10 @@
 
 
 class StructuredLog(RateLimitedLog):
-    """A rate-limited log whose lines go to a structured one.
+    """A rate-limited log that writes its lines to a structlog logger.
 
-    :param name: the router's, on each line.
-    :param clock: gives the time in microseconds.
+    :param name: the router's name, included in each line.
+    :param clock: returns the time in microseconds.
     :param log: a structlog logger.
     """
 
@@ -55,7 +55,7 @@
         self.log = log.bind(router=name)
 
     def write(self, kind: str, line: str, suppressed: int) -> None:
-        """Writes one line at its kind's level; the key ``left_out`` counts those suppressed before it."""
+        """Writes one line at the level of its kind; the key ``left_out`` counts suppressed lines."""
         counts = {"left_out": suppressed} if suppressed else {}
         write_at_level = getattr(self.log, LEVEL_BY_KIND.get(kind, "info"))
         write_at_level(line, kind=kind, **counts)
--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -360,7 +360,7 @@
         assert status(await client.receive_response()) == "200"
 
     world.run_scene(scene)
-    assert "nothing changes: the home store 'north' is gone" in capsys.readouterr().err
+    assert "nothing changes: the home store 'north' is missing from the plan" in capsys.readouterr().err
 
 
 def test_a_request_rejected_behind_its_limits_gives_them_back(world):
