--- a/quartzrouter/server/process.py
+++ b/quartzrouter/server/process.py
@@ -295,7 +295,7 @@
             for key, value in self.configuration.restart_only.items()
             if configuration.restart_only[key] != value
         ]
-        change = f"{', '.join(kept)} kept until the next start" if kept else "read anew"
+        change = f"{', '.join(kept)} kept until the next start" if kept else "read again"
         host, port = configuration.discovery_address
         self.log.say("process", f"SIGHUP: journal at {host}:{port}; {change}")
         self.handle_event(ConfigurationReloaded(configuration.discovery_address))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Drives one Router by hand and prints what it decides; a test compares that with its kept trace."""
+"""Fixtures that drive a Router or a state machine step by step, and compare the output with a trace."""
 
 import logging
 from pathlib import Path
@@ -45,7 +45,7 @@
 
 
 def traffic_class(name, idempotency=Idempotency.IDEMPOTENT, **other):
-    """A cacheable class with an objective of 400 ms, unless told otherwise."""
+    """Returns a traffic class, by default a cacheable one with a latency objective of 400 ms."""
     defaults = dict(
         priority_weight=1.0,
         latency_objective=400 * MS,
@@ -63,37 +63,38 @@
 
 
 def listed(states, started=0):
-    """Lines of the list, by the first letter of a name: caches, parents, the origin."""
+    """Returns endpoints; the first letter of a name decides if it is a cache, a parent or the origin."""
     tiers = {
         "c": (Tier.CACHE, "box", 6.0),
         "p": (Tier.PARENT, "parent", 20.0),
         "o": (Tier.ORIGIN, "origin", 8.0),
     }
-    found = []
+    endpoints = []
     for name, state in states.items():
         tier, kind, rating = tiers[name[0]]
         location = "north" if tier is Tier.CACHE else "hub"
-        found.append(Endpoint(name, location, tier, kind, 0, EndpointState(state), rating, started))
-    return found
+        endpoints.append(Endpoint(name, location, tier, kind, 0, EndpointState(state), rating, started))
+    return endpoints
 
 
 def frame(number, kind, payload=b""):
-    """A frame of the journal service."""
+    """Encodes a frame of the discovery service."""
     return (9 + len(payload)).to_bytes(4, "big") + number.to_bytes(8, "big") + bytes((kind,)) + payload
 
 
 class RouterScenario(logging.Handler):
-    """Drives one Router step by step, and prints its decisions and log lines.
+    """Drives one Router step by step, and records its decisions and log lines.
 
-    Caches c1 to c3, parents p1 and p2, the origin o; 1000 KB take a second to send.  Of the traffic classes,
-    clip and page are cacheable, sale has a key by which repeats are discarded, vote must never be repeated.
+    There are the caches c1 to c3, the parents p1 and p2, and the origin o.  Sending 1000 KB takes a second.
+    Of the traffic classes, clip and page are cacheable, sale has a key by which repeated requests are
+    discarded, and vote must never be repeated.
     """
 
     def __init__(self, lines, rated=True, router_number=0, **capabilities):
         super().__init__()
         self.lines = lines
         self.now = 10 * S
-        self.attempt_numbers = {}  # by request id, of its last attempt
+        self.attempt_numbers = {}  # number of the last attempt by request id
         self.requests = {}  # by id
         decisions_log = logging.getLogger(LOGGER_NAME)
         decisions_log.handlers = [self]
@@ -154,20 +155,20 @@
     def request(
         self, id, class_name, object_key="a", size_kb=200.0, chunk=0, tag=1, timeout=None, quiet=False
     ):
-        """Sends a new request; the timeout is in ms."""
+        """Sends a new request; the timeout is in milliseconds."""
         timeout = timeout or self.router.traffic_classes[class_name].client_timeout // MS
         self.requests[id] = Request(id, class_name, object_key, tag, chunk, size_kb, timeout * MS)
         return self.ask(id, quiet)
 
     def ask(self, id, quiet=False):
-        """Asks for a decision, also on a request that was deferred."""
+        """Requests a decision, also for a request that was deferred."""
         request = self.requests[id]
         decision = self.router.route(request, self.now)
         cause = f"request {id} {request.traffic_class} {request.object_key}/{request.chunk}"
         return self._take(id, cause, decision, quiet)
 
     def finish(self, id, status, fill_status=FillStatus.UNKNOWN, elapsed=50, quiet=False, **report):
-        """Ends the last attempt of a request; the elapsed time is in ms."""
+        """Ends the last attempt of a request; the elapsed time is in milliseconds."""
         result = AttemptResult(
             self.attempt_numbers[id],
             status,
@@ -197,7 +198,7 @@
 
 
 class StateMachineHarness:
-    """A state machine of two caches, a parent and the origin; prints each event and its effects."""
+    """Drives a state machine with two caches, a parent and the origin; records events and their effects."""
 
     def __init__(self, lines):
         self.lines = lines
@@ -255,7 +256,7 @@
         self.step("timer", events.TimerFired(), quiet)
 
     def advance_to(self, ms):
-        """Lets the timers fire up to that time after the start."""
+        """Fires the timers that are due up to a time after the start, in milliseconds."""
         while self.state_machine.due <= self.start + ms * MS:
             self.now = max(self.now, self.state_machine.due)
             self.timer_fired(quiet=True)
@@ -274,12 +275,12 @@
 def trace(request):
     lines = []
     yield lines
-    kept = TRACES / f"{request.node.originalname.removeprefix('test_')}.txt"
+    trace_path = TRACES / f"{request.node.originalname.removeprefix('test_')}.txt"
     text = "\n".join(lines) + "\n"
     if request.config.getoption("--retrace"):
-        kept.parent.mkdir(exist_ok=True)
-        kept.write_text(text)
-    assert text == kept.read_text()
+        trace_path.parent.mkdir(exist_ok=True)
+        trace_path.write_text(text)
+    assert text == trace_path.read_text()
 
 
 @pytest.fixture
@@ -289,7 +290,7 @@
 
 @pytest.fixture
 def scenario_with_reports(trace):
-    """Answers carry load reports, and nothing may be health-checked."""
+    """Responses contain load reports, and health checks are not allowed."""
     return RouterScenario(trace, health_checks=False, load_in_responses=True)
 
 
@@ -300,13 +301,13 @@
 
 @pytest.fixture
 def world(tmp_path):
-    from standins import World  # which takes the setup above
+    from standins import World  # standins imports SETUP from this module
 
     return World(tmp_path)
 
 
 @pytest.fixture(autouse=True)
-def no_log_is_left():
-    """The log of the decisions is one for the process; a service in a test takes it over."""
+def reset_decisions_log():
+    """Removes the handlers of the decisions' logger, which is shared by all tests of a process."""
     yield
     logging.getLogger(LOGGER_NAME).handlers = []
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -1,4 +1,4 @@
-"""Many routers started at once on shared cores, with nobody to tell them of the caches: they know enough."""
+"""Tests that many routers started at once on shared cores get ready without the discovery service."""
 
 import os
 import subprocess
@@ -11,30 +11,28 @@
 from quartzrouter.server import process
 
 ROUTERS = 20
-NINE_IN_TEN_WITHIN, ALL_WITHIN = 10.0, 30.0  # s within which nine in ten, and all, have to be ready
+NINE_IN_TEN_WITHIN, ALL_WITHIN = 10.0, 30.0  # seconds within which 90 % and all routers have to be ready
 
 
 def test_routers_started_together_are_ready_by_their_initial_snapshot(world, capsys):
-    """Twenty routers start at once while discovery is down: the endpoints in their configuration are
-    enough.
-    """
+    """Twenty routers start at once while discovery is down: the endpoints in their configuration suffice."""
 
-    async def first_answer(port, began):
-        """s until /health is 200 for the first time, as a front asks it."""
+    async def time_until_ready(port, started_at):
+        """Polls /health as a front end does; returns the seconds until it responds with 200."""
         while True:
             client = await world.connect(port)
             await client.send_request(1, path="/health")
             response = await client.receive_response()
             await client.stream.aclose()
             if "200" in response:
-                return time.monotonic() - began
+                return time.monotonic() - started_at
             await anyio.sleep(0.05)
 
     async def run():
         routers, durations = [], []
         cache, ports = "127.0.0.1:9", [await free_port() for _ in range(ROUTERS)]
         world.write_configuration(cache, f"127.0.0.1:{await free_port()}")  # discovery is down
-        began = time.monotonic()
+        started_at = time.monotonic()
         try:
             for port in ports:
                 environ = os.environ | {
@@ -45,7 +43,7 @@
                 routers.append(subprocess.Popen(command, env=environ, stderr=subprocess.DEVNULL))
 
             async def record(port):
-                durations.append(await first_answer(port, began))
+                durations.append(await time_until_ready(port, started_at))
 
             with anyio.move_on_after(ALL_WITHIN):
                 async with anyio.create_task_group() as tasks:
@@ -58,6 +56,6 @@
         return sorted(durations)
 
     durations = anyio.run(run, backend_options=process.BACKEND_OPTIONS)
-    print("ready after", *(f"{each:.2f}" for each in durations), "s")
+    print("ready after", *(f"{duration:.2f}" for duration in durations), "s")
     assert len(durations) == ROUTERS
     assert durations[ROUTERS * 9 // 10 - 1] <= NINE_IN_TEN_WITHIN
--- a/tests/test_spin_guard.py
+++ b/tests/test_spin_guard.py
@@ -1,4 +1,4 @@
-"""A router that spins, or gets hardly any CPU: real processes, looked at from outside."""
+"""Tests of routers that spin or get hardly any CPU, by real processes that are observed from outside."""
 
 import os
 import random
@@ -20,7 +20,8 @@
 from quartzrouter.server import process
 from quartzrouter.server.event_loop import BACKEND_OPTIONS, EventLoop
 
-# what is put into the process, ahead of main
+# Code that is run in the process before main.  The strings are parameters of tests, so editing one changes
+# the test's id.
 ALWAYS_DUE_TIMER = """
 state_machine.RouterStateMachine.due = property(lambda self: 0)
 """
@@ -63,28 +64,28 @@
 {}
 sys.exit(process.main(os.environ))
 """
-MAX_LATENESS = 0.5  # s after its time by which a req must have had its final answer
+MAX_LATENESS = 0.5  # seconds after its timeout by which a request must have its final response
 
 
 class Outcome(NamedTuple):
     """What a client got for a request."""
 
-    status: str  # the status line, behind the request's id
-    lateness: float  # s after the request's time; less than 0 where it was in time
+    status: str  # the status line, preceded by the request's id
+    lateness: float  # seconds after the request's timeout; negative if the response was in time
 
 
-class Process:
-    """A router in a process of its own, its clients, and what each of them got when."""
+class RouterRun:
+    """A router in a process of its own, its clients, and the outcome of each request."""
 
     def __init__(self, tmp_path, program):
         self.world = World(tmp_path)
         self.program = program
         self.outcomes = {}  # by request id
         self.output = ""
-        self.cpu_share = 0.0  # of one core, over the process's life
+        self.cpu_share = 0.0  # CPU time as a share of one core, over the process's life
 
     def run_scene(self, scene, **settings):
-        """Runs a scene, an async function of this, and stops the router."""
+        """Starts the router, runs a scene (an async function that takes this object), and stops it."""
         before = resource.getrusage(resource.RUSAGE_CHILDREN)
         started_at = time.monotonic()
         anyio.run(self._run, scene, settings, backend_options=BACKEND_OPTIONS)
@@ -143,49 +144,50 @@
 def test_a_spin_is_named_and_slowed_down_and_requests_are_answered(tmp_path, fault, named):
     """Something in the event loop repeats without progress: a timer, a descriptor, a task or a decision.
 
-    A router that spins burns the CPU that its requests need, and nothing else shows it.
+    A router that spins uses up the CPU that its requests need, and nothing else shows it.
     """
 
     async def scene(router):
-        async with anyio.create_task_group() as askers:
+        async with anyio.create_task_group() as clients:
             for id in range(1, 25):
-                # held at once anew: for so long that 64 ticks in a row fit in, braked or not
-                held = id % 4 == 0 and fault is DECISION_THAT_DEFERS_BY_NOTHING
-                askers.start_soon(
-                    router.send_and_record, id, 4.0 if held else 1.0, "sale" if id % 4 == 0 else "page"
+                # These are deferred again at once. Their timeout leaves time for 64 ticks in a row, slowed
+                # down or not.
+                is_deferred = id % 4 == 0 and fault is DECISION_THAT_DEFERS_BY_NOTHING
+                clients.start_soon(
+                    router.send_and_record, id, 4.0 if is_deferred else 1.0, "sale" if id % 4 == 0 else "page"
                 )
                 await anyio.sleep(0.05)
         await anyio.sleep(0.6)
 
-    router = Process(tmp_path, ROUTER_WITH_FAULT.format(fault))
+    router = RouterRun(tmp_path, ROUTER_WITH_FAULT.format(fault))
     router.run_scene(scene)
     lines = [line for line in router.output.splitlines() if ": event loop: " in line]
     print(router.cpu_share, router.outcomes, *lines, sep="\n")
     assert any(name in line for line in lines for name in named.split("|"))
-    assert len(lines) < 60  # logged, and not without end
-    assert router.cpu_share < 0.7  # it takes all of a core where nothing brakes it
-    held = {id for id in router.outcomes if id % 4 == 0 and fault is DECISION_THAT_DEFERS_BY_NOTHING}
+    assert len(lines) < 60  # the log doesn't grow without bound
+    assert router.cpu_share < 0.7  # without the slowdown it uses a whole core
+    deferred = {id for id in router.outcomes if id % 4 == 0 and fault is DECISION_THAT_DEFERS_BY_NOTHING}
     assert len(router.outcomes) == 24
-    assert all("200" in outcome.status for id, outcome in router.outcomes.items() if id not in held)
+    assert all("200" in outcome.status for id, outcome in router.outcomes.items() if id not in deferred)
     assert max(outcome.lateness for outcome in router.outcomes.values()) < MAX_LATENESS
 
 
 def test_the_time_that_a_request_lay_unread_counts(tmp_path):
-    """A router gets no CPU, and reads a request 0.8 s late: its latency objective is over.
+    """A router gets no CPU and reads a request 0.8 s late, after its latency objective has passed.
 
-    It was dispatched as if it had just come. Now it is rejected at once.
+    Such a request was forwarded as if it had just arrived. Now it is rejected at once.
     """
 
     async def scene(router):
         await router.send_and_record(1, 3.0)
         router.process.send_signal(signal.SIGSTOP)
-        async with anyio.create_task_group() as askers:
-            askers.start_soon(router.send_and_record, 2, 3.0)
+        async with anyio.create_task_group() as clients:
+            clients.start_soon(router.send_and_record, 2, 3.0)
             await anyio.sleep(0.8)
             router.process.send_signal(signal.SIGCONT)
         await router.send_and_record(3, 3.0)
 
-    router = Process(tmp_path, ROUTER_WITH_FAULT.format(""))
+    router = RouterRun(tmp_path, ROUTER_WITH_FAULT.format(""))
     router.run_scene(scene)
     assert [router.outcomes[id].status.split()[2] for id in (1, 2, 3)] == ["200", "503", "200"]
 
@@ -210,30 +212,30 @@
     ],
 )
 def test_the_platforms_router_starts_no_process_and_uses_ipv4_only(tmp_path, extra_code, audited):
-    """The platform refuses fork, and nobody connects to another kind of socket."""
+    """The platform doesn't permit fork, and no client connects to another kind of socket."""
 
     async def scene(router):
         await router.send_and_record(1, 1.0)
         children = Path(f"/proc/{router.process.pid}/task/{router.process.pid}/children")
         assert not children.exists() or not children.read_text()
 
-    router = Process(tmp_path, ROUTER_WITH_FAULT.format(AUDIT + extra_code))
+    router = RouterRun(tmp_path, ROUTER_WITH_FAULT.format(AUDIT + extra_code))
     router.run_scene(scene)
     assert "200" in router.outcomes[1].status
     assert [line for line in router.output.splitlines() if line.startswith("AUDIT")] == audited
 
 
 def test_a_router_busy_at_its_clients_rate_is_not_taken_for_one_that_spins(tmp_path):
-    """Many requests at once, also while the router is late, keep its loop busy: the guard says nothing."""
+    """Many requests at once, also while the router is late, keep its loop busy: the guard logs nothing."""
 
     async def scene(router):
-        async with anyio.create_task_group() as askers:
+        async with anyio.create_task_group() as clients:
             for id in range(1, 601):
-                askers.start_soon(router.send_and_record, id, 3.0)
+                clients.start_soon(router.send_and_record, id, 3.0)
                 if id % 3 == 0:
                     await anyio.sleep(0.01)
 
-    router = Process(tmp_path, ROUTER_WITH_FAULT.format(""))
+    router = RouterRun(tmp_path, ROUTER_WITH_FAULT.format(""))
     router.run_scene(scene, limits={"sockets": 1024})
     assert len(router.outcomes) == 600 and all(
         "200" in outcome.status for outcome in router.outcomes.values()
@@ -242,11 +244,11 @@
 
 
 def test_a_busy_router_is_not_taken_for_one_that_spins(tmp_path):
-    """Clients that send as fast as they are answered keep the event loop busy: the guard says nothing.
+    """Clients that send as fast as they are answered keep the event loop busy: the guard logs nothing.
 
-    Three hundred requests a second, whatever the machine does, had some rejected where it was short of CPU:
-    the router read them late, and rejects at once what can't meet its objective.  So each client waits for
-    its response before it sends the next request, and every response has to be 200 as before.
+    With a fixed rate of 300 requests a second, some were rejected on a machine short of CPU: the router read
+    them late, and rejects at once a request that can't meet its objective.  So each client waits for its
+    response before it sends the next request, and every response has to be 200 as before.
     """
 
     async def send_in_turn(router, client):
@@ -258,7 +260,7 @@
             for client in range(30):
                 clients.start_soon(send_in_turn, router, client)
 
-    router = Process(tmp_path, ROUTER_WITH_FAULT.format(""))
+    router = RouterRun(tmp_path, ROUTER_WITH_FAULT.format(""))
     router.run_scene(scene, limits={"sockets": 1024})
     assert len(router.outcomes) == 600 and all(
         "200" in outcome.status for outcome in router.outcomes.values()
@@ -267,14 +269,14 @@
 
 
 def test_a_deadline_that_runs_out_sets_its_timer_once():
-    """uvloop rounded a timer down, and its cancel scope set it anew hundreds of times within a
+    """uvloop rounded a timer down, and its cancel scope set it again hundreds of times within a
     millisecond.
     """
-    set_for = []
+    due_times = []
 
-    class Counting(EventLoop):
+    class RecordingLoop(EventLoop):
         def call_at(self, when, callback, *args, context=None):
-            set_for.append(when)
+            due_times.append(when)
             return super().call_at(when, callback, *args, context=context)
 
     async def run():
@@ -282,13 +284,13 @@
             with anyio.move_on_after(us / 1e6):
                 await anyio.sleep_forever()
 
-    anyio.run(run, backend_options={"loop_factory": Counting})
-    assert len(set_for) <= len(range(100, 6_000, 170))  # some hundreds without it
+    anyio.run(run, backend_options={"loop_factory": RecordingLoop})
+    assert len(due_times) <= len(range(100, 6_000, 170))  # some hundreds without the rounding up
     assert process.BACKEND_OPTIONS["loop_factory"] is EventLoop
 
 
-async def slices(router, on, off):
-    """Lets the process run for so long in each s of its life: SIGSTOP and SIGCONT in turn."""
+async def run_in_slices(router, on, off):
+    """Lets the process run for ``on`` seconds and stops it for ``off`` seconds in turn."""
     try:
         while router.process.poll() is None:
             await anyio.sleep(on)
@@ -301,67 +303,69 @@
 
 @pytest.mark.parametrize("on, off, apart", [(0.01, 0.04, 0.02), (0.01, 0.09, 0.04), (0.5, 0.3, 0.02)])
 def test_every_request_is_answered_in_time_with_little_cpu(tmp_path, on, off, apart):
-    """The process gets the CPU in slices only: each request has its final response in time all the same."""
+    """The process gets the CPU in slices only; each request nevertheless has its final response in time."""
     chance = random.Random(3)
 
     async def scene(router):
         await (await router.world.connect(router.port)).stream.aclose()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(slices, router, on, off)
-            async with anyio.create_task_group() as askers:
+            tasks.start_soon(run_in_slices, router, on, off)
+            async with anyio.create_task_group() as clients:
                 for id in range(1, 251):
-                    askers.start_soon(router.send_and_record, id, 1.0, "sale" if id % 7 == 0 else "page")
+                    clients.start_soon(router.send_and_record, id, 1.0, "sale" if id % 7 == 0 else "page")
                     await anyio.sleep(chance.uniform(0, apart))
             tasks.cancel_scope.cancel()
 
-    router = Process(tmp_path, ROUTER_WITH_FAULT.format(""))
+    router = RouterRun(tmp_path, ROUTER_WITH_FAULT.format(""))
     router.world.responses = {n: [0.02, OK_RESPONSE] for n in range(1, 251)}
     router.run_scene(scene, limits={"sockets": 1024})
-    ends = Counter(outcome.status.split(": ")[-1].split(" b'")[0] for outcome in router.outcomes.values())
-    print(ends, max(outcome.lateness for outcome in router.outcomes.values()))
+    counts = Counter(outcome.status.split(": ")[-1].split(" b'")[0] for outcome in router.outcomes.values())
+    print(counts, max(outcome.lateness for outcome in router.outcomes.values()))
     print(router.output[-2000:])
     assert len(router.outcomes) == 250
     assert max(outcome.lateness for outcome in router.outcomes.values()) < MAX_LATENESS
 
 
 def test_after_a_pause_what_has_arrived_goes_ahead_of_its_timeout():
-    """A process is stopped, its response arrives, and its timeout passes.
+    """A process is stopped while a response arrives and its timeout passes.
 
-    The loop ran timers before it read: the response was there and the request timed out.
+    The loop ran its timers before it read, so the request timed out although the response had arrived.
     """
 
     async def run():
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            far = socket.create_connection(listener.getsockname())
-            near = await anyio.abc.SocketStream.from_socket(listener.accept()[0])
-            with far:
-                async with near:
+            sender = socket.create_connection(listener.getsockname())
+            receiver = await anyio.abc.SocketStream.from_socket(listener.accept()[0])
+            with sender:
+                async with receiver:
                     with anyio.move_on_after(0.05):
                         await anyio.lowlevel.checkpoint()
-                        far.send(b"answer")
-                        time.sleep(0.3)  # as when the process is stopped
-                        return await near.receive()
+                        sender.send(b"answer")
+                        time.sleep(0.3)  # as if the process were stopped
+                        return await receiver.receive()
 
     assert anyio.run(run, backend_options=BACKEND_OPTIONS) == b"answer"
 
 
 def test_a_half_made_environment_is_made_again(tmp_path):
-    """A build was cut off and left a .venv that the next one passed over: every router ended at its start."""
+    """An interrupted build left a .venv that the next build skipped, so every router ended at startup."""
     deploy = tomllib.loads((Path(__file__).parents[1] / "deploy" / "balancer.toml").read_text())
     tools = tmp_path / "tools"
     tools.mkdir()
-    maker = tools / "python3"
-    maker.write_text(
+    fake_python = tools / "python3"
+    fake_python.write_text(
         "#!/bin/sh\nmkdir -p .venv/bin\n"
         'printf "#!/bin/sh\\necho pip >>made; exit \\${CUT:-0}" >.venv/bin/pip\n'
         "chmod +x .venv/bin/pip\n"
     )
-    maker.chmod(0o755)
+    fake_python.chmod(0o755)
     environ = os.environ | {"PATH": f"{tools}:{os.environ['PATH']}"}
 
-    def build(**more):
-        return subprocess.run(["/bin/sh", "-c", deploy["build"]], cwd=tmp_path, env=environ | more).returncode
+    def build(**changes):
+        return subprocess.run(
+            ["/bin/sh", "-c", deploy["build"]], cwd=tmp_path, env=environ | changes
+        ).returncode
 
-    assert build(CUT="1") == 1  # as where it was ended half way
+    assert build(CUT="1") == 1  # as if it were interrupted half way
     assert build() == 0 and build() == 0
     assert (tmp_path / "made").read_text() == "pip\n" * 2
--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -1,4 +1,4 @@
-"""A router under a plan, over loopback: limits, fallbacks, reloads, with every req answered once."""
+"""Tests of a standalone router over loopback: limits, fallbacks, reloads, with one response a request."""
 
 import io
 import json
@@ -36,7 +36,7 @@
 
 
 class StandaloneWorld(World):
-    """A router under a plan, with a fake for each store, for the hub and for the origin.
+    """A standalone router, with a fake cache for each store and fakes for the parent and the origin.
 
     ``limits`` and ``near_pool`` are parts of the plan; ``served_by`` and ``heads`` list requests to caches.
     """
@@ -49,14 +49,14 @@
         self.config_path = tmp_path / "main.plan"
         self.served_by = []
         self.heads = []
-        self.delay = 0.0  # s before each response
+        self.delay = 0.0  # seconds before each response
         self.plan_values = {}  # addresses and the router's port
 
     def write_configuration(self, cache, journal, **settings):
-        """Writes nothing: the platform's configuration isn't read."""
+        """Does nothing, as the platform's configuration isn't read."""
 
     def serve_as(self, name):
-        """Makes the handler of a fake cache."""
+        """Returns the handler of a fake cache."""
 
         async def serve(stream):
             async with stream:
@@ -69,12 +69,12 @@
         return serve
 
     def write_plan(self, **changes):
-        """Writes the plan, with some parts changed."""
+        """Writes the plan with some parts changed."""
         values = self.plan_values | {"limits": self.limits, "near": self.near_pool, "on": '"few"'} | changes
         self.config_path.write_text(PLAN % values)
 
     def run_scene(self, scene):
-        """Runs a scene, an async function that takes a way to connect, beside a router in this process."""
+        """Runs a scene, an async function that takes a connect function, with a router in this process."""
 
         async def run():
             with anyio.fail_after(20):
@@ -121,7 +121,7 @@
     assert world.served_by == ["north", "south", "south", "south"]
     targets = [head.split()[1] for head in world.heads]
     assert targets[1].startswith("/x/page/") and targets[1].endswith("/3") and targets[2].endswith("/4")
-    assert targets[1][:-2] == targets[2][:-2] != targets[3][:-2]  # parts of one object
+    assert targets[1][:-2] == targets[2][:-2] != targets[3][:-2]  # chunks of one object have one key
     assert "X-Path: /m/rose/3.mp4" in world.heads[1]
 
 
@@ -161,13 +161,13 @@
 
 
 def test_a_reload_under_load_answers_every_request_once(world, capsys):
-    """The plan changes three times, once for the worse, while requests come: each has one response."""
+    """The plan changes three times, once to an invalid one, while requests arrive: each has one response."""
     world.delay = 0.02
 
     async def scene(connect):
         responses = []
 
-        async def ask(first):
+        async def send_requests(first):
             client = await connect()
             for id in range(first, first + 60):
                 await client.send_request(id, path=f"/m/{id}/1.mp4" if id % 2 else f"/{id}")
@@ -175,7 +175,7 @@
 
         async with anyio.create_task_group() as tasks:
             for n in range(4):
-                tasks.start_soon(ask, 1 + 100 * n)
+                tasks.start_soon(send_requests, 1 + 100 * n)
             await anyio.sleep(0.2)
             world.write_plan(limits="few: { concurrent: 3 }, more: { rate: 1000/s }", on='"few", "more"')
             await reload()
@@ -192,14 +192,14 @@
 
     world.run_scene(scene)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
-    told = [line["event"] for line in lines if line["kind"] == "process" and "SIGHUP" in line["event"]]
-    assert [("nothing changes" in line) for line in told] == [False, True, False, False]
-    assert "main.plan:" in told[1]
+    reloads = [line["event"] for line in lines if line["kind"] == "process" and "SIGHUP" in line["event"]]
+    assert [("nothing changes" in line) for line in reloads] == [False, True, False, False]
+    assert "main.plan:" in reloads[1]
     assert "north" in world.served_by and world.served_by[-1] == "south"
 
 
 def test_a_plan_that_empties_a_pool_leaves_in_flight_requests_alone(world):
-    """A new plan leaves a pool without caches while a request is in flight there: it is finished."""
+    """A new plan leaves a pool without caches; a request that is in flight there is nevertheless finished."""
     world.delay = 0.3
 
     async def scene(connect):
@@ -219,7 +219,7 @@
 
 
 def test_each_reload_names_what_stays_as_the_process_was_started(world, capsys):
-    """A key is changed; the reload behind the next one must not tell that nothing is kept any more."""
+    """A key that needs a restart was changed; the second reload has to name it again."""
 
     async def scene(connect):
         await connect()
@@ -232,13 +232,13 @@
 
     world.run_scene(scene)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines() if line.startswith("{")]
-    told = [line["event"] for line in lines if line["kind"] == "process" and "in force" in line["event"]]
-    kept = [event.partition("; ")[2] for event in told]
+    reloads = [line["event"] for line in lines if line["kind"] == "process" and "in force" in line["event"]]
+    kept = [event.partition("; ")[2] for event in reloads]
     assert kept == ["descriptors kept until the next start", "descriptors kept until the next start", ""]
 
 
 def test_the_fallback_serves_while_caches_are_gone(world):
-    """All caches of a pool are gone: its fallback serves after a while."""
+    """All caches of a pool fail: its fallback serves requests after a while."""
     world.near_pool = 'fallback: "far", at_least: 1, back_after: 200ms'
 
     async def scene(connect):
@@ -248,21 +248,21 @@
         text = world.config_path.read_text()
         world.config_path.write_text(
             text.replace(world.plan_values["north"], "127.0.0.1:1")
-        )  # where nobody listens
+        )  # a port on which nothing listens
         await reload()
-        ends = []
+        statuses = []
         for id in range(2, 12):
             await client.send_request(id, path=f"/{id}")
-            ends.append(status(await client.receive_response()))
+            statuses.append(status(await client.receive_response()))
             await anyio.sleep(0.06)
-        assert ends[-5:] == ["200"] * 5
+        assert statuses[-5:] == ["200"] * 5
 
     world.run_scene(scene)
     assert world.served_by[0] == "north" and world.served_by[-1] == "south"
 
 
 def test_sigterm_and_a_reload_at_once_lose_nothing(world):
-    """A stop and a reload arrive together: requests in flight and those that come after are answered."""
+    """SIGTERM and SIGHUP arrive together: requests in flight and later ones are answered."""
     world.delay = 0.4
 
     async def scene(connect):
@@ -286,10 +286,10 @@
             while not world.requests:
                 await anyio.sleep(0.02)
 
-    write = StandaloneWorld.write_plan
+    write_plan = StandaloneWorld.write_plan
 
-    def with_journal(self, **other):
-        write(self, **other)
+    def with_journal(self, **changes):
+        write_plan(self, **changes)
         text = self.config_path.read_text()
         self.config_path.write_text(
             text.replace('home: "north",', f'home: "north", journal: "{self.plan_values["hub"]}",')
@@ -303,8 +303,8 @@
             world.requests.append(f"journal from {int.from_bytes(await stream.receive(8), 'big')}")
             await anyio.sleep(1)
 
-    at = world.serve_as
-    world.serve_as = lambda name: journal if name == "hub" else at(name)
+    serve_as = world.serve_as
+    world.serve_as = lambda name: journal if name == "hub" else serve_as(name)
     world.run_scene(scene)
     assert world.requests[0] == "journal from 1"
 
@@ -323,7 +323,7 @@
 
 
 def test_an_in_flight_request_outlives_its_class_and_route(world, capsys):
-    """A new plan drops the traffic class and the route of a request in flight: it is finished, no fault."""
+    """A new plan lacks the traffic class and the route of a request in flight: it ends without fault."""
     world.delay = 0.3
 
     async def scene(connect):
@@ -343,8 +343,8 @@
 
 
 def test_a_plan_without_the_home_store_changes_nothing(world, capsys):
-    """A new plan lacks the store that the router stands in: it is refused with a line, and the old one goes
-    on.
+    """A new plan lacks the store in which the router is located: it is refused with a log line, and the old
+    plan stays in force.
     """
 
     async def scene(connect):
@@ -364,7 +364,7 @@
 
 
 def test_a_request_rejected_behind_its_limits_gives_them_back(world):
-    """A request passes its limits and is then rejected for its id: what it took of them is given back."""
+    """A request passes its limits and is then rejected because of its id: it releases the limits."""
     world.delay = 0.2
 
     async def scene(connect):
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The state machine without sockets: events in, effects out, compared with the traces in tests/traces/."""
+"""Tests of the state machine without sockets: effects of events, compared with traces in tests/traces/."""
 
 from conftest import listed
 
@@ -8,7 +8,7 @@
 
 
 def assert_idle(harness):
-    """No request is left in the state machine or in its router, and none counts as load."""
+    """Asserts that no request is left in the state machine or its router, and that none counts as load."""
     state_machine = harness.state_machine
     assert not state_machine.in_flight and not state_machine.open_correlation_ids
     assert not state_machine.router.in_flight
@@ -32,9 +32,9 @@
 
 
 def test_a_client_that_goes_at_any_stage_leaves_no_state(harness):
-    """A client may go at any time, and a response may come after that.
+    """A client may disconnect at any time, and the response may arrive after that.
 
-    The attempt ends with the client where it can be cancelled, and what still comes of it is passed over.
+    The attempt ends with the client if it can be cancelled, and its later events are ignored.
     """
     for request_id, stage in enumerate(("connecting", "sent", "response started", "complete"), 1):
         harness.request_received(request_id)
@@ -50,10 +50,10 @@
 
 
 def test_a_drain_or_purge_before_sending_decides_anew(harness):
-    """A connection takes time to come up, and the decision ages meanwhile.
+    """Opening a connection takes time, during which the decision may become outdated.
 
-    An endpoint that drains may get no new request, and a copy older than a purge may not be served: where
-    either came before the request was sent, the router decides again.
+    A draining endpoint may get no new request, and a copy older than a purge may not be served: if either
+    event arrives before the request is sent, the router decides again.
     """
     harness.request_received(1)
     endpoint = harness.state_machine.in_flight[1].attempt.decision.endpoint
@@ -77,9 +77,9 @@
 
 
 def test_a_truncated_response_is_retried(harness):
-    """A cache breaks off in the middle of a response.
+    """A cache closes the connection in the middle of a response.
 
-    Nothing of it has been passed on, so an idempotent request is sent again, and its client notices nothing.
+    Nothing of it has been passed on, so an idempotent request is sent again, unnoticed by its client.
     """
     harness.request_received(1)
     harness.connection_ready(1)
@@ -96,11 +96,11 @@
 
 
 def test_only_attempts_that_never_ran_are_retried_for_non_idempotent_requests(harness):
-    """A sale may not run twice.
+    """A request of the class ``sale`` may not be executed twice.
 
-    An attempt that may have run fails the request; one that certainly did not is sent again.
+    If an attempt may have been executed, the request fails; if it certainly was not, it is sent again.
     """
-    ways = [
+    outcomes = [
         (404, False),
         (503, True),
         (503, False),
@@ -114,25 +114,25 @@
         FailureCause.MALFORMED,
         FailureCause.INTERNAL_ERROR,
     ]
-    for request_id, way in enumerate(ways, 1):
+    for request_id, outcome in enumerate(outcomes, 1):
         harness.request_received(request_id, traffic_class="sale")
-        if way in (FailureCause.REFUSED, FailureCause.OUT_OF_DESCRIPTORS):
-            harness.attempt_failed(request_id, AttemptStage.CONNECTING, way)
+        if outcome in (FailureCause.REFUSED, FailureCause.OUT_OF_DESCRIPTORS):
+            harness.attempt_failed(request_id, AttemptStage.CONNECTING, outcome)
         else:
             harness.connection_ready(request_id)
-            if isinstance(way, tuple):
-                status, never_ran = way
+            if isinstance(outcome, tuple):
+                status, never_ran = outcome
                 harness.response_head(request_id, status, never_ran=never_ran)
                 harness.response_complete(request_id)
             else:
-                harness.attempt_failed(request_id, AttemptStage.SENDING, way)
+                harness.attempt_failed(request_id, AttemptStage.SENDING, outcome)
         harness.client_gone(request_id)
         harness.advance_to(10_000 * request_id)
     assert_idle(harness)
 
 
 def test_unusable_responses_are_not_passed_on(harness):
-    """A cache says nothing of the copy it sends, or sends 304 to a client that holds no copy."""
+    """A cache doesn't identify the copy that it sends, or sends 304 to a client that has no copy."""
     harness.request_received(1)
     harness.connection_ready(1)
     harness.response_head(1, length=3, has_copy_headers=False)
@@ -143,7 +143,7 @@
 
 
 def test_attempt_timeout_before_and_after_sending(harness):
-    """A connection doesn't come up, or a cache doesn't answer: the attempt ends before its client goes."""
+    """A connection doesn't open, or a cache doesn't respond: the attempt ends before the client's timeout."""
     harness.request_received(1)
     harness.advance_to(2_000)
     harness.request_received(2)
@@ -156,7 +156,7 @@
 
 
 def test_addresses_of_gone_endpoints_are_dropped(harness):
-    """Endpoints come and go for months under ever new names; what was known of them may not pile up."""
+    """Endpoints are added and removed for months under new names; state about them may not accumulate."""
     for number in range(100):
         name = f"c{number + 10}"
         for state in ("up", "gone"):
@@ -175,7 +175,7 @@
 
 
 def test_sigterm_with_requests_in_flight(harness):
-    """A router is told to end while requests are in flight and others still arrive.
+    """A router gets SIGTERM while requests are in flight and others still arrive.
 
     It accepts requests until the grace period is over, rejects later ones, and exits after the last response.
     """
@@ -197,7 +197,7 @@
 
 
 def test_a_refusing_endpoint_is_health_checked_and_its_connections_closed(harness):
-    """A cache refuses connections; it is checked until it answers, and is then taken out of the list."""
+    """A cache refuses connections; it is health-checked until it responds, and then removed from the list."""
     for request_id in (1, 2, 3):
         harness.request_received(request_id, object_key=f"{request_id:016x}")
         harness.attempt_failed(request_id, AttemptStage.CONNECTING, FailureCause.REFUSED)
@@ -208,9 +208,9 @@
 
 
 def test_a_response_read_before_its_overdue_timeout_counts(harness):
-    """The process stood still for a while, and a response had come in time.
+    """The process was stopped for a while, and a response had arrived in time.
 
-    Any event once fired the timers that were due, so the attempt timed out ahead of the response to be read.
+    When every event fired the timers that were due, the attempt timed out before the response was read.
     """
     harness.request_received(1)
     harness.connection_ready(1)
@@ -221,7 +221,7 @@
 
 
 def test_queueing_time_counts_against_the_client_timeout(harness):
-    """A busy process reads requests late; their clients have waited since they arrived."""
+    """A busy process reads requests late, but their clients have been waiting since they arrived."""
     harness.request_received(1, queueing_time=1_000)
     harness.request_received(2, queueing_time=1_900_000)
     harness.request_received(3, queueing_time=2_500_000)
@@ -229,9 +229,9 @@
 
 
 def test_a_decision_that_always_defers_by_zero_does_not_loop_in_one_step(harness):
-    """A fault in the decisions defers a request by no time, over and over.
+    """A bug in the decisions defers a request by no time again and again.
 
-    Each step has to end all the same, so that other requests go on, and the client's deadline ends this one.
+    Each step nevertheless has to end, so that other requests proceed; the client's deadline ends this one.
     """
     harness.state_machine.router.route = lambda request, now: Defer(0)
     harness.request_received(1)
--- a/tests/test_state_machine_properties.py
+++ b/tests/test_state_machine_properties.py
@@ -1,8 +1,8 @@
-"""The state machine, without I/O, under any order of what can reach it; each step is judged by its effects.
+"""Property tests of the state machine, without I/O: events in any order, checked by the effects of each step.
 
-Hypothesis draws the events. The test keeps what clients and caches see, apart from the state machine, and
-checks the promises: one response a request, no effect twice, no copy older than a purge, no attempt for a
-client that has gone or on an endpoint that drains.
+Hypothesis draws the events. The test tracks what clients and caches see, independently of the state machine,
+and checks the guarantees: one response for each request, no operation executed twice, no copy older than a
+purge, and no attempt for a client that has disconnected or at an endpoint that is draining.
 """
 
 import hypothesis.strategies as st
