--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -9,7 +9,7 @@
 
 from quartzrouter.routing.model import AttemptStatus
 from quartzrouter.server import cache_responses
-from quartzrouter.server.attempt_failure import CONNECTION_LOST, AttemptFailure, AttemptStage, FailureCause
+from quartzrouter.server.attempt_failure import CONNECTION_ERRORS, AttemptFailure, AttemptStage, FailureCause
 from quartzrouter.server.byte_budget import ByteBudget
 from quartzrouter.server.cache_connection import CacheConnection
 from quartzrouter.server.cache_responses import (
@@ -42,7 +42,7 @@
 class CacheConnections:
     """Makes attempts and health checks on pooled connections.
 
-    :param feed: takes events.
+    :param on_event: takes events.
     :param pool: the connections to caches.
     :param response_memory: bytes that responses may hold until their clients have them; at least one
         response always fits.
@@ -52,13 +52,13 @@
 
     def __init__(
         self,
-        feed: Callable[[Event], None],
+        on_event: Callable[[Event], None],
         pool: ConnectionPool,
         response_memory: int,
         read_copy: CopyReader | None = None,
         with_load_report: bool = False,
     ):
-        self.feed = feed
+        self.on_event = on_event
         self.pool = pool
         self.response_memory = ByteBudget(max(response_memory, MAX_BODY_SIZE))
         self.read_copy = read_copy
@@ -90,14 +90,14 @@
                 status = AttemptStatus.TIMED_OUT
         except ConnectionUnavailableError as error:
             status = error.failure.attempt_status()
-        except CONNECTION_LOST:
+        except CONNECTION_ERRORS:
             status = AttemptStatus.CONNECTION_LOST
         except Exception:
             status = AttemptStatus.ERROR
         finally:
             if connection is not None:
                 self.pool.discard(connection)
-            self.feed(HealthCheckDone(endpoint, status))
+            self.on_event(HealthCheckDone(endpoint, status))
 
     async def _exchange_health_check(self, connection: CacheConnection) -> AttemptStatus:
         status = AttemptStatus.ERROR
@@ -140,14 +140,14 @@
             self._end(error.cause, error)
         except (h11.RemoteProtocolError, MalformedResponseError) as error:
             self._end(FailureCause.MALFORMED, error)
-        except CONNECTION_LOST as error:
+        except CONNECTION_ERRORS as error:
             self._end(FailureCause.RESET, error)
         except Exception as error:
             if not self._has_ended:
                 self._end(FailureCause.INTERNAL_ERROR, f"{type(error).__name__}: {error}")
         finally:
             self._connections.in_use.pop((self._request_id, self._number), None)
-            self._connections.response_memory.give(self._reserved)
+            self._connections.response_memory.release(self._reserved)
             if self._connection is not None:
                 self._pool.discard(self._connection)
 
@@ -174,7 +174,7 @@
     async def _exchange(self) -> None:
         """Sends the request and reads the response."""
         self._stage = AttemptStage.CONNECTED
-        self._connections.feed(ConnectionReady(self._request_id, self._number))
+        self._connections.on_event(ConnectionReady(self._request_id, self._number))
         request = await self._owner.request_to_send()
         self._stage = AttemptStage.SENDING
         sent_at = anyio.current_time()
@@ -206,9 +206,9 @@
             self._connections.read_copy,
             self._connections.with_load_report,
         )
-        self._connections.feed(head)
+        self._connections.on_event(head)
         needed = MAX_BODY_SIZE if head.content_length is None else head.content_length
-        await self._connections.response_memory.take(needed)
+        await self._connections.response_memory.acquire(needed)
         self._reserved = needed
 
     def _handle_data(self, data: bytes) -> None:
@@ -219,12 +219,12 @@
     def _succeed(self, request: SendRequest) -> None:
         """Feeds the whole response; its bytes are given back once the client has them."""
         response_memory = self._connections.response_memory
-        response_memory.give(self._reserved - len(self._body))  # of a response that announced no length
+        response_memory.release(self._reserved - len(self._body))  # of a response that announced no length
         self._reserved = len(self._body)
         self._end()
         connection = self._connection
         self._connection = None
-        self._owner.call_when_sent(partial(response_memory.give, self._reserved))
+        self._owner.call_when_sent(partial(response_memory.release, self._reserved))
         self._reserved = 0
         self._pool.release(self._endpoint, connection, request.target, self._copy)
 
@@ -235,4 +235,4 @@
         """
         self._has_ended = True
         failure = None if cause is None else AttemptFailure(self._stage, cause, f"{self._endpoint}: {detail}")
-        self._connections.feed(AttemptEnded(self._request_id, self._number, failure, bytes(self._body)))
+        self._connections.on_event(AttemptEnded(self._request_id, self._number, failure, bytes(self._body)))
--- a/quartzrouter/server/client_connections.py
+++ b/quartzrouter/server/client_connections.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from quartzrouter.server.attempt_failure import CONNECTION_LOST
+from quartzrouter.server.attempt_failure import CONNECTION_ERRORS
 from quartzrouter.server.client_connection import ClientConnection
 from quartzrouter.server.events import Event
 from quartzrouter.server.fastcgi import ProtocolError
@@ -29,7 +29,7 @@
 class ClientConnections:
     """Serves clients' connections, to a bound on their number and on the bytes of their requests.
 
-    :param feed: takes events.
+    :param on_event: takes events.
     :param max_connections: that may be open at once.
     :param request_memory: bytes that requests of all clients may hold.
     :param parse_params: makes a request of a client's parameters.
@@ -39,14 +39,14 @@
 
     def __init__(
         self,
-        feed: Callable[[Event], None],
+        on_event: Callable[[Event], None],
         max_connections: int,
         request_memory: int,
         parse_params: ParamsParser,
         log: RateLimitedLog,
         retry_after: int = 0,
     ):
-        self.feed = feed
+        self.on_event = on_event
         self.max_connections = max_connections
         self.free_request_memory = request_memory
         self.parse_params = parse_params
@@ -102,7 +102,7 @@
             tasks.start_soon(self._write, client, tasks)
             try:
                 await client.read()
-            except CONNECTION_LOST:
+            except CONNECTION_ERRORS:
                 pass
             except ProtocolError as error:
                 self.log.say("client", f"connection ended: {error}")
@@ -110,7 +110,7 @@
 
     async def _write(self, client: ClientConnection, tasks: anyio.abc.TaskGroup) -> None:
         """Writes responses; at their end lingers, so that a close over unread bytes resets nothing."""
-        with contextlib.suppress(*CONNECTION_LOST):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             await client.writer.run()
             client.responses_ended = True
             client.stream.finish_sending()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 
 import anyio
 import pytest
-from conftest import SETUP, Play, frame
+from conftest import SETUP, StateMachineHarness, frame
 from standins import COPY_TAG, OK_RESPONSE, free_port
 
 from quartzrouter.server import (
@@ -367,7 +367,9 @@
         assert "first" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REUSE_DELAY)
         if purged:
-            world.router_process.feed(events.PurgeNotice(None, f"{7:016x}", world.router_process.clock()))
+            world.router_process.handle_event(
+                events.PurgeNotice(None, f"{7:016x}", world.router_process.clock())
+            )
         world.responses = {7: [gate, FIRST_RESPONSE, OK_RESPONSE]}
         await client.send_request(2, **same)
         await wait_until(lambda: request_count(world, 7) == 2)
@@ -412,11 +414,11 @@
         budget = byte_budget.ByteBudget(cache_responses.MAX_BODY_SIZE)
 
         async def answer(name, count):
-            await budget.take(count)
+            await budget.acquire(count)
             order.append(name)
 
         async with anyio.create_task_group() as tasks:
-            await budget.take(cache_responses.MAX_BODY_SIZE)
+            await budget.acquire(cache_responses.MAX_BODY_SIZE)
             gone = anyio.CancelScope()
 
             async def given_up():
@@ -426,16 +428,16 @@
             for task in (lambda: answer("large", 200_000), given_up):
                 tasks.start_soon(task)
                 await anyio.sleep(0)
-            budget.give(60_000)
+            budget.release(60_000)
             tasks.start_soon(answer, "small", 50_000)  # which would fit
             await anyio.sleep(0.01)
             assert order == []
             gone.cancel()
             await anyio.sleep(0)
-            budget.give(cache_responses.MAX_BODY_SIZE - 60_000)
+            budget.release(cache_responses.MAX_BODY_SIZE - 60_000)
             await anyio.sleep(0.01)
             assert order == ["large"]
-            budget.give(200_000)
+            budget.release(200_000)
         assert order == ["large", "small"] and budget.free == cache_responses.MAX_BODY_SIZE - 50_000
         assert not budget.waiters
 
@@ -476,21 +478,21 @@
     By then caches may have forgotten the key by which they know a repeat: the operation would run twice.
     """
     lines = []
-    play = Play(lines)
-    play.request_received(1, "hold", idempotency_key="a" * 32, timeout=6_000_000)
-    play.connection_ready(1)
-    play.attempt_failed(1, attempt_failure.AttemptStage.SENDING, attempt_failure.FailureCause.RESET)
+    harness = StateMachineHarness(lines)
+    harness.request_received(1, "hold", idempotency_key="a" * 32, timeout=6_000_000)
+    harness.connection_ready(1)
+    harness.attempt_failed(1, attempt_failure.AttemptStage.SENDING, attempt_failure.FailureCause.RESET)
     assert any("OpenConnection 1, 1" in line for line in lines)
-    play.advance_to(2_940)
+    harness.advance_to(2_940)
     lines.clear()
-    play.connection_ready(1, attempt=1)
+    harness.connection_ready(1, attempt=1)
     assert any("SendRequest 1, 1" in line for line in lines)
-    play.request_received(2, "hold", idempotency_key="b" * 32, timeout=6_000_000)
-    play.connection_ready(2)
-    play.attempt_failed(2, attempt_failure.AttemptStage.SENDING, attempt_failure.FailureCause.RESET)
-    play.advance_to(2_940 + 2_960)
+    harness.request_received(2, "hold", idempotency_key="b" * 32, timeout=6_000_000)
+    harness.connection_ready(2)
+    harness.attempt_failed(2, attempt_failure.AttemptStage.SENDING, attempt_failure.FailureCause.RESET)
+    harness.advance_to(2_940 + 2_960)
     lines.clear()
-    play.connection_ready(2, attempt=1)
+    harness.connection_ready(2, attempt=1)
     assert not any("SendRequest" in line for line in lines)
 
 
@@ -905,8 +907,8 @@
 
     async def scene(connect):
         service, purged = world.router_process, []
-        feed = service.endpoint_watch.feed
-        service.endpoint_watch.feed = lambda event: (purged.append(event), feed(event))
+        on_event = service.endpoint_watch.on_event
+        service.endpoint_watch.on_event = lambda event: (purged.append(event), on_event(event))
         await connect()
         half = anyio.Event()
 
