--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -295,7 +295,7 @@
 
 
 @pytest.fixture
-def harness(trace):
+def machine(trace):
     return StateMachineHarness(trace)
 
 
--- a/tests/test_state_machine.py
+++ b/tests/test_state_machine.py
@@ -7,95 +7,95 @@
 from quartzrouter.server.attempt_failure import AttemptStage, FailureCause
 
 
-def assert_idle(harness):
+def assert_idle(machine):
     """Asserts that no request is left in the state machine or its router, and that none counts as load."""
-    state_machine = harness.state_machine
+    state_machine = machine.state_machine
     assert not state_machine.in_flight and not state_machine.open_correlation_ids
     assert not state_machine.router.in_flight
     assert not any(state_machine.router.load.in_flight.values())
 
 
-def test_a_request_is_forwarded_and_its_response_passed_on(harness):
-    harness.request_received(1, if_none_match=f"{9:016x}")
-    harness.connection_ready(1)
-    harness.response_head(1, length=6)
-    harness.response_complete(1, body=b"abcdef")
-    harness.request_received(2, if_none_match=f"{9:016x}")
-    harness.connection_ready(2)
-    harness.response_head(2, 304)
-    harness.response_complete(2)
-    harness.request_received(3, traffic_class="hold", idempotency_key="k", body=b"two pots")
-    harness.connection_ready(3)
-    harness.response_head(3, length=0, has_copy_headers=False)
-    harness.response_complete(3)
-    assert_idle(harness)
+def test_a_request_is_forwarded_and_its_response_passed_on(machine):
+    machine.request_received(1, if_none_match=f"{9:016x}")
+    machine.connection_ready(1)
+    machine.response_head(1, length=6)
+    machine.response_complete(1, body=b"abcdef")
+    machine.request_received(2, if_none_match=f"{9:016x}")
+    machine.connection_ready(2)
+    machine.response_head(2, 304)
+    machine.response_complete(2)
+    machine.request_received(3, traffic_class="hold", idempotency_key="k", body=b"two pots")
+    machine.connection_ready(3)
+    machine.response_head(3, length=0, has_copy_headers=False)
+    machine.response_complete(3)
+    assert_idle(machine)
 
 
-def test_a_client_that_goes_at_any_stage_leaves_no_state(harness):
+def test_a_client_that_goes_at_any_stage_leaves_no_state(machine):
     """A client may disconnect at any time, and the response may arrive after that.
 
     The attempt ends with the client if it can be cancelled, and its later events are ignored.
     """
     for request_id, stage in enumerate(("connecting", "sent", "response started", "complete"), 1):
-        harness.request_received(request_id)
+        machine.request_received(request_id)
         if stage != "connecting":
-            harness.connection_ready(request_id)
+            machine.connection_ready(request_id)
         if stage in ("response started", "complete"):
-            harness.response_head(request_id, length=3)
+            machine.response_head(request_id, length=3)
         if stage == "complete":
-            harness.response_complete(request_id, body=b"abc")
-        harness.client_gone(request_id, f" while {stage}")
-        harness.response_complete(request_id, body=b"abc")
-    assert_idle(harness)
+            machine.response_complete(request_id, body=b"abc")
+        machine.client_gone(request_id, f" while {stage}")
+        machine.response_complete(request_id, body=b"abc")
+    assert_idle(machine)
 
 
-def test_a_drain_or_purge_before_sending_decides_anew(harness):
+def test_a_drain_or_purge_before_sending_decides_anew(machine):
     """Opening a connection takes time, during which the decision may become outdated.
 
     A draining endpoint may get no new request, and a copy older than a purge may not be served: if either
     event arrives before the request is sent, the router decides again.
     """
-    harness.request_received(1)
-    endpoint = harness.state_machine.in_flight[1].attempt.decision.endpoint
-    harness.endpoint_update(**{endpoint: "draining"})
-    harness.connection_ready(1)
-    harness.request_received(2)
-    harness.step("purge of another tag", events.PurgeNotice(6, None, harness.now))
-    harness.step("purge of another object", events.PurgeNotice(None, f"{8:016x}", harness.now))
-    harness.connection_ready(2)
-    harness.request_received(3)
-    harness.step("purge of the object", events.PurgeNotice(None, f"{7:016x}", harness.now))
-    harness.connection_ready(3)
-    harness.request_received(4)
-    harness.step("purge of the tag", events.PurgeNotice(5, None, harness.now))
-    harness.connection_ready(4)
-    harness.now += 2_500_000
-    harness.timer_fired()
-    harness.request_received(5, timeout=1000)
-    harness.now += 2_000_000
-    harness.connection_ready(5)
-
-
-def test_a_truncated_response_is_retried(harness):
+    machine.request_received(1)
+    endpoint = machine.state_machine.in_flight[1].attempt.decision.endpoint
+    machine.endpoint_update(**{endpoint: "draining"})
+    machine.connection_ready(1)
+    machine.request_received(2)
+    machine.step("purge of another tag", events.PurgeNotice(6, None, machine.now))
+    machine.step("purge of another object", events.PurgeNotice(None, f"{8:016x}", machine.now))
+    machine.connection_ready(2)
+    machine.request_received(3)
+    machine.step("purge of the object", events.PurgeNotice(None, f"{7:016x}", machine.now))
+    machine.connection_ready(3)
+    machine.request_received(4)
+    machine.step("purge of the tag", events.PurgeNotice(5, None, machine.now))
+    machine.connection_ready(4)
+    machine.now += 2_500_000
+    machine.timer_fired()
+    machine.request_received(5, timeout=1000)
+    machine.now += 2_000_000
+    machine.connection_ready(5)
+
+
+def test_a_truncated_response_is_retried(machine):
     """A cache closes the connection in the middle of a response.
 
     Nothing of it has been passed on, so an idempotent request is sent again, unnoticed by its client.
     """
-    harness.request_received(1)
-    harness.connection_ready(1)
-    harness.response_head(1, length=9)
-    harness.attempt_failed(1, AttemptStage.RECEIVING, FailureCause.RESET)
-    harness.connection_ready(1, attempt=1)
-    harness.response_head(1, length=9, attempt=1)
-    harness.response_complete(1, attempt=1, body=b"abcdefghi")
-    harness.request_received(2)
-    harness.connection_ready(2)
-    harness.response_head(2, length=9)
-    harness.advance_to(2_000)
-    assert_idle(harness)
-
-
-def test_only_attempts_that_never_ran_are_retried_for_non_idempotent_requests(harness):
+    machine.request_received(1)
+    machine.connection_ready(1)
+    machine.response_head(1, length=9)
+    machine.attempt_failed(1, AttemptStage.RECEIVING, FailureCause.RESET)
+    machine.connection_ready(1, attempt=1)
+    machine.response_head(1, length=9, attempt=1)
+    machine.response_complete(1, attempt=1, body=b"abcdefghi")
+    machine.request_received(2)
+    machine.connection_ready(2)
+    machine.response_head(2, length=9)
+    machine.advance_to(2_000)
+    assert_idle(machine)
+
+
+def test_only_attempts_that_never_ran_are_retried_for_non_idempotent_requests(machine):
     """A request of the class ``sale`` may not be executed twice.
 
     If an attempt may have been executed, the request fails; if it certainly was not, it is sent again.
@@ -115,129 +115,129 @@
         FailureCause.INTERNAL_ERROR,
     ]
     for request_id, outcome in enumerate(outcomes, 1):
-        harness.request_received(request_id, traffic_class="sale")
+        machine.request_received(request_id, traffic_class="sale")
         if outcome in (FailureCause.REFUSED, FailureCause.OUT_OF_DESCRIPTORS):
-            harness.attempt_failed(request_id, AttemptStage.CONNECTING, outcome)
+            machine.attempt_failed(request_id, AttemptStage.CONNECTING, outcome)
         else:
-            harness.connection_ready(request_id)
+            machine.connection_ready(request_id)
             if isinstance(outcome, tuple):
                 status, never_ran = outcome
-                harness.response_head(request_id, status, never_ran=never_ran)
-                harness.response_complete(request_id)
+                machine.response_head(request_id, status, never_ran=never_ran)
+                machine.response_complete(request_id)
             else:
-                harness.attempt_failed(request_id, AttemptStage.SENDING, outcome)
-        harness.client_gone(request_id)
-        harness.advance_to(10_000 * request_id)
-    assert_idle(harness)
+                machine.attempt_failed(request_id, AttemptStage.SENDING, outcome)
+        machine.client_gone(request_id)
+        machine.advance_to(10_000 * request_id)
+    assert_idle(machine)
 
 
-def test_unusable_responses_are_not_passed_on(harness):
+def test_unusable_responses_are_not_passed_on(machine):
     """A cache doesn't identify the copy that it sends, or sends 304 to a client that has no copy."""
-    harness.request_received(1)
-    harness.connection_ready(1)
-    harness.response_head(1, length=3, has_copy_headers=False)
-    harness.response_complete(1, body=b"abc")
-    harness.request_received(2)
-    harness.connection_ready(2)
-    harness.response_head(2, 304)
+    machine.request_received(1)
+    machine.connection_ready(1)
+    machine.response_head(1, length=3, has_copy_headers=False)
+    machine.response_complete(1, body=b"abc")
+    machine.request_received(2)
+    machine.connection_ready(2)
+    machine.response_head(2, 304)
 
 
-def test_attempt_timeout_before_and_after_sending(harness):
+def test_attempt_timeout_before_and_after_sending(machine):
     """A connection doesn't open, or a cache doesn't respond: the attempt ends before the client's timeout."""
-    harness.request_received(1)
-    harness.advance_to(2_000)
-    harness.request_received(2)
-    harness.connection_ready(2)
-    harness.advance_to(4_100)
-    harness.request_received(3, traffic_class="hold", idempotency_key="k")
-    harness.connection_ready(3)
-    harness.advance_to(6_200)
-    assert_idle(harness)
-
-
-def test_addresses_of_gone_endpoints_are_dropped(harness):
+    machine.request_received(1)
+    machine.advance_to(2_000)
+    machine.request_received(2)
+    machine.connection_ready(2)
+    machine.advance_to(4_100)
+    machine.request_received(3, traffic_class="hold", idempotency_key="k")
+    machine.connection_ready(3)
+    machine.advance_to(6_200)
+    assert_idle(machine)
+
+
+def test_addresses_of_gone_endpoints_are_dropped(machine):
     """Endpoints are added and removed for months under new names; state about them may not accumulate."""
     for number in range(100):
         name = f"c{number + 10}"
         for state in ("up", "gone"):
             update = events.EndpointUpdate(listed({name: state}), {name: ("127.0.0.9", number)}, False)
-            harness.step("", update, quiet=True)
-    harness.lines[1:] = [f"kept: {', '.join(harness.state_machine.addresses)}"]
-    harness.endpoint_update(is_snapshot=True, c1="up", o="up")
-    harness.lines.append(f"kept: {', '.join(harness.state_machine.addresses)}")
-    harness.endpoint_update(is_snapshot=True, c1="up", o="up")
+            machine.step("", update, quiet=True)
+    machine.lines[1:] = [f"kept: {', '.join(machine.state_machine.addresses)}"]
+    machine.endpoint_update(is_snapshot=True, c1="up", o="up")
+    machine.lines.append(f"kept: {', '.join(machine.state_machine.addresses)}")
+    machine.endpoint_update(is_snapshot=True, c1="up", o="up")
 
 
-def test_a_reload_follows_discovery_at_its_new_address(harness):
-    harness.step("reload", events.ConfigurationReloaded(("127.0.0.9", 4222)))
-    harness.step("shutdown", events.ShutdownRequested())
-    harness.step("reload", events.ConfigurationReloaded(("127.0.0.8", 4222)))
+def test_a_reload_follows_discovery_at_its_new_address(machine):
+    machine.step("reload", events.ConfigurationReloaded(("127.0.0.9", 4222)))
+    machine.step("shutdown", events.ShutdownRequested())
+    machine.step("reload", events.ConfigurationReloaded(("127.0.0.8", 4222)))
 
 
-def test_sigterm_with_requests_in_flight(harness):
+def test_sigterm_with_requests_in_flight(machine):
     """A router gets SIGTERM while requests are in flight and others still arrive.
 
     It accepts requests until the grace period is over, rejects later ones, and exits after the last response.
     """
-    harness.step("health", events.StatusQueried(90))
-    harness.request_received(1, timeout=3_000_000)
-    harness.connection_ready(1)
-    harness.step("shutdown", events.ShutdownRequested())
-    harness.step("health", events.StatusQueried(91))
-    harness.advance_to(900)
-    harness.request_received(2)
-    harness.advance_to(1_100)
-    harness.request_received(3)
-    harness.connection_ready(2)
+    machine.step("health", events.StatusQueried(90))
+    machine.request_received(1, timeout=3_000_000)
+    machine.connection_ready(1)
+    machine.step("shutdown", events.ShutdownRequested())
+    machine.step("health", events.StatusQueried(91))
+    machine.advance_to(900)
+    machine.request_received(2)
+    machine.advance_to(1_100)
+    machine.request_received(3)
+    machine.connection_ready(2)
     for request_id in (1, 2):
-        harness.response_head(request_id, length=1)
-        harness.response_complete(request_id, body=b"x")
-    harness.advance_to(1_200)
-    assert_idle(harness)
+        machine.response_head(request_id, length=1)
+        machine.response_complete(request_id, body=b"x")
+    machine.advance_to(1_200)
+    assert_idle(machine)
 
 
-def test_a_refusing_endpoint_is_health_checked_and_its_connections_closed(harness):
+def test_a_refusing_endpoint_is_health_checked_and_its_connections_closed(machine):
     """A cache refuses connections; it is health-checked until it responds, and then removed from the list."""
     for request_id in (1, 2, 3):
-        harness.request_received(request_id, object_key=f"{request_id:016x}")
-        harness.attempt_failed(request_id, AttemptStage.CONNECTING, FailureCause.REFUSED)
-    harness.advance_to(600)
-    name = min(harness.state_machine.health_checks)
-    harness.step(f"health check of {name} done", events.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
-    harness.endpoint_update(c1="gone", c2="up")
+        machine.request_received(request_id, object_key=f"{request_id:016x}")
+        machine.attempt_failed(request_id, AttemptStage.CONNECTING, FailureCause.REFUSED)
+    machine.advance_to(600)
+    name = min(machine.state_machine.health_checks)
+    machine.step(f"health check of {name} done", events.HealthCheckDone(name, AttemptStatus.SUCCEEDED))
+    machine.endpoint_update(c1="gone", c2="up")
 
 
-def test_a_response_read_before_its_overdue_timeout_counts(harness):
+def test_a_response_read_before_its_overdue_timeout_counts(machine):
     """The process was stopped for a while, and a response had arrived in time.
 
     When every event fired the timers that were due, the attempt timed out before the response was read.
     """
-    harness.request_received(1)
-    harness.connection_ready(1)
-    harness.now = harness.state_machine.due + 1
-    harness.response_head(1, length=3)
-    harness.response_complete(1, body=b"abc")
-    assert_idle(harness)
+    machine.request_received(1)
+    machine.connection_ready(1)
+    machine.now = machine.state_machine.due + 1
+    machine.response_head(1, length=3)
+    machine.response_complete(1, body=b"abc")
+    assert_idle(machine)
 
 
-def test_queueing_time_counts_against_the_client_timeout(harness):
+def test_queueing_time_counts_against_the_client_timeout(machine):
     """A busy process reads requests late, but their clients have been waiting since they arrived."""
-    harness.request_received(1, queueing_time=1_000)
-    harness.request_received(2, queueing_time=1_900_000)
-    harness.request_received(3, queueing_time=2_500_000)
-    assert set(harness.state_machine.in_flight) == {1}
+    machine.request_received(1, queueing_time=1_000)
+    machine.request_received(2, queueing_time=1_900_000)
+    machine.request_received(3, queueing_time=2_500_000)
+    assert set(machine.state_machine.in_flight) == {1}
 
 
-def test_a_decision_that_always_defers_by_zero_does_not_loop_in_one_step(harness):
+def test_a_decision_that_always_defers_by_zero_does_not_loop_in_one_step(machine):
     """A bug in the decisions defers a request by no time again and again.
 
     Each step nevertheless has to end, so that other requests proceed; the client's deadline ends this one.
     """
-    harness.state_machine.router.route = lambda request, now: Defer(0)
-    harness.request_received(1)
+    machine.state_machine.router.route = lambda request, now: Defer(0)
+    machine.request_received(1)
     for _ in range(3):
-        harness.timer_fired()
-        assert harness.state_machine.due <= harness.now
-    harness.now += 2_000_001
-    harness.timer_fired()
-    assert_idle(harness)
+        machine.timer_fired()
+        assert machine.state_machine.due <= machine.now
+    machine.now += 2_000_001
+    machine.timer_fired()
+    assert_idle(machine)
