--- a/quartzrouter/configuration.py
+++ b/quartzrouter/configuration.py
@@ -42,8 +42,10 @@
         self.restart_only = {key: section.values.get(key) for key in self.RESTART_ONLY_KEYS}
         self.seed = _seed(section)
         limits = section.subsection("limits")
-        self.max_descriptors = limits.optional("sockets", DEFAULT_MAX_DESCRIPTORS, int, least=MIN_DESCRIPTORS)
-        self.memory_limit = limits.optional("memory_mb", DEFAULT_MEMORY_MB, int, least=1) << MB_SHIFT
+        self.max_descriptors = limits.optional(
+            "sockets", DEFAULT_MAX_DESCRIPTORS, int, minimum=MIN_DESCRIPTORS
+        )
+        self.memory_limit = limits.optional("memory_mb", DEFAULT_MEMORY_MB, int, minimum=1) << MB_SHIFT
         known = section.subsection("known")
         self.initial_sequence = known.integer("pos")
         self.initial_entries = known.subsections("entries")
--- a/quartzrouter/configuration_section.py
+++ b/quartzrouter/configuration_section.py
@@ -33,13 +33,13 @@
         return f"{self.path}.{key}" if self.path else key
 
     def required(
-        self, key: str, *types: type, least: float = -LARGEST_NUMBER, most: float = LARGEST_NUMBER
+        self, key: str, *types: type, minimum: float = -LARGEST_NUMBER, maximum: float = LARGEST_NUMBER
     ) -> Any:
         """The value of a key that has to be there.
 
         :param types: the types that it may have; bool is no number.
-        :param least: the smallest number that is accepted.
-        :param most: the largest one.
+        :param minimum: the smallest number that is accepted.
+        :param maximum: the largest one.
         :raises ConfigurationError: where it is missing, of another type or out of range.
         """
         value = self.values.get(key)
@@ -48,7 +48,7 @@
         is_unasked_bool = isinstance(value, bool) and bool not in types
         if not isinstance(value, types) or is_unasked_bool:
             raise ConfigurationError(f"{self.path_of(key)} is {value!r:.60}")
-        if isinstance(value, NUMBER_TYPES) and not least <= value <= most:
+        if isinstance(value, NUMBER_TYPES) and not minimum <= value <= maximum:
             raise ConfigurationError(f"{self.path_of(key)} is {value}, out of range")
         return value
 
@@ -57,21 +57,21 @@
         key: str,
         default: Any,
         *types: type,
-        least: float = -LARGEST_NUMBER,
-        most: float = LARGEST_NUMBER,
+        minimum: float = -LARGEST_NUMBER,
+        maximum: float = LARGEST_NUMBER,
     ) -> Any:
         """The value of a key, or the default where it is missing; see ``required``."""
         if self.values.get(key) is None:
             return default
-        return self.required(key, *types, least=least, most=most)
+        return self.required(key, *types, minimum=minimum, maximum=maximum)
 
-    def integer(self, key: str, default: int = 0, least: int = 0) -> int:
+    def integer(self, key: str, default: int = 0, minimum: int = 0) -> int:
         """A whole number."""
-        return self.optional(key, default, int, least=least)
+        return self.optional(key, default, int, minimum=minimum)
 
-    def number(self, key: str, default: float = 0.0, most: float = LARGEST_NUMBER) -> float:
+    def number(self, key: str, default: float = 0.0, maximum: float = LARGEST_NUMBER) -> float:
         """A number that isn't negative."""
-        return float(self.optional(key, default, *NUMBER_TYPES, least=0, most=most))
+        return float(self.optional(key, default, *NUMBER_TYPES, minimum=0, maximum=maximum))
 
     def boolean(self, key: str, default: bool = False) -> bool:
         """True or false."""
@@ -105,7 +105,7 @@
         item = items[index] if index < len(items) else None
         position = str(index)
         section = ConfigurationSection({position: item}, self.path_of(key))
-        return section.optional(position, default, *types, least=0)
+        return section.optional(position, default, *types, minimum=0)
 
 
 def parse_address(text: Any, key: str) -> tuple[str, int]:
--- a/quartzrouter/deployment_settings.py
+++ b/quartzrouter/deployment_settings.py
@@ -55,9 +55,9 @@
         self.machine_types: list[str] = settings.items("models")
         self.parent_machine_type = self._machine_type(family, "shield_kind")
         self.origin_machine_type = self._machine_type(family, "store_kind")
-        self.connect_timeout = limits.integer("dial_timeout_us", DEFAULT_CONNECT_TIMEOUT, least=1)
+        self.connect_timeout = limits.integer("dial_timeout_us", DEFAULT_CONNECT_TIMEOUT, minimum=1)
         self.connection_idle_timeout = limits.integer(
-            "conn_idle_us", DEFAULT_CONNECTION_IDLE_TIMEOUT, least=1
+            "conn_idle_us", DEFAULT_CONNECTION_IDLE_TIMEOUT, minimum=1
         )
         self.load_report = settings.subsection("load_report")
         self.load_report_fields: list[str] = self.load_report.items("fields")
@@ -131,7 +131,7 @@
         names_retry_after = limits.boolean("retry_after")
         max_retry_after = limits.integer("max_retry_after_us")
         return Capabilities(
-            max_attempts=limits.integer("try_limit", 1, least=1),
+            max_attempts=limits.integer("try_limit", 1, minimum=1),
             pass_through=family.boolean("pass_through_ok"),
             request_collapsing=family.boolean("shares_fills", True),
             siblings=family.text("sideways", NOT_PROVIDED) != NOT_PROVIDED,
@@ -150,7 +150,7 @@
         zone_index = self.zones.index(home) if home in self.zones else len(self.zones)
         routers_of_zone = family.list_item("zone_balancers", zone_index, 0, int)
         return SlowStart(
-            initial_share=rules.number("cold_from", most=1),
+            initial_share=rules.number("cold_from", maximum=1),
             ramp_time=rules.integer("ramp_time_us"),
             overload_factor=_overload_factor(rules),
             window=_overload_window(rules),
@@ -163,7 +163,7 @@
 ) -> SlowStart:
     """Slow start of a parent: all routers share what it can take."""
     return SlowStart(
-        initial_share=family.number("parent_floor", most=1),
+        initial_share=family.number("parent_floor", maximum=1),
         ramp_time=family.integer("parent_cold_us"),
         overload_factor=family.number("parent_fall_multiple") or _overload_factor(rules),
         window=_overload_window(rules),
@@ -176,11 +176,11 @@
 
 
 def _overload_window(rules: ConfigurationSection) -> int:
-    return rules.integer("tip_after_us", DEFAULT_OVERLOAD_WINDOW, least=1)
+    return rules.integer("tip_after_us", DEFAULT_OVERLOAD_WINDOW, minimum=1)
 
 
 def _all_routers(settings: ConfigurationSection) -> int:
-    return settings.integer("peers_total", 1, least=1)
+    return settings.integer("peers_total", 1, minimum=1)
 
 
 def _traffic_class(category: ConfigurationSection, index: int, family: ConfigurationSection) -> TrafficClass:
@@ -188,7 +188,7 @@
 
     :param index: its position, by which lists of the family have its freshness.
     """
-    client_timeout = category.integer("deadline_us", least=1)
+    client_timeout = category.integer("deadline_us", minimum=1)
     effect = category.text("effect")
     return TrafficClass(
         name=category.required("name", str),
--- a/quartzrouter/server/discovery_protocol.py
+++ b/quartzrouter/server/discovery_protocol.py
@@ -102,11 +102,11 @@
 
 
 def _initial_purge(section: ConfigurationSection) -> PurgeNotice:
-    purged_at = section.required("stamp", int, least=0) * MICROSECONDS_PER_MS
+    purged_at = section.required("stamp", int, minimum=0) * MICROSECONDS_PER_MS
     object_key = section.text("name").lower()
     if object_key:
         return PurgeNotice(None, object_key, purged_at)
-    return PurgeNotice(section.required("set", int, least=0), None, purged_at)
+    return PurgeNotice(section.required("set", int, minimum=0), None, purged_at)
 
 
 # -- frames ----------------------------------------------------------------------------------------
