--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -299,10 +299,10 @@
 
 
 @pytest.fixture
-def world(tmp_path):
-    from standins import World  # which takes the setup above
+def harness(tmp_path):
+    from standins import RouterHarness  # which takes the setup above
 
-    return World(tmp_path)
+    return RouterHarness(tmp_path)
 
 
 @pytest.fixture(autouse=True)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -24,16 +24,16 @@
     "COPY_TAG",
     "OK_RESPONSE",
     "Client",
-    "World",
+    "RouterHarness",
     "begin_request_record",
     "free_port",
     "with_tag_of_request",
 ]
 
-SCENE_TIMEOUT = 10  # s
+STEPS_TIMEOUT = 10  # s
 
 
-class World:
+class RouterHarness:
     """A router, one fake that responds for all caches, and a discovery service with frames to send.
 
     ``responses`` says by object what the cache sends for a request: pieces of bytes, seconds to wait,
@@ -117,15 +117,15 @@
         } | settings
         self.config_path.write_text(json.dumps(configuration))
 
-    def run_scene(self, scene, frames=(), **settings):
-        """Runs a scene beside a router in this process.
+    def run_steps(self, steps, frames=(), **settings):
+        """Runs the steps of a test beside a router in this process.
 
-        :param scene: an async function that takes a way to connect.
+        :param steps: an async function that takes a way to connect.
         """
         self.discovery_frames = list(frames)
 
         async def run():
-            with anyio.fail_after(SCENE_TIMEOUT):
+            with anyio.fail_after(STEPS_TIMEOUT):
                 async with anyio.create_task_group() as tasks:
                     cache = await self.start_server(tasks, self.serve_cache)
                     discovery = await self.start_server(tasks, self.serve_discovery)
@@ -134,7 +134,7 @@
                     environ = {"NODE_CONFIG": str(self.config_path), "NODE_LISTEN": f"127.0.0.1:{port}"}
                     self.router_process = self.create_router(environ)
                     tasks.start_soon(self.router_process.run)
-                    await scene(lambda: self.connect(port))
+                    await steps(lambda: self.connect(port))
                     tasks.cancel_scope.cancel()
 
         anyio.run(run, backend_options=process.BACKEND_OPTIONS)
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -11,7 +11,7 @@
 
 import anyio
 import pytest
-from standins import World, free_port
+from standins import RouterHarness, free_port
 
 from quartzrouter.server import client_connections, process, stream
 
@@ -37,8 +37,8 @@
 class Crowd:
     """Clients that open a connection for nearly every request and close the longest idle of their own."""
 
-    def __init__(self, world, port, max_connections):
-        self.world = world
+    def __init__(self, harness, port, max_connections):
+        self.harness = harness
         self.port = port
         self.max_connections = max_connections
         self.idle = []
@@ -77,7 +77,7 @@
         if self.open_connections >= self.max_connections and self.idle:
             await self.close(self.idle.pop(0))
         self.open_connections += 1
-        return await self.world.connect(self.port)
+        return await self.harness.connect(self.port)
 
     async def close(self, client):
         self.open_connections -= 1
@@ -90,22 +90,22 @@
     Connections on which a request waited unread were closed to make room, and the request was lost. Now one
     on which something waits is never given up.
     """
-    world, chance, left = World(tmp_path), random.Random(5), 3_000
-    world.discovery_frames = []
+    harness, chance, left = RouterHarness(tmp_path), random.Random(5), 3_000
+    harness.discovery_frames = []
 
     async def run():
         with anyio.fail_after(60):
             async with anyio.create_task_group() as tasks:
-                cache, port = await world.start_server(tasks, world.serve_cache), await free_port()
-                world.write_configuration(
-                    cache, await world.start_server(tasks, world.serve_discovery), limits={"sockets": 96}
+                cache, port = await harness.start_server(tasks, harness.serve_cache), await free_port()
+                harness.write_configuration(
+                    cache, await harness.start_server(tasks, harness.serve_discovery), limits={"sockets": 96}
                 )
                 environ = os.environ | {
-                    "NODE_CONFIG": str(world.config_path),
+                    "NODE_CONFIG": str(harness.config_path),
                     "NODE_LISTEN": f"127.0.0.1:{port}",
                 }
                 router = subprocess.Popen([sys.executable, "-c", STALLED], env=environ)
-                crowd = Crowd(world, port, 40)
+                crowd = Crowd(harness, port, 40)
 
                 async def ask():
                     nonlocal left
@@ -114,7 +114,7 @@
                         await crowd.send_one(chance)
                         await anyio.sleep(chance.uniform(0, 0.05))
 
-                await (await world.connect(port)).stream.aclose()
+                await (await harness.connect(port)).stream.aclose()
                 async with anyio.create_task_group() as askers:
                     for _ in range(28):
                         askers.start_soon(ask)
@@ -129,7 +129,7 @@
     assert outcomes["lost"] == 0
 
 
-def test_an_unread_request_keeps_its_connection(world, trace, monkeypatch):
+def test_an_unread_request_keeps_its_connection(harness, trace, monkeypatch):
     """A request reaches the kernel after the router last read, and before it looks for one to close."""
     close_one_idle, unread = client_connections.ClientConnections._close_one_idle, []
 
@@ -140,7 +140,7 @@
         time.sleep(2 * CROSSING_TIME)
         return close_one_idle(self)
 
-    async def scene(connect):
+    async def steps(connect):
         idle = [await connect() for _ in range(21)]
         for id, client in enumerate(idle, 1):
             await client.send_request(id)
@@ -153,23 +153,25 @@
         for client in idle[:13]:
             trace.append(await client.receive_response())
 
-    world.run_scene(scene, limits={"sockets": 64})
+    harness.run_steps(steps, limits={"sockets": 64})
 
 
 @pytest.mark.parametrize("looked_at", [False, True])
-def test_a_connection_that_was_reset_or_closed_can_still_be_looked_at(world, looked_at):
+def test_a_connection_that_was_reset_or_closed_can_still_be_looked_at(harness, looked_at):
     """A client resets its connection, and the router's task for it hasn't run yet.
 
     One that the event loop had closed was still there to be looked at, and raised ValueError: the router
     ended.
     """
 
-    async def scene(connect):
+    async def steps(connect):
         kept, reset = await connect(), await connect()
         await kept.send_request(1)
         await kept.receive_response()
         ended, *_ = [
-            client for client in world.router_process.client_connections.open if not client.has_begun_request
+            client
+            for client in harness.router_process.client_connections.open
+            if not client.has_begun_request
         ]
         assert not looked_at or ended.stream.pending() is stream.Pending.QUIET
         raw = reset.stream.extra(anyio.abc.SocketAttribute.raw_socket)
@@ -187,4 +189,4 @@
         await kept.send_request(2)
         assert "200 OK" in await kept.receive_response()
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -68,8 +68,8 @@
     assert condition()
 
 
-def request_count(world, id):
-    return sum(f"/{id:016x}/" in line for line in world.requests)
+def request_count(harness, id):
+    return sum(f"/{id:016x}/" in line for line in harness.requests)
 
 
 def hold_connects(addresses, gate):
@@ -89,9 +89,9 @@
     return len(writer.buffer) + sum(map(len, writer.queues.values()))
 
 
-async def wait_until_settled(world):
+async def wait_until_settled(harness):
     await wait_until(
-        lambda: not world.router_process.attempts and not world.router_process.state_machine.in_flight
+        lambda: not harness.router_process.attempts and not harness.router_process.state_machine.in_flight
     )
 
 
@@ -99,13 +99,13 @@
 
 
 @pytest.mark.parametrize("way", ["end", "abort behind a read's worth", "end behind a read's worth"])
-def test_a_request_read_late_is_not_begun_for_a_client_that_has_gone(world, way):
+def test_a_request_read_late_is_not_begun_for_a_client_that_has_gone(harness, way):
     """A busy router reads a request late, and its client's end or abort is already in the kernel behind it.
 
     The request was begun for nobody. Now all that has arrived is read before any request is begun.
     """
 
-    async def scene(connect):
+    async def steps(connect):
         client, other = await connect(), await connect()
         more = (
             client.encode_request(2, body=bytes(client_connection.READ_BUFFER_SIZE), whole=False)
@@ -118,15 +118,15 @@
             end_sending(client)
         await other.send_request(3)
         assert "200 OK" in await other.receive_response()
-        await wait_until_settled(world)
-        assert request_count(world, 1) == 0 and request_count(world, 3) == 1
-        assert world.accepted_connections == 1  # nor did one come up for it
+        await wait_until_settled(harness)
+        assert request_count(harness, 1) == 0 and request_count(harness, 3) == 1
+        assert harness.accepted_connections == 1  # nor did one come up for it
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 @pytest.mark.parametrize("settings", [SETUP, NO_CANCEL])
-def test_a_connecting_attempt_is_not_sent_for_a_client_that_has_gone(world, monkeypatch, settings):
+def test_a_connecting_attempt_is_not_sent_for_a_client_that_has_gone(harness, monkeypatch, settings):
     """A client leaves while the attempt at its request is still connecting.
 
     Where attempts may not be cancelled, it went on connecting, and the request went out for nobody.
@@ -134,7 +134,7 @@
     addresses, gate = [], anyio.Event()
     held_connect = hold_connects(addresses, gate)
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         monkeypatch.setattr(connection_pool, "connect", held_connect)
         await client.send_request(1)
@@ -144,31 +144,31 @@
         gate.set()
         await client.send_request(2)
         assert "200 OK" in await client.receive_response()
-        await wait_until_settled(world)
-        assert request_count(world, 1) == 0 and request_count(world, 2) == 1
+        await wait_until_settled(harness)
+        assert request_count(harness, 1) == 0 and request_count(harness, 2) == 1
 
-    world.run_scene(scene, settings=settings)
+    harness.run_steps(steps, settings=settings)
 
 
 @pytest.mark.parametrize("way", ["end", "abort"])
-def test_no_retry_for_a_client_whose_leaving_is_not_read_yet(world, monkeypatch, way):
+def test_no_retry_for_a_client_whose_leaving_is_not_read_yet(harness, monkeypatch, way):
     """A response has the request retried, and its client's end or abort arrived just before it.
 
     A busy process reads that after the response; the retry went out on a pooled connection. Now what the
     client has sent is read before each attempt.
     """
     receive, overloaded = stream.Stream.receive, anyio.Event()
-    world.responses = {1: [overloaded, OVERLOADED_RESPONSE]}
+    harness.responses = {1: [overloaded, OVERLOADED_RESPONSE]}
 
     async def slow(self, most):
-        if any(self is client.stream for client in world.router_process.client_connections.open):
+        if any(self is client.stream for client in harness.router_process.client_connections.open):
             await anyio.wait_readable(self.raw)
             for _ in range(4):  # others go first, for as long as an attempt takes from here
                 await anyio.sleep(0)
         return await receive(self, most)
 
-    async def scene(connect):
-        client, pool = await connect(), world.router_process.cache_connections.pool.idle
+    async def steps(connect):
+        client, pool = await connect(), harness.router_process.cache_connections.pool.idle
         for id in range(10, 60):
             if len(pool) < 2:
                 await client.send_request(id)
@@ -176,7 +176,7 @@
         await anyio.sleep(2 * connection_pool.REUSE_DELAY)
         monkeypatch.setattr(stream.Stream, "receive", slow)
         await client.send_request(1)  # the reader comes back to the slow way after it
-        await wait_until(lambda: request_count(world, 1))
+        await wait_until(lambda: request_count(harness, 1))
         overloaded.set()
         while not any(each.stream.pending() is stream.Pending.UNREAD for each in asking()):
             await anyio.sleep(0)
@@ -184,16 +184,16 @@
             write_at_once(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
         else:
             end_sending(client)
-        await wait_until_settled(world)
-        assert request_count(world, 1) == 1
+        await wait_until_settled(harness)
+        assert request_count(harness, 1) == 1
 
     def asking():
-        return world.router_process.cache_connections.in_use.values()
+        return harness.router_process.cache_connections.in_use.values()
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_queued_responses_do_not_hide_that_the_client_has_gone(world, monkeypatch):
+def test_queued_responses_do_not_hide_that_the_client_has_gone(harness, monkeypatch):
     """A client takes no response, so records are queued for it, and then it aborts a request.
 
     Above a number of queued records nothing was read, so neither an abort nor an end was noticed. Now the
@@ -201,13 +201,13 @@
     """
     monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)  # the kernel holds some megabytes as well
     overloaded = anyio.Event()
-    world.responses = {n: [LARGE_RESPONSE] for n in range(2, 32)} | {1: [overloaded, OVERLOADED_RESPONSE]}
+    harness.responses = {n: [LARGE_RESPONSE] for n in range(2, 32)} | {1: [overloaded, OVERLOADED_RESPONSE]}
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
-        connection, *_ = world.router_process.client_connections.open
+        connection, *_ = harness.router_process.client_connections.open
         await client.send_request(1, path="/rpc/sale", HTTP_X_DEADLINE_MS="9000")  # which has all that time
-        await wait_until(lambda: request_count(world, 1))
+        await wait_until(lambda: request_count(harness, 1))
         for id in range(2, 32):
             await client.send_request(id)
         before = None
@@ -221,26 +221,26 @@
         write_at_once(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
         await wait_until(lambda: 1 not in connection.request_ids)
         overloaded.set()
-        await wait_until_settled(world)
-        assert request_count(world, 1) == 1
+        await wait_until_settled(harness)
+        assert request_count(harness, 1) == 1
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_a_closing_connection_reads_aborts_and_answers_requests(world):
+def test_a_closing_connection_reads_aborts_and_answers_requests(harness):
     """A connection is closing, and its client sends an abort and a further request.
 
     Both were dropped: the aborted attempt ran on, and the request had no response. Now records are read
     until the end of the responses is written, and the request is refused as OVERLOADED.
     """
     overloaded = anyio.Event()
-    world.responses = {1: [overloaded, OVERLOADED_RESPONSE]}
+    harness.responses = {1: [overloaded, OVERLOADED_RESPONSE]}
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
-        connection, *_ = world.router_process.client_connections.open
+        connection, *_ = harness.router_process.client_connections.open
         await client.send_request(1)
-        await wait_until(lambda: request_count(world, 1))
+        await wait_until(lambda: request_count(harness, 1))
         for id in range(2, 2 + client_connection.MAX_REJECTED_REQUESTS):
             await client.send_request(id, path="/rpc/other")
             assert "404" in await client.receive_response()
@@ -250,20 +250,20 @@
         await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""))
         assert "end 1 0" in await client.receive_response()  # taken back
         overloaded.set()
-        await wait_until_settled(world)
+        await wait_until_settled(harness)
         assert (
             await client.receive_response() == "closed"
-            and request_count(world, 1) == 1
-            and not request_count(world, 90)
+            and request_count(harness, 1) == 1
+            and not request_count(harness, 90)
         )
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 # -- closes ----------------------------------------------------------------------------------------
 
 
-def test_a_request_that_crosses_an_idle_close_resets_nothing(world, monkeypatch):
+def test_a_request_that_crosses_an_idle_close_resets_nothing(harness, monkeypatch):
     """The router looks at an idle connection, a request arrives, and the router closes it.
 
     A close over unread bytes resets the connection, and the last response may be lost with it. Now one side
@@ -271,11 +271,11 @@
     """
     pending = stream.Stream.pending
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         await client.send_request(1)
         assert "200 OK" in await client.receive_response()
-        connection, *_ = world.router_process.client_connections.open
+        connection, *_ = harness.router_process.client_connections.open
 
         def look(self):
             found = pending(self)
@@ -287,12 +287,12 @@
         assert connection.close_if_idle()
         monkeypatch.setattr(stream.Stream, "pending", pending)
         await wait_until(lambda: connection.stream.raw.fileno() < 0 and tcp_state(client) != ESTABLISHED)
-        assert tcp_state(client) == CLOSE_WAIT and not request_count(world, 2)  # an end, and no reset
+        assert tcp_state(client) == CLOSE_WAIT and not request_count(harness, 2)  # an end, and no reset
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_a_pooled_connection_that_ends_as_it_is_taken_costs_no_request(world, monkeypatch):
+def test_a_pooled_connection_that_ends_as_it_is_taken_costs_no_request(harness, monkeypatch):
     """A cache ends a pooled connection while it is being taken for a request.
 
     A request that may not run twice was written to it, and could not be retried. Now the connection is
@@ -300,7 +300,7 @@
     """
     hear, ends = client_connection.ClientConnection.read_pending, []
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         await client.send_request(1, path="/rpc/sale")
         assert "200 OK" in await client.receive_response()
@@ -309,22 +309,22 @@
         async def late(self, ticket):
             if not ends:
                 ends.append(ticket)
-                taken = next(iter(world.router_process.cache_connections.in_use.values()))
+                taken = next(iter(harness.router_process.cache_connections.in_use.values()))
                 taken.stream.shutdown()  # as its cache would
             await hear(self, ticket)
 
         monkeypatch.setattr(client_connection.ClientConnection, "read_pending", late)
         await client.send_request(2, path="/rpc/sale")
         assert "200 OK" in await client.receive_response()
-        assert ends and request_count(world, 2) == 1
+        assert ends and request_count(harness, 2) == 1
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 FIRST_RESPONSE = OK_RESPONSE.replace(b"abcde", b"first").replace(COPY_TAG, b"00000000000000f1")
 
 
-def test_a_repeated_response_is_not_taken_for_the_next_requests(world):
+def test_a_repeated_response_is_not_taken_for_the_next_requests(harness):
     """A cache sends a response twice, the second time after the next request was written.
 
     It had not arrived when the connection was looked at, so the next request's client got another chunk's
@@ -332,27 +332,29 @@
     """
     gate = anyio.Event()
 
-    async def scene(connect):
+    async def steps(connect):
         client, same = await connect(), {"HTTP_X_SUBJECT": f"{7:016x}"}
-        world.responses = {7: [FIRST_RESPONSE]}
+        harness.responses = {7: [FIRST_RESPONSE]}
         await client.send_request(1, **same)
         assert "first" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REUSE_DELAY)
-        world.responses = {7: [gate, FIRST_RESPONSE, OK_RESPONSE]}  # the cache has read the next req by then
+        harness.responses = {
+            7: [gate, FIRST_RESPONSE, OK_RESPONSE]
+        }  # the cache has read the next req by then
         await client.send_request(2, HTTP_X_CHUNK="1", **same)
-        await wait_until(lambda: request_count(world, 7) == 2)
-        assert world.accepted_connections == 1
-        world.responses = {}
+        await wait_until(lambda: request_count(harness, 7) == 2)
+        assert harness.accepted_connections == 1
+        harness.responses = {}
         gate.set()
         response = await client.receive_response()
         assert "200 OK" in response and "abcde" in response
-        assert request_count(world, 7) == 3  # of another cache, on a connection of its own
+        assert request_count(harness, 7) == 3  # of another cache, on a connection of its own
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 @pytest.mark.parametrize("purged", [False, True])
-def test_a_repeated_response_for_the_same_chunk_is_no_older_than_allowed(world, purged):
+def test_a_repeated_response_for_the_same_chunk_is_no_older_than_allowed(harness, purged):
     """A cache sends a response twice, and the next request is for the same chunk.
 
     Where it can't be told from the cache's next response it does as well, but not after a purge of that
@@ -360,26 +362,26 @@
     """
     gate = anyio.Event()
 
-    async def scene(connect):
+    async def steps(connect):
         client, same = await connect(), {"HTTP_X_SUBJECT": f"{7:016x}"}
-        world.responses = {7: [FIRST_RESPONSE]}
+        harness.responses = {7: [FIRST_RESPONSE]}
         await client.send_request(1, **same)
         assert "first" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REUSE_DELAY)
         if purged:
-            world.router_process.feed(events.PurgeNotice(None, f"{7:016x}", world.router_process.clock()))
-        world.responses = {7: [gate, FIRST_RESPONSE, OK_RESPONSE]}
+            harness.router_process.feed(events.PurgeNotice(None, f"{7:016x}", harness.router_process.clock()))
+        harness.responses = {7: [gate, FIRST_RESPONSE, OK_RESPONSE]}
         await client.send_request(2, **same)
-        await wait_until(lambda: request_count(world, 7) == 2)
-        world.responses = {7: [OK_RESPONSE]}
+        await wait_until(lambda: request_count(harness, 7) == 2)
+        harness.responses = {7: [OK_RESPONSE]}
         gate.set()
         assert ("abcde" if purged else "first") in await client.receive_response()
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 @pytest.mark.parametrize("answer", [OVERLOADED_RESPONSE, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsold"])
-def test_a_connection_rests_longer_after_a_response_that_names_no_copy(world, monkeypatch, answer):
+def test_a_connection_rests_longer_after_a_response_that_names_no_copy(harness, monkeypatch, answer):
     """A cache repeats a response that names no copy, an error or that of a write.
 
     Taken for the next request's, it says that this one is done, or that it never ran. Nothing tells the two
@@ -387,17 +389,17 @@
     """
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_AFTER_UNNAMED_COPY", 3_600.0)
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
-        world.responses = {n: [answer] for n in range(1, 4)}
+        harness.responses = {n: [answer] for n in range(1, 4)}
         for id in (1, 2, 3):
             await client.send_request(id, path="/rpc/sale")
             await client.receive_response()
             await anyio.sleep(2 * connection_pool.REUSE_DELAY)
-        attempts = sum(line.startswith("GET /x/sale/") for line in world.requests)
-        assert world.accepted_connections == attempts >= 3
+        attempts = sum(line.startswith("GET /x/sale/") for line in harness.requests)
+        assert harness.accepted_connections == attempts >= 3
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 def test_large_responses_get_room_in_their_turn():
@@ -445,7 +447,7 @@
 # -- lists and windows -----------------------------------------------------------------------------
 
 
-def test_bytes_without_a_whole_frame_count_as_silence(world, monkeypatch):
+def test_bytes_without_a_whole_frame_count_as_silence(harness, monkeypatch):
     """A discovery service sends half a frame, a byte at a time, and never the rest.
 
     It was taken for one that has nothing to tell, and the endpoint list grew old. Now silence counts from
@@ -455,19 +457,19 @@
 
     async def trickle(connection):
         async with connection:
-            world.requests.append(f"journal from {int.from_bytes(await connection.receive(8), 'big')}")
+            harness.requests.append(f"journal from {int.from_bytes(await connection.receive(8), 'big')}")
             for byte in frame(2, 1, bytes(2_400 * 27)):  # 32 minutes of it
                 with contextlib.suppress(anyio.BrokenResourceError):  # nobody listens any more
                     await connection.send(bytes([byte]))
                 await anyio.sleep(0.03)
 
-    monkeypatch.setattr(world, "serve_discovery", trickle, raising=False)
+    monkeypatch.setattr(harness, "serve_discovery", trickle, raising=False)
 
-    async def scene(connect):
+    async def steps(connect):
         await connect()
-        await wait_until(lambda: world.requests.count("journal from 1") > 1)
+        await wait_until(lambda: harness.requests.count("journal from 1") > 1)
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 def test_a_retry_is_not_sent_once_its_idempotency_key_may_be_forgotten():
@@ -507,8 +509,8 @@
 """
 
 
-def run_router_process(world, script, scene, descriptors=None, **other):
-    """Runs a scene beside a router that is a process of its own; gives its exit status and what it said.
+def run_router_process(harness, script, steps, descriptors=None, **other):
+    """Runs the steps of a test beside a router in a process of its own; returns its exit status and its log.
 
     :param descriptors: as many as the process may have.
     """
@@ -517,22 +519,22 @@
         if descriptors:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
-    world.discovery_frames = []
+    harness.discovery_frames = []
 
     async def run():
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
-                cache, port = await world.start_server(tasks, world.serve_cache), await free_port()
-                told = {"journal": await world.start_server(tasks, world.serve_discovery)} | other
-                world.write_configuration(cache, **told)
+                cache, port = await harness.start_server(tasks, harness.serve_cache), await free_port()
+                told = {"journal": await harness.start_server(tasks, harness.serve_discovery)} | other
+                harness.write_configuration(cache, **told)
                 environ = os.environ | {
-                    "NODE_CONFIG": str(world.config_path),
+                    "NODE_CONFIG": str(harness.config_path),
                     "NODE_LISTEN": f"127.0.0.1:{port}",
                 }
                 command = [sys.executable, *script]
                 router = subprocess.Popen(command, env=environ, stderr=subprocess.PIPE, preexec_fn=few)
                 try:
-                    await scene(router, lambda: world.connect(port))
+                    await steps(router, lambda: harness.connect(port))
                     output = (await anyio.to_thread.run_sync(router.communicate))[1].decode()
                 finally:
                     router.kill()
@@ -542,48 +544,48 @@
     return anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
 
-def test_sighup_during_imports_does_not_end_the_process(world):
+def test_sighup_during_imports_does_not_end_the_process(harness):
     """SIGHUP arrives while the program is being imported.
 
     The system's default action ended the process. Now handlers are set up first, and the reload is played
     once the router runs.
     """
 
-    async def scene(router, connect):
+    async def steps(router, connect):
         client = await connect()
         await client.send_request(1)
         assert "200 OK" in await client.receive_response()
         router.send_signal(signal.SIGTERM)
 
     status, output = run_router_process(
-        world, ["-c", SIGNAL_DURING_IMPORT.format(number=int(signal.SIGHUP))], scene
+        harness, ["-c", SIGNAL_DURING_IMPORT.format(number=int(signal.SIGHUP))], steps
     )
     assert status == 0 and "SIGHUP: journal at" in output
 
 
-def test_sigterm_during_imports_ends_the_process_in_order(world):
+def test_sigterm_during_imports_ends_the_process_in_order(harness):
     """SIGTERM arrives while the program is being imported.
 
     The system's default action ended the process with the signal's status. Now it ends with 0, before it
     listens.
     """
 
-    async def scene(router, connect):
+    async def steps(router, connect):
         await anyio.to_thread.run_sync(router.wait)
 
     status, output = run_router_process(
-        world, ["-c", SIGNAL_DURING_IMPORT.format(number=int(signal.SIGTERM))], scene
+        harness, ["-c", SIGNAL_DURING_IMPORT.format(number=int(signal.SIGTERM))], steps
     )
     assert status == 0 and "before it listened" in output and "Traceback" not in output
 
 
-def test_sighup_up_to_the_last_moment_does_not_change_the_exit_status(world):
+def test_sighup_up_to_the_last_moment_does_not_change_the_exit_status(harness):
     """SIGHUP arrives again and again while the process ends.
 
     Its handlers were gone a while before the process was, and a reload then ended it by the default.
     """
 
-    async def scene(router, connect):
+    async def steps(router, connect):
         client = await connect()
         await client.send_request(1)
         assert "200 OK" in await client.receive_response()
@@ -592,7 +594,7 @@
             router.send_signal(signal.SIGHUP)
             await anyio.sleep(0.001)
 
-    status, output = run_router_process(world, ["-m", "quartzrouter"], scene)
+    status, output = run_router_process(harness, ["-m", "quartzrouter"], steps)
     assert status == 0 and "Traceback" not in output
 
 
@@ -608,7 +610,7 @@
         assert list(signals.pending) == [signal.SIGHUP]
 
 
-def test_what_reaches_a_stopping_router_is_answered_and_nothing_is_reset(world, monkeypatch):
+def test_what_reaches_a_stopping_router_is_answered_and_nothing_is_reset(harness, monkeypatch):
     """A router stops with a connection that nobody has accepted yet, an idle one, one with half a request and
     one whose client reads slowly.
 
@@ -616,28 +618,28 @@
     accepted, what was read is answered, and connections end one way before they are closed.
     """
     accept, stopping = listener.Listener._accept_from, []
-    world.responses = {3: [LARGE_RESPONSE]}
+    harness.responses = {3: [LARGE_RESPONSE]}
 
     def late(self, listening_socket):  # the accepting task is behind; the end itself looks
         return False if stopping and not self._scope.cancel_called else accept(self, listening_socket)
 
-    async def scene(connect):
+    async def steps(connect):
         resting, half, slow = await connect(), await connect(), await connect()
         await resting.send_request(1)
         assert "200 OK" in await resting.receive_response()
         await half.send_request(2, whole=False)
         await slow.send_request(3)
-        await wait_until(lambda: request_count(world, 3))
+        await wait_until(lambda: request_count(harness, 3))
         monkeypatch.setattr(listener.Listener, "_accept_from", late)
         stopping.append(True)
         os.kill(os.getpid(), signal.SIGTERM)
         new = await connect()
         await new.send_request(4)
         assert "503" in await new.receive_response()
-        ended = [each for each in world.router_process.client_connections.open if each.responses_ended]
+        ended = [each for each in harness.router_process.client_connections.open if each.responses_ended]
         assert len(ended) < 4
         await wait_until(
-            lambda: any(each.responses_ended for each in world.router_process.client_connections.open)
+            lambda: any(each.responses_ended for each in harness.router_process.client_connections.open)
         )
         write_at_once(resting, resting.encode_request(5))  # crosses the end, and is never begun
         assert "200 OK" in (response := await slow.receive_response()) and "end 0 0" in response
@@ -645,46 +647,46 @@
             with pytest.raises(anyio.EndOfStream):
                 while True:
                     await client.stream.receive()
-        assert not request_count(world, 5) and not request_count(world, 2)
+        assert not request_count(harness, 5) and not request_count(harness, 2)
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_clients_that_do_not_read_do_not_keep_the_process_from_exiting(world, monkeypatch):
+def test_clients_that_do_not_read_do_not_keep_the_process_from_exiting(harness, monkeypatch):
     """A router stops while a client takes none of its responses.
 
     The process never ended. Now it ends once the longest client timeout has passed.
     """
     monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)
     timeout = [kind | {"deadline_us": 1_000_000} for kind in SETUP["categories"]]
-    world.responses = {n: [LARGE_RESPONSE] for n in range(1, 31)}
+    harness.responses = {n: [LARGE_RESPONSE] for n in range(1, 31)}
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         for id in range(1, 31):
             await client.send_request(id)
         await wait_until(
-            lambda: any(each.writer.is_backlogged for each in world.router_process.client_connections.open)
+            lambda: any(each.writer.is_backlogged for each in harness.router_process.client_connections.open)
         )
         os.kill(os.getpid(), signal.SIGTERM)
-        await wait_until(lambda: not world.router_process.client_connections.open, timeout=6)
+        await wait_until(lambda: not harness.router_process.client_connections.open, timeout=6)
 
-    world.run_scene(scene, settings=SETUP | {"categories": timeout})
+    harness.run_steps(steps, settings=SETUP | {"categories": timeout})
 
 
-def test_closing_one_connection_reaches_no_other(world):
+def test_closing_one_connection_reaches_no_other(harness):
     """A connection is closed, and another one is given its descriptor.
 
     One that the event loop had closed by itself was still looked at and shut down by its number, which was
     another's by then.
     """
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         await client.send_request(1)
         assert "200 OK" in await client.receive_response()
         await anyio.sleep(0.02)
-        (pooled,) = next(iter(world.router_process.cache_connections.pool.idle.values()))
+        (pooled,) = next(iter(harness.router_process.cache_connections.pool.idle.values()))
         number = pooled.stream.raw.fileno()
         pooled.stream.close()
         one, two = socket.socketpair()
@@ -699,23 +701,23 @@
             one.close()
             two.close()
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_responses_that_are_not_taken_count_as_open_requests(world):
+def test_responses_that_are_not_taken_count_as_open_requests(harness):
     """A client asks and asks, and takes no response.
 
     Responses piled up without end. Now a request is open until its response has gone out, and open requests
     have a bound.
     """
-    world.responses = {n: [LARGE_RESPONSE] for n in range(1, 121)}
+    harness.responses = {n: [LARGE_RESPONSE] for n in range(1, 121)}
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
-        connection, *_ = world.router_process.client_connections.open
+        connection, *_ = harness.router_process.client_connections.open
         for id in range(1, 121):
             await client.send_request(id)
-            await wait_until(lambda id=id: connection.rejected_requests or request_count(world, id))
+            await wait_until(lambda id=id: connection.rejected_requests or request_count(harness, id))
             await wait_until(lambda: not connection.awaited)
             assert (
                 connection.open_requests <= client_connection.MAX_OPEN_REQUESTS
@@ -725,16 +727,16 @@
                 break
         await wait_until(lambda: connection.closing)
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 # -- clients that send badly -----------------------------------------------------------------------
 
 
-def test_a_request_that_trickles_in_is_answered_and_others_meanwhile(world):
+def test_a_request_that_trickles_in_is_answered_and_others_meanwhile(harness):
     """A client sends its request a byte at a time: it is answered, and others don't wait for it."""
 
-    async def scene(connect):
+    async def steps(connect):
         slow, other = await connect(), await connect()
         for at, byte in enumerate(slow.encode_request(1)):
             await slow.stream.send(bytes([byte]))
@@ -743,17 +745,17 @@
                 assert "200 OK" in await other.receive_response()
         assert "200 OK" in await slow.receive_response()
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_clients_that_send_much_and_leave_leave_nothing_behind(world):
+def test_clients_that_send_much_and_leave_leave_nothing_behind(harness):
     """Clients send complete requests, half ones and records for nobody, and leave at once.
 
     None of them is begun, and the memory that they held is given back.
     """
 
-    async def scene(connect):
-        service = world.router_process
+    async def steps(connect):
+        service = harness.router_process
         room = service.client_connections.free_request_memory
         for id in range(1, 21):
             flood = await connect()
@@ -763,7 +765,7 @@
                 os.write(raw_socket(flood).fileno(), data)
             end_sending(flood)
         await wait_until(lambda: not service.client_connections.open)
-        await wait_until_settled(world)
+        await wait_until_settled(harness)
         assert (
             service.client_connections.free_request_memory == room
             and not service.client_connections.by_request_id
@@ -772,19 +774,19 @@
         other = await connect()
         await other.send_request(50)
         assert "200 OK" in await other.receive_response()
-        assert [line for line in world.requests if "GET" in line and f"{50:016x}" not in line] == []
+        assert [line for line in harness.requests if "GET" in line and f"{50:016x}" not in line] == []
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_idle_clients_keep_nobody_out_while_discovery_is_down(world):
+def test_idle_clients_keep_nobody_out_while_discovery_is_down(harness):
     """Idle clients take all descriptors of a router with the least that may be configured, and no more than
     that, while its discovery service is away.
 
     New clients are served, and so is the connection to the service once it is there.
     """
 
-    async def scene(router, connect):
+    async def steps(router, connect):
         idle = [await connect() for _ in range(60)]
         for round in (1, 2):
             new = await connect()
@@ -795,20 +797,20 @@
             idle += [await connect() for _ in range(30)]
             if round == 1:
                 listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=port)
-                tasks.start_soon(listener.serve, world.serve_discovery)
-                await wait_until(lambda: "journal from 1" in world.requests)
+                tasks.start_soon(listener.serve, harness.serve_discovery)
+                await wait_until(lambda: "journal from 1" in harness.requests)
         router.send_signal(signal.SIGTERM)
 
     async def whole(router, connect):
         nonlocal tasks
         async with anyio.create_task_group() as tasks:
-            await scene(router, connect)
+            await steps(router, connect)
             await anyio.to_thread.run_sync(router.wait)
             tasks.cancel_scope.cancel()
 
     tasks, port = None, anyio.run(free_port)
     status, output = run_router_process(
-        world,
+        harness,
         ["-m", "quartzrouter"],
         whole,
         descriptors=64,
@@ -818,10 +820,10 @@
     assert status == 0 and "Traceback" not in output and "accept failed" not in output
 
 
-def test_a_rejection_for_memory_names_retry_after(world):
+def test_a_rejection_for_memory_names_retry_after(harness):
     """Requests hold all the memory that there is: the one that finds none is told when to retry."""
 
-    async def scene(connect):
+    async def steps(connect):
         client, response = await connect(), b""
         for id in range(1, 5):
             await client.send_request(id, body=bytes(40_000), whole=False)
@@ -829,7 +831,7 @@
             response += await client.stream.receive()
         assert b"Status: 503" in response and b"X-Pushback-Ms: 500\r\n" in response
 
-    world.run_scene(scene, limits={"sockets": 128, "memory_mb": 1})
+    harness.run_steps(steps, limits={"sockets": 128, "memory_mb": 1})
 
 
 def test_many_reloads_do_not_push_out_a_pending_stop():
@@ -851,7 +853,7 @@
 
 
 @pytest.mark.parametrize("at", ["connecting", "asked", "half an answer", "stopping"])
-def test_a_reload_between_two_steps_of_an_attempt_does_not_change_it(world, monkeypatch, at):
+def test_a_reload_between_two_steps_of_an_attempt_does_not_change_it(harness, monkeypatch, at):
     """SIGHUP arrives while an attempt connects, waits for its response, has half of it, or the process stops.
 
     The new discovery service is followed, and the request has its one response.
@@ -859,37 +861,37 @@
     addresses, gate = [], anyio.Event()
     held_connect = hold_connects(addresses, gate)
 
-    async def scene(connect):
-        client, service = await connect(), world.router_process
+    async def steps(connect):
+        client, service = await connect(), harness.router_process
         if at == "connecting":
             monkeypatch.setattr(connection_pool, "connect", held_connect)
-        world.responses = {
+        harness.responses = {
             1: [OK_RESPONSE[:-2], gate, OK_RESPONSE[-2:]] if at == "half an answer" else [gate, OK_RESPONSE]
         }
         await client.send_request(1)
-        await wait_until(lambda: addresses or request_count(world, 1))
+        await wait_until(lambda: addresses or request_count(harness, 1))
         async with anyio.create_task_group() as tasks:
             if at == "stopping":
                 os.kill(os.getpid(), signal.SIGTERM)
                 await wait_until(lambda: service.state_machine.is_shutting_down)
             there, told = (
-                await world.start_server(tasks, world.serve_discovery),
-                json.loads(world.config_path.read_text()),
+                await harness.start_server(tasks, harness.serve_discovery),
+                json.loads(harness.config_path.read_text()),
             )
-            world.config_path.write_text(json.dumps(told | {"journal": there}))
-            before = world.requests.count("journal from 1")
+            harness.config_path.write_text(json.dumps(told | {"journal": there}))
+            before = harness.requests.count("journal from 1")
             os.kill(os.getpid(), signal.SIGHUP)
-            await wait_until(lambda: world.requests.count("journal from 1") > before)
+            await wait_until(lambda: harness.requests.count("journal from 1") > before)
             gate.set()
             assert "200 OK b'abcde' end 0 0" in await client.receive_response()
-            assert request_count(world, 1) == 1
+            assert request_count(harness, 1) == 1
             tasks.cancel_scope.cancel()
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 @pytest.mark.parametrize("at", ["connecting", "half a frame"])
-def test_a_reload_in_the_middle_of_an_event_takes_it_from_the_new_service(world, monkeypatch, at):
+def test_a_reload_in_the_middle_of_an_event_takes_it_from_the_new_service(harness, monkeypatch, at):
     """The discovery service moves while the router connects to the old one, or has half a frame of it.
 
     The event is played once, neither twice nor never: the new service is asked from the last whole frame.
@@ -903,8 +905,8 @@
             await anyio.sleep_forever()
         return await real_connect(address)
 
-    async def scene(connect):
-        service, purged = world.router_process, []
+    async def steps(connect):
+        service, purged = harness.router_process, []
         feed = service.endpoint_watch.feed
         service.endpoint_watch.feed = lambda event: (purged.append(event), feed(event))
         await connect()
@@ -918,31 +920,31 @@
                 await anyio.sleep_forever()
 
         async with anyio.create_task_group() as tasks:
-            told = json.loads(world.config_path.read_text())
+            told = json.loads(harness.config_path.read_text())
 
             async def follow(handler):
-                world.config_path.write_text(
-                    json.dumps(told | {"journal": await world.start_server(tasks, handler)})
+                harness.config_path.write_text(
+                    json.dumps(told | {"journal": await harness.start_server(tasks, handler)})
                 )
                 os.kill(os.getpid(), signal.SIGHUP)
 
-            await wait_until(lambda: "journal from 1" in world.requests)
+            await wait_until(lambda: "journal from 1" in harness.requests)
             monkeypatch.setattr(endpoint_watch, "connect", held_connect)
             await follow(old)
             await wait_until(lambda: addresses)
             if at == "half a frame":
                 await half.wait()
-            world.discovery_frames = [purge]
-            await follow(world.serve_discovery)
+            harness.discovery_frames = [purge]
+            await follow(harness.serve_discovery)
             await wait_until(lambda: purged)
             assert purged == [events.PurgeNotice(None, f"{7:016x}", 0x019A_0000_0000 * 1_000)]
             assert service.endpoint_watch.last_sequence == 2
             tasks.cancel_scope.cancel()
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_a_discovery_service_that_resets_new_connections_is_retried(world):
+def test_a_discovery_service_that_resets_new_connections_is_retried(harness):
     """A discovery service resets connections as they come up.
 
     The error of the stream's own library ended the process. Now any failure is an OSError, and retried.
@@ -956,28 +958,28 @@
             own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             await stream.aclose()
         else:
-            await world.serve_discovery(stream)
+            await harness.serve_discovery(stream)
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         async with anyio.create_task_group() as tasks:
-            told = json.loads(world.config_path.read_text())
-            world.config_path.write_text(
-                json.dumps(told | {"journal": await world.start_server(tasks, reset)})
+            told = json.loads(harness.config_path.read_text())
+            harness.config_path.write_text(
+                json.dumps(told | {"journal": await harness.start_server(tasks, reset)})
             )
-            before = world.requests.count("journal from 1")
+            before = harness.requests.count("journal from 1")
             os.kill(os.getpid(), signal.SIGHUP)
-            await wait_until(lambda: world.requests.count("journal from 1") > before)
+            await wait_until(lambda: harness.requests.count("journal from 1") > before)
             assert len(times) == 3
             await client.send_request(1)
             assert "200 OK" in await client.receive_response()
             tasks.cancel_scope.cancel()
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
 @pytest.mark.parametrize("in_time", [True, False])
-def test_a_connection_that_opens_late_delays_nobody_and_carries_nothing_late(world, monkeypatch, in_time):
+def test_a_connection_that_opens_late_delays_nobody_and_carries_nothing_late(harness, monkeypatch, in_time):
     """A connection to a cache comes up late.
 
     Within the connect timeout it is used. Beyond, the request is retried elsewhere, and the connection is
@@ -991,7 +993,7 @@
             await gate.wait()
         return await real_connect(address)
 
-    async def scene(connect):
+    async def steps(connect):
         slow, other = await connect(), await connect()
         monkeypatch.setattr(connection_pool, "connect", held_connect)
         await slow.send_request(1)
@@ -1000,30 +1002,30 @@
             await other.send_request(id)
             assert "200 OK" in await other.receive_response()
         if in_time:
-            assert not request_count(world, 1)
+            assert not request_count(harness, 1)
             gate.set()
         assert "200 OK" in await slow.receive_response()
         gate.set()
-        await wait_until_settled(world)
-        service = world.router_process
-        assert request_count(world, 1) == 1
+        await wait_until_settled(harness)
+        service = harness.router_process
+        assert request_count(harness, 1) == 1
         assert service.cache_connections.pool.open == sum(
             map(len, service.cache_connections.pool.idle.values())
         )
 
     within = 800_000 if in_time else 50_000
     limits = SETUP["limits"] | {"dial_timeout_us": within}
-    world.run_scene(scene, settings=SETUP | {"limits": limits})
+    harness.run_steps(steps, settings=SETUP | {"limits": limits})
 
 
-def test_a_flood_of_invalid_requests_costs_few_log_lines_and_no_other_client(world, capsys):
+def test_a_flood_of_invalid_requests_costs_few_log_lines_and_no_other_client(harness, capsys):
     """Clients send what can't be used, as fast as they can.
 
     A line each would be more than a log takes, and others would wait. Lines are suppressed and counted.
     """
     floods = 200
 
-    async def scene(connect):
+    async def steps(connect):
         other = await connect()
         for at in range(floods):
             flood = await connect()
@@ -1033,8 +1035,8 @@
             if at % 20 == 0:
                 await other.send_request(1000 + at)
                 assert "200 OK" in await other.receive_response()
-        await wait_until(lambda: len(world.router_process.client_connections.open) == 1)
+        await wait_until(lambda: len(harness.router_process.client_connections.open) == 1)
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
     lines = [line for line in capsys.readouterr().err.splitlines() if "client: " in line]
     assert 0 < len(lines) < floods / 2 and not any("Traceback" in line for line in lines)
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -82,13 +82,13 @@
 
 @pytest.mark.parametrize("edge", EDGES)
 @pytest.mark.parametrize("routers", [1, 200])
-def test_a_router_serves_under_settings_at_their_limits(world, capsys, edge, routers):
+def test_a_router_serves_under_settings_at_their_limits(harness, capsys, edge, routers):
     """Settings of other customers: a section is absent, a figure is zero or huge.
 
     All endpoints have just started, as most of these figures count then.
     """
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         responses = set()
         for request_id in range(1, 9):
@@ -101,7 +101,7 @@
 
     settings = changed(SETUP | {"peers_total": routers}, **EDGES[edge])
     members = members_just_started(settings["zone"])
-    write_configuration = world.write_configuration
+    write_configuration = harness.write_configuration
 
     def write_with_members(cache, journal, **other):
         for member in members:
@@ -109,8 +109,8 @@
         known = {"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": members}}]}
         write_configuration(cache, journal, known=known, **other)
 
-    world.write_configuration = write_with_members
-    world.run_scene(scene, settings=settings)
+    harness.write_configuration = write_with_members
+    harness.run_steps(steps, settings=settings)
     errors = capsys.readouterr().err
     assert "fault" not in errors and "Traceback" not in errors
 
@@ -128,11 +128,11 @@
 
 
 @pytest.mark.parametrize("key", BROKEN)
-def test_a_configuration_that_no_router_can_serve_under_is_refused_by_its_key(world, key):
+def test_a_configuration_that_no_router_can_serve_under_is_refused_by_its_key(harness, key):
     async def run():
         port = await free_port()
-        world.write_configuration("127.0.0.1:9", "127.0.0.1:9", **BROKEN[key])
-        world.create_router({"NODE_CONFIG": str(world.config_path), "NODE_LISTEN": f"127.0.0.1:{port}"})
+        harness.write_configuration("127.0.0.1:9", "127.0.0.1:9", **BROKEN[key])
+        harness.create_router({"NODE_CONFIG": str(harness.config_path), "NODE_LISTEN": f"127.0.0.1:{port}"})
 
     with pytest.raises(ConfigurationError) as refused:
         anyio.run(run, backend_options=process.BACKEND_OPTIONS)
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize("memory", [1, 4])
-def test_large_responses_are_sent_where_response_memory_is_small(world, memory):
+def test_large_responses_are_sent_where_response_memory_is_small(harness, memory):
     """At most one large response fits in memory, and a steady stream of small ones must not starve it."""
     answered, sizes = {}, {}
 
@@ -173,16 +173,16 @@
         for id in range(1, 97):
             sizes[id] = LARGE if id % 8 == 0 else SMALL
             head = OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"%d\r\n\r\n" % sizes[id])
-            world.responses[id] = [head + bytes(sizes[id])]
+            harness.responses[id] = [head + bytes(sizes[id])]
         clients = [await connect() for _ in range(12)]
         async with anyio.create_task_group() as tasks:
             for number, client in enumerate(clients, 1):
                 tasks.start_soon(send_all, client, range(number, 97, 12))
-        response_memory = world.router_process.cache_connections.response_memory
+        response_memory = harness.router_process.cache_connections.response_memory
         size = max((memory << 20) // 8, cache_responses.MAX_BODY_SIZE)
         assert response_memory.free == size  # all memory was released
 
-    world.run_scene(run_clients, limits={"sockets": 128, "memory_mb": memory})
+    harness.run_steps(run_clients, limits={"sockets": 128, "memory_mb": memory})
     counts = {
         size: sum(good for id, good in answered.items() if sizes[id] == size) for size in (LARGE, SMALL)
     }
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -17,8 +17,8 @@
 from quartzrouter.server import process as process_module
 
 
-def test_requests_are_answered_over_one_connection(world, trace):
-    async def scene(connect):
+def test_requests_are_answered_over_one_connection(harness, trace):
+    async def steps(connect):
         client = await connect()
         await client.send_request(1, path="/health")
         trace.append(await client.receive_response())
@@ -32,11 +32,11 @@
         await (client := await connect()).send_request(11, HTTP_X_TAG="none")
         trace.append(await client.receive_response())
 
-    world.run_scene(scene)
-    trace += sorted(line for line in world.requests if line.startswith("GET"))
+    harness.run_steps(steps)
+    trace += sorted(line for line in harness.requests if line.startswith("GET"))
 
 
-def test_malformed_responses_end_at_their_connection(world, trace, capsys):
+def test_malformed_responses_end_at_their_connection(harness, trace, capsys):
     """Caches break HTTP or the protocol in many ways: a client gets a whole response or an error, no
     traceback.
     """
@@ -60,24 +60,24 @@
         16: [head + b"Content-Length: -5\r\n\r\nabcde"],
         17: [OK_RESPONSE],
     }
-    world.responses = malformed
+    harness.responses = malformed
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         for id in malformed:
             await client.send_request(id)
             trace.append(await client.receive_response())
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
     assert "Traceback" not in capsys.readouterr().err
 
 
-def test_malformed_records_end_at_their_connection(world, trace, capsys):
+def test_malformed_records_end_at_their_connection(harness, trace, capsys):
     """Clients break FastCGI in many ways: it costs them their connection or their request, and nobody
     else.
     """
 
-    async def scene(connect):
+    async def steps(connect):
         for data in (
             b"\x02" + bytes(7),
             b"GET / HTTP/1.1\r\n\r\n",
@@ -106,11 +106,11 @@
         await client.send_request(40)
         trace.append(await client.receive_response())
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
     assert "Traceback" not in capsys.readouterr().err
 
 
-def test_clients_that_bring_nothing_usable_are_answered_or_closed_soon(world, trace):
+def test_clients_that_bring_nothing_usable_are_answered_or_closed_soon(harness, trace):
     """Clients send nothing, halves, or more than is allowed: each has its final response or its end in
     time.
     """
@@ -175,9 +175,9 @@
         taken_back,
         again,
     )
-    world.responses = {9: [0.2, OK_RESPONSE]}
+    harness.responses = {9: [0.2, OK_RESPONSE]}
 
-    async def scene(connect):
+    async def steps(connect):
         outcomes = {}
 
         async def run_one(behaviour):
@@ -194,20 +194,20 @@
                 tasks.start_soon(run_one, behaviour)
         trace.extend(f"{behaviour.__name__}: {outcomes[behaviour]}" for behaviour in behaviours)
         await anyio.sleep(0.05)  # until the ends of the last clients have been read
-        asked = [line for line in world.requests if "GET" in line and f"{9:016x}" not in line]
-        clients = len(world.router_process.client_connections.open)
+        asked = [line for line in harness.requests if "GET" in line and f"{9:016x}" not in line]
+        clients = len(harness.router_process.client_connections.open)
         trace.append(f"{clients} clients, {len(asked)} dispatches for what was taken back")
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_aborts_before_and_during_a_response(world, trace):
+def test_aborts_before_and_during_a_response(harness, trace):
     """A client aborts before its response has begun, and in the middle of it: the request ends, others go
     on.
     """
-    world.responses = {1: [1.0, OK_RESPONSE], 2: [OK_RESPONSE[:-2], 1.0, b"de"]}
+    harness.responses = {1: [1.0, OK_RESPONSE], 2: [OK_RESPONSE[:-2], 1.0, b"de"]}
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         for id in (1, 2):
             await client.send_request(id)
@@ -217,17 +217,17 @@
         await client.send_request(3)
         trace.append(await client.receive_response())
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_a_client_that_reads_nothing_blocks_nobody_else(world, trace):
+def test_a_client_that_reads_nothing_blocks_nobody_else(harness, trace):
     """A client takes none of its large responses: another client's are not held up."""
     body = b"x" * 240_000
-    world.responses = {
+    harness.responses = {
         n: [OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + body] for n in range(1, 31)
     }
 
-    async def scene(connect):
+    async def steps(connect):
         slow, client = await connect(), await connect()
         for id in range(1, 31):
             await slow.send_request(id)
@@ -235,10 +235,10 @@
         await client.send_request(40)
         trace.append(await client.receive_response())
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_a_failed_discovery_service_is_resumed_from_the_last_event(world, trace):
+def test_a_failed_discovery_service_is_resumed_from_the_last_event(harness, trace):
     """A discovery service sends noise, gaps and repeats: it is connected to anew from the last event held."""
     frames = [
         frame(1, 0) + frame(2, 3, bytes(16)) + b"\x00",
@@ -249,48 +249,48 @@
         frame(3, 0),
     ]
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
-        while world.discovery_frames:
+        while harness.discovery_frames:
             await anyio.sleep(0.02)
         await client.send_request(1)
         trace.append(await client.receive_response())
 
-    world.run_scene(scene, frames)
-    trace += [line for line in world.requests if line.startswith("journal")]
+    harness.run_steps(steps, frames)
+    trace += [line for line in harness.requests if line.startswith("journal")]
 
 
-def test_sighup_follows_discovery_at_its_new_address(world, trace, capsys):
+def test_sighup_follows_discovery_at_its_new_address(harness, trace, capsys):
     """SIGHUP with broken configurations changes nothing; with a good one discovery is followed elsewhere."""
 
-    async def scene(connect):
-        client, original = await connect(), world.config_path.read_text()
+    async def steps(connect):
+        client, original = await connect(), harness.config_path.read_text()
         async with anyio.create_task_group() as tasks:
-            new_address = await world.start_server(tasks, world.serve_discovery)
-            world.discovery_frames = [frame(2, 3, bytes(16)), b"", frame(2, 3, bytes(16)) + frame(3, 0)]
+            new_address = await harness.start_server(tasks, harness.serve_discovery)
+            harness.discovery_frames = [frame(2, 3, bytes(16)), b"", frame(2, 3, bytes(16)) + frame(3, 0)]
             for text in ("{", original.replace('"127.0.0.1:1"', "7"), None, original):
                 if text is None:
                     text = json.dumps(
                         json.loads(original) | {"journal": new_address, "limits": {"sockets": 256}}
                     )
-                world.config_path.write_text(text)
+                harness.config_path.write_text(text)
                 os.kill(os.getpid(), signal.SIGHUP)
                 await anyio.sleep(0.2)
             await client.send_request(1)
             trace.append(await client.receive_response())
             tasks.cancel_scope.cancel()
 
-    world.run_scene(scene)
-    trace += [line for line in world.requests if line.startswith("journal")]
+    harness.run_steps(steps)
+    trace += [line for line in harness.requests if line.startswith("journal")]
     lines = [line for line in capsys.readouterr().err.splitlines() if "SIGHUP" in line]
-    trace += [re.sub("[0-9]{4,}", "PORT", line.replace(str(world.config_path), "FILE")) for line in lines]
+    trace += [re.sub("[0-9]{4,}", "PORT", line.replace(str(harness.config_path), "FILE")) for line in lines]
 
 
-def test_requests_are_rejected_when_descriptors_run_out(world, trace):
+def test_requests_are_rejected_when_descriptors_run_out(harness, trace):
     """All descriptors for caches are in use by responses that don't come: further requests are rejected."""
-    world.responses = {n: [3.0] for n in range(1, 200)}
+    harness.responses = {n: [3.0] for n in range(1, 200)}
 
-    async def scene(connect):
+    async def steps(connect):
         clients = [await connect() for _ in range(3)]
         for id in range(1, 97):
             await clients[id % 3].send_request(id)
@@ -300,19 +300,19 @@
                 ends.append(await clients[id % 3].receive_response())
         trace.extend(sorted({end.partition(" ")[2] for end in ends}))
         await anyio.sleep(0.6)
-        world.responses = {}
+        harness.responses = {}
         await (client := await connect()).send_request(1)
         trace.append(await client.receive_response())
-        assert 50 < world.max_open_connections < 70  # a few are closed here before they are there
+        assert 50 < harness.max_open_connections < 70  # a few are closed here before they are there
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_a_pooled_connection_that_has_ended_carries_no_request(world, trace):
+def test_a_pooled_connection_that_has_ended_carries_no_request(harness, trace):
     """Caches close pooled connections: requests that may not run twice go out on live ones only."""
-    world.responses = {n: [OK_RESPONSE, None] for n in range(1, 9)}
+    harness.responses = {n: [OK_RESPONSE, None] for n in range(1, 9)}
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         for id in range(1, 9):
             await client.send_request(id)
@@ -322,14 +322,14 @@
             await client.send_request(id, path="/rpc/sale")
             trace.append(await client.receive_response())
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
 
 
-def test_a_fault_in_a_decision_costs_one_request_only(world, trace, capsys):
+def test_a_fault_in_a_decision_costs_one_request_only(harness, trace, capsys):
     """A decision raises an error of the program: that request fails, the process and others go on."""
 
-    async def scene(connect):
-        client, decisions = await connect(), world.router_process.state_machine.router
+    async def steps(connect):
+        client, decisions = await connect(), harness.router_process.state_machine.router
         for call in ("route", "attempt_finished", "cancel_request", "maintenance"):
             setattr(decisions, call, lambda *arguments: 1 / 0)
             await client.send_request(1)
@@ -340,15 +340,15 @@
         await client.send_request(2)
         trace.append(await client.receive_response())
 
-    world.run_scene(scene)
+    harness.run_steps(steps)
     assert "ZeroDivisionError" in capsys.readouterr().err
 
 
-def test_request_memory_is_bounded_and_given_back(world, trace):
+def test_request_memory_is_bounded_and_given_back(harness, trace):
     """Clients hold more bytes of requests than there is memory: one is rejected, and all is given back."""
 
-    async def scene(connect):
-        client, room = await connect(), world.router_process.client_connections.free_request_memory
+    async def steps(connect):
+        client, room = await connect(), harness.router_process.client_connections.free_request_memory
         for id in range(1, 5):
             await client.send_request(id, body=bytes(40_000), whole=False)
         for id in (4, 1):
@@ -359,10 +359,10 @@
         await client.stream.aclose()
         await anyio.sleep(0.05)
         trace.append(
-            f"{room} bytes, at the end {world.router_process.client_connections.free_request_memory}"
+            f"{room} bytes, at the end {harness.router_process.client_connections.free_request_memory}"
         )
 
-    world.run_scene(scene, limits={"sockets": 128, "memory_mb": 1})
+    harness.run_steps(steps, limits={"sockets": 128, "memory_mb": 1})
 
 
 def test_a_client_that_floods_and_reads_nothing_is_read_slowly(trace):
@@ -409,17 +409,17 @@
     anyio.run(run, backend_options=process_module.BACKEND_OPTIONS)
 
 
-def test_idle_clients_make_room_for_a_new_one(world, trace):
+def test_idle_clients_make_room_for_a_new_one(harness, trace):
     """All client connections are in use by idle clients: one of them is closed for a new one."""
 
-    async def scene(connect):
+    async def steps(connect):
         idle = [await connect() for _ in range(25)]
         client = await connect()
         await client.send_request(1)
         trace.append(await client.receive_response())
         trace.append(await idle[0].receive_response())
 
-    world.run_scene(scene, limits={"sockets": 64})
+    harness.run_steps(steps, limits={"sockets": 64})
 
 
 def process(path, port):
@@ -427,19 +427,19 @@
     return subprocess.Popen([sys.executable, "-m", "quartzrouter"], env=environ, stderr=subprocess.PIPE)
 
 
-def test_sigterm_finishes_in_flight_requests(world, trace):
+def test_sigterm_finishes_in_flight_requests(harness, trace):
     """A process is text to stop with a request in flight, and a second one can't bind its address."""
-    world.responses = {1: [0.3, OK_RESPONSE]}
-    world.discovery_frames = []
+    harness.responses = {1: [0.3, OK_RESPONSE]}
+    harness.discovery_frames = []
 
     async def run():
         with anyio.fail_after(10):
             async with anyio.create_task_group() as tasks:
-                cache, port = await world.start_server(tasks, world.serve_cache), await free_port()
-                world.write_configuration(cache, await world.start_server(tasks, world.serve_discovery))
-                routers = [process(world.config_path, port)]
-                client = await world.connect(port)
-                second = process(world.config_path, port)
+                cache, port = await harness.start_server(tasks, harness.serve_cache), await free_port()
+                harness.write_configuration(cache, await harness.start_server(tasks, harness.serve_discovery))
+                routers = [process(harness.config_path, port)]
+                client = await harness.connect(port)
+                second = process(harness.config_path, port)
                 trace.append(
                     (await anyio.to_thread.run_sync(second.communicate))[1]
                     .decode()
@@ -453,7 +453,7 @@
                 routers[0].send_signal(signal.SIGTERM)
                 trace.append(await client.receive_response())
                 await anyio.sleep(0.6 - (time.monotonic() - began))
-                late = await world.connect(port)
+                late = await harness.connect(port)
                 await late.send_request(2)
                 trace.append(await late.receive_response())
                 error = (await anyio.to_thread.run_sync(routers[0].communicate))[1].decode()
@@ -467,23 +467,23 @@
     anyio.run(run, backend_options=process_module.BACKEND_OPTIONS)
 
 
-def test_load_reports_in_responses_follow_from_the_settings_alone(world, trace):
+def test_load_reports_in_responses_follow_from_the_settings_alone(harness, trace):
     """One program for both platforms: with load reports in responses a request is served, and the load
     known.
     """
     text = OK_RESPONSE.replace(
         b"X-Tag", b"X-Report: busy:0.61;x1:1.5\r\nX-Ttfb: 9.4\r\nX-Tell: cached\r\nX-Tag"
     )
-    world.responses = {1: [text]}
+    harness.responses = {1: [text]}
 
-    async def scene(connect):
+    async def steps(connect):
         client = await connect()
         await client.send_request(1)
         trace.append(await client.receive_response())
-        router = world.router_process.state_machine.router
+        router = harness.router_process.state_machine.router
         reported = [report.utilization for report in router.load.reports.values()]
         trace.append(f"busy {reported}, link {router.location_link.utilization > 0}")
 
     for how in ("silent", "piggyback"):
         trace.append(f"load_report.how = {how}")
-        world.run_scene(scene, settings=SETUP | {"load_report": {"how": how, "fields": ["busy", "x1"]}})
+        harness.run_steps(steps, settings=SETUP | {"load_report": {"how": how, "fields": ["busy", "x1"]}})
--- a/tests/test_restarts.py
+++ b/tests/test_restarts.py
@@ -14,7 +14,7 @@
 NINE_IN_TEN_WITHIN, ALL_WITHIN = 10.0, 30.0  # s within which nine in ten, and all, have to be ready
 
 
-def test_routers_started_together_are_ready_by_their_initial_snapshot(world, capsys):
+def test_routers_started_together_are_ready_by_their_initial_snapshot(harness, capsys):
     """Twenty routers start at once while discovery is down: the endpoints in their configuration are
     enough.
     """
@@ -22,7 +22,7 @@
     async def first_answer(port, began):
         """s until /health is 200 for the first time, as a front asks it."""
         while True:
-            client = await world.connect(port)
+            client = await harness.connect(port)
             await client.send_request(1, path="/health")
             response = await client.receive_response()
             await client.stream.aclose()
@@ -33,12 +33,12 @@
     async def run():
         routers, durations = [], []
         cache, ports = "127.0.0.1:9", [await free_port() for _ in range(ROUTERS)]
-        world.write_configuration(cache, f"127.0.0.1:{await free_port()}")  # discovery is down
+        harness.write_configuration(cache, f"127.0.0.1:{await free_port()}")  # discovery is down
         began = time.monotonic()
         try:
             for port in ports:
                 environ = os.environ | {
-                    "NODE_CONFIG": str(world.config_path),
+                    "NODE_CONFIG": str(harness.config_path),
                     "NODE_LISTEN": f"127.0.0.1:{port}",
                 }
                 command = [sys.executable, "-m", "quartzrouter"]
--- a/tests/test_spin_guard.py
+++ b/tests/test_spin_guard.py
@@ -15,7 +15,7 @@
 
 import anyio
 import pytest
-from standins import OK_RESPONSE, World, free_port
+from standins import OK_RESPONSE, RouterHarness, free_port
 
 from quartzrouter.server import process
 from quartzrouter.server.event_loop import BACKEND_OPTIONS, EventLoop
@@ -77,7 +77,7 @@
     """A router in a process of its own, its clients, and what each of them got when."""
 
     def __init__(self, tmp_path, program):
-        self.world = World(tmp_path)
+        self.world = RouterHarness(tmp_path)
         self.program = program
         self.outcomes = {}  # by request id
         self.output = ""
--- a/tests/test_standalone.py
+++ b/tests/test_standalone.py
@@ -9,7 +9,7 @@
 import anyio
 import pytest
 from conftest import frame
-from standins import OK_RESPONSE, World, free_port, with_tag_of_request
+from standins import OK_RESPONSE, RouterHarness, free_port, with_tag_of_request
 
 from quartzrouter.config.loader import load
 from quartzrouter.fakes.loopback import request_heads
@@ -35,7 +35,7 @@
 }"""
 
 
-class StandaloneWorld(World):
+class StandaloneWorld(RouterHarness):
     """A router under a plan, with a fake for each store, for the hub and for the origin.
 
     ``limits`` and ``near_pool`` are parts of the plan; ``served_by`` and ``heads`` list requests to caches.
