--- a/quartzrouter/server/cache_connection.py
+++ b/quartzrouter/server/cache_connection.py
@@ -11,22 +11,24 @@
 from quartzrouter.server.ring_buffer import RingBuffer
 from quartzrouter.server.stream import Pending, Stream
 
-READ_BUFFER_SIZE = 1 << 15  # bytes: most responses in one or two reads
+READ_BUFFER_SIZE = 1 << 15  # bytes; most responses fit in one or two reads
 WRITE_BUFFER_SIZE = 1 << 14  # bytes
-# bytes in a socket's own buffer, read whole at once: a fast sender may not fill the memory
+# Bytes in the socket's own receive buffer. It can be read in one call, and its limit keeps a fast sender from
+# filling the memory.
 SOCKET_RECEIVE_BUFFER = 1 << 16
 MAX_HEAD_SIZE = 1 << 14  # bytes of a response's head
 
-# What h11 is told was sent: it reads the response by this, and the bytes that go out are written here.
+# The request that h11 is told was sent, so that it can parse the response. The bytes that are really sent are
+# written by CacheConnection.send_request.
 REQUEST_FOR_H11 = h11.Request(method="GET", target="/", headers=[("Host", "cache")])
 
 
 class LastExchange(NamedTuple):
-    """A response, as far as one that comes behind it may have to be told from it."""
+    """The last response on a connection: what is needed to detect that it is sent a second time."""
 
     target: str
     received_at: float  # s of the loop's clock
-    copy: CopyIdentity | None  # None: nothing tells it from another
+    copy: CopyIdentity | None  # None: the response doesn't identify its copy
 
 
 class CacheConnection:
@@ -34,7 +36,7 @@
 
     :param stream: the connection, which the pool closes.
     :param address: an IP address and a port.
-    :param ready_at: s of the loop's clock from which on it may carry a request.
+    :param ready_at: the time from which the connection may carry a request, in s of the loop's clock.
     """
 
     def __init__(self, stream: Stream, address: tuple[str, int], ready_at: float):
@@ -48,9 +50,9 @@
         stream.raw.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_RECEIVE_BUFFER)
 
     async def send_request(self, target: str, headers: list[tuple[str, str]], body: bytes) -> None:
-        """Sends a request; raises what ``attempt_failure.CONNECTION_LOST`` lists.
+        """Sends a request; raises the exceptions that ``attempt_failure.CONNECTION_LOST`` lists.
 
-        :param headers: name and value, beside Host and Content-Length.
+        :param headers: names and values of the header fields other than Host and Content-Length.
         """
         self._http.send(REQUEST_FOR_H11)
         self._http.send(h11.EndOfMessage())
@@ -69,9 +71,9 @@
     async def next_event(self) -> h11.Event:
         """Reads the next part of the response: an interim or final head, data, or its end.
 
-        Raises what ``attempt_failure.CONNECTION_LOST`` lists.
+        Raises the exceptions that ``attempt_failure.CONNECTION_LOST`` lists.
 
-        :raises h11.RemoteProtocolError: the bytes are no HTTP.
+        :raises h11.RemoteProtocolError: if the bytes are not HTTP.
         """
         while (event := self._http.next_event()) is h11.NEED_DATA:
             if not len(self._incoming):
@@ -83,7 +85,7 @@
         return event
 
     def _last_event(self, end_of_stream: anyio.EndOfStream) -> h11.Event:
-        """What the end of the stream ends: a response that has no other end, else it broke off."""
+        """Returns the end of a response that its connection ends; raises if the response is truncated."""
         self._http.receive_data(b"")
         try:
             event = self._http.next_event()
@@ -94,15 +96,16 @@
         return event
 
     def repeats_last_response(self, request: SendRequest, sent_at: float, copy: CopyIdentity | None) -> bool:
-        """Tells whether a response can only be the last one, sent once more.
+        """Returns True if a response can only be a repetition of the last one.
 
-        Guards against a second response that arrives after the next request was written: the client of
-        that request would get another chunk's bytes. It is one where its copy is another target's, or was
-        here longer ago than this request allows (a purge of the object came between them). A cache's own
-        response with the same copy, as young as it must be, does as well.
+        Guards against a repeated response that arrives after the next request was sent: the client of that
+        request would get another chunk's bytes. A response with the same copy as the last one is a
+        repetition if the last request had another target, or if the last response came longer ago than this
+        request's maximum age allows (the object was purged between them). Otherwise it doesn't matter which
+        of the two it is: the copy is the right one, and recent enough.
 
-        :param sent_at: s of the loop's clock, when the request went out.
-        :param copy: what the response names.
+        :param sent_at: when the request was sent, in s of the loop's clock.
+        :param copy: the copy that the response names.
         """
         last = self.last_exchange
         if last is None or copy is None or copy != last.copy:
@@ -110,23 +113,23 @@
         return request.target != last.target or sent_at - last.received_at >= max_copy_age(request.headers)
 
     def is_quiet(self) -> bool:
-        """Whether nothing has come since the last response, no end either.
+        """Returns True if neither data nor an end of the connection has arrived since the last response.
 
-        A request goes out on a live connection only.
+        Requests are sent only on connections that are still open.
         """
         return self.stream.pending() is Pending.QUIET
 
     @property
     def is_reusable(self) -> bool:
-        """Whether both sides are done, and nothing came behind the response."""
+        """Returns True if both sides are done, and no data followed the response."""
         both_done = self._http.our_state is h11.DONE and self._http.their_state is h11.DONE
         return both_done and not len(self._incoming) and not self._http.trailing_data[0]
 
     def start_next_exchange(self, last: LastExchange, ready_at: float) -> None:
-        """Makes a reusable connection ready for its next request.
+        """Prepares a reusable connection for its next request.
 
-        :param last: the exchange that is over.
-        :param ready_at: s of the loop's clock from which on it may carry a request.
+        :param last: the exchange that has ended.
+        :param ready_at: the time from which the connection may carry a request, in s of the loop's clock.
         """
         self._http.start_next_cycle()
         self.last_exchange = last
--- a/quartzrouter/server/cache_connections.py
+++ b/quartzrouter/server/cache_connections.py
@@ -22,21 +22,21 @@
 from quartzrouter.server.effects import OpenConnection, SendRequest, StartHealthCheck
 from quartzrouter.server.events import AttemptEnded, ConnectionReady, Event, HealthCheckDone
 
-MAX_INTERIM_RESPONSES = 8  # of 1xx ahead of the one that counts: more are no response
+MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one; with more, the response is malformed
 HEALTH_CHECK_TARGET = "/alive"
 
 
 class AttemptOwner(Protocol):
-    """Whoever an attempt is made for, on the side of the client."""
+    """The client's side of an attempt: it supplies the request and takes the response."""
 
     async def read_pending(self) -> None:
-        """Returns once what the client has sent by now is read."""
+        """Returns once everything that the client has sent so far is read."""
 
     async def request_to_send(self) -> SendRequest:
-        """Waits for the request, which is decided on once the connection is ready."""
+        """Waits for the request, which is decided once the connection is ready."""
 
     def call_when_sent(self, callback: Callable[[], None]) -> None:
-        """Calls the callback once the response is on its way to the client."""
+        """Calls the callback once no part of the response to the client is queued any more."""
 
 
 class CacheConnections:
@@ -44,10 +44,10 @@
 
     :param feed: takes events.
     :param pool: the connections to caches.
-    :param response_memory: bytes that responses may hold until their clients have them; at least one
-        response always fits.
-    :param read_copy: makes more of a response's header fields than the platform's protocol does.
-    :param with_load_report: whether caches report their load in responses.
+    :param response_memory: bytes that responses may hold until they are sent to their clients; raised if
+        needed, so that at least one response always fits.
+    :param read_copy: reads header fields beyond those of the platform's protocol, see ``parse_head``.
+    :param with_load_report: True if caches report their load in responses.
     """
 
     def __init__(
@@ -70,12 +70,12 @@
         await Attempt(self, order, owner).run()
 
     def cancel_attempt(self, request_id: int, attempt_number: int) -> None:
-        """Ends an attempt's connection now, ahead of its task: the next attempt may go out at once."""
+        """Ends an attempt's connection now, before its task does: the next attempt may start at once."""
         if connection := self.in_use.get((request_id, attempt_number)):
             connection.stream.shutdown()
 
     async def check_health(self, order: StartHealthCheck) -> None:
-        """Makes one health check; feeds HealthCheckDone, whatever happens."""
+        """Makes one health check; always feeds HealthCheckDone, also if the check fails."""
         endpoint, address, timeout = order
         status = AttemptStatus.ERROR
         connection = None
@@ -111,12 +111,12 @@
 class Attempt:
     """One attempt at a request, from connecting to its end.
 
-    A response is held until it is whole: one that breaks off may then be requested again elsewhere, and
-    nothing of it reaches the client.
+    A response is buffered until it is complete. If it is truncated, the request can be sent again to another
+    endpoint, and no part of the truncated response reaches the client.
 
-    :param connections: shared with other attempts.
-    :param order: where to connect, and for which request.
-    :param owner: the request's side.
+    :param connections: the connections and limits that are shared with other attempts.
+    :param order: the endpoint to connect to, and the request.
+    :param owner: supplies the request and takes the response.
     """
 
     def __init__(self, connections: CacheConnections, order: OpenConnection, owner: AttemptOwner):
@@ -132,7 +132,7 @@
         self._copy: CopyIdentity | None = None
 
     async def run(self) -> None:
-        """Makes the attempt; a failure of any kind ends it with AttemptEnded."""
+        """Makes the attempt; any failure is reported as AttemptEnded."""
         try:
             await self._connect()
             await self._exchange()
@@ -152,13 +152,14 @@
                 self._pool.discard(self._connection)
 
     async def _connect(self) -> None:
-        """Gets a connection on which nothing has come.
+        """Gets an open connection on which no data has arrived.
 
-        Guards against a request written to a connection that its cache has just ended: one that may not
-        run twice could not be tried again. The connection is looked at once more after the client's bytes
-        are read, and a pooled one that has ended is replaced.
+        Guards against a request written to a connection that its cache has just closed: a request that may
+        not run twice could then not be retried. The connection is checked again after the client's bytes are
+        read, and a pooled one that has been closed is replaced.
 
-        :raises ConnectionUnavailableError: none could be had, or a new one ended, or spoke, at once.
+        :raises ConnectionUnavailableError: if there is none, or a new one was closed or received data before
+            the request.
         """
         while True:
             self._connection = await self._pool.acquire(self._endpoint, self._address)
@@ -167,7 +168,9 @@
             if self._connection.is_quiet():
                 return
             if self._connection.last_exchange is None:
-                raise ConnectionUnavailableError(FailureCause.RESET, "ended, or spoke, before it was asked")
+                raise ConnectionUnavailableError(
+                    FailureCause.RESET, "closed, or sent data, before the request"
+                )
             self._pool.discard(self._connection)
             self._connection = None
 
@@ -188,16 +191,16 @@
             else:
                 interim_responses += 1
                 if interim_responses > MAX_INTERIM_RESPONSES:
-                    raise MalformedResponseError("1xx without end")
+                    raise MalformedResponseError("too many 1xx responses")
         self._succeed(request)
 
     async def _handle_head(self, response: h11.Response, request: SendRequest, sent_at: float) -> None:
-        """Feeds the head, and waits for room for the body."""
+        """Feeds the head, and waits until there is memory for the body."""
         self._stage = AttemptStage.RECEIVING
         fields = cache_responses.header_fields(response)
         self._copy = cache_responses.copy_identity(fields)
         if self._connection.repeats_last_response(request, sent_at, self._copy):
-            raise MalformedResponseError("the answer before it, once more")
+            raise MalformedResponseError("the previous response, sent again")
         head = cache_responses.parse_head(
             self._request_id,
             self._number,
@@ -213,13 +216,13 @@
 
     def _handle_data(self, data: bytes) -> None:
         if len(self._body) + len(data) > self._reserved:
-            raise MalformedResponseError(f"an answer of more than {self._reserved} bytes")
+            raise MalformedResponseError(f"a body of more than {self._reserved} bytes")
         self._body += data
 
     def _succeed(self, request: SendRequest) -> None:
-        """Feeds the whole response; its bytes are given back once the client has them."""
+        """Feeds the complete response; its memory is released once it has been sent to the client."""
         response_memory = self._connections.response_memory
-        response_memory.give(self._reserved - len(self._body))  # of a response that announced no length
+        response_memory.give(self._reserved - len(self._body))  # more was reserved if there was no length
         self._reserved = len(self._body)
         self._end()
         connection = self._connection
@@ -231,7 +234,7 @@
     def _end(self, cause: FailureCause | None = None, detail: object = "") -> None:
         """Feeds the end of the attempt.
 
-        :param cause: of a failure; None where it has succeeded.
+        :param cause: why the attempt failed; None if it succeeded.
         """
         self._has_ended = True
         failure = None if cause is None else AttemptFailure(self._stage, cause, f"{self._endpoint}: {detail}")
--- a/quartzrouter/server/cache_protocol.py
+++ b/quartzrouter/server/cache_protocol.py
@@ -1,17 +1,17 @@
-"""The platform's protocol between routers and caches: the one place that knows its field names.
+"""The platform's protocol between routers and caches: requests, and the meaning of status codes.
 
-What is written to a cache is made here from a decision, and what a cache's status code means for the
-attempt is said here.  The headers, as the platform's page names them:
+Encodes a routing decision as the target and headers of a request, and maps the status code of a response to
+the status of the attempt.  The headers, as the platform specifies them:
 
 =============== ======================================================================
 X-Hop-Id        the client's correlation id, the same for each attempt
 X-Budget        milliseconds that the cache has for the whole response
 X-Replay-Key    the idempotency key
-X-Parent        where the cache fills a miss from, where that is not the cache itself
-X-Rank          the priority with which the object is kept; absent: it isn't kept
+X-Parent        the endpoint that the cache fills a miss from, if that is not the cache itself
+X-Rank          the priority with which the object is kept; if absent, it isn't kept
 X-Fresh-Ms      the oldest copy that may be served, in milliseconds of age
 X-Opts          "ride": the request may be collapsed with others for the same object;
-                "update": a stale copy is revalidated in the background
+                "update": a stale copy is revalidated in the background; both are joined by "+"
 X-Have          the entity tag of the copy that the client holds
 =============== ======================================================================
 """
@@ -32,14 +32,14 @@
 
 
 def request_target(client_request: ClientRequest) -> str:
-    """The path under which a cache has the chunk that a request asks for."""
+    """Returns the path under which a cache has the chunk that a request asks for."""
     return f"/x/{client_request.traffic_class}/{client_request.object_key}/{client_request.chunk}"
 
 
 def request_headers(
     client_request: ClientRequest, decision: Forward, time_left: int
 ) -> list[tuple[str, str]]:
-    """The headers of an attempt, in the order in which they are sent.
+    """Returns the headers of an attempt, in the order in which they are sent.
 
     :param time_left: microseconds until the attempt times out.
     """
@@ -68,7 +68,7 @@
 
 
 def attempt_status(head: ResponseHead) -> AttemptStatus:
-    """What a complete response says of its attempt."""
+    """Returns the status of an attempt that has a complete response."""
     if head.status in (HTTP_OK, HTTP_NOT_MODIFIED):
         return AttemptStatus.SUCCEEDED
     if head.status == HTTP_NOT_FOUND:
@@ -81,5 +81,5 @@
 
 
 def _milliseconds(duration: int) -> str:
-    """Whole milliseconds, rounded down, and at least 1: 0 would mean that there is no limit."""
+    """Encodes microseconds as milliseconds, rounded down, at least 1: 0 would mean that there is no limit."""
     return str(max(1, duration // MICROSECONDS_PER_MS))
--- a/quartzrouter/server/cache_responses.py
+++ b/quartzrouter/server/cache_responses.py
@@ -1,6 +1,6 @@
-"""Heads of caches' responses: what their header fields say of the copy, the fill and the load.
+"""Parses the heads of caches' responses: the copy, the fill and the load that their header fields report.
 
-The names of the platform's header fields stand here and nowhere behind it. No sockets, no state.
+Translates the platform's names of the header fields to the router's. It has no sockets and no state.
 """
 
 import math
@@ -14,11 +14,11 @@
 from quartzrouter.server.events import ResponseHead
 
 MAX_BODY_SIZE = 240_000  # bytes: no chunk of an object is longer
-MAX_FIGURE = 1e9  # of a figure in a header field: what is more is no figure
-MAX_LOAD_REPORT_LENGTH = 256  # characters: four values take less
-MAX_AGE_HEADER = "X-Fresh-Ms"  # of a request: the oldest copy that will do, in ms
+MAX_NUMBER = 1e9  # numbers in header fields must be less; others are ignored
+MAX_LOAD_REPORT_LENGTH = 256  # characters; four values take less
+MAX_AGE_HEADER = "X-Fresh-Ms"  # request header: the greatest age of a copy that the request accepts, in ms
 
-# What a cache says of how it got the copy, in X-Tell.
+# Values of X-Tell, in which a cache reports how it got the copy.
 FILL_STATUSES = {
     "cached": FillStatus.HIT,
     "fetched": FillStatus.FROM_PARENT,
@@ -37,11 +37,11 @@
 
 
 class MalformedResponseError(ServerError):
-    """A response that HTTP allows and the platform's protocol doesn't; ends the connection."""
+    """A response that is valid HTTP but not valid in the platform's protocol; ends the connection."""
 
 
 class CopyIdentity(NamedTuple):
-    """What tells the copy in a response from other copies."""
+    """The header fields that identify the copy in a response."""
 
     tag: str
     created: str | None
@@ -49,12 +49,12 @@
 
 
 def header_fields(response: h11.Response) -> HeaderFields:
-    """The header fields of a response by name, in lower case."""
+    """Returns the header fields of a response by name, in lower case."""
     return {name.decode("latin-1"): value.decode("latin-1") for name, value in response.headers}
 
 
 def copy_identity(fields: HeaderFields) -> CopyIdentity | None:
-    """Which copy a response carries; None where it says none."""
+    """Returns the identity of the copy in a response; None if the response has no tag."""
     tag = fields.get("x-tag")
     if not tag:
         return None
@@ -62,7 +62,7 @@
 
 
 def max_copy_age(request_headers: list[tuple[str, str]]) -> float:
-    """How old a copy a request takes, in seconds; infinite where it doesn't say."""
+    """Returns the greatest age of a copy that a request accepts, in seconds; infinite if it sets none."""
     for name, value in request_headers:
         if name == MAX_AGE_HEADER:
             return int(value) / 1e3
@@ -77,21 +77,22 @@
     read_copy: CopyReader | None = None,
     with_load_report: bool = False,
 ) -> ResponseHead:
-    """Reads what the head of a response says.
+    """Parses the head of a response.
 
-    :param request_id: of the request.
+    :param request_id: the request that is answered.
     :param status: the HTTP status.
-    :param read_copy: makes more of the fields than the platform's protocol does, where the response
-        names its copy.
-    :param with_load_report: whether caches report their load in responses.
-    :raises MalformedResponseError: it has no length, one that is too long, or an unknown fill status.
+    :param read_copy: reads fields beyond those of the platform's protocol; called if the response names its
+        copy, and its result becomes ``ResponseHead.cached_copy``.
+    :param with_load_report: True if caches report their load in responses.
+    :raises MalformedResponseError: if the head has no length, a length above the limit, or an unknown fill
+        status.
     """
     length = fields.get("content-length")
     is_chunked = "chunked" in fields.get("transfer-encoding", "")
     if status == 200 and length is None and not is_chunked:
-        raise MalformedResponseError("an answer without a length")
+        raise MalformedResponseError("a response without a length")
     if length is not None and int(length) > MAX_BODY_SIZE:
-        raise MalformedResponseError(f"an answer of {length} bytes")
+        raise MalformedResponseError(f"a body of {length} bytes")
     names_copy = bool(fields.get("x-tag")) and fields.get("x-minted", "").isdecimal()
     return ResponseHead(
         request_id,
@@ -107,9 +108,9 @@
 
 
 def parse_fill_status(fields: HeaderFields) -> FillStatus:
-    """Reads how a cache got the copy; UNKNOWN where it doesn't say.
+    """Parses how a cache got the copy; UNKNOWN if the response doesn't say.
 
-    :raises MalformedResponseError: it says what isn't known here.
+    :raises MalformedResponseError: if the value is not one of ``FILL_STATUSES``.
     """
     text = fields.get("x-tell")
     if text is None:
@@ -120,23 +121,23 @@
 
 
 def parse_load_report(fields: HeaderFields) -> LoadReport:
-    """Reads a load report as in ``busy:0.61;x1:1.2``, and the ms until the fill source's first byte.
+    """Parses a load report such as ``busy:0.61;x1:1.2``, and the time until the fill source's first byte.
 
-    What can't be used is passed over: a response may do without it.
+    Invalid values are ignored, because all of these values are optional.
     """
     load = {}
     for pair in fields.get("x-report", "")[:MAX_LOAD_REPORT_LENGTH].split(";"):
         name, _, value = pair.partition(":")
-        load[name.strip()] = parse_figure(value)
-    first_byte_ms = parse_figure(fields.get("x-ttfb"))
+        load[name.strip()] = parse_number(value)
+    first_byte_ms = parse_number(fields.get("x-ttfb"))
     time_to_first_byte = None if first_byte_ms is None else int(first_byte_ms * 1000)
     return LoadReport(time_to_first_byte, load.get("busy", load.get("util")), load.get("x1"))
 
 
-def parse_figure(text: str | None) -> float | None:
-    """Reads a figure that a response may do without; None where it can't be used."""
+def parse_number(text: str | None) -> float | None:
+    """Parses an optional number; returns None if it is missing, invalid, negative or too large."""
     try:
         value = float(text or "")
     except ValueError:
         return None
-    return value if 0 <= value < MAX_FIGURE else None
+    return value if 0 <= value < MAX_NUMBER else None
