--- a/quartzrouter/server/cache_connection.py
+++ b/quartzrouter/server/cache_connection.py
@@ -13,8 +13,8 @@
 
 READ_BUFFER_SIZE = 1 << 15  # bytes; most responses fit in one or two reads
 WRITE_BUFFER_SIZE = 1 << 14  # bytes
-# Bytes in the socket's own receive buffer. It can be read in one call, and its limit keeps a fast sender from
-# filling the memory.
+# Bytes in the socket's own receive buffer. All of them are read at once, so the size limits the memory that a
+# fast sender can fill.
 SOCKET_RECEIVE_BUFFER = 1 << 16
 MAX_HEAD_SIZE = 1 << 14  # bytes of a response's head
 
--- a/quartzrouter/server/client_connection.py
+++ b/quartzrouter/server/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: FastCGI records in, complete requests out as events, responses back."""
+"""One client's connection: reads requests from FastCGI records, hands them on as events, writes responses."""
 
 import socket
 import sys
@@ -20,39 +20,40 @@
 if TYPE_CHECKING:
     from quartzrouter.server.client_connections import ClientConnections
 
-READ_BUFFER_SIZE = 1 << 14  # bytes: longer records are taken in pieces
-MAX_OPEN_REQUESTS = 32  # on one connection, each until its response has gone out
-MAX_REJECTED_REQUESTS = 32  # on one connection; then it is closed
-MAX_IGNORED_BYTES = 1 << 18  # bytes that come behind a response; then no further request is begun
+READ_BUFFER_SIZE = 1 << 14  # bytes; longer records are read in pieces
+MAX_OPEN_REQUESTS = 32  # per connection; a request is open until its response has been sent
+MAX_REJECTED_REQUESTS = 32  # per connection, which is then closed
+MAX_IGNORED_BYTES = 1 << 18  # bytes received after a response; beyond, no further request is accepted
 
-# s between reads of a client that doesn't take its responses: what a receive buffer holds is then read
-# within 0.1 s, an abort or an end with it.
+# Seconds between reads from a client that doesn't read its responses. All that a receive buffer holds is then
+# read within 0.1 s, including an abort or the end of the connection.
 BACKLOG_READ_INTERVAL = 0.02
-# Reads in a row before complete requests go on: more than a receive buffer holds; an abort may be behind.
+# Consecutive reads before complete requests are handed on. They read more than a receive buffer holds, and so
+# find an abort that follows the requests.
 MAX_CONSECUTIVE_READS = 8
-# Iterations of the loop in which that much is read, two a read.
+# Iterations of the event loop in which as many reads happen, two iterations for each.
 PENDING_READ_ITERATIONS = 2 * MAX_CONSECUTIVE_READS
 
-LAST_DATA_RECEIVED = slice(52, 56)  # of struct tcp_info: tcpi_last_data_recv, ms since bytes last came
+LAST_DATA_RECEIVED = slice(52, 56)  # tcpi_last_data_recv in struct tcp_info: ms since data last arrived
 
 
 @dataclass(slots=True)
 class AwaitedResponse:
-    """A request whose response its client awaits."""
+    """A request that was handed on, and whose response hasn't been queued yet."""
 
-    fastcgi_id: int  # of its FastCGI records
+    fastcgi_id: int
     keep_connection: bool
     size: int  # bytes of request memory that it holds
 
 
 class ClientConnection:
-    """One client's connection: its requests, and what is to be written to it.
+    """One client's connection: its requests, and the responses to be written.
 
-    A request is incoming until all of its records have come, under the id that its client gave it
-    (``fastcgi_id``). Then it gets a ``request_id``, a number of the router's own, and is handed on as an
-    event; its response is awaited until ``respond``.
+    A request is incoming until all of its records have arrived, under the id that its client gave it
+    (``fastcgi_id``). Then it gets a ``request_id``, a number that the router assigns, and is handed on as an
+    event. Its response is awaited until ``respond`` is called.
 
-    :param connections: all of the process's, with the limits that they share.
+    :param connections: all clients' connections of the process, and the limits that they share.
     :param stream: the connection, which its creator closes.
     """
 
@@ -62,32 +63,32 @@
         self._incoming_bytes = RingBuffer(READ_BUFFER_SIZE)
         self._records = fastcgi.RecordReader(self._incoming_bytes)
         self.incoming: dict[int, IncomingRequest] = {}  # by FastCGI id
-        self.request_ids: dict[int, int] = {}  # by FastCGI id; their responses are awaited
+        self.request_ids: dict[int, int] = {}  # by FastCGI id, of requests whose responses are awaited
         self.awaited: dict[int, AwaitedResponse] = {}  # by request id
         self.writer = ResponseWriter(stream, self._may_finish)
-        self.scope = anyio.CancelScope()  # of the task that serves it
+        self.scope = anyio.CancelScope()  # cancels the task that serves the connection
         self.rejected_requests = 0
-        self.has_begun_request = False  # whether any request on it could be used
-        self.ignored_bytes = 0  # that came after the response to their request, or after all responses
-        self.closing = False  # no further request is begun, and it ends once all have their responses
-        self.responses_ended = False  # the end of the responses was written: what comes now is dropped
+        self.has_begun_request = False  # True once a request has been handed on
+        self.ignored_bytes = 0  # received after the response to their request, or after all responses
+        self.closing = False  # no further request is accepted; the connection ends after the last response
+        self.responses_ended = False  # sending has ended; data that arrives now is dropped
         now = anyio.current_time()
         self.opened_at = now  # s of the loop's clock
-        self.last_active_at = now  # when bytes last came, or a response went
+        self.last_active_at = now  # when data last arrived, or a response was queued; s of the loop's clock
 
     # -- reading -----------------------------------------------------------------------------------
 
     async def read(self) -> None:
-        """Reads until the client has gone, whatever else holds; slowly where responses pile up.
+        """Reads until the client has gone, and slowly while it doesn't read its responses.
 
-        Guards against requests begun for nobody: one that is read late may have its client's end, a
-        reset or an ABORT_REQUEST right behind it. So all that has arrived is read, to a bound, before any
-        complete request is begun. And the reading never stops: where it stopped for responses that the
-        client didn't take, neither an abort nor an end was noticed.
+        Guards against running requests whose client has gone: a request that is read late may be followed by
+        the end of its connection, a reset or an ABORT_REQUEST. So all data that has arrived is read, up to a
+        limit, before any complete request is handed on. Reading also never stops: when it stopped while the
+        client didn't read its responses, neither an abort nor the end of the connection was noticed.
 
-        Raises what ``attempt_failure.CONNECTION_LOST`` lists.
+        Raises the exceptions that ``attempt_failure.CONNECTION_LOST`` lists.
 
-        :raises fastcgi.ProtocolError: the client doesn't speak FastCGI.
+        :raises fastcgi.ProtocolError: if the client doesn't follow the FastCGI specification.
         """
         consecutive_reads = 0
         while True:
@@ -111,11 +112,11 @@
                 self._begin_request(fastcgi_id, queueing_time)
 
     async def read_pending(self, request_id: int) -> None:
-        """Returns once what the client has sent by now is read, or after a few iterations of the loop.
+        """Returns once all data that the client has sent is read, or after some iterations of the loop.
 
-        Guards against an attempt for a client that has gone, though a busy process hasn't read that yet.
+        Guards against an attempt for a client that has gone, which a busy process may not have read yet.
 
-        :param request_id: the request that the attempt is for.
+        :param request_id: the request that the attempt is made for.
         """
         for _ in range(PENDING_READ_ITERATIONS):
             pending = self.stream.pending()
@@ -128,14 +129,14 @@
 
     @property
     def open_requests(self) -> int:
-        """Requests that are open to their client: until the end of a response has gone out."""
+        """The number of open requests; a request is open until its whole response has been sent."""
         return len(self.incoming) + len(self.request_ids) + self.writer.unsent_responses
 
     @property
     def time_since_last_byte(self) -> int:
-        """Microseconds since bytes last arrived, as the kernel tells; 0 where it doesn't.
+        """Microseconds since data last arrived, as reported by the kernel; 0 if it reports nothing.
 
-        A router short of CPU reads requests late, whose time runs already.
+        A router short of CPU reads requests late, and the time until then counts against their timeouts.
         """
         try:
             tcp_info = self.stream.raw.getsockopt(
@@ -166,10 +167,13 @@
             else:
                 self._ignore_content(content)
         elif record_type != RecordType.DATA:
-            raise fastcgi.ProtocolError(f"a record of type {record_type} for req {fastcgi_id}")
+            raise fastcgi.ProtocolError(f"unexpected record of type {record_type} for request {fastcgi_id}")
 
     def _handle_management_record(self, record_type: int, content: bytes) -> None:
-        """Answers a record about the connection; not while responses pile up, else these would, too."""
+        """Answers a record about the connection, except while the client doesn't read its responses.
+
+        Otherwise these answers would accumulate as well.
+        """
         if self.writer.is_backlogged:
             self._count_rejection([])
         elif record_type == RecordType.GET_VALUES:
@@ -185,7 +189,7 @@
             self.writer.queue(NO_REQUEST, [fastcgi.encode_unknown_type(record_type)])
 
     def _ignore_content(self, content: bytes) -> None:
-        """Ignores what comes of a request after its response; much of it closes the connection."""
+        """Ignores content of a request that has its response; beyond a limit it closes the connection."""
         self.ignored_bytes += len(content)
         if self.ignored_bytes > MAX_IGNORED_BYTES and not self.closing:
             self.close_when_answered()
@@ -193,12 +197,13 @@
     def _handle_begin(self, fastcgi_id: int, content: bytes) -> None:
         role, flags = fastcgi.decode_begin_request(content)
         if fastcgi_id in self.incoming or fastcgi_id in self.request_ids:
-            raise fastcgi.ProtocolError(f"record id {fastcgi_id} is taken")
+            raise fastcgi.ProtocolError(f"request id {fastcgi_id} is already in use")
         if role != fastcgi.ROLE_RESPONDER:
             refusal = fastcgi.encode_end_request(fastcgi_id, protocol_status=ProtocolStatus.UNKNOWN_ROLE)
             self._count_rejection([refusal])
         elif self.closing or self.open_requests >= MAX_OPEN_REQUESTS:
-            # Its client may send it again. Where responses pile up, it gets no answer that would add to them.
+            # The client may send the request again. No refusal is queued while the client doesn't read its
+            # responses.
             refusal = fastcgi.encode_end_request(fastcgi_id, protocol_status=ProtocolStatus.OVERLOADED)
             self._count_rejection([] if self.writer.is_backlogged else [refusal])
         else:
@@ -219,7 +224,7 @@
     def _handle_content(
         self, fastcgi_id: int, incoming: IncomingRequest, record_type: int, content: bytes
     ) -> None:
-        """Handles a record of a request; one that can't be used is rejected now, whatever still comes."""
+        """Handles a record of a request; an invalid request is rejected at once, before its other records."""
         size_before = incoming.size
         try:
             if content:
@@ -239,7 +244,7 @@
     def _begin_request(self, fastcgi_id: int, queueing_time: int) -> None:
         """Hands on a complete request, which its client has not aborted.
 
-        :param queueing_time: us that it has lain unread.
+        :param queueing_time: microseconds for which the request waited unread.
         """
         incoming = self.incoming.pop(fastcgi_id)
         request_id = self._connections.issue_request_id(self)
@@ -255,7 +260,7 @@
     # -- rejecting ---------------------------------------------------------------------------------
 
     def reject_invalid(self, fastcgi_id: int, error: ServerError) -> None:
-        """Responds to an incoming request that can't be used."""
+        """Rejects an incoming request that is invalid, with a response that says why."""
         self._connections.log.say("client", f"invalid request: {error}")
         status = error.status if isinstance(error, InvalidRequestError) else 400
         self._reject(fastcgi_id, responses.invalid(status, str(error)))
@@ -267,7 +272,7 @@
         self._count_rejection(fastcgi.encode_response(fastcgi_id, response))
 
     def _count_rejection(self, records: list[bytes]) -> None:
-        """Answers what can't be used with these records; after many the connection is closed."""
+        """Queues the records that reject a request; closes the connection after many rejections."""
         self.rejected_requests += 1
         self.closing |= self.rejected_requests >= MAX_REJECTED_REQUESTS
         if records:
@@ -276,15 +281,15 @@
     # -- responding --------------------------------------------------------------------------------
 
     def respond(self, request_id: int, response: bytes, completed: bool = True) -> None:
-        """Sends the one response to a request; nothing where it has had it.
+        """Queues the only response to a request; does nothing if it already has one.
 
         :param response: status, headers and body.
-        :param completed: False where the request was aborted, and only its end is written.
+        :param completed: False if the request was aborted; then only END_REQUEST is written.
         """
         if request_id not in self.awaited:
             return
         awaited = self.awaited.pop(request_id)
-        self.last_active_at = anyio.current_time()  # a client may ask again for as long after its response
+        self.last_active_at = anyio.current_time()  # the idle timeout starts anew with the response
         del self.request_ids[awaited.fastcgi_id]
         self._connections.by_request_id.pop(request_id, None)
         self._connections.free_request_memory += awaited.size
@@ -296,32 +301,32 @@
         self.writer.queue(request_id, records)
 
     def call_when_sent(self, request_id: int, callback: Callable[[], None]) -> None:
-        """Calls the callback once the response to a request is on its way."""
+        """Calls the callback once no part of the response to a request is queued any more."""
         self.writer.call_when_sent(request_id, callback)
 
     # -- closing -----------------------------------------------------------------------------------
 
     @property
     def is_idle(self) -> bool:
-        """Whether it is owed nothing and brings nothing."""
+        """Returns True if no request is incoming or awaits its response, and nothing is left to write."""
         return not (self.awaited or self.incoming or self.writer.has_unsent)
 
     def _may_finish(self) -> bool:
         return self.closing and not (self.awaited or self.incoming)
 
     def close_when_answered(self) -> None:
-        """Begins no further request, and closes it once all have their responses."""
+        """Accepts no further request, and closes the connection once all requests have their responses."""
         self.closing = True
         self.writer.recheck()
 
     def close_if_idle(self) -> bool:
-        """Closes an idle connection at once, unless there is something on it that wasn't read yet.
+        """Closes an idle connection at once, unless there is unread data on it.
 
-        Guards against a reset that takes the last response with it: one side is ended first, then what
-        has arrived is read and dropped. A request that comes between the look and the end is dropped, so
-        never begun, and its bytes reset nothing.
+        Guards against a reset, with which the client would lose the last response: sending is ended first,
+        then data that has arrived is read and dropped. A request that arrives between the check for unread
+        data and the end of sending is dropped and never begun, and its bytes cause no reset.
 
-        :returns: whether it is closed.
+        :returns: True if the connection was closed.
         """
         if not self.is_idle or self.stream.pending() is Pending.UNREAD:
             return False
@@ -333,7 +338,7 @@
         return True
 
     def abandon_requests(self) -> None:
-        """Gives up all requests, for a client that has gone, and gives back what they held."""
+        """Drops all requests of a client that has gone, and releases their memory."""
         self._connections.free_request_memory += sum(incoming.size for incoming in self.incoming.values())
         for request_id, awaited in list(self.awaited.items()):
             self._connections.free_request_memory += awaited.size
--- a/quartzrouter/server/client_connections.py
+++ b/quartzrouter/server/client_connections.py
@@ -1,4 +1,4 @@
-"""All clients' connections: which are admitted, served, and given up; the limits that they share."""
+"""All clients' connections: admits, serves and closes them within the limits that they share."""
 
 import contextlib
 from collections.abc import Callable
@@ -13,28 +13,32 @@
 from quartzrouter.server.request_reader import InvalidRequestError, ParamsParser
 from quartzrouter.server.stream import Pending, Stream
 
-SWEEP_INTERVAL = 0.25  # s between looks for connections whose time is over
-SEND_TIMEOUT = 10.0  # s in which a client takes no byte of its responses: then it counts as gone
-# s from a connection's start to its first complete request, and for each request: no front server waits.
+SWEEP_INTERVAL = 0.25  # s between checks for overdue requests and connections
+SEND_TIMEOUT = 10.0  # s; a client to which a write has been blocked for so long counts as gone
+# Seconds from the start of a connection to its first complete request, and from the first record of a request
+# to its last. Front servers send a request without pauses.
 REQUEST_TIMEOUT = 2.0
-IDLE_TIMEOUT = 6.0  # s without a byte or an open request: front servers close after 4 s themselves
-# s in which what crosses the end of a connection is read and dropped, so that the last responses arrive.
+IDLE_TIMEOUT = 6.0  # s without data or an open request; front servers close idle connections after 4 s
+# Seconds for which data that arrives after the end of sending is read and dropped. Otherwise the close would
+# reset the connection, and the client could lose its last responses.
 LINGER_TIME = 0.5
-# Idle connections among which one that its client has closed is looked for: 25 us each.
+# The number of idle connections that are checked for one that its client has closed; a check takes 25 us.
 MAX_IDLE_PEEKS = 2
-# s in which a new connection's first request may still be on its way; then it is given up first.
+# Seconds in which the first request of a new connection may still arrive. Later, a connection without a
+# request is among the first to be closed.
 FIRST_REQUEST_GRACE = 0.25
 
 
 class ClientConnections:
-    """Serves clients' connections, to a bound on their number and on the bytes of their requests.
+    """Serves clients' connections, within limits on their number and on the bytes of their requests.
 
     :param feed: takes events.
-    :param max_connections: that may be open at once.
+    :param max_connections: the number of connections that may be open at once.
     :param request_memory: bytes that requests of all clients may hold.
-    :param parse_params: makes a request of a client's parameters.
-    :param log: is told of clients that misbehave.
-    :param retry_after: us, named to a client whose request finds no memory; 0: no time is named.
+    :param parse_params: parses the parameters of a request.
+    :param log: receives lines about invalid requests and lost connections.
+    :param retry_after: microseconds after which a client may retry that was rejected for lack of memory; 0
+        names no time.
     """
 
     def __init__(
@@ -54,27 +58,27 @@
         self.retry_after = retry_after
         self.by_request_id: dict[int, ClientConnection] = {}  # of requests whose response is awaited
         self.open: set[ClientConnection] = set()
-        self.admitted = 0  # connections that were admitted, and aren't served yet
+        self.admitted = 0  # connections that were admitted and are not yet in ``open``
         self._last_request_id = 0
 
     @property
     def all_read(self) -> bool:
-        """Whether nothing has arrived that this process hasn't read."""
+        """Returns True if no connection has unread data."""
         return not any(client.stream.pending() is Pending.UNREAD for client in self.open)
 
     def issue_request_id(self, client: ClientConnection) -> int:
-        """Numbers a request of this client, from 1."""
+        """Returns the id of a new request of this client; ids count from 1."""
         self._last_request_id += 1
         self.by_request_id[self._last_request_id] = client
         return self._last_request_id
 
     def close_when_answered(self) -> None:
-        """Closes all connections, each once its requests have their responses."""
+        """Closes each connection once its requests have their responses."""
         for client in self.open:
             client.close_when_answered()
 
     def admit(self) -> bool:
-        """Tells whether one more connection may be served; an idle one makes room for it."""
+        """Returns True if one more connection may be served; closes an idle one for it if necessary."""
         if len(self.open) + self.admitted >= self.max_connections and not self._close_one_idle():
             self.log.say("client", "connection limit reached: a new connection is closed")
             return False
@@ -82,7 +86,7 @@
         return True
 
     async def serve(self, stream: Stream) -> None:
-        """Serves one connection that was admitted, to its end; raises nothing."""
+        """Serves one admitted connection to its end; failures are logged and not raised."""
         self.admitted -= 1
         client = ClientConnection(self, stream)
         self.open.add(client)
@@ -109,7 +113,7 @@
             tasks.cancel_scope.cancel()
 
     async def _write(self, client: ClientConnection, tasks: anyio.abc.TaskGroup) -> None:
-        """Writes responses; at their end lingers, so that a close over unread bytes resets nothing."""
+        """Writes responses; afterwards lingers, so that no unread data makes the close a reset."""
         with contextlib.suppress(*CONNECTION_LOST):
             await client.writer.run()
             client.responses_ended = True
@@ -118,13 +122,13 @@
         tasks.cancel_scope.cancel()
 
     def _close_one_idle(self) -> bool:
-        """Closes an idle connection on which nothing waits to be read.
+        """Closes one idle connection that has no unread data.
 
-        First one that its client has closed, then one that was silent from the start, then the one that
-        was silent longest. Guards against a lost request: a busy process hasn't read all that has
-        arrived, so each is looked at right before.
+        Prefers a connection that its client has closed, then one that has never sent a request, then the one
+        that has been inactive for longest. Guards against a lost request: a busy process hasn't read all data
+        that has arrived, so each connection is checked right before it is closed.
 
-        :returns: whether one was closed.
+        :returns: True if one was closed.
         """
         grace_start = anyio.current_time() - FIRST_REQUEST_GRACE
 
@@ -146,7 +150,7 @@
         return first_quiet is not None and first_quiet.close_if_idle()
 
     async def sweep(self) -> None:
-        """Gives up clients that bring nothing complete, ask nothing more, or take no response."""
+        """Repeatedly rejects overdue requests and closes overdue connections; runs until it is cancelled."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL)
             now = anyio.current_time()
@@ -155,7 +159,7 @@
                 self._close_overdue(client, now)
 
     def _reject_overdue(self, client: ClientConnection, now: float) -> None:
-        """Rejects requests of which records have been coming for too long."""
+        """Rejects requests that are still incomplete after ``REQUEST_TIMEOUT``."""
         overdue = [
             fastcgi_id
             for fastcgi_id, incoming in client.incoming.items()
@@ -165,9 +169,9 @@
             client.reject_invalid(fastcgi_id, InvalidRequestError("still not whole", 408))
 
     def _close_overdue(self, client: ClientConnection, now: float) -> None:
-        """Closes a connection whose time is over."""
+        """Closes a connection that has exceeded one of its timeouts."""
         if len(client.writer.buffer) and now - client.writer.sending_since > SEND_TIMEOUT:
-            self.log.say("client", f"connection closed: its client took no byte for {SEND_TIMEOUT:.0f} s")
+            self.log.say("client", f"connection closed: writing was blocked for {SEND_TIMEOUT:.0f} s")
             client.scope.cancel()
         elif client.has_begun_request:
             if now - client.last_active_at > IDLE_TIMEOUT:
--- a/quartzrouter/server/connection_pool.py
+++ b/quartzrouter/server/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to caches, pooled by endpoint, and the bound on their number."""
+"""Connections to caches, pooled by endpoint, and the limit on their number."""
 
 import errno
 from bisect import bisect_right, insort
@@ -12,24 +12,27 @@
 from quartzrouter.server.errors import ServerError
 from quartzrouter.server.stream import connect
 
-# s for which a connection waits before it is used again, so that a stray second response is noticed in the
-# meantime and not taken for the next request's.
+# Seconds before a connection is used again. A response that its cache sends twice is detected in that time,
+# and not taken for the response to the next request.
 REUSE_DELAY = 0.005
-# The same, after a response that names no copy: a second one could not be told from the next request's.
+# Seconds before a connection is used again after a response that names no copy. If such a response is sent
+# twice, it can't be distinguished from the response to the next request.
 REUSE_DELAY_AFTER_UNNAMED_COPY = 0.05
-IDLE_SHARE = 0.8  # of the configured idle time: then we close a pooled connection, before its cache does
+# Part of the configured idle timeout after which a pooled connection is closed, before its cache closes it.
+IDLE_SHARE = 0.8
 SWEEPS_PER_IDLE_TIME = 10
 
 LOCAL_SHORTAGE_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
-RESET_ERRORS = (errno.ECONNRESET, errno.EPIPE, errno.ECONNABORTED)  # somebody had listened
+RESET_ERRORS = (errno.ECONNRESET, errno.EPIPE, errno.ECONNABORTED)  # the cache listened, then dropped it
 
 by_ready_at = attrgetter("ready_at")
 
 
 class ConnectionUnavailableError(ServerError):
-    """No connection to a cache could be had; nothing was sent.
+    """No connection to a cache is available; nothing was sent.
 
-    :param cause: why.
+    :param cause: why there is none.
+    :param detail: text for the log.
     """
 
     def __init__(self, cause: FailureCause, detail: str = ""):
@@ -38,29 +41,29 @@
 
     @property
     def failure(self) -> AttemptFailure:
-        """The same, as a failure of whatever needed the connection."""
+        """The error as a failure of the attempt or health check that needed the connection."""
         return AttemptFailure(AttemptStage.CONNECTING, self.cause, str(self))
 
 
 class ConnectionPool:
-    """Connections to caches: opened, kept for the next request, closed when idle.
+    """Opens connections to caches, keeps them for further requests, and closes them when they are idle.
 
-    :param max_connections: that may be open at once, with those that are coming up.
-    :param idle_timeout: s after which caches close an idle connection.
-    :param connect_timeout: s.
+    :param max_connections: the number that may be open at once, including those that are being opened.
+    :param idle_timeout: seconds after which caches close an idle connection.
+    :param connect_timeout: seconds after which opening a connection fails.
     """
 
     def __init__(self, max_connections: int, idle_timeout: float, connect_timeout: float):
         self.max_connections = max_connections
         self.idle_timeout = idle_timeout * IDLE_SHARE
         self.connect_timeout = connect_timeout
-        self.idle: dict[str, list[CacheConnection]] = {}  # by endpoint, by the time they are ready
-        self.open = 0  # connections, and those that are coming up
+        self.idle: dict[str, list[CacheConnection]] = {}  # by endpoint, each list in order of ``ready_at``
+        self.open = 0  # number of connections that are open or being opened
 
     async def acquire(self, endpoint: str, address: tuple[str, int]) -> CacheConnection:
-        """Takes a pooled connection, or opens one.
+        """Takes a connection from the pool, or opens one.
 
-        :raises ConnectionUnavailableError: none could be had.
+        :raises ConnectionUnavailableError: if the limit is reached, or the connection can't be opened.
         """
         pooled = self._take_idle(endpoint, address)
         if pooled is not None:
@@ -70,7 +73,7 @@
         return await self._open(address)
 
     def _take_idle(self, endpoint: str, address: tuple[str, int]) -> CacheConnection | None:
-        """Takes the last used connection that is ready; closes those that can't be used any more."""
+        """Takes the most recently used connection that is ready; closes those that can't be used any more."""
         connections = self.idle.get(endpoint, [])
         while True:
             now = anyio.current_time()
@@ -92,7 +95,7 @@
             connection = CacheConnection(stream, address, anyio.current_time())
             return connection
         except TimeoutError:
-            raise ConnectionUnavailableError(FailureCause.REFUSED, "no connection in time") from None
+            raise ConnectionUnavailableError(FailureCause.REFUSED, "connect timeout") from None
         except OSError as error:
             raise ConnectionUnavailableError(_connect_failure_cause(error), str(error)) from None
         finally:
@@ -100,7 +103,7 @@
                 self.open -= 1
 
     def _close_longest_idle(self) -> bool:
-        """Closes the pooled connection that has been idle for longest; False where there is none."""
+        """Closes the pooled connection that has been idle for longest; returns False if there is none."""
         longest_idle = [
             (connections[0].ready_at, endpoint) for endpoint, connections in self.idle.items() if connections
         ]
@@ -113,13 +116,13 @@
     def release(
         self, endpoint: str, connection: CacheConnection, target: str, copy: CopyIdentity | None
     ) -> None:
-        """Keeps a connection for the next request, or closes it where it can't be used again.
+        """Keeps a connection for the next request, or closes it if it can't be used again.
 
-        Guards against a second response: it would be taken for the next request's. So the connection
-        waits before it is used again, for longer where nothing tells the responses apart.
+        Guards against a response that is sent twice, and would be taken for the response to the next request.
+        So the connection isn't used again for a while, and for longer if responses can't be distinguished.
 
-        :param target: of the request whose response has come.
-        :param copy: what that response named.
+        :param target: the target of the request that has been answered.
+        :param copy: the copy that the response named.
         """
         if not connection.is_reusable:
             self.discard(connection)
@@ -140,7 +143,7 @@
             self.discard(connection)
 
     async def sweep(self) -> None:
-        """Closes what has been idle for nearly as long as caches keep it; runs for ever."""
+        """Closes connections before their caches do, because they are idle; runs until it is cancelled."""
         while True:
             await anyio.sleep(self.idle_timeout / SWEEPS_PER_IDLE_TIME)
             idle_since = anyio.current_time() - self.idle_timeout
--- a/quartzrouter/server/fastcgi.py
+++ b/quartzrouter/server/fastcgi.py
@@ -1,7 +1,7 @@
-"""FastCGI 1.0 records, both ways: no sockets, and no state beyond the bytes that are handed in.
+"""Decodes and encodes FastCGI 1.0 records, without sockets.
 
-Names are those of the FastCGI specification. ``RecordReader`` decodes what clients send; the ``encode_``
-functions make what goes to them.
+Names are those of the FastCGI specification. ``RecordReader`` decodes records from clients; the ``encode_``
+functions encode records for them.
 """
 
 import struct
@@ -29,7 +29,7 @@
 
 
 class ProtocolStatus(IntEnum):
-    """Why a request has ended, as END_REQUEST says it."""
+    """Why a request has ended, as reported in END_REQUEST."""
 
     REQUEST_COMPLETE = 0
     CANT_MPX_CONN = 1
@@ -37,19 +37,19 @@
     UNKNOWN_ROLE = 3
 
 
-MANAGEMENT_ID = 0  # request id of records that are about the connection, not about a request
+MANAGEMENT_ID = 0  # request id of records that concern the connection, not a request
 ROLE_RESPONDER = 1
-FLAG_KEEP_CONNECTION = 1  # of BEGIN_REQUEST: the connection outlives the request
+FLAG_KEEP_CONNECTION = 1  # in BEGIN_REQUEST: the connection stays open after the request
 VERSION = 1
-APP_STATUS_COMPLETED = 0  # of END_REQUEST: all of the response was written before it
+APP_STATUS_COMPLETED = 0  # in END_REQUEST: the whole response was written before it
 APP_STATUS_ABORTED = 1
 
 RECORD_HEADER = struct.Struct(">BBHHBx")  # version, type, request id, content length, padding length
 BEGIN_REQUEST_BODY = struct.Struct(">HB5x")  # role, flags
 END_REQUEST_BODY = struct.Struct(">IB3x")  # application status, protocol status
-ALIGNMENT = 8  # bytes: contents are padded to a multiple of it, as the specification recommends
+ALIGNMENT = 8  # bytes; contents are padded to a multiple of it, as the specification recommends
 
-# Contents of these are taken in pieces, as they come, so that no record has to fit into a ring buffer.
+# Contents of these types are read in pieces as they arrive, so a record may be longer than a ring buffer.
 STREAM_TYPES = (
     RecordType.PARAMS,
     RecordType.STDIN,
@@ -57,45 +57,45 @@
     RecordType.STDERR,
     RecordType.DATA,
 )
-MAX_DISCRETE_CONTENT = 4_096  # bytes in a record of any other type: these are read whole
-# Bytes of content in a STDOUT record of ours. Responses on one connection take turns at records, so this
-# bounds how long a large one keeps a small one waiting.
+MAX_DISCRETE_CONTENT = 4_096  # bytes in a record of any other type, which is read whole
+# Bytes of content in a STDOUT record that is sent. The responses on one connection send one record each in
+# turn, so this limits how long a large response delays a small one.
 MAX_STDOUT_CONTENT = 16_376
 
-LONG_LENGTH_FLAG = 0x80  # of a length's first byte in a name-value pair: it has four bytes, not one
+LONG_LENGTH_FLAG = 0x80  # in the first byte of a length in a name-value pair: it has four bytes, not one
 LONG_LENGTH_MASK = 0x7FFFFFFF
 
 
 class ProtocolError(ServerError):
-    """Bytes that are not FastCGI, or records that may not follow each other; ends the connection."""
+    """The bytes are not FastCGI, or a record is not allowed at its place."""
 
 
 class Record(NamedTuple):
-    """A record as it was read, or a piece of one that belongs to a stream."""
+    """A whole record, or a piece of a record of one of the ``STREAM_TYPES``."""
 
-    record_type: int  # any byte: types that the specification doesn't know come too
+    record_type: int  # any byte, as clients may also send types that the specification doesn't define
     request_id: int
     content: bytes
 
 
 class RecordReader:
-    """Reads records out of a ring buffer, which may be shorter than a record of a stream.
+    """Reads records from a ring buffer, which may be shorter than a record of one of the ``STREAM_TYPES``.
 
-    :param ring: what the connection's reader fills.
+    :param ring: the bytes that were received.
     """
 
     def __init__(self, ring: RingBuffer):
         self._ring = ring
         self._record_type = 0
         self._request_id = 0
-        self._content_left = 0  # bytes of the record that are still to be read
+        self._content_left = 0  # bytes of the record's content that are still to be read
         self._padding_left = 0
 
     def next(self) -> Record | None:
-        """Reads the next record, or what has come of a stream's record.
+        """Reads the next record, or the available piece of a record of one of the ``STREAM_TYPES``.
 
-        :returns: None where more bytes are needed.
-        :raises ProtocolError: the bytes are no record, or one that is too long.
+        :returns: None if more bytes are needed.
+        :raises ProtocolError: if the bytes are not a record, or the record is too long.
         """
         if not self._content_left:
             if not self._skip_padding() or len(self._ring) < RECORD_HEADER.size:
@@ -111,7 +111,7 @@
         return Record(self._record_type, self._request_id, content)
 
     def _skip_padding(self) -> bool:
-        """Skips the padding after the last record; False where some of it has yet to come."""
+        """Skips the padding after the last record; returns False if some of it hasn't arrived yet."""
         available = min(self._padding_left, len(self._ring))
         self._ring.drop(available)
         self._padding_left -= available
@@ -121,7 +121,7 @@
         header = RECORD_HEADER.unpack(self._ring.take(RECORD_HEADER.size))
         version, self._record_type, self._request_id, self._content_left, self._padding_left = header
         if version != VERSION:
-            raise ProtocolError(f"version {version}")
+            raise ProtocolError(f"unsupported FastCGI version {version}")
         if self._record_type not in STREAM_TYPES and self._content_left > MAX_DISCRETE_CONTENT:
             raise ProtocolError(f"a record of type {self._record_type} with {self._content_left} bytes")
 
@@ -130,18 +130,18 @@
     """Decodes the content of a BEGIN_REQUEST.
 
     :returns: the role and the flags.
-    :raises ProtocolError: it has a wrong length.
+    :raises ProtocolError: if it has a wrong length.
     """
     if len(content) != BEGIN_REQUEST_BODY.size:
-        raise ProtocolError("BEGIN_REQUEST of a wrong length")
+        raise ProtocolError("BEGIN_REQUEST has a wrong length")
     role, flags = BEGIN_REQUEST_BODY.unpack(content)
     return role, flags
 
 
 def decode_pairs(data: bytes) -> dict[str, str]:
-    """Decodes name-value pairs; names and values are taken as Latin-1, as CGI has them.
+    """Decodes name-value pairs; names and values are decoded as Latin-1, as is usual in CGI.
 
-    :raises ProtocolError: the data ends within a pair.
+    :raises ProtocolError: if the data ends within a pair.
     """
     pairs = {}
     text = data.decode("latin-1")
@@ -159,7 +159,7 @@
 
 
 def _decode_length(data: bytes, position: int) -> tuple[int, int]:
-    """Decodes the length at a position; returns it with the position behind it."""
+    """Decodes the length at a position; returns it and the position after it."""
     is_long = position < len(data) and data[position] & LONG_LENGTH_FLAG
     size = 4 if is_long else 1
     end = position + size
@@ -181,7 +181,7 @@
 
 
 def encode_stdout(request_id: int, data: bytes) -> list[bytes]:
-    """Encodes a piece of a response, without the end of the stream."""
+    """Encodes data of a response as STDOUT records, without the end of the stream."""
     return [
         encode_record(RecordType.STDOUT, request_id, data[start : start + MAX_STDOUT_CONTENT])
         for start in range(0, len(data), MAX_STDOUT_CONTENT)
@@ -201,7 +201,7 @@
 ) -> bytes:
     """Encodes the record that ends a request.
 
-    :param completed: False where the request was aborted, and its response isn't whole.
+    :param completed: False if the request was aborted, so that its response is incomplete.
     """
     app_status = APP_STATUS_COMPLETED if completed else APP_STATUS_ABORTED
     content = END_REQUEST_BODY.pack(app_status, protocol_status)
@@ -209,12 +209,12 @@
 
 
 def encode_unknown_type(record_type: int) -> bytes:
-    """Encodes the answer to a management record of a type that isn't known here."""
+    """Encodes the answer to a management record of an unknown type."""
     return encode_record(RecordType.UNKNOWN_TYPE, MANAGEMENT_ID, bytes((record_type,)) + bytes(7))
 
 
 def encode_values_result(requested: dict[str, str], values: dict[str, int]) -> bytes:
-    """Encodes the answer to GET_VALUES: of the names that are requested, those with a value here."""
+    """Encodes the answer to GET_VALUES: the requested names that have a value here, with their values."""
     content = b""
     for name in requested:
         if name in values:
--- a/quartzrouter/server/listener.py
+++ b/quartzrouter/server/listener.py
@@ -1,4 +1,4 @@
-"""Accepting clients' connections."""
+"""Accepts clients' connections."""
 
 import socket
 
@@ -8,20 +8,22 @@
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 from quartzrouter.server.stream import Stream
 
-BACKLOG = 1024  # connections that wait to be accepted
-# Bytes in a socket's own buffer, read whole at once: a fast sender may not fill the memory.
+BACKLOG = 1024  # connections that may wait to be accepted
+# Bytes in the socket's own receive buffer. All of them are read at once, so the size limits the memory that a
+# fast sender can fill.
 SOCKET_RECEIVE_BUFFER = 1 << 15
-# Connections accepted at a wake-up. One at a time would fall behind in a busy process; more would be short
-# of descriptors, as connections that make room hold theirs until the next iteration of the loop.
+# Connections accepted at one wake-up. Accepting one at a time would fall behind in a busy process. With more,
+# descriptors would run out, as connections that are closed to make room hold theirs until the next iteration
+# of the event loop.
 MAX_ACCEPTED_AT_ONCE = 8
-RETRY_DELAY = 0.05  # s after an accept that failed
+RETRY_DELAY = 0.05  # seconds after a failed accept
 
 
 class Listener:
     """The sockets that clients connect to.
 
-    :param clients: admits and serves what is accepted.
-    :param log: is told of what fails.
+    :param clients: admits and serves the accepted connections.
+    :param log: receives lines about failures.
     """
 
     def __init__(self, clients: ClientConnections, log: RateLimitedLog):
@@ -29,48 +31,50 @@
         self._log = log
         self.sockets: list[socket.socket] = []
         self._tasks: anyio.abc.TaskGroup
-        self._scope: anyio.CancelScope  # of the tasks that accept, once it runs
+        self._scope: anyio.CancelScope  # cancels the tasks that accept connections; set by ``run``
 
     @property
     def is_open(self) -> bool:
-        """Whether clients may still connect."""
+        """Returns True while clients can connect."""
         return bool(self.sockets)
 
     async def open(self, host: str, port: int) -> None:
-        """Listens; connections wait until ``run`` accepts them.
+        """Starts to listen; connections wait until ``run`` accepts them.
 
-        :raises OSError: the address can't be bound.
+        :raises OSError: if the address can't be bound.
         """
         listeners = await anyio.create_tcp_listener(local_host=host, local_port=port, backlog=BACKLOG)
         self.sockets = [
             listener.extra(anyio.abc.SocketAttribute.raw_socket) for listener in listeners.listeners
         ]
-        for listening_socket in self.sockets:  # accepted sockets inherit it
+        for listening_socket in self.sockets:  # accepted sockets inherit the size
             listening_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_RECEIVE_BUFFER)
 
     async def run(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Accepts connections until ``stop``, then what still waits, and closes the sockets.
+        """Accepts connections until ``stop``, then those that still wait, and closes the listening sockets.
 
-        :param tasks: runs what serves each connection.
+        :param tasks: runs a task for each connection.
         """
         self._tasks = tasks
         with anyio.CancelScope() as self._scope:
             async with anyio.create_task_group() as accepting:
                 for listening_socket in self.sockets:
                     accepting.start_soon(self._accept_forever, listening_socket)
-        while self.accept_waiting():  # nobody waits for these descriptors any more
+        while self.accept_waiting():  # no task waits for these sockets any more
             pass
         while self.sockets:
             self.sockets.pop().close()
 
     def stop(self) -> None:
-        """Ends accepting; ``is_open`` tells when the sockets are closed."""
+        """Stops accepting; ``is_open`` is False once the sockets are closed."""
         self._scope.cancel()
 
     def accept_waiting(self) -> bool:
-        """Accepts what waits, to a bound; tells whether there was anything.
+        """Accepts waiting connections, up to a limit, without waiting for the event loop.
 
-        It asks the kernel right now, for the end of the process.
+        It is used when the process ends.
+
+        :returns: True if there were any.
         """
         try:
             return any([self._accept_from(listening_socket) for listening_socket in self.sockets])
@@ -88,10 +92,10 @@
                 await anyio.sleep(RETRY_DELAY)
 
     def _accept_from(self, listening_socket: socket.socket) -> bool:
-        """Accepts what waits at one socket, to a bound.
+        """Accepts the connections that wait at one socket, up to a limit.
 
-        :returns: whether there was anything.
-        :raises OSError: the system has no descriptors or memory left.
+        :returns: True if there were any.
+        :raises OSError: if the system has no descriptors or memory left.
         """
         for accepted_count in range(MAX_ACCEPTED_AT_ONCE):
             try:
@@ -100,7 +104,7 @@
                 return accepted_count > 0
             try:
                 stream = Stream(accepted)
-            except OSError as error:  # it has ended already, say
+            except OSError as error:  # for example, the connection has already ended
                 self._log.say("client", f"connection ended: {error}")
                 accepted.close()
                 continue
--- a/quartzrouter/server/request_reader.py
+++ b/quartzrouter/server/request_reader.py
@@ -1,6 +1,6 @@
-"""From FastCGI records to a request: limits, the fields that clients send, and what is wrong with them.
+"""Assembles requests from the content of FastCGI records, checks their limits, and parses their parameters.
 
-The names of the platform's header fields stand here and nowhere behind it.
+Translates the platform's names of the header fields to the router's.
 """
 
 import re
@@ -12,26 +12,26 @@
 
 MAX_PARAMS_SIZE = 1 << 14  # bytes
 MAX_BODY_SIZE = 48_000  # bytes
-MAX_DEADLINE_MS = 3_600_000  # an hour; a longer one is taken for a mistake
-MAX_TAG = 255  # a purge names a group of objects in one byte
+MAX_DEADLINE_MS = 3_600_000  # one hour; a longer deadline is assumed to be a mistake
+MAX_TAG = 255  # purges by tag encode the tag in one byte
 HEALTH_PATH = "/health"
 
 TOKEN_PATTERN = re.compile(r"[0-9a-f]{16}", re.ASCII | re.IGNORECASE)
 KEY_PATTERN = re.compile(r"[0-9a-f]{32}", re.ASCII | re.IGNORECASE)
 NUMBER_PATTERN = re.compile(r"[0-9]{1,9}", re.ASCII)
 
-# Makes a request of a client's parameters; raises InvalidRequestError.
+# Parses the parameters of a request; raises InvalidRequestError.
 ParamsParser = Callable[[dict[str, str]], ClientRequest]
 
 
 class RequestMemoryError(ServerError):
-    """Requests of all clients hold as many bytes as they may; this one is rejected with 503."""
+    """All clients' requests together hold as many bytes as allowed; the request is rejected with 503."""
 
 
 class InvalidRequestError(ServerError):
-    """A request that gets its final response at once.
+    """A request is invalid, and is rejected at once.
 
-    :param reason: what is wrong with it, for whoever wrote the client.
+    :param reason: what is wrong; sent to the client as the body of the response.
     :param status: the HTTP status of the response.
     """
 
@@ -41,37 +41,37 @@
 
 
 class IncomingRequest:
-    """A request of which records are still coming.
+    """A request whose records are still arriving.
 
-    :param keep_connection: its client wants the connection to outlive it.
-    :param started_at: s of the loop's clock.
+    :param keep_connection: True if its client wants to keep the connection open after the request.
+    :param started_at: when its first record arrived, in s of the loop's clock.
     """
 
     def __init__(self, keep_connection: bool, started_at: float):
         self.keep_connection = keep_connection
         self.started_at = started_at
         self.is_complete = False
-        self.request: ClientRequest | None = None  # once the parameters are there; None for a health query
+        self.request: ClientRequest | None = None  # set by ``end_params``; None for a health query
         self._params = bytearray()
         self._body = bytearray()
         self._content_length: int | None = None
 
     @property
     def size(self) -> int:
-        """Bytes that it holds."""
+        """The number of bytes that the request holds."""
         return len(self._params) + len(self._body)
 
     @property
     def body(self) -> bytes:
-        """The body, as far as it has come."""
+        """The part of the body that has arrived so far."""
         return bytes(self._body)
 
     def add(self, record_type: int, content: bytes, free_memory: int) -> None:
-        """Adds a piece of its parameters or of its body.
+        """Adds a piece of the parameters or of the body.
 
-        :param free_memory: bytes that requests may still hold.
-        :raises InvalidRequestError: it is longer than a request may be.
-        :raises RequestMemoryError: there is no room for the piece.
+        :param free_memory: bytes that all clients' requests may still add.
+        :raises InvalidRequestError: if the parameters or the body become too long.
+        :raises RequestMemoryError: if there is no memory for the piece.
         """
         if record_type == fastcgi.RecordType.PARAMS:
             buffer = self._params
@@ -86,10 +86,10 @@
         buffer += content
 
     def end_params(self, parse: ParamsParser) -> None:
-        """Reads the parameters, which are all there; a health query is complete with them.
+        """Parses the parameters, which have all arrived; a health query is then complete.
 
-        :raises InvalidRequestError: a field is missing or can't be used.
-        :raises fastcgi.ProtocolError: they are no name-value pairs.
+        :raises InvalidRequestError: if a field is missing or invalid.
+        :raises fastcgi.ProtocolError: if they are not name-value pairs.
         """
         params = fastcgi.decode_pairs(bytes(self._params))
         self._content_length = parse_content_length(params)
@@ -99,9 +99,10 @@
         self._params.clear()
 
     def end_body(self) -> None:
-        """Notes that the body is all there; the request is complete with it.
+        """Marks the request as complete, as its whole body has arrived.
 
-        :raises InvalidRequestError: its length isn't the announced one, or the parameters have no end.
+        :raises InvalidRequestError: if the body's length differs from CONTENT_LENGTH, or the parameters have
+            not ended.
         """
         if self.request is None:
             raise InvalidRequestError("parameters without an end")
@@ -113,11 +114,11 @@
 
 
 def parse_content_length(params: dict[str, str]) -> int | None:
-    """Reads the announced length of the body, in bytes.
+    """Parses CONTENT_LENGTH, the length of the body in bytes.
 
-    :returns: None where it isn't announced.
-    :raises InvalidRequestError: it is no number, or more than a body may have; so a long body is refused
-        before any of it has come.
+    :returns: None if it is missing or empty.
+    :raises InvalidRequestError: if it isn't a number, or exceeds the limit; so a request with a long body is
+        rejected before the body arrives.
     """
     text = params.get("CONTENT_LENGTH", "")
     if not text:
@@ -130,12 +131,12 @@
 
 
 def parse_request(params: dict[str, str], requires_key: Callable[[str], bool | None]) -> ClientRequest:
-    """Reads a request under the platform's protocol.
+    """Parses the parameters of a request in the platform's protocol.
 
     :param params: CGI parameters by name.
-    :param requires_key: whether requests of a traffic class must carry a key; None where there is no
-        such class.
-    :raises InvalidRequestError: a field is missing or can't be used.
+    :param requires_key: returns True if requests of a traffic class must carry an idempotency key; None if
+        there is no such class.
+    :raises InvalidRequestError: if a field is missing or invalid.
     """
     path, _, traffic_class = params.get("SCRIPT_NAME", "").rpartition("/")
     key_required = requires_key(traffic_class) if path == "/rpc" else None
@@ -161,7 +162,7 @@
 
 
 def _header(params: dict[str, str], name: str, pattern: re.Pattern[str]) -> str:
-    """The value of a header field, which must be there and match the pattern whole."""
+    """Returns the value of a header field; raises InvalidRequestError unless it matches the whole pattern."""
     value = params.get(_cgi_name(name), "")
     if not pattern.fullmatch(value):
         raise InvalidRequestError(f"{name} is {value!r:.40}")
@@ -169,7 +170,7 @@
 
 
 def _optional_header(params: dict[str, str], name: str, pattern: re.Pattern[str]) -> str | None:
-    """As ``_header``, but None where the field is missing or empty."""
+    """Returns the value of a header field as ``_header`` does, but None if it is missing or empty."""
     return _header(params, name, pattern) if params.get(_cgi_name(name)) else None
 
 
--- a/quartzrouter/server/response_writer.py
+++ b/quartzrouter/server/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes responses to one client, records of several in turns, so that none waits for a long one."""
+"""Writes responses to one client, a record of each in turn, so that none waits for a long one."""
 
 from collections import deque
 from collections.abc import Callable
@@ -8,18 +8,18 @@
 from quartzrouter.server.ring_buffer import RingBuffer
 from quartzrouter.server.stream import Stream
 
-WRITE_BUFFER_SIZE = 1 << 15  # bytes on their way to a client's socket
-# Records that wait on one connection; beyond, the client takes its responses more slowly than it asks,
-# and the connection is read slowly until some have gone out.
+WRITE_BUFFER_SIZE = 1 << 15  # bytes that are being written to a client's socket
+# The number of queued records on one connection above which it is backlogged: its client reads responses more
+# slowly than it sends requests, so the connection is read slowly until some records have been sent.
 MAX_QUEUED_RECORDS = 256
-NO_REQUEST = 0  # queue of records that belong to no response; request ids start at 1
+NO_REQUEST = 0  # key of the queue for records that belong to no response; request ids start at 1
 
 
 class ResponseWriter:
-    """The records that wait to be written to one client, by request id.
+    """Queues records for one client by request id, and writes them.
 
     :param stream: the client's connection.
-    :param may_finish: whether nothing more will be queued, so that writing may end.
+    :param may_finish: returns True if no more records will be queued, so that writing may end.
     """
 
     def __init__(self, stream: Stream, may_finish: Callable[[], bool]):
@@ -29,27 +29,27 @@
         self.queues: dict[int, deque[bytes]] = {}  # by request id
         self._turns: deque[int] = deque()  # request ids with queued records
         self._sent_callbacks: dict[int, Callable[[], None]] = {}  # by request id
-        self._changed = anyio.Event()  # something was queued, or it may be time to finish
-        self._progressed = anyio.Event()  # some bytes have gone out
-        self.sending_since = anyio.current_time()  # s: since when the same bytes go out
+        self._changed = anyio.Event()  # set when records were queued, or writing may have to end
+        self._progressed = anyio.Event()  # set when a write has completed
+        self.sending_since = anyio.current_time()  # when the current write began, in s of the loop's clock
 
     @property
     def has_unsent(self) -> bool:
-        """Whether anything waits to be written."""
+        """Returns True if there are records or bytes to be written."""
         return bool(self.queues or len(self.buffer))
 
     @property
     def is_backlogged(self) -> bool:
-        """Whether the client takes its responses more slowly than it asks."""
+        """Returns True if the client reads its responses more slowly than it sends requests."""
         return sum(map(len, self.queues.values())) > MAX_QUEUED_RECORDS
 
     @property
     def unsent_responses(self) -> int:
-        """Responses of which records are still queued."""
+        """The number of responses that still have queued records."""
         return sum(request_id != NO_REQUEST for request_id in self.queues)
 
     def queue(self, request_id: int, records: list[bytes]) -> None:
-        """Queues records, behind those of the same request and in turns with others.
+        """Queues records after those of the same request; the requests' records are written in turn.
 
         :param records: each is shorter than ``WRITE_BUFFER_SIZE``.
         """
@@ -60,29 +60,29 @@
         self._changed.set()
 
     def call_when_sent(self, request_id: int, callback: Callable[[], None]) -> None:
-        """Calls the callback once no record of a response is queued: at once where none is."""
+        """Calls the callback once no record of a response is queued, or at once if none is."""
         if request_id in self.queues:
             self._sent_callbacks[request_id] = callback
         else:
             callback()
 
     def recheck(self) -> None:
-        """Looks again whether writing may finish."""
+        """Makes ``run`` check again whether writing may end."""
         self._changed.set()
 
     async def wait_for_progress(self, max_wait: float) -> None:
-        """Waits until some bytes have gone out.
+        """Waits until a write has completed.
 
-        :param max_wait: s, after which it returns in any case.
+        :param max_wait: seconds after which it returns in any case.
         """
         self._progressed = anyio.Event()
         with anyio.move_on_after(max_wait):
             await self._progressed.wait()
 
     async def run(self) -> None:
-        """Writes what is queued, and returns once all is written and nothing more will come.
+        """Writes queued records; returns once all are written and ``may_finish`` returns True.
 
-        Raises what ``attempt_failure.CONNECTION_LOST`` lists.
+        Raises the exceptions that ``attempt_failure.CONNECTION_LOST`` lists.
         """
         while True:
             self._fill_buffer()
@@ -99,10 +99,10 @@
                 await self._changed.wait()
 
     def _fill_buffer(self) -> None:
-        """Moves records to the buffer, one of each response in turn, until one doesn't fit."""
+        """Moves records to the buffer, one of each response in turn, until a record doesn't fit."""
         while self._turns:
             request_id = self._turns[0]
-            records = self.queues.get(request_id)  # None once the responses were discarded
+            records = self.queues.get(request_id)  # None after ``discard``
             if records and len(records[0]) > self.buffer.free:
                 return
             self._turns.popleft()
@@ -116,7 +116,7 @@
                 self._sent_callbacks.pop(request_id)()
 
     def discard(self) -> None:
-        """Removes what is queued, for a client that has gone; the callbacks are called."""
+        """Removes all queued records of a client that has gone, and calls the callbacks."""
         self.queues.clear()
         for callback in self._sent_callbacks.values():
             callback()
--- a/quartzrouter/server/responses.py
+++ b/quartzrouter/server/responses.py
@@ -1,7 +1,7 @@
-"""Responses to clients, as a FastCGI responder writes them: ``Status``, headers, an empty line, the body.
+"""Encodes responses to clients as a FastCGI responder writes them: ``Status``, headers, empty line, body.
 
-The headers of the platform's protocol stand here and nowhere behind it: ``X-Valid: 1`` says that the copy
-which the client holds is still good, ``X-Pushback-Ms`` after how many milliseconds it may try again.
+Two headers belong to the platform's protocol: ``X-Valid: 1`` says that the copy which the client holds is
+still valid, and ``X-Pushback-Ms`` gives the milliseconds after which the client may retry.
 """
 
 import math
@@ -25,10 +25,10 @@
 
 
 def head(status: int, content_length: int, headers: tuple[tuple[str, str], ...] = ()) -> bytes:
-    """The head of a response, up to and with the empty line.
+    """Encodes the head of a response, including the empty line.
 
     :param status: one of ``REASONS``.
-    :param headers: name and value of those beside the usual ones.
+    :param headers: names and values of additional headers.
     """
     lines = [
         f"Status: {status} {REASONS[status]}",
@@ -40,20 +40,20 @@
 
 
 def ok(body: bytes) -> bytes:
-    """The object that was asked for."""
+    """Encodes a response with the requested object."""
     return head(HTTP_OK, len(body)) + body
 
 
 def not_modified() -> bytes:
-    """The copy that the client holds is still good."""
+    """Encodes the response that the client's copy is still valid."""
     return head(HTTP_OK, 0, (("X-Valid", "1"),))
 
 
 def overloaded(retry_after: int) -> bytes:
-    """There is no capacity for the request.
+    """Encodes the response that there is no capacity for the request.
 
-    :param retry_after: microseconds after which the client may try again, rounded up to whole
-        milliseconds; 0 names no time.
+    :param retry_after: microseconds after which the client may retry, rounded up to whole milliseconds;
+        0 names no time.
     """
     if not retry_after:
         return head(HTTP_SERVICE_UNAVAILABLE, 0)
@@ -62,19 +62,19 @@
 
 
 def failed() -> bytes:
-    """The request has failed, and may have run."""
+    """Encodes the response that the request has failed; it may have been executed."""
     return head(HTTP_BAD_GATEWAY, 0)
 
 
 def invalid(status: int, reason: str) -> bytes:
-    """The request can't be used.
+    """Encodes the response that the request is invalid.
 
-    :param reason: what is wrong with it, for whoever wrote the client.
+    :param reason: what is wrong with it, for the developer of the client.
     """
     body = reason.encode()
     return head(status, len(body)) + body
 
 
 def health(is_ready: bool) -> bytes:
-    """The answer to a health query: 200 while the router takes requests, else 503."""
+    """Encodes the answer to a health query: 200 while the router accepts requests, else 503."""
     return head(HTTP_OK if is_ready else HTTP_SERVICE_UNAVAILABLE, 0)
--- a/quartzrouter/server/stream.py
+++ b/quartzrouter/server/stream.py
@@ -1,9 +1,8 @@
-"""TCP connections whose sockets this process alone reads, writes and closes.
+"""TCP connections without buffering, read, written and closed only by their owners.
 
-Nothing lies between a ``Stream`` and the kernel. The event loop's own streams read ahead of whoever asks,
-hold back bytes that were handed to them, and close their descriptor on an error by themselves. A look at
-such a connection says little about it, and a look at its descriptor a moment later may be a look at
-another connection that was given the same number.
+The event loop's own streams are not used because they read ahead, buffer bytes to be written, and close their
+descriptor themselves on an error. The state of their sockets then says little about the connection, and a
+descriptor that is checked a moment later may already belong to another connection with the same number.
 """
 
 import contextlib
@@ -15,25 +14,26 @@
 
 import anyio
 
-MAX_DRAINED = 1 << 18  # bytes read and dropped at a close: more than a receive buffer holds here
-DRAIN_CHUNK = 1 << 14  # bytes of them in a read
+MAX_DRAINED = 1 << 18  # bytes read and dropped before a close; more than a receive buffer holds here
+DRAIN_CHUNK = 1 << 14  # bytes per read
 
 
 class Pending(IntEnum):
-    """What has arrived on a connection and wasn't read, in the order in which connections are given up."""
+    """The unread input of a connection, in the order in which connections are closed to make room."""
 
-    ENDED = 0  # the peer has closed it, or it is lost
-    QUIET = 1  # nothing
-    UNREAD = 2  # bytes; an end may be behind them
+    ENDED = 0  # no data, and the peer has closed the connection or it is lost
+    QUIET = 1  # no data, and the connection is open
+    UNREAD = 2  # data; the end of the connection may follow it
 
 
 class Stream:
-    """One TCP connection, as its socket.
+    """One TCP connection.
 
-    Reads and writes raise what ``attempt_failure.CONNECTION_LOST`` lists once the connection has ended.
+    Once the connection has ended, reads and writes raise the exceptions that
+    ``attempt_failure.CONNECTION_LOST`` lists.
 
     :param raw: a connected socket, which the stream owns from now on.
-    :raises OSError: the connection has ended already.
+    :raises OSError: if the connection has already ended.
     """
 
     def __init__(self, raw: socket.socket):
@@ -45,7 +45,7 @@
         """Waits for the next bytes.
 
         :returns: at least one byte, at most ``max_bytes``.
-        :raises anyio.EndOfStream: the peer has ended its side.
+        :raises anyio.EndOfStream: if the peer has ended its side.
         """
         while True:
             await self._wait(anyio.wait_readable)
@@ -58,7 +58,7 @@
             return data
 
     async def send(self, data: bytes) -> None:
-        """Writes all of the data; returns once the kernel has it."""
+        """Writes all of the data; returns once the kernel has accepted it."""
         unsent = memoryview(data)
         while unsent:
             try:
@@ -69,25 +69,25 @@
                 unsent = unsent[sent:]
 
     async def _wait(self, wait_ready: Callable[[socket.socket], Awaitable[None]]) -> None:
-        """Waits for the socket, which may have been closed by its owner."""
+        """Waits until the socket is ready; raises ClosedResourceError if it was closed."""
         if self.raw.fileno() < 0:
             raise anyio.ClosedResourceError
         await wait_ready(self.raw)
 
     def pending(self) -> Pending:
-        """Tells what a read would find at this instant, without reading it.
+        """Returns what a read would find now, without reading it.
 
-        It peeks, which works under any kernel; TCP_INFO is all zeros under some.
+        Uses MSG_PEEK, which works with any kernel; TCP_INFO is all zeros with some.
         """
         try:
             return Pending.UNREAD if self.raw.recv(1, socket.MSG_PEEK) else Pending.ENDED
         except BlockingIOError:
             return Pending.QUIET
-        except OSError:  # reset by the peer, or closed here
+        except OSError:  # reset by the peer, or closed by this process
             return Pending.ENDED
 
     def finish_sending(self) -> None:
-        """Ends this side of the connection; what was written before still arrives."""
+        """Ends this side of the connection; data that was written before still arrives."""
         self._shutdown(socket.SHUT_WR)
 
     def shutdown(self) -> None:
@@ -95,14 +95,14 @@
         self._shutdown(socket.SHUT_RDWR)
 
     def _shutdown(self, how: int) -> None:
-        with contextlib.suppress(OSError):  # it has ended already
+        with contextlib.suppress(OSError):  # the connection has already ended
             self.raw.shutdown(how)
 
     def drain(self) -> None:
-        """Reads and drops what has arrived, to a bound.
+        """Reads and drops data that has arrived, up to a limit.
 
-        Guards against a reset: the kernel answers a close over unread bytes with one, and the peer then
-        loses the last responses, which it may not have read yet.
+        Guards against a reset: if a socket is closed with unread data, the kernel resets the connection, and
+        the peer loses the last responses if it hasn't read them yet.
         """
         try:
             for _ in range(MAX_DRAINED // DRAIN_CHUNK):
@@ -112,7 +112,7 @@
             return
 
     def close(self) -> None:
-        """Closes the socket; its descriptor may be another connection's from now on."""
+        """Closes the socket; its descriptor number may then be reused for another connection."""
         self.raw.close()
 
 
@@ -120,7 +120,7 @@
     """Opens a connection.
 
     :param address: an IP address and a port.
-    :raises OSError: it could not be opened; ``errno`` says why.
+    :raises OSError: if it could not be opened; ``errno`` says why.
     """
     host, _ = address
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
@@ -134,6 +134,6 @@
         if error_code:
             raise OSError(error_code, os.strerror(error_code))
         return Stream(raw)
-    except BaseException:  # a cancelled attempt, too, may not leave its descriptor open
+    except BaseException:  # the descriptor is closed also if the task is cancelled
         raw.close()
         raise
