--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Parties for the tests over loopback: a client that speaks FastCGI, a cache, a discovery service."""
+"""Fakes for the tests over loopback: a FastCGI client, a cache, a discovery service; and their router."""
 
 import json
 
@@ -34,11 +34,11 @@
 
 
 class RouterHarness:
-    """A router, one fake that responds for all caches, and a discovery service with frames to send.
+    """A router, one fake that responds for all caches, and a fake discovery service with frames to send.
 
-    ``responses`` says by object what the cache sends for a request: pieces of bytes, seconds to wait,
-    events to wait for, or None to close the connection. ``requests`` lists the first lines of what the
-    cache received, and what the discovery service was asked for.
+    ``responses`` maps an object to what the cache sends for a request: pieces of bytes, seconds to wait,
+    events to wait for, or None to close the connection. ``requests`` lists the first lines of the requests
+    to the cache, and the positions that the discovery service was asked for.
     """
 
     def __init__(self, tmp_path):
@@ -52,7 +52,7 @@
         self.router_process = None
 
     async def serve_cache(self, stream):
-        """Serves one connection of the router to a cache, and counts it."""
+        """Serves and counts one connection from the router to a cache."""
         self.open_connections += 1
         self.accepted_connections += 1
         self.max_open_connections = max(self.max_open_connections, self.open_connections)
@@ -62,7 +62,7 @@
             self.open_connections -= 1
 
     async def serve(self, stream):
-        """Sends what ``responses`` says for each request."""
+        """Answers each request as ``responses`` specifies."""
         async with stream:
             async for head in request_heads(stream):
                 line = head.partition(b"\r\n")[0]
@@ -83,7 +83,7 @@
         async with stream:
             try:
                 position = int.from_bytes(await stream.receive(8), "big")
-            except (anyio.EndOfStream, anyio.BrokenResourceError):  # a router that ends while it connects
+            except (anyio.EndOfStream, anyio.BrokenResourceError):  # the router ended while it connected
                 return
             self.requests.append(f"journal from {position}")
             await stream.send(self.discovery_frames.pop(0) if self.discovery_frames else b"")
@@ -120,7 +120,8 @@
     def run_steps(self, steps, frames=(), **settings):
         """Runs the steps of a test beside a router in this process.
 
-        :param steps: an async function that takes a way to connect.
+        :param steps: an async function; its argument is an async function that connects a client.
+        :param frames: what the discovery service sends, one item on each connection.
         """
         self.discovery_frames = list(frames)
 
@@ -140,14 +141,14 @@
         anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
     def create_router(self, environ):
-        """Makes the router, which reads its configuration anew at SIGHUP."""
+        """Returns a router that reads its configuration again on SIGHUP."""
         return process.RouterProcess(
             Configuration(read_configuration(environ), environ),
             lambda: Configuration(read_configuration(environ), environ),
         )
 
     async def connect(self, port):
-        """Connects a client, as soon as the router listens."""
+        """Connects a client as soon as the router listens."""
         while True:
             try:
                 return Client(await anyio.connect_tcp("127.0.0.1", port))
--- a/tests/test_closing.py
+++ b/tests/test_closing.py
@@ -1,4 +1,4 @@
-"""Connections that are given up: no req is on them, however late a busy router reads."""
+"""Idle connections that the router closes: none carries a request, however late a busy router reads."""
 
 import os
 import random
@@ -15,9 +15,11 @@
 
 from quartzrouter.server import client_connections, process, stream
 
-CROSSING_TIME = 0.05  # s: a front server sends a request again that was written so shortly before a close
-# the router, with a task that keeps it from everything else for 20 to 200 ms at a time
-STALLED = """
+# Seconds before a close in which a written request counts as crossing it; a front server sends such a request
+# again.
+CROSSING_TIME = 0.05
+# A router with a task that blocks its event loop for 20 to 200 ms at a time.
+STALLED_ROUTER = """
 import os, random, sys, time, anyio
 from quartzrouter.server import process
 chance = random.Random(11)
@@ -34,8 +36,8 @@
 """
 
 
-class Crowd:
-    """Clients that open a connection for nearly every request and close the longest idle of their own."""
+class ClientPool:
+    """Clients that open a connection for most requests, and close the one that has been idle for longest."""
 
     def __init__(self, harness, port, max_connections):
         self.harness = harness
@@ -44,12 +46,13 @@
         self.idle = []
         self.open_connections = 0
         self.last_id = 0
-        # Requests by what became of them: a response; no response, but written so shortly before the close
-        # that a front server sends it again; lost as the first of its connection, or as a later one.
+        # Requests by outcome. "answered": has a response. "crossed": no response, but written so shortly
+        # before the close that a front server sends it again. "first": lost as the first request of its
+        # connection. "lost": lost as a later request of its connection.
         self.outcomes = dict.fromkeys(("answered", "crossed", "first", "lost"), 0)
 
     async def send_one(self, chance):
-        """Sends one request, mostly on a new connection, and counts what becomes of it."""
+        """Sends one request, usually on a new connection, and counts its outcome."""
         self.last_id += 1
         id = self.last_id
         is_reused = bool(self.idle) and chance.random() < 0.3
@@ -61,7 +64,7 @@
             await client.send_request(id, HTTP_X_DEADLINE_MS="3000")
             written_at = time.monotonic()
             response = await client.receive_response()
-        except anyio.BrokenResourceError:  # closed before a byte of it was taken
+        except anyio.BrokenResourceError:  # closed before a byte of the request was written
             written_at = time.monotonic()
             response = "closed"
         if response != "closed":
@@ -73,7 +76,7 @@
         await self.close(client)
 
     async def open(self):
-        """Opens a connection; the longest idle one is closed for it where there are too many."""
+        """Opens a connection; if there are too many, closes the one that has been idle for longest."""
         if self.open_connections >= self.max_connections and self.idle:
             await self.close(self.idle.pop(0))
         self.open_connections += 1
@@ -84,13 +87,13 @@
         await client.stream.aclose()
 
 
-def test_no_request_is_lost_where_each_comes_on_a_connection_of_its_own(tmp_path):
-    """Clients open a connection for nearly each request, beyond the bound, to a router that stalls.
+def test_no_request_is_lost_if_clients_open_many_connections(tmp_path):
+    """Clients open a connection for most requests, more than the limit, to a router that stalls.
 
-    Connections on which a request waited unread were closed to make room, and the request was lost. Now one
-    on which something waits is never given up.
+    Connections with an unread request were closed to make room, and the request was lost. Now a connection
+    with unread data is never closed to make room.
     """
-    harness, chance, left = RouterHarness(tmp_path), random.Random(5), 3_000
+    harness, chance, requests_left = RouterHarness(tmp_path), random.Random(5), 3_000
     harness.discovery_frames = []
 
     async def run():
@@ -104,24 +107,24 @@
                     "NODE_CONFIG": str(harness.config_path),
                     "NODE_LISTEN": f"127.0.0.1:{port}",
                 }
-                router = subprocess.Popen([sys.executable, "-c", STALLED], env=environ)
-                crowd = Crowd(harness, port, 40)
-
-                async def ask():
-                    nonlocal left
-                    while left:
-                        left -= 1
-                        await crowd.send_one(chance)
+                router = subprocess.Popen([sys.executable, "-c", STALLED_ROUTER], env=environ)
+                clients = ClientPool(harness, port, 40)
+
+                async def send_requests():
+                    nonlocal requests_left
+                    while requests_left:
+                        requests_left -= 1
+                        await clients.send_one(chance)
                         await anyio.sleep(chance.uniform(0, 0.05))
 
                 await (await harness.connect(port)).stream.aclose()
-                async with anyio.create_task_group() as askers:
+                async with anyio.create_task_group() as senders:
                     for _ in range(28):
-                        askers.start_soon(ask)
+                        senders.start_soon(send_requests)
                 router.send_signal(signal.SIGTERM)
                 await anyio.to_thread.run_sync(router.wait)
                 tasks.cancel_scope.cancel()
-        return crowd.outcomes
+        return clients.outcomes
 
     outcomes = anyio.run(run, backend_options=process.BACKEND_OPTIONS)
     print(outcomes)
@@ -130,10 +133,10 @@
 
 
 def test_an_unread_request_keeps_its_connection(harness, trace, monkeypatch):
-    """A request reaches the kernel after the router last read, and before it looks for one to close."""
+    """Requests arrive after the router's last read, and before it selects an idle connection to close."""
     close_one_idle, unread = client_connections.ClientConnections._close_one_idle, []
 
-    def late(self):
+    def close_late(self):
         for client, id in unread:
             raw = client.stream.extra(anyio.abc.SocketAttribute.raw_socket)
             os.write(raw.fileno(), client.encode_request(id))
@@ -146,7 +149,7 @@
             await client.send_request(id)
             await client.receive_response()
         unread.extend((client, 100 + n) for n, client in enumerate(idle[:12]))
-        monkeypatch.setattr(client_connections.ClientConnections, "_close_one_idle", late)
+        monkeypatch.setattr(client_connections.ClientConnections, "_close_one_idle", close_late)
         new = await connect()
         await new.send_request(50)
         trace.append(f"new: {await new.receive_response()}")
@@ -157,11 +160,11 @@
 
 
 @pytest.mark.parametrize("looked_at", [False, True])
-def test_a_connection_that_was_reset_or_closed_can_still_be_looked_at(harness, looked_at):
+def test_a_connection_that_was_reset_or_closed_can_still_be_checked(harness, looked_at):
     """A client resets its connection, and the router's task for it hasn't run yet.
 
-    One that the event loop had closed was still there to be looked at, and raised ValueError: the router
-    ended.
+    A connection that the event loop had closed was still checked for unread data; that raised ValueError and
+    ended the router.
     """
 
     async def steps(connect):
@@ -176,7 +179,7 @@
         assert not looked_at or ended.stream.pending() is stream.Pending.QUIET
         raw = reset.stream.extra(anyio.abc.SocketAttribute.raw_socket)
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        await anyio.aclose_forcefully(reset.stream)  # a reset; the router's task has not run yet
+        await anyio.aclose_forcefully(reset.stream)  # resets it before the router's task runs
         assert (
             ended.stream.pending() is stream.Pending.ENDED
             and ended.time_since_last_byte >= 0
@@ -185,7 +188,7 @@
         await anyio.sleep(2 * client_connections.SWEEP_INTERVAL)
         assert (
             ended.stream.pending() is stream.Pending.ENDED and not ended.time_since_last_byte
-        )  # closed here
+        )  # closed by the router
         await kept.send_request(2)
         assert "200 OK" in await kept.receive_response()
 
--- a/tests/test_codecs.py
+++ b/tests/test_codecs.py
@@ -1,4 +1,4 @@
-"""What is read and written, without sockets: records, frames, heads of answers, what is told at start."""
+"""Encoding and decoding without sockets: records, frames, heads of responses, the configuration."""
 
 import json
 
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("data", [b"\x05a", b"\x01\x01a", b"\x81\x00\x00", b"\xff\xff\xff\xff\x01ab"])
-def test_pairs_that_are_cut_off_are_refused(data):
+def test_truncated_pairs_are_refused(data):
     with pytest.raises(fastcgi.ProtocolError):
         fastcgi.decode_pairs(data)
 
@@ -104,10 +104,10 @@
     ):
         params = {name: value for name, value in (whole | change).items() if value is not None}
         try:
-            said = request_reader.parse_request(params, {"page": False, "hold": True}.get)
+            result = request_reader.parse_request(params, {"page": False, "hold": True}.get)
         except request_reader.InvalidRequestError as error:
-            said = f"{error.status} {error}"
-        trace.append(f"{change}: {said}")
+            result = f"{error.status} {error}"
+        trace.append(f"{change}: {result}")
 
 
 def test_heads_of_responses(trace):
@@ -127,22 +127,22 @@
         response = h11.Response(status_code=status, headers=fields)
         try:
             fields_by_name = cache_responses.header_fields(response)
-            said = cache_responses.parse_head(
+            result = cache_responses.parse_head(
                 1, 0, response.status_code, fields_by_name, with_load_report=True
             )
         except cache_responses.MalformedResponseError as error:
-            said = f"Unreadable {error}"
-        trace.append(f"{status} {fields}: {said}")
+            result = f"MalformedResponseError: {error}"
+        trace.append(f"{status} {fields}: {result}")
 
 
 LINE = bytes.fromhex("00c41f7a 7f080103 20fb 01 01 00 0002 00002904 0000019ab3c4d5e6".replace(" ", ""))
 
 
 def test_discovery_frames(trace):
-    """Frames are read in order and resume after the last event held; bytes that no service sends are refused.
+    """Frames are read in order after the last event received; malformed frames and bytes are refused.
 
-    A frame that was lost or can't be read ends the connection: the next one starts after the last event held,
-    so nothing is missed.
+    A frame that was lost or is malformed ends the connection: the next connection starts after the last event
+    received, so no event is missed.
     """
     settings = DeploymentSettings(SETUP, 7)
     good = [
@@ -167,9 +167,9 @@
         buffer.put(b"".join(good) + wrong)
         last_sequence = 5
         try:
-            while found := discovery_protocol.take_frame(buffer):
-                event = discovery_protocol.decode_frame(found, last_sequence, settings)
-                last_sequence = found.sequence
+            while taken := discovery_protocol.take_frame(buffer):
+                event = discovery_protocol.decode_frame(taken, last_sequence, settings)
+                last_sequence = taken.sequence
                 if not wrong:
                     trace.append(f"event {last_sequence}: {event}")
         except discovery_protocol.MalformedFrameError as error:
@@ -211,7 +211,7 @@
 
 
 def test_an_unusable_configuration_is_refused_by_its_key(trace, tmp_path):
-    told = {
+    valid = {
         "listen": "127.0.0.1:8443",
         "journal": "127.0.0.1:4222",
         "seed": "8c1f30d27a5be964",
@@ -242,18 +242,18 @@
         {"settings": SETUP | {"family_info": {"good_for_us": [0, "long"]}}},
         {"settings": SETUP | {"load_report": {"how": "piggyback", "fields": ["x0", "busy"]}}},
         {"settings": SETUP | {"load_report": {"how": "pull"}, "limits": {"probes": True}}},
-        # mixes of load told in answers and by probes
+        # load reports in both responses and health checks, or without the fields that they need
         {"settings": SETUP | {"load_report": {"how": "pull", "fields": ["busy"]}}},
         {"settings": SETUP | {"load_report": {"how": "piggyback", "fields": ["x0"]}}},
         {"settings": SETUP | {"limits": {"probes": True}, "load_report": {"how": "piggyback"}}},
         {"settings": SETUP | {"load_report": {"how": "answers"}}},
     ):
-        path.write_text(json.dumps(told | change))
+        path.write_text(json.dumps(valid | change))
         try:
-            said = Configuration(read_configuration({"NODE_CONFIG": str(path)}), {}).listen_address
+            result = Configuration(read_configuration({"NODE_CONFIG": str(path)}), {}).listen_address
         except ConfigurationError as error:
-            said = error
-        trace.append(f"{str(change)[:90]}: {said}")
+            result = error
+        trace.append(f"{str(change)[:90]}: {result}")
     path.write_text("{")
     for environ in ({}, {"NODE_CONFIG": str(path)}, {"NODE_CONFIG": "/nowhere"}):
         with pytest.raises(ConfigurationError) as found:
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -1,4 +1,4 @@
-"""The bench adapter: lines in, lines out, and its error for lines that it can't read."""
+"""The simulator's adapter: input lines, output lines, and errors for invalid input."""
 
 import io
 import json
@@ -30,9 +30,9 @@
 
 
 def play_batches(*batches):
-    """Plays batches, one a second of simulated time.
+    """Passes batches to the adapter, one per second of simulated time.
 
-    :returns: the lines of the answer, and one with the exit status.
+    :returns: the lines of the answer, and a line with the exit status.
     """
     lines = []
     for serial, events in enumerate(batches, 1):
@@ -45,9 +45,9 @@
 
 
 def test_requests_are_routed_and_their_ends_taken_in(scenario):
-    """Attempts end, fail and are dropped, for requests that are known and for some that are not.
+    """Attempts succeed, fail and are dropped, for known and for unknown requests.
 
-    A router that is stopped and started again knows nothing of what was before.
+    A router that is stopped and started again keeps no state.
     """
     scenario.lines += play_batches(
         START + [demand(1), {"t": "NEWS", "what": "unknown"}],
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    "batches, tail, said",
+    "batches, tail, expected_error",
     [
         ([START], ["{nonsense\n"], "is not JSON"),
         ([START], ['{"t":"CLOCK","sim_time_us":9,"serial":9}\n'], "its GO is missing"),
@@ -67,8 +67,8 @@
         ([START], ["[]\n"], "has no t"),
     ],
 )
-def test_unreadable_input_ends_it_with_one_line(batches, tail, said, capsys):
-    """The bench waits for an answer to each batch, so input that can't be read ends the adapter at once."""
+def test_invalid_input_ends_the_adapter_with_one_line(batches, tail, expected_error, capsys):
+    """The simulator waits for an answer to each batch, so invalid input ends the adapter at once."""
     out = io.BytesIO()
     lines = []
     for batch in batches:
@@ -76,7 +76,7 @@
     text = "".join(json.dumps({"router": "router/0"} | line) + "\n" for line in lines) + "".join(tail)
     assert main(io.BytesIO(text.encode()), out) == 1
     error = capsys.readouterr().err
-    assert said in error and error.count("\n") == 1
+    assert expected_error in error and error.count("\n") == 1
 
 
 def test_load_in_attempt_results(trace):
--- a/tests/test_edges.py
+++ b/tests/test_edges.py
@@ -1,4 +1,4 @@
-"""Settings at their limits and of other customers: a router serves, or names at start the key at fault."""
+"""Settings at their limits or with missing parts: a router serves, or reports the invalid key at start."""
 
 import copy
 import time
@@ -15,7 +15,7 @@
 
 
 def changed(settings, **values):
-    """A copy of settings with values at keys; ``a__b`` is the key b of section a, ABSENT takes a key out."""
+    """Returns settings with changed values; ``a__b`` is key b of section a, ABSENT removes a key."""
     settings = copy.deepcopy(settings)
     for path, value in values.items():
         *sections, key = path.split("__")
@@ -53,8 +53,8 @@
 SERVED = "Status: 200 OK b'abcde' end 0 0"
 REJECTED = "Status: 503 Service Unavailable b'' end 0 0"
 NO_SLOW_START = "no ramp", "a ramp of 0", "no rules"
-# a router's share of what a starting cache can take is less than one request, as that is reckoned: by the
-# client timeout where no latency objective is set
+# The computed share of one router in what a starting cache can take is less than one request. It is computed
+# from the client timeout if no latency objective is set.
 SHARE_TOO_SMALL = (
     "two hundred routers",
     "nothing at the start",
@@ -64,7 +64,7 @@
 
 
 def members_just_started(location):
-    """Two caches, a parent and the origin, as the platform lists them; their addresses come later."""
+    """Returns two caches, a parent and the origin as the platform lists them, still without addresses."""
     started_ms = int(time.time() * 1000)
     return [
         {
@@ -83,9 +83,9 @@
 @pytest.mark.parametrize("edge", EDGES)
 @pytest.mark.parametrize("routers", [1, 200])
 def test_a_router_serves_under_settings_at_their_limits(harness, capsys, edge, routers):
-    """Settings of other customers: a section is absent, a figure is zero or huge.
+    """A section of the settings is missing, or a value is zero or very large.
 
-    All endpoints have just started, as most of these figures count then.
+    All endpoints have just started, because most of these values matter only then.
     """
 
     async def steps(connect):
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("key", BROKEN)
-def test_a_configuration_that_no_router_can_serve_under_is_refused_by_its_key(harness, key):
+def test_an_invalid_configuration_is_refused_with_its_key(harness, key):
     async def run():
         port = await free_port()
         harness.write_configuration("127.0.0.1:9", "127.0.0.1:9", **BROKEN[key])
--- a/tests/test_loopback.py
+++ b/tests/test_loopback.py
@@ -1,4 +1,4 @@
-"""The whole router over loopback, against stand-ins for a cache and the journal service; bounded in time."""
+"""The whole router over loopback, with fakes of a cache and a discovery service; each test has a timeout."""
 
 import contextlib
 import json
@@ -37,8 +37,9 @@
 
 
 def test_malformed_responses_end_at_their_connection(harness, trace, capsys):
-    """Caches break HTTP or the protocol in many ways: a client gets a whole response or an error, no
-    traceback.
+    """Caches break HTTP or the protocol in many ways: each client gets a complete response or an error.
+
+    The router logs no traceback.
     """
     head = b"HTTP/1.1 200 OK\r\n" + COPY_HEADERS
     malformed = {
@@ -73,9 +74,7 @@
 
 
 def test_malformed_records_end_at_their_connection(harness, trace, capsys):
-    """Clients break FastCGI in many ways: it costs them their connection or their request, and nobody
-    else.
-    """
+    """Clients break FastCGI in many ways: they lose their connection or request, and other clients don't."""
 
     async def steps(connect):
         for data in (
@@ -111,69 +110,70 @@
 
 
 def test_clients_that_bring_nothing_usable_are_answered_or_closed_soon(harness, trace):
-    """Clients send nothing, halves, or more than is allowed: each has its final response or its end in
-    time.
+    """Clients send nothing, incomplete requests, or more than is allowed.
+
+    Each gets its final response or the end of its connection in time.
     """
 
-    async def stream(client, kind):
+    async def send_many(client, record_type):
         with contextlib.suppress(anyio.BrokenResourceError):
             for _ in range(2_000):
-                await client.send_records((kind, bytes(30_000)))
+                await client.send_records((record_type, bytes(30_000)))
 
     async def silence(client):
         pass
 
-    async def half(client):
+    async def incomplete_body(client):
         await client.send_request(1, body=b"abc", whole=False)
 
     async def body_without_end(client):
         await client.send_request(1, whole=False)
-        await stream(client, fastcgi.RecordType.STDIN)
+        await send_many(client, fastcgi.RecordType.STDIN)
 
     async def params_without_end(client):
         await client.send_records(begin_request_record())
-        await stream(client, fastcgi.RecordType.PARAMS)
+        await send_many(client, fastcgi.RecordType.PARAMS)
 
-    async def announced(client, length="60000000"):
+    async def announced_too_long(client, length="60000000"):
         await client.send_request(1, whole=False, CONTENT_LENGTH=length)
 
-    async def negative(client):
-        await announced(client, "-3")
+    async def negative_length(client):
+        await announced_too_long(client, "-3")
 
-    async def short(client):
+    async def short_body(client):
         await client.send_request(1, body=b"abc", CONTENT_LENGTH="4")
 
     async def open_twice(client):
         await client.send_request(1, HTTP_X_SUBJECT=f"{9:016x}")
         await client.send_request(2, HTTP_X_CORRELATION_ID=f"{1:016x}")
 
-    async def taken_back(client):
+    async def aborted(client):
         for id in range(1, 33):
             await client.send_request(id, whole=False)
         await client.stream.send(
             b"".join(
-                fastcgi.encode_record(k, n, b"")
-                for n in range(1, 33)
-                for k in (fastcgi.RecordType.STDIN, fastcgi.RecordType.ABORT_REQUEST)
+                fastcgi.encode_record(record_type, id, b"")
+                for id in range(1, 33)
+                for record_type in (fastcgi.RecordType.STDIN, fastcgi.RecordType.ABORT_REQUEST)
             )
         )
 
-    async def again(client):
+    async def many_invalid(client):
         with contextlib.suppress(anyio.BrokenResourceError):
             for _ in range(100):
                 await client.send_request(1, path="/rpc/other")
 
     behaviours = (
         silence,
-        half,
+        incomplete_body,
         body_without_end,
         params_without_end,
-        announced,
-        negative,
-        short,
+        announced_too_long,
+        negative_length,
+        short_body,
         open_twice,
-        taken_back,
-        again,
+        aborted,
+        many_invalid,
     )
     harness.responses = {9: [0.2, OK_RESPONSE]}
 
@@ -181,30 +181,28 @@
         outcomes = {}
 
         async def run_one(behaviour):
-            began, client = time.monotonic(), await connect()
+            started_at, client = time.monotonic(), await connect()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(behaviour, client)
                 outcomes[behaviour] = await client.receive_response()
-                promptness = "at once" if time.monotonic() - began < 1 else "soon"
-                outcomes[behaviour] += f" {promptness}" if time.monotonic() - began < 2.9 else " late"
+                promptness = "at once" if time.monotonic() - started_at < 1 else "soon"
+                outcomes[behaviour] += f" {promptness}" if time.monotonic() - started_at < 2.9 else " late"
                 tasks.cancel_scope.cancel()
 
         async with anyio.create_task_group() as tasks:
             for behaviour in behaviours:
                 tasks.start_soon(run_one, behaviour)
         trace.extend(f"{behaviour.__name__}: {outcomes[behaviour]}" for behaviour in behaviours)
-        await anyio.sleep(0.05)  # until the ends of the last clients have been read
-        asked = [line for line in harness.requests if "GET" in line and f"{9:016x}" not in line]
+        await anyio.sleep(0.05)  # until the router has read the ends of the last connections
+        sent = [line for line in harness.requests if "GET" in line and f"{9:016x}" not in line]
         clients = len(harness.router_process.client_connections.open)
-        trace.append(f"{clients} clients, {len(asked)} dispatches for what was taken back")
+        trace.append(f"{clients} clients, {len(sent)} requests to caches for aborted requests")
 
     harness.run_steps(steps)
 
 
 def test_aborts_before_and_during_a_response(harness, trace):
-    """A client aborts before its response has begun, and in the middle of it: the request ends, others go
-    on.
-    """
+    """A client aborts requests before and during their responses: these end, its other requests continue."""
     harness.responses = {1: [1.0, OK_RESPONSE], 2: [OK_RESPONSE[:-2], 1.0, b"de"]}
 
     async def steps(connect):
@@ -221,10 +219,10 @@
 
 
 def test_a_client_that_reads_nothing_blocks_nobody_else(harness, trace):
-    """A client takes none of its large responses: another client's are not held up."""
+    """A client reads none of its large responses; the responses to another client are not delayed."""
     body = b"x" * 240_000
     harness.responses = {
-        n: [OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + body] for n in range(1, 31)
+        id: [OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + body] for id in range(1, 31)
     }
 
     async def steps(connect):
@@ -239,7 +237,10 @@
 
 
 def test_a_failed_discovery_service_is_resumed_from_the_last_event(harness, trace):
-    """A discovery service sends noise, gaps and repeats: it is connected to anew from the last event held."""
+    """A discovery service sends invalid bytes, gaps and repeats.
+
+    The router reconnects and continues after the last event that it has received.
+    """
     frames = [
         frame(1, 0) + frame(2, 3, bytes(16)) + b"\x00",
         b"\xff" * 20,
@@ -261,7 +262,9 @@
 
 
 def test_sighup_follows_discovery_at_its_new_address(harness, trace, capsys):
-    """SIGHUP with broken configurations changes nothing; with a good one discovery is followed elsewhere."""
+    """SIGHUP with an invalid configuration changes nothing; with a valid one the router follows another
+    discovery service.
+    """
 
     async def steps(connect):
         client, original = await connect(), harness.config_path.read_text()
@@ -287,30 +290,30 @@
 
 
 def test_requests_are_rejected_when_descriptors_run_out(harness, trace):
-    """All descriptors for caches are in use by responses that don't come: further requests are rejected."""
-    harness.responses = {n: [3.0] for n in range(1, 200)}
+    """All descriptors for caches are in use by requests without a response: further requests are rejected."""
+    harness.responses = {id: [3.0] for id in range(1, 200)}
 
     async def steps(connect):
         clients = [await connect() for _ in range(3)]
         for id in range(1, 97):
             await clients[id % 3].send_request(id)
-        ends = []
-        with anyio.move_on_after(0.4):  # the others are denied once their dispatch has timed out
+        responses = []
+        with anyio.move_on_after(0.4):  # the others are rejected once their attempts have timed out
             for id in range(1, 97):
-                ends.append(await clients[id % 3].receive_response())
-        trace.extend(sorted({end.partition(" ")[2] for end in ends}))
+                responses.append(await clients[id % 3].receive_response())
+        trace.extend(sorted({response.partition(" ")[2] for response in responses}))
         await anyio.sleep(0.6)
         harness.responses = {}
         await (client := await connect()).send_request(1)
         trace.append(await client.receive_response())
-        assert 50 < harness.max_open_connections < 70  # a few are closed here before they are there
+        assert 50 < harness.max_open_connections < 70  # the router closes a few before the fake accepts them
 
     harness.run_steps(steps)
 
 
 def test_a_pooled_connection_that_has_ended_carries_no_request(harness, trace):
-    """Caches close pooled connections: requests that may not run twice go out on live ones only."""
-    harness.responses = {n: [OK_RESPONSE, None] for n in range(1, 9)}
+    """Caches close pooled connections: requests that may not run twice are sent only on open ones."""
+    harness.responses = {id: [OK_RESPONSE, None] for id in range(1, 9)}
 
     async def steps(connect):
         client = await connect()
@@ -326,17 +329,17 @@
 
 
 def test_a_fault_in_a_decision_costs_one_request_only(harness, trace, capsys):
-    """A decision raises an error of the program: that request fails, the process and others go on."""
+    """A routing decision raises an unexpected error: that request fails, the process and others continue."""
 
     async def steps(connect):
-        client, decisions = await connect(), harness.router_process.state_machine.router
+        client, router = await connect(), harness.router_process.state_machine.router
         for call in ("route", "attempt_finished", "cancel_request", "maintenance"):
-            setattr(decisions, call, lambda *arguments: 1 / 0)
+            setattr(router, call, lambda *arguments: 1 / 0)
             await client.send_request(1)
             if call == "cancel_request":
                 await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""))
             trace.append(f"{call}: {await client.receive_response()}")
-            delattr(decisions, call)
+            delattr(router, call)
         await client.send_request(2)
         trace.append(await client.receive_response())
 
@@ -345,10 +348,10 @@
 
 
 def test_request_memory_is_bounded_and_given_back(harness, trace):
-    """Clients hold more bytes of requests than there is memory: one is rejected, and all is given back."""
+    """Requests need more than the request memory: one is rejected, and all memory is released at the end."""
 
     async def steps(connect):
-        client, room = await connect(), harness.router_process.client_connections.free_request_memory
+        client, free_memory = await connect(), harness.router_process.client_connections.free_request_memory
         for id in range(1, 5):
             await client.send_request(id, body=bytes(40_000), whole=False)
         for id in (4, 1):
@@ -359,28 +362,31 @@
         await client.stream.aclose()
         await anyio.sleep(0.05)
         trace.append(
-            f"{room} bytes, at the end {harness.router_process.client_connections.free_request_memory}"
+            f"{free_memory} bytes, at the end {harness.router_process.client_connections.free_request_memory}"
         )
 
     harness.run_steps(steps, limits={"sockets": 128, "memory_mb": 1})
 
 
 def test_a_client_that_floods_and_reads_nothing_is_read_slowly(trace):
-    """A client sends without end and takes nothing: what is queued for it stays bounded."""
+    """A client sends without end and reads nothing: the records queued for it stay limited."""
 
-    class Stuck:
-        """A connection that takes nothing and has ever more to say."""
+    class FloodingStream:
+        """A connection that always has data to read, and on which writes never complete."""
 
-        taken = held = 0
+        reads = max_queued = 0
 
-        async def receive(self, most):
+        async def receive(self, max_bytes):
             await anyio.sleep(0)
-            self.taken += 1
-            self.held = max(
-                [self.held, *(sum(map(len, client.writer.queues.values())) for client in room.open)]
+            self.reads += 1
+            self.max_queued = max(
+                [
+                    self.max_queued,
+                    *(sum(map(len, client.writer.queues.values())) for client in connections.open),
+                ]
             )
             return fastcgi.encode_record(fastcgi.RecordType.GET_VALUES, 0, b"\x0f\x00FCGI_MPXS_CONNS") * (
-                most // 32
+                max_bytes // 32
             )
 
         async def send(self, data):
@@ -395,22 +401,24 @@
         close = drain
 
     async def run():
-        nonlocal room
-        flood, room = Stuck(), client_connections.ClientConnections(None, 9, 9, None, None)
-        assert room.admit()
+        nonlocal connections
+        flood, connections = FloodingStream(), client_connections.ClientConnections(None, 9, 9, None, None)
+        assert connections.admit()
         with anyio.move_on_after(0.2):
-            await room.serve(flood)
-        # it is read, as its end must be heard, but slowly; and what it is owed for asking doesn't grow
-        assert 1 < flood.taken <= 2 + 0.2 / client_connection.BACKLOG_READ_INTERVAL
-        assert flood.held <= response_writer.MAX_QUEUED_RECORDS + client_connection.READ_BUFFER_SIZE // 32
-        trace.append(f"{len(room.open)} open")
+            await connections.serve(flood)
+        # The connection is read slowly, so that its end is still noticed; the queued answers stay limited.
+        assert 1 < flood.reads <= 2 + 0.2 / client_connection.BACKLOG_READ_INTERVAL
+        assert (
+            flood.max_queued <= response_writer.MAX_QUEUED_RECORDS + client_connection.READ_BUFFER_SIZE // 32
+        )
+        trace.append(f"{len(connections.open)} open")
 
-    room = None
+    connections = None
     anyio.run(run, backend_options=process_module.BACKEND_OPTIONS)
 
 
 def test_idle_clients_make_room_for_a_new_one(harness, trace):
-    """All client connections are in use by idle clients: one of them is closed for a new one."""
+    """Idle clients use all client connections: one of these is closed for a new client."""
 
     async def steps(connect):
         idle = [await connect() for _ in range(25)]
@@ -422,13 +430,13 @@
     harness.run_steps(steps, limits={"sockets": 64})
 
 
-def process(path, port):
+def start_process(path, port):
     environ = os.environ | {"NODE_CONFIG": str(path), "NODE_LISTEN": f"127.0.0.1:{port}", "NODE_NAME": "n0"}
     return subprocess.Popen([sys.executable, "-m", "quartzrouter"], env=environ, stderr=subprocess.PIPE)
 
 
 def test_sigterm_finishes_in_flight_requests(harness, trace):
-    """A process is text to stop with a request in flight, and a second one can't bind its address."""
+    """A router is stopped with a request in flight; before, a second one can't bind the same address."""
     harness.responses = {1: [0.3, OK_RESPONSE]}
     harness.discovery_frames = []
 
@@ -437,9 +445,9 @@
             async with anyio.create_task_group() as tasks:
                 cache, port = await harness.start_server(tasks, harness.serve_cache), await free_port()
                 harness.write_configuration(cache, await harness.start_server(tasks, harness.serve_discovery))
-                routers = [process(harness.config_path, port)]
+                processes = [start_process(harness.config_path, port)]
                 client = await harness.connect(port)
-                second = process(harness.config_path, port)
+                second = start_process(harness.config_path, port)
                 trace.append(
                     (await anyio.to_thread.run_sync(second.communicate))[1]
                     .decode()
@@ -449,18 +457,17 @@
                 trace.append(f"exit {second.returncode}")
                 await client.send_request(1)
                 await anyio.sleep(0.1)
-                began = time.monotonic()
-                routers[0].send_signal(signal.SIGTERM)
+                stopped_at = time.monotonic()
+                processes[0].send_signal(signal.SIGTERM)
                 trace.append(await client.receive_response())
-                await anyio.sleep(0.6 - (time.monotonic() - began))
+                await anyio.sleep(0.6 - (time.monotonic() - stopped_at))
                 late = await harness.connect(port)
                 await late.send_request(2)
                 trace.append(await late.receive_response())
-                error = (await anyio.to_thread.run_sync(routers[0].communicate))[1].decode()
-                took = (
-                    time.monotonic() - began
-                )  # a second for what is on its behaviour, half for what crosses the close
-                trace.append(f"exit {routers[0].returncode}, {'soon' if 0.9 < took < 3 else took}")
+                error = (await anyio.to_thread.run_sync(processes[0].communicate))[1].decode()
+                # One second for requests that are on their way, half a second for those that cross the close.
+                duration = time.monotonic() - stopped_at
+                trace.append(f"exit {processes[0].returncode}, {'soon' if 0.9 < duration < 3 else duration}")
                 assert "Traceback" not in error
                 tasks.cancel_scope.cancel()
 
@@ -468,13 +475,11 @@
 
 
 def test_load_reports_in_responses_follow_from_the_settings_alone(harness, trace):
-    """One program for both platforms: with load reports in responses a request is served, and the load
-    known.
-    """
-    text = OK_RESPONSE.replace(
+    """Load reports in responses are read if the settings say so; a request is served in either case."""
+    response = OK_RESPONSE.replace(
         b"X-Tag", b"X-Report: busy:0.61;x1:1.5\r\nX-Ttfb: 9.4\r\nX-Tell: cached\r\nX-Tag"
     )
-    harness.responses = {1: [text]}
+    harness.responses = {1: [response]}
 
     async def steps(connect):
         client = await connect()
