--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,6 +1,6 @@
-"""Two events at one instant, each forced: by a stand-in that holds, or by a step that the loop can't enter.
+"""Races between two events, each forced by a fake that waits or by a step without a switch of tasks.
 
-docs/crossings.md lists them; verdicts are what clients and caches saw.
+docs/crossings.md lists the races; the assertions check what clients and caches received.
 """
 
 import contextlib
@@ -36,7 +36,7 @@
 
 OVERLOADED_RESPONSE = b"HTTP/1.1 503 Busy\r\nX-No-Effect: 1\r\nContent-Length: 0\r\n\r\n"
 LARGE_RESPONSE = OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"240000\r\n\r\n") + bytes(240_000)
-ESTABLISHED, CLOSE_WAIT = 1, 8  # a reset leaves neither
+ESTABLISHED, CLOSE_WAIT = 1, 8  # TCP states; after a reset a connection has neither
 NO_CANCEL = SETUP | {"limits": SETUP["limits"] | {"cancel": False}}
 
 
@@ -45,23 +45,23 @@
 
 
 def write_at_once(client, data):
-    """Into the kernel, in one step: nothing else of this process runs."""
+    """Writes data to the client's socket in one step, while nothing else in this process runs."""
     assert os.write(raw_socket(client).fileno(), data) == len(data)
 
 
 def end_sending(client):
-    """As a client that goes: what it wrote before stays to be read, its end behind it."""
-    with socket.socket(fileno=os.dup(raw_socket(client).fileno())) as own:
-        own.shutdown(socket.SHUT_WR)
+    """Ends the client's side of its connection; data that it wrote before can still be read."""
+    with socket.socket(fileno=os.dup(raw_socket(client).fileno())) as duplicate:
+        duplicate.shutdown(socket.SHUT_WR)
 
 
 def tcp_state(client):
-    """Of its TCP, as the kernel tells it."""
+    """Returns the TCP state of the client's connection, as reported by the kernel."""
     return raw_socket(client).getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
 
 
 async def wait_until(condition, timeout=3.0):
-    """Waits for something to have come about; that it never does is the verdict."""
+    """Waits until a condition is true; fails if it isn't after the timeout."""
     with anyio.move_on_after(timeout):
         while not condition():
             await anyio.sleep(0.005)
@@ -73,7 +73,7 @@
 
 
 def hold_connects(addresses, gate):
-    """A way to connect to a cache that notes who asks, and waits for a gate."""
+    """Returns a replacement for ``stream.connect`` that records each address, and waits for a gate."""
     real_connect = stream.connect
 
     async def held_connect(address):
@@ -85,7 +85,7 @@
 
 
 def queued(writer):
-    """What waits to be written to a client: bytes in the buffer and records behind them."""
+    """Returns the number of bytes in the buffer of a client's writer, plus the number of queued records."""
     return len(writer.buffer) + sum(map(len, writer.queues.values()))
 
 
@@ -100,9 +100,10 @@
 
 @pytest.mark.parametrize("way", ["end", "abort behind a read's worth", "end behind a read's worth"])
 def test_a_request_read_late_is_not_begun_for_a_client_that_has_gone(harness, way):
-    """A busy router reads a request late, and its client's end or abort is already in the kernel behind it.
+    """A busy router reads a request late, when its client's end or abort has also arrived.
 
-    The request was begun for nobody. Now all that has arrived is read before any request is begun.
+    The request was begun although its client had gone. Now all data that has arrived is read before any
+    request is begun.
     """
 
     async def steps(connect):
@@ -120,16 +121,17 @@
         assert "200 OK" in await other.receive_response()
         await wait_until_settled(harness)
         assert request_count(harness, 1) == 0 and request_count(harness, 3) == 1
-        assert harness.accepted_connections == 1  # nor did one come up for it
+        assert harness.accepted_connections == 1  # no connection was opened for request 1
 
     harness.run_steps(steps)
 
 
 @pytest.mark.parametrize("settings", [SETUP, NO_CANCEL])
 def test_a_connecting_attempt_is_not_sent_for_a_client_that_has_gone(harness, monkeypatch, settings):
-    """A client leaves while the attempt at its request is still connecting.
+    """A client aborts its request while the attempt is still connecting.
 
-    Where attempts may not be cancelled, it went on connecting, and the request went out for nobody.
+    If attempts may not be cancelled, the attempt continued, and the request was sent although its client had
+    gone.
     """
     addresses, gate = [], anyio.Event()
     held_connect = hold_connects(addresses, gate)
@@ -140,7 +142,7 @@
         await client.send_request(1)
         await wait_until(lambda: addresses)
         await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""))
-        assert "end 1 0" in await client.receive_response()  # taken back
+        assert "end 1 0" in await client.receive_response()  # aborted
         gate.set()
         await client.send_request(2)
         assert "200 OK" in await client.receive_response()
@@ -152,20 +154,20 @@
 
 @pytest.mark.parametrize("way", ["end", "abort"])
 def test_no_retry_for_a_client_whose_leaving_is_not_read_yet(harness, monkeypatch, way):
-    """A response has the request retried, and its client's end or abort arrived just before it.
+    """A response causes a retry, and the client's end or abort arrived just before the response.
 
-    A busy process reads that after the response; the retry went out on a pooled connection. Now what the
-    client has sent is read before each attempt.
+    A busy process reads the end after the response, so the retry was sent on a pooled connection. Now the
+    data that the client has sent is read before each attempt.
     """
     receive, overloaded = stream.Stream.receive, anyio.Event()
     harness.responses = {1: [overloaded, OVERLOADED_RESPONSE]}
 
-    async def slow(self, most):
+    async def receive_late(self, max_bytes):
         if any(self is client.stream for client in harness.router_process.client_connections.open):
             await anyio.wait_readable(self.raw)
-            for _ in range(4):  # others go first, for as long as an attempt takes from here
+            for _ in range(4):  # as many iterations as an attempt takes from here
                 await anyio.sleep(0)
-        return await receive(self, most)
+        return await receive(self, max_bytes)
 
     async def steps(connect):
         client, pool = await connect(), harness.router_process.cache_connections.pool.idle
@@ -174,11 +176,11 @@
                 await client.send_request(id)
                 assert "200 OK" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REUSE_DELAY)
-        monkeypatch.setattr(stream.Stream, "receive", slow)
-        await client.send_request(1)  # the reader comes back to the slow way after it
+        monkeypatch.setattr(stream.Stream, "receive", receive_late)
+        await client.send_request(1)  # the router reads later data by receive_late
         await wait_until(lambda: request_count(harness, 1))
         overloaded.set()
-        while not any(each.stream.pending() is stream.Pending.UNREAD for each in asking()):
+        while not any(each.stream.pending() is stream.Pending.UNREAD for each in connections_in_use()):
             await anyio.sleep(0)
         if way == "abort":
             write_at_once(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
@@ -187,37 +189,37 @@
         await wait_until_settled(harness)
         assert request_count(harness, 1) == 1
 
-    def asking():
+    def connections_in_use():
         return harness.router_process.cache_connections.in_use.values()
 
     harness.run_steps(steps)
 
 
 def test_queued_responses_do_not_hide_that_the_client_has_gone(harness, monkeypatch):
-    """A client takes no response, so records are queued for it, and then it aborts a request.
+    """A client reads no responses, so records are queued for it, and then it aborts a request.
 
-    Above a number of queued records nothing was read, so neither an abort nor an end was noticed. Now the
-    connection is read slowly.
+    Above a limit of queued records the connection wasn't read, so neither an abort nor the end was noticed.
+    Now it is read slowly.
     """
     monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)  # the kernel holds some megabytes as well
     overloaded = anyio.Event()
-    harness.responses = {n: [LARGE_RESPONSE] for n in range(2, 32)} | {1: [overloaded, OVERLOADED_RESPONSE]}
+    harness.responses = {id: [LARGE_RESPONSE] for id in range(2, 32)} | {1: [overloaded, OVERLOADED_RESPONSE]}
 
     async def steps(connect):
         client = await connect()
         connection, *_ = harness.router_process.client_connections.open
-        await client.send_request(1, path="/rpc/sale", HTTP_X_DEADLINE_MS="9000")  # which has all that time
+        await client.send_request(1, path="/rpc/sale", HTTP_X_DEADLINE_MS="9000")  # outlasts the test
         await wait_until(lambda: request_count(harness, 1))
         for id in range(2, 32):
             await client.send_request(id)
-        before = None
-        with anyio.fail_after(5):  # the kernel takes some megabytes first, and a busy machine its time
-            while not connection.writer.is_backlogged or before != queued(connection.writer):
-                before = queued(connection.writer)
+        queued_before = None
+        with anyio.fail_after(5):  # the kernel buffers some megabytes first, and a busy machine is slow
+            while not connection.writer.is_backlogged or queued_before != queued(connection.writer):
+                queued_before = queued(connection.writer)
                 await anyio.sleep(0.05)
         assert connection.writer.is_backlogged
         await client.send_records((fastcgi.RecordType.GET_VALUES, b"\x0f\x00FCGI_MPXS_CONNS"), id=0)
-        await wait_until(lambda: connection.rejected_requests)  # read, and not answered
+        await wait_until(lambda: connection.rejected_requests)  # the record was read, and not answered
         write_at_once(client, fastcgi.encode_record(fastcgi.RecordType.ABORT_REQUEST, 1, b""))
         await wait_until(lambda: 1 not in connection.request_ids)
         overloaded.set()
@@ -228,9 +230,9 @@
 
 
 def test_a_closing_connection_reads_aborts_and_answers_requests(harness):
-    """A connection is closing, and its client sends an abort and a further request.
+    """A connection is closing, and its client sends an abort and another request.
 
-    Both were dropped: the aborted attempt ran on, and the request had no response. Now records are read
+    Both were dropped: the aborted attempt continued, and the request had no response. Now records are read
     until the end of the responses is written, and the request is refused as OVERLOADED.
     """
     overloaded = anyio.Event()
@@ -246,9 +248,9 @@
             assert "404" in await client.receive_response()
         assert connection.closing
         await client.send_request(90)
-        assert "end 0 2" in await client.receive_response()  # overloaded: it may come again
+        assert "end 0 2" in await client.receive_response()  # OVERLOADED: the client may send it again
         await client.send_records((fastcgi.RecordType.ABORT_REQUEST, b""))
-        assert "end 1 0" in await client.receive_response()  # taken back
+        assert "end 1 0" in await client.receive_response()  # aborted
         overloaded.set()
         await wait_until_settled(harness)
         assert (
@@ -264,12 +266,12 @@
 
 
 def test_a_request_that_crosses_an_idle_close_resets_nothing(harness, monkeypatch):
-    """The router looks at an idle connection, a request arrives, and the router closes it.
+    """The router checks an idle connection for unread data, a request arrives, and the router closes it.
 
-    A close over unread bytes resets the connection, and the last response may be lost with it. Now one side
-    is ended first: the client reads an end, and its request was never begun.
+    A close with unread data resets the connection, and the client may lose the last response. Now sending is
+    ended first: the client reads the end of the connection, and its request was never begun.
     """
-    pending = stream.Stream.pending
+    real_pending = stream.Stream.pending
 
     async def steps(connect):
         client = await connect()
@@ -277,28 +279,28 @@
         assert "200 OK" in await client.receive_response()
         connection, *_ = harness.router_process.client_connections.open
 
-        def look(self):
-            found = pending(self)
-            if self is connection.stream and found is stream.Pending.QUIET:
+        def pending_before_a_request(self):
+            pending = real_pending(self)
+            if self is connection.stream and pending is stream.Pending.QUIET:
                 write_at_once(client, client.encode_request(2))
-            return found
+            return pending
 
-        monkeypatch.setattr(stream.Stream, "pending", look)
+        monkeypatch.setattr(stream.Stream, "pending", pending_before_a_request)
         assert connection.close_if_idle()
-        monkeypatch.setattr(stream.Stream, "pending", pending)
+        monkeypatch.setattr(stream.Stream, "pending", real_pending)
         await wait_until(lambda: connection.stream.raw.fileno() < 0 and tcp_state(client) != ESTABLISHED)
-        assert tcp_state(client) == CLOSE_WAIT and not request_count(harness, 2)  # an end, and no reset
+        assert tcp_state(client) == CLOSE_WAIT and not request_count(harness, 2)  # ended, not reset
 
     harness.run_steps(steps)
 
 
 def test_a_pooled_connection_that_ends_as_it_is_taken_costs_no_request(harness, monkeypatch):
-    """A cache ends a pooled connection while it is being taken for a request.
+    """A cache ends a pooled connection while the router takes it for a request.
 
     A request that may not run twice was written to it, and could not be retried. Now the connection is
-    looked at again right before the request, and another one is taken.
+    checked again right before the request, and replaced by another one.
     """
-    hear, ends = client_connection.ClientConnection.read_pending, []
+    read_pending, ended_for = client_connection.ClientConnection.read_pending, []
 
     async def steps(connect):
         client = await connect()
@@ -306,17 +308,17 @@
         assert "200 OK" in await client.receive_response()
         await anyio.sleep(2 * connection_pool.REUSE_DELAY_AFTER_UNNAMED_COPY)
 
-        async def late(self, ticket):
-            if not ends:
-                ends.append(ticket)
+        async def end_and_read(self, request_id):
+            if not ended_for:
+                ended_for.append(request_id)
                 taken = next(iter(harness.router_process.cache_connections.in_use.values()))
                 taken.stream.shutdown()  # as its cache would
-            await hear(self, ticket)
+            await read_pending(self, request_id)
 
-        monkeypatch.setattr(client_connection.ClientConnection, "read_pending", late)
+        monkeypatch.setattr(client_connection.ClientConnection, "read_pending", end_and_read)
         await client.send_request(2, path="/rpc/sale")
         assert "200 OK" in await client.receive_response()
-        assert ends and request_count(harness, 2) == 1
+        assert ended_for and request_count(harness, 2) == 1
 
     harness.run_steps(steps)
 
@@ -327,8 +329,9 @@
 def test_a_repeated_response_is_not_taken_for_the_next_requests(harness):
     """A cache sends a response twice, the second time after the next request was written.
 
-    It had not arrived when the connection was looked at, so the next request's client got another chunk's
-    bytes. Now the copy that it names gives it away, and the request is retried elsewhere.
+    The repetition had not arrived when the connection was checked, so the next request's client got another
+    chunk's bytes. Now it is detected by the copy that it names, and the request is retried with another
+    cache.
     """
     gate = anyio.Event()
 
@@ -348,7 +351,7 @@
         gate.set()
         response = await client.receive_response()
         assert "200 OK" in response and "abcde" in response
-        assert request_count(harness, 7) == 3  # of another cache, on a connection of its own
+        assert request_count(harness, 7) == 3  # the retry went to another cache, on a connection of its own
 
     harness.run_steps(steps)
 
@@ -357,8 +360,8 @@
 def test_a_repeated_response_for_the_same_chunk_is_no_older_than_allowed(harness, purged):
     """A cache sends a response twice, and the next request is for the same chunk.
 
-    Where it can't be told from the cache's next response it does as well, but not after a purge of that
-    chunk: its client would get a copy older than the purge.
+    The repetition is accepted, as it equals the cache's response to the next request, but not after a purge
+    of that chunk: the client would get a copy older than the purge.
     """
     gate = anyio.Event()
 
@@ -382,16 +385,16 @@
 
 @pytest.mark.parametrize("answer", [OVERLOADED_RESPONSE, b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nsold"])
 def test_a_connection_rests_longer_after_a_response_that_names_no_copy(harness, monkeypatch, answer):
-    """A cache repeats a response that names no copy, an error or that of a write.
+    """A cache repeats a response that names no copy: an error, or the response to a write.
 
-    Taken for the next request's, it says that this one is done, or that it never ran. Nothing tells the two
-    apart, so such a connection rests for longer before its next request.
+    As the response to the next request, it would say that this request was executed, or was never executed.
+    The two can't be distinguished, so such a connection isn't used again for a longer time.
     """
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_AFTER_UNNAMED_COPY", 3_600.0)
 
     async def steps(connect):
         client = await connect()
-        harness.responses = {n: [answer] for n in range(1, 4)}
+        harness.responses = {id: [answer] for id in range(1, 4)}
         for id in (1, 2, 3):
             await client.send_request(id, path="/rpc/sale")
             await client.receive_response()
@@ -403,36 +406,36 @@
 
 
 def test_large_responses_get_room_in_their_turn():
-    """The memory for responses is full, and small ones take what is given back as it comes.
+    """The response memory is full, and small responses take memory as soon as some is released.
 
-    A large response waited for ever. Now room is granted in order; a waiter that is cancelled gives its
-    turn up.
+    A large response waited forever. Now memory is granted in the order of the requests for it; a cancelled
+    waiter gives up its turn.
     """
     order = []
 
     async def run():
         budget = byte_budget.ByteBudget(cache_responses.MAX_BODY_SIZE)
 
-        async def answer(name, count):
+        async def take_memory(name, count):
             await budget.take(count)
             order.append(name)
 
         async with anyio.create_task_group() as tasks:
             await budget.take(cache_responses.MAX_BODY_SIZE)
-            gone = anyio.CancelScope()
+            cancelled_scope = anyio.CancelScope()
 
-            async def given_up():
-                with gone:
-                    await answer("given up", 1_000)
+            async def take_and_be_cancelled():
+                with cancelled_scope:
+                    await take_memory("cancelled", 1_000)
 
-            for task in (lambda: answer("large", 200_000), given_up):
+            for task in (lambda: take_memory("large", 200_000), take_and_be_cancelled):
                 tasks.start_soon(task)
                 await anyio.sleep(0)
             budget.give(60_000)
-            tasks.start_soon(answer, "small", 50_000)  # which would fit
+            tasks.start_soon(take_memory, "small", 50_000)  # which would fit
             await anyio.sleep(0.01)
             assert order == []
-            gone.cancel()
+            cancelled_scope.cancel()
             await anyio.sleep(0)
             budget.give(cache_responses.MAX_BODY_SIZE - 60_000)
             await anyio.sleep(0.01)
@@ -444,22 +447,22 @@
     anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
 
-# -- lists and windows -----------------------------------------------------------------------------
+# -- endpoint lists and deduplication windows ------------------------------------------------------
 
 
 def test_bytes_without_a_whole_frame_count_as_silence(harness, monkeypatch):
     """A discovery service sends half a frame, a byte at a time, and never the rest.
 
-    It was taken for one that has nothing to tell, and the endpoint list grew old. Now silence counts from
-    the last whole frame, and the service is connected to anew.
+    The service was treated as one without news, and the endpoint list became outdated. Now silence counts
+    from the last complete frame, and the router reconnects.
     """
     monkeypatch.setattr(endpoint_watch, "SILENCE_TIMEOUT", 0.2)
 
     async def trickle(connection):
         async with connection:
             harness.requests.append(f"journal from {int.from_bytes(await connection.receive(8), 'big')}")
-            for byte in frame(2, 1, bytes(2_400 * 27)):  # 32 minutes of it
-                with contextlib.suppress(anyio.BrokenResourceError):  # nobody listens any more
+            for byte in frame(2, 1, bytes(2_400 * 27)):  # takes 32 minutes
+                with contextlib.suppress(anyio.BrokenResourceError):  # the router has closed the connection
                     await connection.send(bytes([byte]))
                 await anyio.sleep(0.03)
 
@@ -473,9 +476,9 @@
 
 
 def test_a_retry_is_not_sent_once_its_idempotency_key_may_be_forgotten():
-    """A retry is decided on in time, and its connection comes up late.
+    """A retry is decided in time, and its connection is opened late.
 
-    By then caches may have forgotten the key by which they know a repeat: the operation would run twice.
+    By then caches may have forgotten the idempotency key, and the operation would run twice.
     """
     lines = []
     play = Play(lines)
@@ -496,15 +499,15 @@
     assert not any("SendRequest" in line for line in lines)
 
 
-# -- signals and the end ---------------------------------------------------------------------------
+# -- signals and shutdown --------------------------------------------------------------------------
 
 SIGNAL_DURING_IMPORT = """
 import os, runpy, signal, sys
-class Early:
+class SignalOnImport:
     def find_spec(self, name, path=None, target=None):
         if name == "quartzrouter.server.process":
             os.kill(os.getpid(), {number})
-sys.meta_path.insert(0, Early())
+sys.meta_path.insert(0, SignalOnImport())
 runpy.run_module("quartzrouter", run_name="__main__", alter_sys=True)
 """
 
@@ -512,10 +515,10 @@
 def run_router_process(harness, script, steps, descriptors=None, **other):
     """Runs the steps of a test beside a router in a process of its own; returns its exit status and its log.
 
-    :param descriptors: as many as the process may have.
+    :param descriptors: the number of descriptors that the process may have.
     """
 
-    def few():
+    def limit_descriptors():
         if descriptors:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
@@ -525,14 +528,18 @@
         with anyio.fail_after(20):
             async with anyio.create_task_group() as tasks:
                 cache, port = await harness.start_server(tasks, harness.serve_cache), await free_port()
-                told = {"journal": await harness.start_server(tasks, harness.serve_discovery)} | other
-                harness.write_configuration(cache, **told)
+                configuration = {
+                    "journal": await harness.start_server(tasks, harness.serve_discovery)
+                } | other
+                harness.write_configuration(cache, **configuration)
                 environ = os.environ | {
                     "NODE_CONFIG": str(harness.config_path),
                     "NODE_LISTEN": f"127.0.0.1:{port}",
                 }
                 command = [sys.executable, *script]
-                router = subprocess.Popen(command, env=environ, stderr=subprocess.PIPE, preexec_fn=few)
+                router = subprocess.Popen(
+                    command, env=environ, stderr=subprocess.PIPE, preexec_fn=limit_descriptors
+                )
                 try:
                     await steps(router, lambda: harness.connect(port))
                     output = (await anyio.to_thread.run_sync(router.communicate))[1].decode()
@@ -547,7 +554,7 @@
 def test_sighup_during_imports_does_not_end_the_process(harness):
     """SIGHUP arrives while the program is being imported.
 
-    The system's default action ended the process. Now handlers are set up first, and the reload is played
+    Its default action ended the process. Now handlers are installed first, and the configuration is reloaded
     once the router runs.
     """
 
@@ -563,10 +570,10 @@
     assert status == 0 and "SIGHUP: journal at" in output
 
 
-def test_sigterm_during_imports_ends_the_process_in_order(harness):
+def test_sigterm_during_imports_exits_with_status_0(harness):
     """SIGTERM arrives while the program is being imported.
 
-    The system's default action ended the process with the signal's status. Now it ends with 0, before it
+    Its default action ended the process with the signal's status. Now the process exits with 0 before it
     listens.
     """
 
@@ -580,9 +587,9 @@
 
 
 def test_sighup_up_to_the_last_moment_does_not_change_the_exit_status(harness):
-    """SIGHUP arrives again and again while the process ends.
+    """SIGHUP arrives repeatedly while the process ends.
 
-    Its handlers were gone a while before the process was, and a reload then ended it by the default.
+    The handlers were removed before the process ended, and a SIGHUP then had its default action.
     """
 
     async def steps(router, connect):
@@ -601,7 +608,7 @@
 def test_a_signal_after_the_event_loops_end_is_kept():
     """A signal arrives after the event loop has closed.
 
-    It woke that loop, whose error ended the process with a traceback.
+    The handler woke the closed loop, which raised an error that ended the process with a traceback.
     """
     with Signals() as signals:
         with signals:
@@ -610,27 +617,27 @@
         assert list(signals.pending) == [signal.SIGHUP]
 
 
-def test_what_reaches_a_stopping_router_is_answered_and_nothing_is_reset(harness, monkeypatch):
-    """A router stops with a connection that nobody has accepted yet, an idle one, one with half a request and
-    one whose client reads slowly.
+def test_a_stopping_router_answers_requests_and_resets_no_connection(harness, monkeypatch):
+    """A router stops with a connection that isn't accepted yet, an idle one, one with an incomplete request
+    and one whose client reads slowly.
 
-    Each close over unread bytes was a reset, and requests were without a response. Now what waits is
-    accepted, what was read is answered, and connections end one way before they are closed.
+    Each close with unread data was a reset, and requests had no response. Now waiting connections are
+    accepted, requests that were read are answered, and sending is ended before a connection is closed.
     """
     accept, stopping = listener.Listener._accept_from, []
     harness.responses = {3: [LARGE_RESPONSE]}
 
-    def late(self, listening_socket):  # the accepting task is behind; the end itself looks
+    def accept_late(self, listening_socket):  # nothing until the listener stops, as in a busy process
         return False if stopping and not self._scope.cancel_called else accept(self, listening_socket)
 
     async def steps(connect):
-        resting, half, slow = await connect(), await connect(), await connect()
-        await resting.send_request(1)
-        assert "200 OK" in await resting.receive_response()
-        await half.send_request(2, whole=False)
+        idle, incomplete, slow = await connect(), await connect(), await connect()
+        await idle.send_request(1)
+        assert "200 OK" in await idle.receive_response()
+        await incomplete.send_request(2, whole=False)
         await slow.send_request(3)
         await wait_until(lambda: request_count(harness, 3))
-        monkeypatch.setattr(listener.Listener, "_accept_from", late)
+        monkeypatch.setattr(listener.Listener, "_accept_from", accept_late)
         stopping.append(True)
         os.kill(os.getpid(), signal.SIGTERM)
         new = await connect()
@@ -641,9 +648,9 @@
         await wait_until(
             lambda: any(each.responses_ended for each in harness.router_process.client_connections.open)
         )
-        write_at_once(resting, resting.encode_request(5))  # crosses the end, and is never begun
+        write_at_once(idle, idle.encode_request(5))  # crosses the end of the connection, and is never begun
         assert "200 OK" in (response := await slow.receive_response()) and "end 0 0" in response
-        for client in (resting, half, slow, new):
+        for client in (idle, incomplete, slow, new):
             with pytest.raises(anyio.EndOfStream):
                 while True:
                     await client.stream.receive()
@@ -653,13 +660,13 @@
 
 
 def test_clients_that_do_not_read_do_not_keep_the_process_from_exiting(harness, monkeypatch):
-    """A router stops while a client takes none of its responses.
+    """A router stops while a client reads none of its responses.
 
     The process never ended. Now it ends once the longest client timeout has passed.
     """
     monkeypatch.setattr(response_writer, "MAX_QUEUED_RECORDS", 32)
-    timeout = [kind | {"deadline_us": 1_000_000} for kind in SETUP["categories"]]
-    harness.responses = {n: [LARGE_RESPONSE] for n in range(1, 31)}
+    categories = [category | {"deadline_us": 1_000_000} for category in SETUP["categories"]]
+    harness.responses = {id: [LARGE_RESPONSE] for id in range(1, 31)}
 
     async def steps(connect):
         client = await connect()
@@ -671,14 +678,14 @@
         os.kill(os.getpid(), signal.SIGTERM)
         await wait_until(lambda: not harness.router_process.client_connections.open, timeout=6)
 
-    harness.run_steps(steps, settings=SETUP | {"categories": timeout})
+    harness.run_steps(steps, settings=SETUP | {"categories": categories})
 
 
 def test_closing_one_connection_reaches_no_other(harness):
-    """A connection is closed, and another one is given its descriptor.
+    """A connection is closed, and its descriptor is reused for another one.
 
-    One that the event loop had closed by itself was still looked at and shut down by its number, which was
-    another's by then.
+    A connection that the event loop had closed by itself was still checked and shut down by its descriptor
+    number, which by then belonged to another connection.
     """
 
     async def steps(connect):
@@ -691,7 +698,7 @@
         pooled.stream.close()
         one, two = socket.socketpair()
         try:
-            assert number in (one.fileno(), two.fileno())  # the descriptor is taken again
+            assert number in (one.fileno(), two.fileno())  # the descriptor is reused
             pooled.stream.shutdown()
             assert not pooled.is_quiet()
             one.setblocking(False)
@@ -704,13 +711,13 @@
     harness.run_steps(steps)
 
 
-def test_responses_that_are_not_taken_count_as_open_requests(harness):
-    """A client asks and asks, and takes no response.
+def test_responses_that_are_not_read_count_as_open_requests(harness):
+    """A client sends many requests, and reads no response.
 
-    Responses piled up without end. Now a request is open until its response has gone out, and open requests
-    have a bound.
+    Responses accumulated without limit. Now a request is open until its response has been sent, and the
+    number of open requests is limited.
     """
-    harness.responses = {n: [LARGE_RESPONSE] for n in range(1, 121)}
+    harness.responses = {id: [LARGE_RESPONSE] for id in range(1, 121)}
 
     async def steps(connect):
         client = await connect()
@@ -730,33 +737,33 @@
     harness.run_steps(steps)
 
 
-# -- clients that send badly -----------------------------------------------------------------------
+# -- slow, incomplete and excessive input ----------------------------------------------------------
 
 
 def test_a_request_that_trickles_in_is_answered_and_others_meanwhile(harness):
-    """A client sends its request a byte at a time: it is answered, and others don't wait for it."""
+    """A client sends its request a byte at a time: it is answered, and other requests don't wait for it."""
 
     async def steps(connect):
         slow, other = await connect(), await connect()
-        for at, byte in enumerate(slow.encode_request(1)):
+        for position, byte in enumerate(slow.encode_request(1)):
             await slow.stream.send(bytes([byte]))
-            if at % 50 == 0:
-                await other.send_request(100 + at)
+            if position % 50 == 0:
+                await other.send_request(100 + position)
                 assert "200 OK" in await other.receive_response()
         assert "200 OK" in await slow.receive_response()
 
     harness.run_steps(steps)
 
 
-def test_clients_that_send_much_and_leave_leave_nothing_behind(harness):
-    """Clients send complete requests, half ones and records for nobody, and leave at once.
+def test_requests_of_clients_that_leave_at_once_are_not_begun(harness):
+    """Clients send complete requests, incomplete ones and records of no request, and leave at once.
 
-    None of them is begun, and the memory that they held is given back.
+    None of the requests is begun, and the memory that they held is released.
     """
 
     async def steps(connect):
         service = harness.router_process
-        room = service.client_connections.free_request_memory
+        free_memory = service.client_connections.free_request_memory
         for id in range(1, 21):
             flood = await connect()
             data = flood.encode_request(id) + flood.encode_request(2, body=bytes(4_000), whole=False)
@@ -767,7 +774,7 @@
         await wait_until(lambda: not service.client_connections.open)
         await wait_until_settled(harness)
         assert (
-            service.client_connections.free_request_memory == room
+            service.client_connections.free_request_memory == free_memory
             and not service.client_connections.by_request_id
             and not service.state_machine.open_correlation_ids
         )
@@ -779,11 +786,11 @@
     harness.run_steps(steps)
 
 
-def test_idle_clients_keep_nobody_out_while_discovery_is_down(harness):
-    """Idle clients take all descriptors of a router with the least that may be configured, and no more than
-    that, while its discovery service is away.
+def test_idle_clients_do_not_block_new_ones_while_discovery_is_down(harness):
+    """Idle clients use all descriptors of a router that has the minimum number of them, while its discovery
+    service is down.
 
-    New clients are served, and so is the connection to the service once it is there.
+    New clients are served, and the router connects to the service once it is up.
     """
 
     async def steps(router, connect):
@@ -791,7 +798,7 @@
         for round in (1, 2):
             new = await connect()
             await new.send_request(1, path="/health")
-            assert "200" in await new.receive_response()  # by what the configuration knows
+            assert "200" in await new.receive_response()  # with the endpoints of the configuration
             await new.send_request(10 * round)
             assert "200 OK" in await new.receive_response()
             idle += [await connect() for _ in range(30)]
@@ -801,7 +808,7 @@
                 await wait_until(lambda: "journal from 1" in harness.requests)
         router.send_signal(signal.SIGTERM)
 
-    async def whole(router, connect):
+    async def steps_with_discovery(router, connect):
         nonlocal tasks
         async with anyio.create_task_group() as tasks:
             await steps(router, connect)
@@ -812,7 +819,7 @@
     status, output = run_router_process(
         harness,
         ["-m", "quartzrouter"],
-        whole,
+        steps_with_discovery,
         descriptors=64,
         journal=f"127.0.0.1:{port}",
         limits={"sockets": 64},
@@ -821,7 +828,7 @@
 
 
 def test_a_rejection_for_memory_names_retry_after(harness):
-    """Requests hold all the memory that there is: the one that finds none is told when to retry."""
+    """Requests hold all of the request memory: one that finds none is rejected with a time to retry after."""
 
     async def steps(connect):
         client, response = await connect(), b""
@@ -837,7 +844,7 @@
 def test_many_reloads_do_not_push_out_a_pending_stop():
     """A busy process hasn't handled SIGTERM yet, and SIGHUP arrives a thousand times.
 
-    Pending signals have a bound, and the oldest went first: the stop was lost.
+    The number of pending signals is limited, and the oldest was dropped first, so SIGTERM was lost.
     """
     with Signals() as signals:
         os.kill(os.getpid(), signal.SIGTERM)
@@ -854,9 +861,9 @@
 
 @pytest.mark.parametrize("at", ["connecting", "asked", "half an answer", "stopping"])
 def test_a_reload_between_two_steps_of_an_attempt_does_not_change_it(harness, monkeypatch, at):
-    """SIGHUP arrives while an attempt connects, waits for its response, has half of it, or the process stops.
+    """SIGHUP arrives while an attempt connects, waits for its response, has half of it, or the router stops.
 
-    The new discovery service is followed, and the request has its one response.
+    The router follows the new discovery service, and the request has exactly one response.
     """
     addresses, gate = [], anyio.Event()
     held_connect = hold_connects(addresses, gate)
@@ -874,14 +881,14 @@
             if at == "stopping":
                 os.kill(os.getpid(), signal.SIGTERM)
                 await wait_until(lambda: service.state_machine.is_shutting_down)
-            there, told = (
+            new_address, configuration = (
                 await harness.start_server(tasks, harness.serve_discovery),
                 json.loads(harness.config_path.read_text()),
             )
-            harness.config_path.write_text(json.dumps(told | {"journal": there}))
-            before = harness.requests.count("journal from 1")
+            harness.config_path.write_text(json.dumps(configuration | {"journal": new_address}))
+            count_before = harness.requests.count("journal from 1")
             os.kill(os.getpid(), signal.SIGHUP)
-            await wait_until(lambda: harness.requests.count("journal from 1") > before)
+            await wait_until(lambda: harness.requests.count("journal from 1") > count_before)
             gate.set()
             assert "200 OK b'abcde' end 0 0" in await client.receive_response()
             assert request_count(harness, 1) == 1
@@ -892,9 +899,9 @@
 
 @pytest.mark.parametrize("at", ["connecting", "half a frame"])
 def test_a_reload_in_the_middle_of_an_event_takes_it_from_the_new_service(harness, monkeypatch, at):
-    """The discovery service moves while the router connects to the old one, or has half a frame of it.
+    """SIGHUP changes the discovery service while the router connects to the old one, or has half a frame.
 
-    The event is played once, neither twice nor never: the new service is asked from the last whole frame.
+    The event is handled exactly once: the new service is asked for events after the last complete frame.
     """
     real_connect, addresses = endpoint_watch.connect, []
     purge = frame(2, 3, bytes(7) + b"\7" + b"\0\0\1\x9a\0\0\0\0")
@@ -912,7 +919,7 @@
         await connect()
         half = anyio.Event()
 
-        async def old(stream):
+        async def send_half_a_frame(stream):
             async with stream:
                 await stream.receive(8)
                 await stream.send(purge[:-3])
@@ -920,17 +927,17 @@
                 await anyio.sleep_forever()
 
         async with anyio.create_task_group() as tasks:
-            told = json.loads(harness.config_path.read_text())
+            configuration = json.loads(harness.config_path.read_text())
 
             async def follow(handler):
                 harness.config_path.write_text(
-                    json.dumps(told | {"journal": await harness.start_server(tasks, handler)})
+                    json.dumps(configuration | {"journal": await harness.start_server(tasks, handler)})
                 )
                 os.kill(os.getpid(), signal.SIGHUP)
 
             await wait_until(lambda: "journal from 1" in harness.requests)
             monkeypatch.setattr(endpoint_watch, "connect", held_connect)
-            await follow(old)
+            await follow(send_half_a_frame)
             await wait_until(lambda: addresses)
             if at == "half a frame":
                 await half.wait()
@@ -945,17 +952,18 @@
 
 
 def test_a_discovery_service_that_resets_new_connections_is_retried(harness):
-    """A discovery service resets connections as they come up.
+    """A discovery service resets new connections.
 
-    The error of the stream's own library ended the process. Now any failure is an OSError, and retried.
+    An exception of the stream library ended the process. Now each failure is an OSError, and the router
+    retries.
     """
-    times = []
+    accepted = []
 
     async def reset(stream):
-        times.append(stream)
-        if len(times) < 3:
-            own = stream.extra(anyio.abc.SocketAttribute.raw_socket)
-            own.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        accepted.append(stream)
+        if len(accepted) < 3:
+            raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
+            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             await stream.aclose()
         else:
             await harness.serve_discovery(stream)
@@ -963,14 +971,14 @@
     async def steps(connect):
         client = await connect()
         async with anyio.create_task_group() as tasks:
-            told = json.loads(harness.config_path.read_text())
+            configuration = json.loads(harness.config_path.read_text())
             harness.config_path.write_text(
-                json.dumps(told | {"journal": await harness.start_server(tasks, reset)})
+                json.dumps(configuration | {"journal": await harness.start_server(tasks, reset)})
             )
-            before = harness.requests.count("journal from 1")
+            count_before = harness.requests.count("journal from 1")
             os.kill(os.getpid(), signal.SIGHUP)
-            await wait_until(lambda: harness.requests.count("journal from 1") > before)
-            assert len(times) == 3
+            await wait_until(lambda: harness.requests.count("journal from 1") > count_before)
+            assert len(accepted) == 3
             await client.send_request(1)
             assert "200 OK" in await client.receive_response()
             tasks.cancel_scope.cancel()
@@ -980,10 +988,10 @@
 
 @pytest.mark.parametrize("in_time", [True, False])
 def test_a_connection_that_opens_late_delays_nobody_and_carries_nothing_late(harness, monkeypatch, in_time):
-    """A connection to a cache comes up late.
+    """A connection to a cache is opened late.
 
-    Within the connect timeout it is used. Beyond, the request is retried elsewhere, and the connection is
-    closed if it comes up at all: its request may not go out twice.
+    Within the connect timeout it is used. After it, the request is retried on another connection, and the
+    late connection is closed if it opens at all: the request must not be sent twice.
     """
     real_connect, addresses, gate = stream.connect, [], anyio.Event()
 
@@ -1013,27 +1021,28 @@
             map(len, service.cache_connections.pool.idle.values())
         )
 
-    within = 800_000 if in_time else 50_000
-    limits = SETUP["limits"] | {"dial_timeout_us": within}
+    connect_timeout_us = 800_000 if in_time else 50_000
+    limits = SETUP["limits"] | {"dial_timeout_us": connect_timeout_us}
     harness.run_steps(steps, settings=SETUP | {"limits": limits})
 
 
 def test_a_flood_of_invalid_requests_costs_few_log_lines_and_no_other_client(harness, capsys):
-    """Clients send what can't be used, as fast as they can.
+    """Clients send invalid requests as fast as they can.
 
-    A line each would be more than a log takes, and others would wait. Lines are suppressed and counted.
+    With a log line for each, the log would grow too fast and other clients would wait. Lines are suppressed
+    and counted.
     """
     floods = 200
 
     async def steps(connect):
         other = await connect()
-        for at in range(floods):
+        for number in range(floods):
             flood = await connect()
             write_at_once(flood, flood.encode_request(1, HTTP_X_CHUNK="none") + b"\0" * 64)
-            if at % 2:
+            if number % 2:
                 end_sending(flood)
-            if at % 20 == 0:
-                await other.send_request(1000 + at)
+            if number % 20 == 0:
+                await other.send_request(1000 + number)
                 assert "200 OK" in await other.receive_response()
         await wait_until(lambda: len(harness.router_process.client_connections.open) == 1)
 
