--- a/quartzrouter/deployment_settings.py
+++ b/quartzrouter/deployment_settings.py
@@ -30,9 +30,9 @@
 DISCOVERY_ON_REQUEST = "on_request"
 NO_MACHINE_TYPE = -1
 
-DEFAULT_CONNECT_TIMEOUT = 400_000  # us
-DEFAULT_CONNECTION_IDLE_TIMEOUT = 15_000_000  # us
-DEFAULT_OVERLOAD_WINDOW = 1_000_000  # us
+DEFAULT_CONNECT_TIMEOUT_US = 400_000
+DEFAULT_CONNECTION_IDLE_TIMEOUT_US = 15_000_000
+DEFAULT_OVERLOAD_WINDOW_US = 1_000_000
 
 
 class DeploymentSettings:
@@ -57,9 +57,9 @@
         self.machine_types: list[str] = settings.items("models")
         self.parent_machine_type = self._machine_type(family, "shield_kind")
         self.origin_machine_type = self._machine_type(family, "store_kind")
-        self.connect_timeout = limits.integer("dial_timeout_us", DEFAULT_CONNECT_TIMEOUT, minimum=1)
+        self.connect_timeout = limits.integer("dial_timeout_us", DEFAULT_CONNECT_TIMEOUT_US, minimum=1)
         self.connection_idle_timeout = limits.integer(
-            "conn_idle_us", DEFAULT_CONNECTION_IDLE_TIMEOUT, minimum=1
+            "conn_idle_us", DEFAULT_CONNECTION_IDLE_TIMEOUT_US, minimum=1
         )
         self.load_report = settings.subsection("load_report")
         self.load_report_fields: list[str] = self.load_report.items("fields")
@@ -179,7 +179,7 @@
 
 
 def _overload_window(rules: ConfigurationSection) -> int:
-    return rules.integer("tip_after_us", DEFAULT_OVERLOAD_WINDOW, minimum=1)
+    return rules.integer("tip_after_us", DEFAULT_OVERLOAD_WINDOW_US, minimum=1)
 
 
 def _all_routers(settings: ConfigurationSection) -> int:
--- a/quartzrouter/server/cache_connection.py
+++ b/quartzrouter/server/cache_connection.py
@@ -12,7 +12,7 @@
 from quartzrouter.server.stream import Pending, Stream
 
 READ_BUFFER_SIZE = 1 << 15  # bytes; most responses fit in one or two reads
-WRITE_BUFFER_SIZE = 1 << 14  # bytes
+WRITE_BUFFER_SIZE = 1 << 14  # bytes that are being written to the socket
 # Bytes in the socket's own receive buffer. All of them are read at once, so the size limits the memory that a
 # fast sender can fill.
 SOCKET_RECEIVE_BUFFER = 1 << 16
--- a/quartzrouter/server/request_reader.py
+++ b/quartzrouter/server/request_reader.py
@@ -10,8 +10,8 @@
 from quartzrouter.server.errors import ServerError
 from quartzrouter.server.events import ClientRequest
 
-MAX_PARAMS_SIZE = 1 << 14  # bytes
-MAX_BODY_SIZE = 48_000  # bytes
+MAX_PARAMS_SIZE = 1 << 14  # bytes of parameters in one request
+MAX_BODY_SIZE = 48_000  # bytes in the body of one request
 MAX_DEADLINE_MS = 3_600_000  # one hour; a longer deadline is assumed to be a mistake
 MAX_TAG = 255  # purges by tag encode the tag in one byte
 HEALTH_PATH = "/health"
