--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -300,10 +300,10 @@
 
 
 @pytest.fixture
-def world(tmp_path):
-    from standins import World  # standins imports SETUP from this module
+def harness(tmp_path):
+    from standins import RouterHarness  # standins imports SETUP from this module
 
-    return World(tmp_path)
+    return RouterHarness(tmp_path)
 
 
 @pytest.fixture(autouse=True)
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Parties for the tests over loopback: a client that speaks FastCGI, a cache, a discovery service."""
+"""Fakes for the tests over loopback: a FastCGI client, a cache, a discovery service; and their router."""
 
 import json
 
@@ -24,21 +24,21 @@
     "COPY_TAG",
     "OK_RESPONSE",
     "Client",
-    "World",
+    "RouterHarness",
     "begin_request_record",
     "free_port",
     "with_tag_of_request",
 ]
 
-SCENE_TIMEOUT = 10  # s
+STEPS_TIMEOUT = 10  # s
 
 
-class World:
-    """A router, one fake that responds for all caches, and a discovery service with frames to send.
+class RouterHarness:
+    """A router, one fake that responds for all caches, and a fake discovery service with frames to send.
 
-    ``responses`` says by object what the cache sends for a request: pieces of bytes, seconds to wait,
-    events to wait for, or None to close the connection. ``requests`` lists the first lines of what the
-    cache received, and what the discovery service was asked for.
+    ``responses`` maps an object to what the cache sends for a request: pieces of bytes, seconds to wait,
+    events to wait for, or None to close the connection. ``requests`` lists the first lines of the requests
+    to the cache, and the positions that the discovery service was asked for.
     """
 
     def __init__(self, tmp_path):
@@ -52,7 +52,7 @@
         self.router_process = None
 
     async def serve_cache(self, stream):
-        """Serves one connection of the router to a cache, and counts it."""
+        """Serves and counts one connection from the router to a cache."""
         self.open_connections += 1
         self.accepted_connections += 1
         self.max_open_connections = max(self.max_open_connections, self.open_connections)
@@ -62,7 +62,7 @@
             self.open_connections -= 1
 
     async def serve(self, stream):
-        """Sends what ``responses`` says for each request."""
+        """Answers each request as ``responses`` specifies."""
         async with stream:
             async for head in request_heads(stream):
                 line = head.partition(b"\r\n")[0]
@@ -83,7 +83,7 @@
         async with stream:
             try:
                 position = int.from_bytes(await stream.receive(8), "big")
-            except (anyio.EndOfStream, anyio.BrokenResourceError):  # a router that ends while it connects
+            except (anyio.EndOfStream, anyio.BrokenResourceError):  # the router ended while it connected
                 return
             self.requests.append(f"journal from {position}")
             await stream.send(self.discovery_frames.pop(0) if self.discovery_frames else b"")
@@ -117,15 +117,16 @@
         } | settings
         self.config_path.write_text(json.dumps(configuration))
 
-    def run_scene(self, scene, frames=(), **settings):
-        """Runs a scene beside a router in this process.
+    def run_steps(self, steps, frames=(), **settings):
+        """Runs the steps of a test beside a router in this process.
 
-        :param scene: an async function that takes a way to connect.
+        :param steps: an async function; its argument is an async function that connects a client.
+        :param frames: what the discovery service sends, one item on each connection.
         """
         self.discovery_frames = list(frames)
 
         async def run():
-            with anyio.fail_after(SCENE_TIMEOUT):
+            with anyio.fail_after(STEPS_TIMEOUT):
                 async with anyio.create_task_group() as tasks:
                     cache = await self.start_server(tasks, self.serve_cache)
                     discovery = await self.start_server(tasks, self.serve_discovery)
@@ -134,20 +135,20 @@
                     environ = {"NODE_CONFIG": str(self.config_path), "NODE_LISTEN": f"127.0.0.1:{port}"}
                     self.router_process = self.create_router(environ)
                     tasks.start_soon(self.router_process.run)
-                    await scene(lambda: self.connect(port))
+                    await steps(lambda: self.connect(port))
                     tasks.cancel_scope.cancel()
 
         anyio.run(run, backend_options=process.BACKEND_OPTIONS)
 
     def create_router(self, environ):
-        """Makes the router, which reads its configuration anew at SIGHUP."""
+        """Returns a router that reads its configuration again on SIGHUP."""
         return process.RouterProcess(
             Configuration(read_configuration(environ), environ),
             lambda: Configuration(read_configuration(environ), environ),
         )
 
     async def connect(self, port):
-        """Connects a client, as soon as the router listens."""
+        """Connects a client as soon as the router listens."""
         while True:
             try:
                 return Client(await anyio.connect_tcp("127.0.0.1", port))
--- a/tests/test_spin_guard.py
+++ b/tests/test_spin_guard.py
@@ -15,7 +15,7 @@
 
 import anyio
 import pytest
-from standins import OK_RESPONSE, World, free_port
+from standins import OK_RESPONSE, RouterHarness, free_port
 
 from quartzrouter.server import process
 from quartzrouter.server.event_loop import BACKEND_OPTIONS, EventLoop
@@ -78,7 +78,7 @@
     """A router in a process of its own, its clients, and the outcome of each request."""
 
     def __init__(self, tmp_path, program):
-        self.world = World(tmp_path)
+        self.world = RouterHarness(tmp_path)
         self.program = program
         self.outcomes = {}  # by request id
         self.output = ""
