--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -80,13 +80,13 @@
     for seed in range(PLAYS):
         faults = [Fault(1_500 + 5_000 * n, "holder", kind, lasts) for n in range(FAULTS)]
         seen = play(random.Random(seed), SHAPE, faults)
-        acts = history_checks.acts(seen.fleet.history)
-        for each in (one for one in seen.fleet.history.of("fault") if one.told["kind"] == kind):
-            before = [act for act in acts if act.who == each.who and act.began < each.at + 200_000]
-            number = before[-1].number if before else 0
-            after = [act.began for act in acts if act.number > number and act.began > each.at]
+        acts = history_checks.actions(seen.fleet.history)
+        for each in (one for one in seen.fleet.history.events_of("fault") if one.details["kind"] == kind):
+            before = [act for act in acts if act.actor == each.actor and act.began_at < each.time + 200_000]
+            number = before[-1].fencing_token if before else 0
+            after = [act.began_at for act in acts if act.fencing_token > number and act.began_at > each.time]
             if before and after:
-                last = max(each.at, before[-1].began) if kind == "end" else each.at
+                last = max(each.time, before[-1].began_at) if kind == "end" else each.time
                 found.append(min(after) - last)
     return sorted(found)
 
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -174,8 +174,8 @@
         size = replace(SIZE, seconds=cut_seconds + 12.0)
         faults = [Fault(5_000, "cut", f"r{router}", cut_seconds * 1000) for router in range(6)]
         result = play(random.Random(1), size, faults)
-        admitted = history_checks.let_through(result.fleet.history, RATE_PATH)
-        used = partial(history_checks.rate, admitted)
+        admitted = history_checks.admission_intervals(result.fleet.history, RATE_PATH)
+        used = partial(history_checks.arrival_rate, admitted)
         cut_at = result.began + 5 * SECOND
         healed_at = cut_at + cut_seconds * SECOND
         before = used(cut_at - 2 * SECOND, cut_at)
--- a/quartzrouter/fault_harness/child_process.py
+++ b/quartzrouter/fault_harness/child_process.py
@@ -13,13 +13,13 @@
 import anyio
 
 from quartzrouter.configuration_section import parse_address
-from quartzrouter.fault_harness.skewed_clocks import clocks
+from quartzrouter.fault_harness.skewed_clocks import open_clocks
 from quartzrouter.server import process as net
 from quartzrouter.server.event_loop import BACKEND_OPTIONS
 
 
 def main(page: str, what: str, *told: str) -> int:
-    wall, even = clocks(page)
+    wall, even = open_clocks(page)
     net.wall_clock, net.steady_clock = wall, even
     if what == "cli":
         from quartzrouter.cli.main import cli
--- a/quartzrouter/fault_harness/counting_cache.py
+++ b/quartzrouter/fault_harness/counting_cache.py
@@ -16,13 +16,13 @@
 class CountingCache(Server):
     """:param delay: s that a req takes, by its path.
 
-    `bad` is the share of reqs that it answers with an error, `hangs` whether it answers none, `notices`
-    whether it gives up a req whose router has hung up.
+    `error_rate` is the share of reqs that it answers with an error, `hangs` whether it answers none,
+    `cancels_abandoned` whether it gives up a req whose router has hung up.
     """
 
     def __init__(self, name: str, history: History, chance: random.Random, delay: Callable[[str], float]):
         self.name, self.history, self.chance, self.delay = name, history, chance, delay
-        self.bad, self.hangs, self.notices = 0.0, False, True
+        self.error_rate, self.hangs, self.cancels_abandoned = 0.0, False, True
 
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
         async with stream:
@@ -48,12 +48,12 @@
         how = "called off"
         delay = 60.0 if self.hangs else self.delay(path)
         try:
-            if self.notices:
+            if self.cancels_abandoned:
                 with anyio.move_on_after(delay):
                     data += await stream.receive()
             else:
                 await anyio.sleep(delay)
-            wrong = self.chance.random() < self.bad
+            wrong = self.chance.random() < self.error_rate
             await stream.send(LOST_ANSWER if wrong else with_tag_of_request(OK_RESPONSE, head))
             how = "failed" if wrong else "answered"
         finally:
--- a/quartzrouter/fault_harness/fault_schedule.py
+++ b/quartzrouter/fault_harness/fault_schedule.py
@@ -11,21 +11,21 @@
 class Fault(msgspec.Struct, frozen=True):
     """One thing that goes wrong.
 
-    :param at: ms after the schedule's start.
-    :param what: its kind, as the stand that plays it knows them.
-    :param who: whom it strikes.
-    :param lasts: ms until it is mended.
-    :param much: how much of it, in the kind's unit.
+    :param at_ms: ms after the schedule's start.
+    :param kind: one of the kinds that the fleet that plays it knows.
+    :param target: whom it strikes.
+    :param duration_ms: ms until it is mended.
+    :param amount: how much of it, in the kind's unit.
     """
 
-    at: int
-    what: str
-    who: str
-    lasts: int = 0
-    much: float = 0.0
+    at_ms: int = msgspec.field(name="at")
+    kind: str = msgspec.field(name="what")
+    target: str = msgspec.field(name="who")
+    duration_ms: int = msgspec.field(default=0, name="lasts")
+    amount: float = msgspec.field(default=0.0, name="much")
 
 
-def drawn(
+def draw(
     chance: random.Random,
     kinds: dict[str, tuple[Sequence[str], tuple[int, int], Sequence[float]]],
     faults: int,
@@ -43,7 +43,7 @@
         lasts = chance.randint(least, most)
         at = chance.randint(0, max(0, until - lasts))
         found.append(Fault(at, what, chance.choice(list(who)), lasts, chance.choice(list(much))))
-    return sorted(found, key=lambda fault: fault.at)
+    return sorted(found, key=lambda fault: fault.at_ms)
 
 
 def write(path: Path, faults: Sequence[Fault]) -> None:
@@ -63,7 +63,7 @@
     began = anyio.current_time()
 
     async def one(fault: Fault) -> None:
-        await anyio.sleep(max(0.0, began + fault.at / 1000 - anyio.current_time()))
+        await anyio.sleep(max(0.0, began + fault.at_ms / 1000 - anyio.current_time()))
         await strike(fault)
 
     async with anyio.create_task_group() as tasks:
@@ -71,7 +71,7 @@
             tasks.start_soon(one, fault)
 
 
-def shrunk(faults: Sequence[Fault], fails: Callable[[Sequence[Fault]], bool], tries: int = 64) -> list[Fault]:
+def shrink(faults: Sequence[Fault], fails: Callable[[Sequence[Fault]], bool], tries: int = 64) -> list[Fault]:
     """A shorter schedule that still fails, by leaving out parts of it (Zeller's delta debugging).
 
     :param fails: plays a schedule and says whether a checker found something.
--- a/quartzrouter/fault_harness/fleet.py
+++ b/quartzrouter/fault_harness/fleet.py
@@ -23,8 +23,8 @@
 class Clocks(NamedTuple):
     """Of a party: us by which the wall clock is off, parts in a million by which both run fast."""
 
-    off: int = 0
-    fast: int = 0
+    offset: int = 0
+    drift: int = 0
 
 
 TRUE = Clocks()
@@ -54,15 +54,15 @@
         plan: Path | None = None,
         standby: int | None = None,
         clocks: Clocks = TRUE,
-        guards: Sequence[str] = (),
+        mutations: Sequence[str] = (),
         folder: str = "ledger",
     ) -> FleetProcess:
         """:param standby: the ledger, by its number, that it takes over from."""
-        port = self._port()
+        port = self._reserve_port()
         beside = f"127.0.0.1:{self.ledger_ports[standby]}" if standby is not None else "-"
         at, n = self.folder / folder, len(self.ledgers)
-        told = ["ledger", str(at), f"127.0.0.1:{port}", str(self.grace), str(plan or "-"), beside, *guards]
-        self.ledgers.append(self._party(f"ledger{n}", told, clocks, at))
+        told = ["ledger", str(at), f"127.0.0.1:{port}", str(self.grace), str(plan or "-"), beside, *mutations]
+        self.ledgers.append(self._add_process(f"ledger{n}", told, clocks, at))
         self.ledger_ports.append(port)
         return self.ledgers[-1]
 
@@ -72,26 +72,26 @@
         for link in links:
             await link.start(tasks)
         self.links.append(links)
-        self.ports.append(self._port())
+        self.ports.append(self._reserve_port())
         return len(self.links) - 1
 
     def add_router(
-        self, n: int, plan: str, clocks: Clocks = TRUE, guards: Sequence[str] = ()
+        self, n: int, plan: str, clocks: Clocks = TRUE, mutations: Sequence[str] = ()
     ) -> FleetProcess:
         """:param plan: its text; the file may be written anew for a reload."""
-        path = self.plan_of(n)
+        path = self.plan_path(n)
         path.write_text(plan)
-        self.routers.append(self._party(f"r{n}", ["router", str(path), *guards], clocks))
+        self.routers.append(self._add_process(f"r{n}", ["router", str(path), *mutations], clocks))
         return self.routers[-1]
 
     def add_keeper(
-        self, name: str, plan: str, clocks: Clocks = TRUE, guards: Sequence[str] = ()
+        self, name: str, plan: str, clocks: Clocks = TRUE, mutations: Sequence[str] = ()
     ) -> FleetProcess:
         """:param plan: its text, with the address at which it listens."""
         path, folder = self.folder / f"{name}.plan", self.folder / name
         path.write_text(plan)
-        told = ["keeper", str(path), name, str(folder), *guards]
-        self.others.append(self._party(name, told, clocks, folder))
+        told = ["keeper", str(path), name, str(folder), *mutations]
+        self.others.append(self._add_process(name, told, clocks, folder))
         return self.others[-1]
 
     def add_claimant(
@@ -102,7 +102,7 @@
         task: str,
         witness: int,
         clocks: Clocks = TRUE,
-        guards: Sequence[str] = (),
+        mutations: Sequence[str] = (),
     ) -> FleetProcess:
         """:param plan: its text, with the addresses at which it reaches keepers.
         :param witness: the port of whoever it acts on.
@@ -110,15 +110,15 @@
         path = self.folder / f"{party}.plan"
         path.write_text(plan)
         self.others.append(
-            self._party(party, ["claimant", str(path), task, name, str(witness), *guards], clocks)
+            self._add_process(party, ["claimant", str(path), task, name, str(witness), *mutations], clocks)
         )
         return self.others[-1]
 
     def add_command(self, name: str, *words: str) -> FleetProcess:
-        self.others.append(self._party(name, ["cli", *words], Clocks()))
+        self.others.append(self._add_process(name, ["cli", *words], Clocks()))
         return self.others[-1]
 
-    def _port(self) -> int:
+    def _reserve_port(self) -> int:
         """A port that nobody else gets: held by a socket that doesn't listen, beside which its party may."""
         held = socket.socket()
         held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -126,34 +126,38 @@
         self.held.append(held)
         return held.getsockname()[1]
 
-    def plan_of(self, n: int) -> Path:
+    def plan_path(self, n: int) -> Path:
         return self.folder / f"r{n}.plan"
 
-    def _party(self, name: str, told: list[str], clocks: Clocks, folder: Path | None = None) -> FleetProcess:
+    def _add_process(
+        self, name: str, told: list[str], clocks: Clocks, folder: Path | None = None
+    ) -> FleetProcess:
         page = ClockPage(self.folder / f"{name}.clocks", *clocks)
         return FleetProcess(name, told, page, self.logs, self.history, folder)
 
     @property
-    def parties(self) -> list[FleetProcess]:
+    def processes(self) -> list[FleetProcess]:
         return [*self.routers, *self.ledgers, *self.others]
 
-    def end(self) -> None:
-        for party in self.parties:
+    def close(self) -> None:
+        for party in self.processes:
             party.kill()
         for held in self.held:
             held.close()
         self.logs.close()
 
-    def log(self) -> str:
+    def read_log(self) -> str:
         return (self.folder / "log").read_text(errors="replace")
 
-    def faults(self) -> list[str]:
+    def fault_log_lines(self) -> list[str]:
         """Lines in which a process tells of a fault of its own."""
-        return [line for line in self.log().splitlines() if '"kind": "fault"' in line or "Traceback" in line]
+        return [
+            line for line in self.read_log().splitlines() if '"kind": "fault"' in line or "Traceback" in line
+        ]
 
     # -- waiting -------------------------------------------------------------------------------------------
 
-    async def up(self, port: int) -> None:
+    async def wait_until_listening(self, port: int) -> None:
         with anyio.fail_after(UP_WITHIN):
             while True:
                 try:
@@ -162,12 +166,12 @@
                 except OSError:
                     await anyio.sleep(0.02)
 
-    async def all_up(self) -> None:
+    async def wait_until_all_joined(self) -> None:
         for port in self.ports:
-            await self.up(port)
-        await self.joined()
+            await self.wait_until_listening(port)
+        await self.wait_until_joined()
 
-    async def joined(self) -> bool:
+    async def wait_until_joined(self) -> bool:
         """Until all routers are live members of a ledger that answers; False where that takes too long."""
         client = LedgerClient([("127.0.0.1", port) for port in self.ledger_ports], 1.0)
         try:
--- a/quartzrouter/fault_harness/history.py
+++ b/quartzrouter/fault_harness/history.py
@@ -10,26 +10,26 @@
 
 
 class HistoryEvent(NamedTuple):
-    """:param at: us."""
+    """:param time: us."""
 
-    at: int
-    what: str
-    who: str
-    told: dict[str, Any]
+    time: int
+    kind: str
+    actor: str
+    details: dict[str, Any]
 
 
 class History:
     def __init__(self) -> None:
         self.events: list[HistoryEvent] = []
 
-    def add(self, what: str, who: str, **told: Any) -> int:
+    def add(self, event_kind: str, actor: str, **details: Any) -> int:
         """Notes it; gives the time."""
-        at = steady_clock()
-        self.events.append(HistoryEvent(at, what, who, told))
-        return at
+        time = steady_clock()
+        self.events.append(HistoryEvent(time, event_kind, actor, details))
+        return time
 
-    def of(self, *what: str) -> Iterator[HistoryEvent]:
-        return (event for event in self.events if event.what in what)
+    def events_of(self, *kinds: str) -> Iterator[HistoryEvent]:
+        return (event for event in self.events if event.kind in kinds)
 
     def write(self, path: Path) -> None:
         """One JSON array a line."""
--- a/quartzrouter/fault_harness/linearizability.py
+++ b/quartzrouter/fault_harness/linearizability.py
@@ -14,16 +14,16 @@
 
 
 class Operation(NamedTuple):
-    """:param called: us when the client's word passed.
-    :param back: us when the answer did; None: none came.
-    :param what: of it, for the spec.
-    :param answer: None where none came.
+    """:param called_at: us when the client's word passed.
+    :param returned_at: us when the answer did; None: none came.
+    :param arguments: of it, for the spec.
+    :param result: None where none came.
     """
 
-    called: int
-    back: int | None
-    what: tuple
-    answer: tuple | None
+    called_at: int
+    returned_at: int | None
+    arguments: tuple
+    result: tuple | None
 
 
 # state, what -> the state after it and the answer
@@ -32,10 +32,10 @@
 
 def is_linearizable(ops: Sequence[Operation], spec: Spec, state: Hashable) -> bool | None:
     """Whether there is an order; None where that isn't found out within bounds."""
-    ops = sorted(ops, key=lambda op: op.called)
-    never = max((op.back or op.called for op in ops), default=0) + 1
-    ends = [never if op.back is None else op.back for op in ops]
-    done = sum(1 << n for n, op in enumerate(ops) if op.back is None)  # those may stay out
+    ops = sorted(ops, key=lambda op: op.called_at)
+    never = max((op.returned_at or op.called_at for op in ops), default=0) + 1
+    ends = [never if op.returned_at is None else op.returned_at for op in ops]
+    done = sum(1 << n for n, op in enumerate(ops) if op.returned_at is None)  # those may stay out
     whole = (1 << len(ops)) - 1
     seen: set[tuple[int, Hashable]] = set()
     todo = [(0, 0, state)]
@@ -52,12 +52,12 @@
             return None
         soonest = min(ends[n] for n in _near(ops, ends, over, first))
         for n in range(first, len(ops)):
-            if ops[n].called > soonest:
+            if ops[n].called_at > soonest:
                 break
             if over >> n & 1:
                 continue
-            after, answer = spec(now, ops[n].what)
-            if ops[n].answer is None or ops[n].answer == answer:
+            after, answer = spec(now, ops[n].arguments)
+            if ops[n].result is None or ops[n].result == answer:
                 todo.append((over | 1 << n, first, after))
     return False
 
@@ -68,31 +68,31 @@
     for n in range(first, len(ops)):
         if over >> n & 1:
             continue
-        if soonest is not None and ops[n].called > soonest:
+        if soonest is not None and ops[n].called_at > soonest:
             break
         found.append(n)
         soonest = ends[n] if soonest is None else min(soonest, ends[n])
     return found
 
 
-def fenced(seen: int, what: tuple) -> tuple[int, tuple]:
+def fencing_spec(seen: int, what: tuple) -> tuple[int, tuple]:
     """The spec of whoever is acted on: a number lower than one that has acted is refused."""
     (number,) = what
     return (seen, ("no", seen)) if number < seen else (number, ("yes", number))
 
 
-def operations_of(history: History) -> list[Operation]:
+def operations_from_history(history: History) -> list[Operation]:
     """What passed between claimants and their witness, one op of each at a time."""
     found: list[Operation] = []
     open_: dict[str, tuple[int, tuple]] = {}
-    for event in history.of("call", "back"):
-        if event.what == "call":
-            if before := open_.pop(event.who, None):  # its line has ended without an answer
+    for event in history.events_of("call", "back"):
+        if event.kind == "call":
+            if before := open_.pop(event.actor, None):  # its line has ended without an answer
                 found.append(Operation(before[0], None, before[1], None))
-            open_[event.who] = (event.at, (event.told["number"],))
-        elif event.who in open_ and event.told["answer"][0] != "fails":
-            called, what = open_.pop(event.who)
-            found.append(Operation(called, event.at, what, tuple(event.told["answer"])))
+            open_[event.actor] = (event.time, (event.details["number"],))
+        elif event.actor in open_ and event.details["answer"][0] != "fails":
+            called, what = open_.pop(event.actor)
+            found.append(Operation(called, event.time, what, tuple(event.details["answer"])))
         else:
-            open_.pop(event.who, None)  # what failed has changed nothing
+            open_.pop(event.actor, None)  # what failed has changed nothing
     return found + [Operation(called, None, what, None) for called, what in open_.values()]
--- a/quartzrouter/fault_harness/load_generator.py
+++ b/quartzrouter/fault_harness/load_generator.py
@@ -29,11 +29,11 @@
         awake: Callable[[], bool] = lambda: True,
     ):
         self.path, self.history, self.port, self.pace, self.awake = path, history, port, pace, awake
-        self.ends, self.asked = False, 0
+        self.is_stopping, self.asked = False, 0
 
     async def run(self) -> None:
         client, due = None, anyio.current_time()
-        while not self.ends:
+        while not self.is_stopping:
             due = max(
                 due + self.pace(), anyio.current_time() - 1
             )  # what was late is caught up, within reason
--- a/quartzrouter/fault_harness/processes.py
+++ b/quartzrouter/fault_harness/processes.py
@@ -22,28 +22,28 @@
         self,
         name: str,
         arguments: list[str],
-        page: ClockPage,
+        clock_page: ClockPage,
         log: IO,
         history: History,
         folder: Path | None = None,
     ):
-        self.name, self.arguments, self.page = name, arguments, page
+        self.name, self.arguments, self.clock_page = name, arguments, clock_page
         self.log, self.history, self.folder = log, history, folder
         self.process: subprocess.Popen | None = None
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self.process is not None and self.process.poll() is None
 
     def start(self) -> None:
         """Starts it, where it doesn't run: two faults at a time may both want to."""
-        if self.runs:
+        if self.is_running:
             return
         words = [
             sys.executable,
             "-m",
             "quartzrouter.fault_harness.child_process",
-            str(self.page.path),
+            str(self.clock_page.path),
             *self.arguments,
         ]
         self.process = subprocess.Popen(words, stdout=self.log, stderr=self.log)
@@ -58,21 +58,21 @@
 
     def stop(self) -> None:
         """SIGSTOP: it does nothing, and knows nothing of it."""
-        if self.runs:
+        if self.is_running:
             self.process.send_signal(signal.SIGSTOP)
             self.history.add("stop", self.name)
 
-    def go_on(self) -> None:
-        if self.runs:
+    def resume(self) -> None:
+        if self.is_running:
             self.process.send_signal(signal.SIGCONT)
             self.history.add("go on", self.name)
 
     def reload(self) -> None:
-        if self.runs:
+        if self.is_running:
             self.process.send_signal(signal.SIGHUP)
             self.history.add("reload", self.name)
 
-    def lose_folder(self) -> None:
+    def delete_folder(self) -> None:
         """Its disk is gone; for a process that doesn't run."""
         if self.folder is not None:
             shutil.rmtree(self.folder, ignore_errors=True)
--- a/quartzrouter/fault_harness/proxied_links.py
+++ b/quartzrouter/fault_harness/proxied_links.py
@@ -18,23 +18,24 @@
 class LinkDirection:
     """One direction.
 
-    :param held: nothing passes, and nobody is told.
-    :param late: s by which each line is late.
-    :param spoil: the share of lines that are lost, doubled or swapped with the next, as `only` says.
+    :param is_blocked: nothing passes, and nobody is told.
+    :param delay: s by which each line is late.
+    :param fault_rate: the share of lines that are lost, doubled or swapped with the next, as `fault_kinds`
+        says.
     """
 
-    held: bool = False
-    late: float = 0.0
-    spoil: float = 0.0
-    only: tuple[str, ...] = ("lose", "double", "swap")
-    spoilt: int = 0
+    is_blocked: bool = False
+    delay: float = 0.0
+    fault_rate: float = 0.0
+    fault_kinds: tuple[str, ...] = ("lose", "double", "swap")
+    fault_count: int = 0
 
 
 class ProxiedLink:
     """From a client to a server, the same for all its connections.
 
     :param to: the server's address.
-    :param by_line: what passes is lines, which can be spoilt one by one; else bytes.
+    :param is_line_based: what passes is lines, which can be spoilt one by one; else bytes.
     :param tap: is told of each piece as it comes from a client, and as it goes to one: then with True.
     """
 
@@ -42,29 +43,29 @@
         self,
         to: tuple[str, int],
         chance: random.Random,
-        by_line: bool = True,
+        is_line_based: bool = True,
         tap: Callable[[bool, bytes], None] = lambda down, piece: None,
     ):
-        self.to, self.chance, self.by_line, self.tap = to, chance, by_line, tap
+        self.to, self.chance, self.is_line_based, self.tap = to, chance, is_line_based, tap
         self.up, self.down = LinkDirection(), LinkDirection()  # to the server, to the client
         self.open: set[anyio.CancelScope] = set()
         self.port = 0
 
     @property
-    def ways(self) -> tuple[LinkDirection, LinkDirection]:
+    def directions(self) -> tuple[LinkDirection, LinkDirection]:
         return self.up, self.down
 
     @property
-    def spoilt(self) -> int:
-        return self.up.spoilt + self.down.spoilt
+    def fault_count(self) -> int:
+        return self.up.fault_count + self.down.fault_count
 
-    def hold(self, held: bool = True) -> None:
-        for way in self.ways:
-            way.held = held
+    def block(self, is_blocked: bool = True) -> None:
+        for way in self.directions:
+            way.is_blocked = is_blocked
 
-    def heal(self) -> None:
-        for way in self.ways:
-            way.held, way.late, way.spoil = False, 0.0, 0.0
+    def restore(self) -> None:
+        for way in self.directions:
+            way.is_blocked, way.delay, way.fault_rate = False, 0.0, 0.0
 
     def reset(self) -> None:
         """All its connections end."""
@@ -107,7 +108,7 @@
                 async for piece in self._pieces(source, way):
                     if way is self.up:
                         self.tap(False, piece)
-                    await give.send((anyio.current_time() + way.late, piece))
+                    await give.send((anyio.current_time() + way.delay, piece))
 
         try:
             async with anyio.create_task_group() as tasks, take:
@@ -125,15 +126,15 @@
 
     async def _pieces(self, source, way: LinkDirection) -> AsyncIterator[bytes]:
         """What comes from one side, spoilt."""
-        if not self.by_line:
+        if not self.is_line_based:
             while True:
                 yield await source.receive(READ)
         kept: bytes | None = None
         async for line in read_lines(source):
             out = [line]
-            if way.spoil and self.chance.random() < way.spoil:
-                way.spoilt += 1
-                what = self.chance.choice(way.only)
+            if way.fault_rate and self.chance.random() < way.fault_rate:
+                way.fault_count += 1
+                what = self.chance.choice(way.fault_kinds)
                 out = [] if what == "lose" else [line, line] if what == "double" else []
                 if what == "swap":
                     kept = line
@@ -145,5 +146,5 @@
 
 
 async def _opened(way: LinkDirection) -> None:
-    while way.held:
+    while way.is_blocked:
         await anyio.sleep(LOOK_EVERY)
--- a/quartzrouter/fault_harness/skewed_clocks.py
+++ b/quartzrouter/fault_harness/skewed_clocks.py
@@ -11,23 +11,23 @@
 
 
 class ClockPage:
-    """What the stand tells of one process's clocks; `off` may be changed while it runs."""
+    """What the stand tells of one process's clocks; `offset` may be changed while it runs."""
 
-    def __init__(self, path: Path, off: int = 0, fast: int = 0):
-        self.path, self.fast = path, fast
-        path.write_bytes(PAGE.pack(off, fast))
+    def __init__(self, path: Path, offset: int = 0, drift: int = 0):
+        self.path, self.drift = path, drift
+        path.write_bytes(PAGE.pack(offset, drift))
         with path.open("r+b") as file:
             self.map = mmap.mmap(file.fileno(), PAGE.size)
 
     @property
-    def off(self) -> int:
+    def offset(self) -> int:
         return PAGE.unpack(self.map[:])[0]
 
-    def jump(self, off: int) -> None:
-        self.map[:] = PAGE.pack(off, self.fast)
+    def set_offset(self, offset: int) -> None:
+        self.map[:] = PAGE.pack(offset, self.drift)
 
 
-def clocks(path: str) -> tuple[Callable[[], int], Callable[[], int]]:
+def open_clocks(path: str) -> tuple[Callable[[], int], Callable[[], int]]:
     """The process's side: its wall clock and its steady one."""
     with open(path, "r+b") as file:
         told = mmap.mmap(file.fileno(), PAGE.size, access=mmap.ACCESS_READ)
--- a/quartzrouter/fault_harness/witness.py
+++ b/quartzrouter/fault_harness/witness.py
@@ -30,14 +30,14 @@
 class Witness(Server):
     """:param checks: it refuses numbers lower than it has seen.
 
-    `failing` names those whose acts go wrong.
+    `failing_claimants` names those whose acts go wrong.
     """
 
     def __init__(self, history: History, checks: bool = True):
         self.history, self.checks = history, checks
         self.seen = 0
-        self.refused = 0
-        self.failing: set[str] = set()
+        self.refused_count = 0
+        self.failing_claimants: set[str] = set()
 
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
         async with stream:
@@ -50,10 +50,10 @@
 
     def _take(self, who: str, what: str, number: int) -> list:
         if self.checks and number < self.seen:
-            self.refused += 1
+            self.refused_count += 1
             self.history.add("refuse", who, number=number)
             return ["no", self.seen]
-        if who in self.failing and what == "begin":  # what has begun is ended
+        if who in self.failing_claimants and what == "begin":  # what has begun is ended
             return ["fails", 0]
         self.seen = max(self.seen, number)
         self.history.add(what, who, number=number)
--- a/quartzrouter/fault_scenarios/leases.py
+++ b/quartzrouter/fault_scenarios/leases.py
@@ -20,7 +20,7 @@
 from quartzrouter.fault_harness.fault_injection import FaultInjectedFleet
 from quartzrouter.fault_harness.fault_schedule import Fault
 from quartzrouter.fault_harness.fleet import Clocks
-from quartzrouter.fault_harness.linearizability import fenced, is_linearizable, operations_of
+from quartzrouter.fault_harness.linearizability import fencing_spec, is_linearizable, operations_from_history
 from quartzrouter.fault_harness.proxied_links import ProxiedLink
 from quartzrouter.fault_harness.witness import Witness
 from quartzrouter.fault_scenarios import ScenarioReport
@@ -80,7 +80,11 @@
 
     def __init__(self, folder: Path, chance: random.Random, shape: ScenarioSize, guards: Sequence[str] = ()):
         super().__init__(folder, chance)
-        self.shape, self.spoil, self.out = shape, shape.spoil, [each for each in guards if each != UNCHECKED]
+        self.shape, self.line_fault_rate, self.out = (
+            shape,
+            shape.spoil,
+            [each for each in guards if each != UNCHECKED],
+        )
         self.witness = Witness(self.history, UNCHECKED not in guards)
         self.keepers, self.claimants = [], []
         self.keeper_ports: list[int] = []
@@ -90,7 +94,7 @@
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
         shape = self.shape
         await self.witness.start(tasks)
-        self.keeper_ports = [self._port() for _ in range(shape.keepers)]
+        self.keeper_ports = [self._reserve_port() for _ in range(shape.keepers)]
         own = [f"127.0.0.1:{port}" for port in self.keeper_ports]
         for n in range(shape.keepers):
             clocks = self._clocks(shape.fast)
@@ -100,8 +104,8 @@
             links = [ProxiedLink(("127.0.0.1", port), self.chance) for port in self.keeper_ports]
             for link in links:
                 await link.start(tasks)
-                for way in link.ways:
-                    way.spoil, way.only = shape.spoil, shape.only
+                for way in link.directions:
+                    way.fault_rate, way.fault_kinds = shape.spoil, shape.only
             self.ways_of[f"c{n}"] = links
             name = shape.names[n] if shape.names else f"c{n}"
             plan = self.plan([f"127.0.0.1:{link.port}" for link in links])
@@ -158,49 +162,49 @@
 
     async def _behind(self, fault: Fault) -> None:
         """Acts of one claimant and their answers are late on their way."""
-        for way in self.acting[fault.who].ways:
-            way.late = fault.much
-        await anyio.sleep(fault.lasts / 1000)
-        for way in self.acting[fault.who].ways:
-            way.late = 0.0
+        for way in self.acting[fault.target].directions:
+            way.delay = fault.amount
+        await anyio.sleep(fault.duration_ms / 1000)
+        for way in self.acting[fault.target].directions:
+            way.delay = 0.0
 
     async def _stop(self, fault: Fault) -> None:
-        party = self.party(fault.who)
+        party = self.process_named(fault.target)
         party.stop()
-        await anyio.sleep(fault.lasts / 1000)
-        party.go_on()
+        await anyio.sleep(fault.duration_ms / 1000)
+        party.resume()
 
     async def _halt(self, fault: Fault) -> None:
         """Stopped right between a look at the clock and the act."""
-        party = self.party(fault.who)
-        if party.runs:
+        party = self.process_named(fault.target)
+        if party.is_running:
             party.process.send_signal(signal.SIGUSR1)
             await anyio.sleep(HALTS_WITHIN)
             self.history.add("stop", party.name)
-            await anyio.sleep(fault.lasts / 1000)
-            party.go_on()
+            await anyio.sleep(fault.duration_ms / 1000)
+            party.resume()
 
     async def _kill(self, fault: Fault) -> None:
         """Some processes at once, as `k0 k1`; with `much` their folders are lost."""
-        parties = [self.party(name) for name in fault.who.split()]
+        parties = [self.process_named(name) for name in fault.target.split()]
         for party in parties:
             party.kill()
-            if fault.much:
-                party.lose_folder()
-        await anyio.sleep(fault.lasts / 1000)
+            if fault.amount:
+                party.delete_folder()
+        await anyio.sleep(fault.duration_ms / 1000)
         for party in parties:
             party.start()
 
     async def _end(self, fault: Fault) -> None:
         """SIGTERM to a claimant: it hands over."""
-        party = self.party(fault.who)
-        if party.runs:
+        party = self.process_named(fault.target)
+        if party.is_running:
             party.process.terminate()
             with anyio.move_on_after(ENDS_WITHIN):  # one that is stopped doesn't
-                while party.runs:
+                while party.is_running:
                     await anyio.sleep(0.005)
             party.kill()
-        await anyio.sleep(fault.lasts / 1000)
+        await anyio.sleep(fault.duration_ms / 1000)
         party.start()
 
     async def _holder(self, fault: Fault) -> None:
@@ -209,29 +213,30 @@
         Where that process is still starting, or nobody has acted yet, it waits for an act, for as long as
         the fault would last: a process that starts has no handler for SIGUSR1 yet, which would end it.
         """
-        with anyio.move_on_after(fault.lasts / 1000):
+        with anyio.move_on_after(fault.duration_ms / 1000):
             while not self._last_to_act():
                 await anyio.sleep(ACT_POLL_INTERVAL)
         holder = self._last_to_act()
         if holder:
-            await self.strike(Fault(fault.at, fault.who, holder, fault.lasts, fault.much))
+            await self.inject(Fault(fault.at_ms, fault.target, holder, fault.duration_ms, fault.amount))
 
     def _last_to_act(self) -> str:
         """The claimant that has acted last; empty where none has, or where it was started again since."""
-        acts = history_checks.acts(self.history)
+        acts = history_checks.actions(self.history)
         if not acts:
             return ""
         last = acts[-1]
         is_starting = any(
-            event.who == last.who and event.at > last.began for event in self.history.of("start")
+            event.actor == last.actor and event.time > last.began_at
+            for event in self.history.events_of("start")
         )
-        return "" if is_starting else last.who
+        return "" if is_starting else last.actor
 
     async def _fail(self, fault: Fault) -> None:
         """Acts of one claimant go wrong."""
-        self.witness.failing.add(fault.who)
-        await anyio.sleep(fault.lasts / 1000)
-        self.witness.failing.discard(fault.who)
+        self.witness.failing_claimants.add(fault.target)
+        await anyio.sleep(fault.duration_ms / 1000)
+        self.witness.failing_claimants.discard(fault.target)
 
 
 def drawn(chance: random.Random, shape: ScenarioSize, faults: int) -> list[Fault]:
@@ -250,7 +255,7 @@
         "holder": (["cut", "stop", "kill", "end", "late", "halt"], (100, 2 * length), (0,)),
         "fail": (claimants, (200, 1_500), (0,)),
     }
-    found = fault_schedule.drawn(chance, kinds, faults, until)
+    found = fault_schedule.draw(chance, kinds, faults, until)
     minority = " ".join(chance.sample(keepers, len(keepers) - len(keepers) // 2 - 1))
     hard = [
         Fault(0, "kill", minority, 500, 1.0),
@@ -260,8 +265,8 @@
     ]
     for n, fault in enumerate(hard):
         at = 1_000 + n * (until - 3_000) // len(hard) + chance.randint(0, 1_000)
-        found.append(Fault(at, fault.what, fault.who, fault.lasts, fault.much))
-    return sorted(found, key=lambda fault: fault.at)
+        found.append(Fault(at, fault.kind, fault.target, fault.duration_ms, fault.amount))
+    return sorted(found, key=lambda fault: fault.at_ms)
 
 
 @dataclass
@@ -275,21 +280,21 @@
 
     @property
     def overlaps(self) -> list:
-        return history_checks.overlaps(
+        return history_checks.overlapping_actions(
             self.fleet.history, quantity(self.fleet.shape.length).us // ACTION_TIME_DIVISOR
         )
 
     @property
     def falls(self) -> list:
-        return history_checks.falls(self.fleet.history)
+        return history_checks.decreasing_tokens(self.fleet.history)
 
     @property
     def linear(self) -> bool | None:
-        return is_linearizable(operations_of(self.fleet.history), fenced, 0)
+        return is_linearizable(operations_from_history(self.fleet.history), fencing_spec, 0)
 
     @property
     def acts(self) -> int:
-        return len(history_checks.acts(self.fleet.history))
+        return len(history_checks.actions(self.fleet.history))
 
     @property
     def broken(self) -> bool:
@@ -334,15 +339,15 @@
                 began = process.steady_clock()
                 for _ in range(ROUNDS_MOST):
                     async with anyio.create_task_group() as played:
-                        played.start_soon(fault_schedule.play, faults, fleet.strike)
+                        played.start_soon(fault_schedule.play, faults, fleet.inject)
                         await anyio.sleep(shape.seconds)
                     ended = process.steady_clock()
                     if enough(ScenarioResult(fleet, began, ended, ())):
                         break
                 tasks.cancel_scope.cancel()
         finally:
-            fleet.end()
-        return ScenarioResult(fleet, began, ended, tuple(fleet.faults()))
+            fleet.close()
+        return ScenarioResult(fleet, began, ended, tuple(fleet.fault_log_lines()))
 
 
 # -- guards, each taken out once ---------------------------------------------------------------------------
@@ -396,20 +401,23 @@
     history = seen.fleet.history
     for word, pairs in (("while", seen.overlaps), ("after", seen.falls)):
         for one, act in pairs[:3]:
-            tally.expect(False, f"{act.who} acts under {act.number} {word} {one.who} under {one.number}")
+            tally.expect(
+                False,
+                f"{act.actor} acts under {act.fencing_token} {word} {one.actor} under {one.fencing_token}",
+            )
     tally.expect(seen.linear is not False, "answers that no order of acts explains")
     tally.figures["acts and answers in an order"] = {True: "yes", False: "no", None: "not found out"}[
         seen.linear
     ]
     tally.expect(not seen.faults, f"faults: {seen.faults[:1]}")
     tally.figures["faults, keepers, claimants"] = f"{len(faults)}, {shape.keepers}, {shape.claimants}"
-    found = history_checks.acts(history)
+    found = history_checks.actions(history)
     tally.figures["acts, under numbers, refused"] = (
-        f"{len(found)}, {len({each.number for each in found})}, {seen.fleet.witness.refused}"
+        f"{len(found)}, {len({each.fencing_token for each in found})}, {seen.fleet.witness.refused_count}"
     )
     length, seconds = quantity(shape.length).us, (seen.ended - seen.began) / S
     gaps = sorted(
-        each for each in history_checks.pauses(history, seen.began, seen.ended) if each > length // 4
+        each for each in history_checks.idle_times(history, seen.began, seen.ended) if each > length // 4
     )
     tally.figures["without a holder: times, longest, in all"] = (
         f"{len(gaps)}, {max(gaps, default=0) / S:.2f} s, {sum(gaps) / S:.2f} s of {seconds:.0f}"
--- a/quartzrouter/fault_scenarios/peer_ejection.py
+++ b/quartzrouter/fault_scenarios/peer_ejection.py
@@ -81,13 +81,13 @@
     """
     begin, end = _fault_span(result)
     return sum(
-        event.who == cache
-        and begin <= event.at < end
-        and not event.told["path"].startswith(f"{RATE_PATH}{except_router}.")
-        for event in result.fleet.history.of("arrive")
+        event.actor == cache
+        and begin <= event.time < end
+        and not event.details["path"].startswith(f"{RATE_PATH}{except_router}.")
+        for event in result.fleet.history.events_of("arrive")
     )
 
 
 def _answered(result: ScenarioResult) -> int:
     """Requests that were sent while the fault lasted and answered well."""
-    return history_checks.answers(result.fleet.history, RATE_PATH, *_fault_span(result)).get("200", 0)
+    return history_checks.count_by_status(result.fleet.history, RATE_PATH, *_fault_span(result)).get("200", 0)
--- a/quartzrouter/fault_scenarios/purge_fleet.py
+++ b/quartzrouter/fault_scenarios/purge_fleet.py
@@ -103,11 +103,11 @@
             number = await self.add_links(tasks)
             file = f'file: "{self.folder}/marks-{number}",' if number % 2 else ""
             plan = self._plan(number, self.links[number][0].port, file)
-            self.add_router(number, plan, guards=self.mutations)
+            self.add_router(number, plan, mutations=self.mutations)
         courier_plan = self.folder / "deliver.plan"
         courier_plan.write_text(self._plan(0, self.purge_log_port, ""))
         self.add_command("courier", "purge", "deliver", str(courier_plan))
-        for party in self.parties:
+        for party in self.processes:
             party.start()
 
     async def _start_caches(self, tasks: anyio.abc.TaskGroup) -> list[str]:
@@ -268,9 +268,9 @@
         self.ledgers[0].kill()
         await anyio.sleep(downtime)
         self.ledgers[0].start()
-        await self.up(self.purge_log_port)
+        await self.wait_until_listening(self.purge_log_port)
         self.is_purge_log_down = False
-        await self.joined()
+        await self.wait_until_joined()
         self.checker.cut_offs.append(CutOff(None, since, process.wall_clock()))
 
     async def restart_router(self, number: int, downtime: float) -> None:
@@ -279,5 +279,5 @@
         self.routers[number].kill()
         await anyio.sleep(downtime)
         self.routers[number].start()
-        await self.joined()
+        await self.wait_until_joined()
         self.checker.cut_offs.append(CutOff(number, since, process.wall_clock()))
--- a/quartzrouter/fault_scenarios/purges.py
+++ b/quartzrouter/fault_scenarios/purges.py
@@ -79,7 +79,7 @@
         try:
             async with anyio.create_task_group() as tasks:
                 await fleet.start(tasks)
-                await fleet.all_up()
+                await fleet.wait_until_all_joined()
                 async with anyio.create_task_group() as load:
                     for n in range(ROUTERS * CLIENTS_PER_ROUTER):
                         load.start_soon(fleet.run_client, n % ROUTERS, n + 1)
@@ -93,7 +93,7 @@
                 await _wait_for_completion(fleet, report)
                 tasks.cancel_scope.cancel()
         finally:
-            fleet.end()
+            fleet.close()
             _keep_log(fleet)
         _judge(fleet, report)
         _judge_log(fleet, report)
@@ -145,13 +145,13 @@
     """
     since = process.wall_clock()
     link = fleet.links[0][0]
-    link.hold()
+    link.block()
     await fleet.purge([fleet.random_purge() for _ in range(5)])
     absent_cache.stop()
     await anyio.sleep(1.2 * unit)
     await fleet.purge([PurgeRequest("tag", (TAGS[0],)), PurgeRequest("tag", ("care",))])
-    link.heal()
-    await fleet.joined()
+    link.restore()
+    await fleet.wait_until_joined()
     fleet.checker.cut_offs.append(CutOff(0, since, process.wall_clock()))
 
 
@@ -159,8 +159,8 @@
     """Sends many purges while two links lose, double and delay lines, and caches refuse purges."""
     since = process.wall_clock()
     spoilt_link, late_link = fleet.links[1][0], fleet.links[2][0]
-    spoilt_link.down.spoil = 0.1
-    late_link.down.late = 0.02
+    spoilt_link.down.fault_rate = 0.1
+    late_link.down.delay = 0.02
     await fleet.restart_router(ROUTERS - 1, 0.3 * unit)
     for cache in list(fleet.caches.values())[::3]:
         cache.refusal_rate = 0.2
@@ -168,9 +168,9 @@
     await anyio.sleep(unit)
     for cache in fleet.caches.values():
         cache.refusal_rate = 0.0
-    spoilt_link.heal()
-    late_link.heal()
-    await fleet.joined()
+    spoilt_link.restore()
+    late_link.restore()
+    await fleet.wait_until_joined()
     until = process.wall_clock()
     fleet.checker.cut_offs += [CutOff(router, since, until) for router in (1, 2)]
 
@@ -227,14 +227,14 @@
     figures["copies purged, most purges a second at one cache"] = f"{purged_copies}, {max_rate}"
     figures["latest wake of this process in ms"] = fleet.max_lag // 1000
     figures["copies made by the origin"] = fleet.caches["o"].requests
-    spoilt_lines = sum(link.spoilt for links in fleet.links for link in links)
+    spoilt_lines = sum(link.fault_count for links in fleet.links for link in links)
     figures["lines lost, doubled or swapped"] = spoilt_lines
     unanswered = outcomes[NO_RESPONSE]
     report.expect(not unanswered, f"{unanswered} reqs without an answer")
     is_most = succeeded > answered * MIN_SUCCEEDED_SHARE
     report.expect(is_most, f"{succeeded} of {answered} reqs done: {dict(outcomes)}")
     report.expect(succeeded > MIN_SUCCEEDED, f"only {succeeded} reqs done")
-    faults = fleet.faults()
+    faults = fleet.fault_log_lines()
     report.expect(not faults, f"faults: {faults[:1]}")
 
 
--- a/quartzrouter/fault_scenarios/quota.py
+++ b/quartzrouter/fault_scenarios/quota.py
@@ -25,7 +25,7 @@
 
 
 def fault_kinds(size: ScenarioSize) -> dict[str, tuple[Sequence[str], tuple[int, int], Sequence[float]]]:
-    """What a drawn schedule is made of, as of ``fault_schedule.drawn``."""
+    """What a drawn schedule is made of, as of ``fault_schedule.draw``."""
     routers = [f"r{index}" for index in range(size.routers)]
     pairs = [f"{first} {second}" for first in routers[:4] for second in routers[2:5] if first != second]
     return {
@@ -46,7 +46,7 @@
     :param faults: how many of routers.
     """
     duration = round(size.seconds * 1000) - FAULT_FREE_END - size.fault_free_time
-    found = fault_schedule.drawn(chance, fault_kinds(size), faults, duration)
+    found = fault_schedule.draw(chance, fault_kinds(size), faults, duration)
     third = duration // 3
     of_purge_logs = [
         Fault(0, "kill", "ledger0", 300),
@@ -56,12 +56,12 @@
     ]
     for index, fault in enumerate(chance.sample(of_purge_logs, 3)):
         found.append(_delayed(fault, index * third + chance.randint(0, third // 2)))
-    return sorted((_delayed(fault, size.fault_free_time) for fault in found), key=lambda fault: fault.at)
+    return sorted((_delayed(fault, size.fault_free_time) for fault in found), key=lambda fault: fault.at_ms)
 
 
 def _delayed(fault: Fault, delay: int) -> Fault:
     """:param delay: milliseconds."""
-    return Fault(fault.at + delay, fault.what, fault.who, fault.lasts, fault.much)
+    return Fault(fault.at_ms + delay, fault.kind, fault.target, fault.duration_ms, fault.amount)
 
 
 def rehearse(
@@ -99,7 +99,7 @@
     def fails(some: Sequence[Fault]) -> bool:
         return play(random.Random(seed), size, some, mutations).broken
 
-    return fault_schedule.shrunk(faults, fails, MAX_SHRINK_PLAYS)
+    return fault_schedule.shrink(faults, fails, MAX_SHRINK_PLAYS)
 
 
 def _report_bounds(result: ScenarioResult, report: ScenarioReport) -> None:
@@ -121,19 +121,19 @@
     budget = result.fleet.budgets[RATE_LIMIT]
     slots = result.fleet.budgets[SLOTS_LIMIT].slots
     for what in ("fault", "send"):
-        report.figures[f"{what}s"] = sum(1 for _ in history.of(what))
+        report.figures[f"{what}s"] = sum(1 for _ in history.events_of(what))
     sent = report.figures["sends"]
     report.expect(sent > MIN_REQUEST_RATE * size.seconds, f"only {sent} reqs were sent")
     settled = result.began + SETTLING_TIME * 1000
     first_fault = result.began + size.fault_free_time * 1000
     end = result.began + round(size.seconds * SECOND)
-    admitted = history_checks.let_through(history, RATE_PATH)
-    used = history_checks.rate(admitted, settled, first_fault) / budget.rate
+    admitted = history_checks.admission_intervals(history, RATE_PATH)
+    used = history_checks.arrival_rate(admitted, settled, first_fault) / budget.rate
     without_sharing = _rate_without_sharing(size) / budget.rate
     report.figures["use of the rate in quiet, with static parts"] = f"{used:.2f}, {without_sharing:.2f}"
-    used_in_all = history_checks.rate(admitted, settled, end) / budget.rate
+    used_in_all = history_checks.arrival_rate(admitted, settled, end) / budget.rate
     report.figures["use of the rate in all"] = f"{used_in_all:.2f}"
-    answers = history_checks.answers(history, RATE_PATH, settled, end)
+    answers = history_checks.count_by_status(history, RATE_PATH, settled, end)
     report.figures["reqs of the rate: done, denied, aborted"] = [
         answers.get(status, 0) for status in ("200", "503", "502")
     ]
--- a/quartzrouter/fault_scenarios/quota_fleet.py
+++ b/quartzrouter/fault_scenarios/quota_fleet.py
@@ -146,7 +146,7 @@
     ):
         super().__init__(folder, chance, quantity(size.purge_grace).us)
         self.size = size
-        self.spoil = size.spoilt_share
+        self.line_fault_rate = size.spoilt_share
         self.mutations = mutations
         self.caches: list[CountingCache] = []
         self.cache_addresses: list[str] = []
@@ -168,22 +168,22 @@
         shared_plan.write_text(self.plan(0))
         plan = load(str(shared_plan)).plan
         self.budgets = {budget.name: budget for budget in shared_budgets(plan, plan.stores)}
-        for party in self.parties:
+        for party in self.processes:
             party.start()
             if party is self.ledgers[0]:
-                await self.up(self.ledger_ports[0])
+                await self.wait_until_listening(self.ledger_ports[0])
 
     async def _start_caches(self, tasks: anyio.abc.TaskGroup) -> None:
         for index in range(self.size.caches):
             cache = CountingCache(f"n{index}", self.history, self.chance, self._response_time)
-            cache.notices = self.size.cancels_abandoned
+            cache.cancels_abandoned = self.size.cancels_abandoned
             self.caches.append(cache)
             self.cache_addresses.append(await cache.start(tasks))
 
     async def _add_router_with_links(self, tasks: anyio.abc.TaskGroup) -> None:
         index = await self.add_links(tasks)
         cache_links = [
-            ProxiedLink(parse_address(cache, "cache"), self.chance, by_line=False)
+            ProxiedLink(parse_address(cache, "cache"), self.chance, is_line_based=False)
             for cache in self.cache_addresses
         ]
         if self.size.cache_links:
@@ -192,9 +192,9 @@
         self.cache_links.append(cache_links)
         self.add_router(index, self.plan(index), self._draw_clocks(), self.mutations)
         for link in self.links[index]:
-            for direction in link.ways:
-                direction.spoil = self.size.spoilt_share
-                direction.only = self.size.spoil_kinds
+            for direction in link.directions:
+                direction.fault_rate = self.size.spoilt_share
+                direction.fault_kinds = self.size.spoil_kinds
 
     def _draw_clocks(self) -> Clocks:
         error = self.chance.randint(-MAX_WALL_CLOCK_ERROR, MAX_WALL_CLOCK_ERROR) * SECOND
@@ -264,7 +264,7 @@
     def end_load(self) -> None:
         """Ends all clients after their current request."""
         for client in self.clients:
-            client.ends = True
+            client.is_stopping = True
 
     # -- faults, each a method by the name that schedules use ------------------------------------------------
 
@@ -276,54 +276,54 @@
 
     async def _only(self, fault: Fault) -> None:
         """From now on there is demand for slots at these routers only; ``all``: at all of them."""
-        if fault.who == "all":
+        if fault.target == "all":
             self.routers_with_slot_demand = set(range(self.size.routers))
         else:
-            self.routers_with_slot_demand = {int(name[1:]) for name in fault.who.split()}
+            self.routers_with_slot_demand = {int(name[1:]) for name in fault.target.split()}
 
     async def _part(self, fault: Fault) -> None:
         """A router is cut off from one cache, as r3/1, or from all of them, as r3."""
-        router, _, cache = fault.who[1:].partition("/")
+        router, _, cache = fault.target[1:].partition("/")
         links = self.cache_links[int(router)]
         links = [links[int(cache)]] if cache else links
         for link in links:
-            link.hold()
-        await anyio.sleep(fault.lasts / 1000)
+            link.block()
+        await anyio.sleep(fault.duration_ms / 1000)
         for link in links:
-            link.hold(False)
+            link.block(False)
 
     async def _bad(self, fault: Fault) -> None:
         """A cache answers a share of its requests with an error."""
-        cache = self.caches[int(fault.who[1:])]
-        cache.bad = fault.much
-        await anyio.sleep(fault.lasts / 1000)
-        cache.bad = 0.0
+        cache = self.caches[int(fault.target[1:])]
+        cache.error_rate = fault.amount
+        await anyio.sleep(fault.duration_ms / 1000)
+        cache.error_rate = 0.0
 
     async def _lost(self, fault: Fault) -> None:
         """A cache is gone, and comes back at its port."""
-        cache = self.caches[int(fault.who[1:])]
+        cache = self.caches[int(fault.target[1:])]
         cache.stop()
-        await anyio.sleep(fault.lasts / 1000)
+        await anyio.sleep(fault.duration_ms / 1000)
         await cache.start(self.tasks)
 
     async def _stop(self, fault: Fault) -> None:
         """SIGSTOP; a purge log that goes on finds a successor in its place, and ends."""
-        party = self.party(fault.who)
+        party = self.process_named(fault.target)
         party.stop()
-        await anyio.sleep(fault.lasts / 1000)
-        party.go_on()
+        await anyio.sleep(fault.duration_ms / 1000)
+        party.resume()
         if party in self.ledgers:
             await anyio.sleep(TAKEOVER_NOTICE)
-            if not party.runs:
+            if not party.is_running:
                 self._restart(party)
 
     async def _kill(self, fault: Fault) -> None:
         """SIGKILL, with the loss of its folder where ``much`` says so, and a restart."""
-        party = self.party(fault.who)
+        party = self.process_named(fault.target)
         party.kill()
-        if fault.much:
-            party.lose_folder()
-        await anyio.sleep(fault.lasts / 1000)
+        if fault.amount:
+            party.delete_folder()
+        await anyio.sleep(fault.duration_ms / 1000)
         self._restart(party)
 
     def _restart(self, party: FleetProcess) -> None:
@@ -331,22 +331,22 @@
         if party in self.ledgers:
             other = 1 - self.ledgers.index(party)
             other_address = f"127.0.0.1:{self.ledger_ports[other]}"
-            party.arguments[STANDBY_ARGUMENT] = other_address if self.ledgers[other].runs else "-"
+            party.arguments[STANDBY_ARGUMENT] = other_address if self.ledgers[other].is_running else "-"
         party.start()
 
     async def _list(self, _fault: Fault) -> None:
         """All routers read a plan that lists all caches: those that are new to it have just started."""
         self.unlisted_caches = 0
         for index, router in enumerate(self.routers):
-            self.plan_of(index).write_text(self.plan(index))
+            self.plan_path(index).write_text(self.plan(index))
             router.reload()
 
     async def _reload(self, fault: Fault) -> None:
         """A purge log or a router reads a plan with ``much`` slots."""
-        slots = int(fault.much)
-        if fault.who.startswith("ledger"):
+        slots = int(fault.amount)
+        if fault.target.startswith("ledger"):
             (self.folder / "shared.plan").write_text(self.plan(0, slots=slots))
         else:
-            index = int(fault.who[1:])
-            self.plan_of(index).write_text(self.plan(index, slots=slots))
-        self.party(fault.who).reload()
+            index = int(fault.target[1:])
+            self.plan_path(index).write_text(self.plan(index, slots=slots))
+        self.process_named(fault.target).reload()
--- a/quartzrouter/fault_scenarios/quota_play.py
+++ b/quartzrouter/fault_scenarios/quota_play.py
@@ -75,16 +75,16 @@
         try:
             async with anyio.create_task_group() as tasks:
                 await fleet.start(tasks)
-                await fleet.all_up()
+                await fleet.wait_until_all_joined()
                 began = process.steady_clock()
                 async with anyio.create_task_group() as load_tasks:
                     fleet.start_load(load_tasks)
-                    load_tasks.start_soon(fault_schedule.play, faults, fleet.strike)
+                    load_tasks.start_soon(fault_schedule.play, faults, fleet.inject)
                     await anyio.sleep(size.seconds)
                     fleet.end_load()
                 tasks.cancel_scope.cancel()
         finally:
-            fleet.end()
+            fleet.close()
             _write_trace(fleet, faults)
         return _check(fleet, began)
 
@@ -95,15 +95,15 @@
     if suffix:
         fleet.history.write(Path(f"history-{suffix}.jsonl"))
         fault_schedule.write(Path(f"schedule-{suffix}.jsonl"), faults)
-        Path(f"log-{suffix}").write_text(fleet.log())
+        Path(f"log-{suffix}").write_text(fleet.read_log())
 
 
 def _check(fleet: QuotaFleet, began: int) -> ScenarioResult:
     history = fleet.history
-    admitted = history_checks.let_through(history, RATE_PATH)
-    over_rate, *_ = history_checks.over(admitted, fleet.budgets[RATE_LIMIT])
+    admitted = history_checks.admission_intervals(history, RATE_PATH)
+    over_rate, *_ = history_checks.max_budget_excess(admitted, fleet.budgets[RATE_LIMIT])
     checked_from = began + fleet.size.slots_checked_from * 1000
-    peak_in_flight, _ = history_checks.in_hand(history, SLOTS_PATH, checked_from)
+    peak_in_flight, _ = history_checks.peak_in_flight(history, SLOTS_PATH, checked_from)
     return ScenarioResult(
         fleet=fleet,
         began=began,
@@ -111,5 +111,5 @@
         over_slots=peak_in_flight - fleet.budgets[SLOTS_LIMIT].slots,
         peak_in_flight=peak_in_flight,
         lost=len(history_checks.unanswered(history, MAX_ANSWER_TIME)),
-        faults=tuple(fleet.faults()),
+        faults=tuple(fleet.fault_log_lines()),
     )
--- a/quartzrouter/fault_scenarios/slow_start.py
+++ b/quartzrouter/fault_scenarios/slow_start.py
@@ -79,12 +79,14 @@
 
 def arrivals(result: ScenarioResult) -> list[int]:
     """When requests reached the cache, microseconds."""
-    return [event.at for event in result.fleet.history.of("arrive") if event.who == NEW_CACHE]
+    return [event.time for event in result.fleet.history.events_of("arrive") if event.actor == NEW_CACHE]
 
 
 def listed_at(result: ScenarioResult) -> int:
     """When the first router may have been told of the cache, microseconds."""
-    return next(event.at for event in result.fleet.history.of("fault") if event.told["kind"] == "list")
+    return next(
+        event.time for event in result.fleet.history.events_of("fault") if event.details["kind"] == "list"
+    )
 
 
 def excess(result: ScenarioResult) -> float:
@@ -92,7 +94,7 @@
     has_long_window = result.fleet.size.deployment_keys == GRANTED_WITH_LONG_WINDOW
     window = LONG_WINDOW if has_long_window else WINDOW
     allowed = max_requests(listed_at(result), window)
-    return history_checks.pushed(arrivals(result), window, allowed)[0]
+    return history_checks.max_window_excess(arrivals(result), window, allowed)[0]
 
 
 SCENES: dict[str, tuple[ScenarioSize, list[Fault]]] = {
@@ -139,7 +141,7 @@
     ends = [started_at + (second + 1) * SECOND for second in range(REPORTED_SECONDS)]
     by_second = [sum(end - SECOND <= at < end for at in times) for end in ends]
     allowed_by_second = [int(allowed(end)) for end in ends]
-    answers = history_checks.answers(result.fleet.history, RATE_PATH, started_at, ends[-1])
+    answers = history_checks.count_by_status(result.fleet.history, RATE_PATH, started_at, ends[-1])
     answered = answers.get("200", 0)
     report.figures[f"{name}: reqs by second, of"] = (
         f"{by_second}, {allowed_by_second}; {answered} done in all"
--- a/tests/test_fleet_health.py
+++ b/tests/test_fleet_health.py
@@ -331,7 +331,7 @@
 
 def is_of_reachable_router(event, result):
     """Returns True if an event is of another router than the first, once the routers had time to agree."""
-    return event.at > result.began + 2.5 * SECOND and "/r0." not in event.told["path"]
+    return event.time > result.began + 2.5 * SECOND and "/r0." not in event.details["path"]
 
 
 def test_processes_leave_a_cache_that_all_but_one_can_not_reach():
@@ -342,10 +342,10 @@
     """
     faults = [Fault(1500, "part", f"r{router}/0", 4000) for router in range(1, 6)]
     result = play(random.Random(1), SIZE, faults)
-    ends = {event.told["path"]: event.at for event in result.fleet.history.of("end")}
+    ends = {event.details["path"]: event.time for event in result.fleet.history.events_of("end")}
     waits = [
-        ends.get(event.told["path"], event.at + SECOND) - event.at
-        for event in result.fleet.history.of("send")
+        ends.get(event.details["path"], event.time + SECOND) - event.time
+        for event in result.fleet.history.events_of("send")
         if is_of_reachable_router(event, result)
     ]
     long_waits = sum(wait > SECOND // 4 for wait in waits)
@@ -357,7 +357,9 @@
     """One router reaches no cache; for the others, all six caches must continue to serve."""
     result = play(random.Random(1), SIZE, [Fault(1500, "part", "r0", 4000)])
     reached = Counter(
-        event.who for event in result.fleet.history.of("arrive") if is_of_reachable_router(event, result)
+        event.actor
+        for event in result.fleet.history.events_of("arrive")
+        if is_of_reachable_router(event, result)
     )
     assert len(reached) == 6 and min(reached.values()) > 10, reached
     assert not (result.lost or result.faults)
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -20,7 +20,7 @@
 from quartzrouter.fakes.loopback import Server
 from quartzrouter.fault_harness import history_checks, mutations
 from quartzrouter.fault_harness.history import History, HistoryEvent
-from quartzrouter.fault_harness.linearizability import Operation, fenced, is_linearizable
+from quartzrouter.fault_harness.linearizability import Operation, fencing_spec, is_linearizable
 from quartzrouter.fault_scenarios.leases import DRAWN, SCENES, UNCHECKED, drawn, killed, play
 from quartzrouter.lease_service.client import ClusterLeaseClient
 from quartzrouter.lease_service.queries import ask_all
@@ -622,14 +622,21 @@
     overlapping = history_of(
         (0, "begin", "a", 1), (5, "begin", "b", 2), (9, "finish", "a", 1), (12, "finish", "b", 2)
     )
-    assert len(history_checks.overlaps(overlapping, 100)) == 1 and not history_checks.falls(overlapping)
+    assert len(
+        history_checks.overlapping_actions(overlapping, 100)
+    ) == 1 and not history_checks.decreasing_tokens(overlapping)
     interrupted = history_of((0, "begin", "a", 1), (2, "stop", "a", 0), (5, "begin", "b", 2))
-    assert not history_checks.overlaps(interrupted, 100) and not history_checks.overlaps(overlapping, 4)
+    assert not history_checks.overlapping_actions(
+        interrupted, 100
+    ) and not history_checks.overlapping_actions(overlapping, 4)
     sequential = history_of(
         (0, "begin", "a", 2), (1, "finish", "a", 2), (3, "begin", "b", 1), (4, "finish", "b", 1)
     )
-    assert not history_checks.overlaps(sequential, 100) and len(history_checks.falls(sequential)) == 1
-    assert history_checks.pauses(sequential, 0, 10) == [0, 2, 6]
+    assert (
+        not history_checks.overlapping_actions(sequential, 100)
+        and len(history_checks.decreasing_tokens(sequential)) == 1
+    )
+    assert history_checks.idle_times(sequential, 0, 10) == [0, 2, 6]
 
 
 def operation(called, back, number, *answer):
@@ -643,22 +650,27 @@
         operation(6, 8, 2, "no", 3),
         operation(7, None, 5),
     ]
-    assert is_linearizable(linearizable, fenced, 0) is True
+    assert is_linearizable(linearizable, fencing_spec, 0) is True
     # The operation without an answer took effect.
-    assert is_linearizable([*linearizable, operation(10, 12, 4, "no", 5)], fenced, 0) is True
+    assert is_linearizable([*linearizable, operation(10, 12, 4, "no", 5)], fencing_spec, 0) is True
     assert (
         is_linearizable(
-            [*linearizable, operation(10, 12, 4, "yes", 4), operation(13, 14, 4, "no", 5)], fenced, 0
+            [*linearizable, operation(10, 12, 4, "yes", 4), operation(13, 14, 4, "no", 5)], fencing_spec, 0
         )
         is True
     )
-    assert is_linearizable([*linearizable, operation(10, 12, 2, "yes", 2)], fenced, 0) is False
-    assert is_linearizable([operation(0, 1, 3, "yes", 3), operation(2, 3, 2, "yes", 2)], fenced, 0) is False
+    assert is_linearizable([*linearizable, operation(10, 12, 2, "yes", 2)], fencing_spec, 0) is False
+    assert (
+        is_linearizable([operation(0, 1, 3, "yes", 3), operation(2, 3, 2, "yes", 2)], fencing_spec, 0)
+        is False
+    )
     # Concurrent operations may take effect in any order.
-    assert is_linearizable([operation(0, 4, 3, "yes", 3), operation(2, 3, 2, "yes", 2)], fenced, 0) is True
+    assert (
+        is_linearizable([operation(0, 4, 3, "yes", 3), operation(2, 3, 2, "yes", 2)], fencing_spec, 0) is True
+    )
     many = [operation(10 * n, 10 * n + 25, n, "yes", n) for n in range(400)]
-    assert is_linearizable(many, fenced, 0) is True
-    assert is_linearizable([*many, operation(4_100, 4_101, 5, "yes", 5)], fenced, 0) is False
+    assert is_linearizable(many, fencing_spec, 0) is True
+    assert is_linearizable([*many, operation(4_100, 4_101, 5, "yes", 5)], fencing_spec, 0) is False
 
 
 def test_the_linearizability_checker_agrees_with_a_brute_force_search():
@@ -672,27 +684,27 @@
             operations.append(
                 operation(called, called + generator.randint(1, 6) if answer else None, number, *answer)
             )
-        results.add(is_linearizable(operations, fenced, 0))
-        assert is_linearizable(operations, fenced, 0) == is_linearizable_by_brute_force(operations)
+        results.add(is_linearizable(operations, fencing_spec, 0))
+        assert is_linearizable(operations, fencing_spec, 0) == is_linearizable_by_brute_force(operations)
     assert results == {True, False}
 
 
 def is_linearizable_by_brute_force(operations):
-    known = [each for each in operations if each.answer]
+    known = [each for each in operations if each.result]
     for size in range(len(known), len(operations) + 1):
         for some in permutations(operations, size):
             if not set(known) <= set(some) or len(known) > size:
                 continue
             if any(
-                a.back is not None and b.called > a.back and some.index(b) < n
+                a.returned_at is not None and b.called_at > a.returned_at and some.index(b) < n
                 for n, a in enumerate(some)
                 for b in some
             ):
                 continue
             state = 0
             for each in some:
-                state, answer = fenced(state, each.what)
-                if each.answer and each.answer != answer:
+                state, answer = fencing_spec(state, each.arguments)
+                if each.result and each.result != answer:
                     break
             else:
                 return True
--- a/tests/test_stand.py
+++ b/tests/test_stand.py
@@ -14,7 +14,7 @@
 from quartzrouter.fault_harness.fault_schedule import Fault
 from quartzrouter.fault_harness.history import History, HistoryEvent
 from quartzrouter.fault_harness.proxied_links import ProxiedLink
-from quartzrouter.fault_harness.skewed_clocks import ClockPage, clocks
+from quartzrouter.fault_harness.skewed_clocks import ClockPage, open_clocks
 from quartzrouter.fault_scenarios import ScenarioReport
 from quartzrouter.fault_scenarios.quota import rehearse
 from quartzrouter.fault_scenarios.quota_fleet import ScenarioSize
@@ -43,8 +43,10 @@
         (5, "leave", "/a/1"),
         (5, "arrive", "/a/3"),
     )
-    assert history_checks.in_hand(seen, "/a/") == (2, 3)
-    assert history_checks.in_hand(seen, "/a/", since=4)[0] == 2 and history_checks.in_hand(seen, "/c/") == (
+    assert history_checks.peak_in_flight(seen, "/a/") == (2, 3)
+    assert history_checks.peak_in_flight(seen, "/a/", since=4)[0] == 2 and history_checks.peak_in_flight(
+        seen, "/c/"
+    ) == (
         0,
         0,
     )
@@ -53,11 +55,11 @@
 def test_a_window_counts_what_was_surely_let_through_in_it():
     budget = Budget("b", rate=10.0, burst=5.0, guaranteed_share=0.0, routers=1, grant_ttl=SECOND)
     at_once = [(n, n + 10) for n in range(60)]  # 60 reqs in 70 us, where 15 and 1 of a floor may be
-    excess, since, until = history_checks.over(at_once, budget)
+    excess, since, until = history_checks.max_budget_excess(at_once, budget)
     assert excess == pytest.approx(60 - budget.max_use(until - since)) and (since, until) == (0, 69)
-    assert history_checks.over(at_once[:16], budget)[0] <= 0
+    assert history_checks.max_budget_excess(at_once[:16], budget)[0] <= 0
     waited = [(n, 10 * SECOND) for n in range(60)]  # let through at any time in ten seconds
-    assert history_checks.over(waited, budget)[0] < 0
+    assert history_checks.max_budget_excess(waited, budget)[0] < 0
 
 
 def test_reqs_without_an_answer_are_found():
@@ -70,8 +72,8 @@
         (4, "cut", "/a/4"),
         (9, "arrive", "/x"),
     )
-    assert [event.told["path"] for event in history_checks.unanswered(seen, 5)] == ["/a/2", "/a/3"]
-    assert history_checks.answers(seen, "/a/", 0, 5) == {"200": 2, "none": 1}
+    assert [event.details["path"] for event in history_checks.unanswered(seen, 5)] == ["/a/2", "/a/3"]
+    assert history_checks.count_by_status(seen, "/a/", 0, 5) == {"200": 2, "none": 1}
 
 
 # -- schedules -----------------------------------------------------------------------------------------------
@@ -79,8 +81,8 @@
 
 def test_a_schedule_is_drawn_again_from_its_seed_written_and_read(tmp_path):
     kinds = {"cut": (["a", "b"], (10, 500), (0, 1)), "stop": (["c"], (1, 2), (0,))}
-    first, again = (fault_schedule.drawn(random.Random(4), kinds, 20, 3_000) for _ in range(2))
-    assert first == again and all(fault.at + fault.lasts <= 3_000 for fault in first)
+    first, again = (fault_schedule.draw(random.Random(4), kinds, 20, 3_000) for _ in range(2))
+    assert first == again and all(fault.at_ms + fault.duration_ms <= 3_000 for fault in first)
     fault_schedule.write(tmp_path / "s", first)
     assert fault_schedule.read(tmp_path / "s") == first
 
@@ -91,11 +93,11 @@
 
     def fails(some):
         tried.append(len(some))
-        return {"r5", "r17"} <= {fault.who for fault in some}
+        return {"r5", "r17"} <= {fault.target for fault in some}
 
-    assert [fault.who for fault in fault_schedule.shrunk(faults, fails)] == ["r5", "r17"]
+    assert [fault.target for fault in fault_schedule.shrink(faults, fails)] == ["r5", "r17"]
     assert len(tried) <= 64
-    assert len(fault_schedule.shrunk(faults, lambda some: False)) == 24
+    assert len(fault_schedule.shrink(faults, lambda some: False)) == 24
 
 
 # -- links and clocks ----------------------------------------------------------------------------------------
@@ -140,10 +142,10 @@
 @pytest.mark.parametrize("way", ["up", "down"])
 def test_a_way_that_is_held_passes_nothing_until_it_is_healed(way):
     async def scene(link, client):
-        getattr(link, way).held = True
+        getattr(link, way).is_blocked = True
         await client.send(b"a\n")
         assert await heard(client, 0.1) == b""
-        link.heal()
+        link.restore()
         assert await client.receive() == b"a\n"
 
     linked(scene)
@@ -152,16 +154,16 @@
 @pytest.mark.parametrize("only, said", [("lose", b""), ("double", b"a\na\nb\nb\n"), ("swap", b"")], ids=str)
 def test_lines_are_spoilt_as_told(only, said):
     async def scene(link, client):
-        link.up.spoil, link.up.only = 1.0, (only,)
+        link.up.fault_rate, link.up.fault_kinds = 1.0, (only,)
         await client.send(b"a\nb\n")
-        assert await heard(client, 0.2) == said and link.spoilt == 2
+        assert await heard(client, 0.2) == said and link.fault_count == 2
 
     linked(scene)
 
 
 def test_what_is_late_is_under_way_together_and_a_reset_ends_it():
     async def scene(link, client):
-        link.up.late = 0.2
+        link.up.delay = 0.2
         began = anyio.current_time()
         await client.send(b"".join(b"%d\n" % n for n in range(20)))
         data = b""
@@ -177,9 +179,9 @@
 
 def test_a_process_reads_its_clocks_off_the_page(tmp_path):
     page = ClockPage(tmp_path / "p", 5 * SECOND, 100_000)
-    wall, even = clocks(str(page.path))
+    wall, even = open_clocks(str(page.path))
     first, steadily = wall(), even()
-    page.jump(-5 * SECOND)
+    page.set_offset(-5 * SECOND)
     assert -10.1 * SECOND < wall() - first < -9 * SECOND and 0 <= even() - steadily < SECOND
 
 
@@ -235,7 +237,7 @@
 
 def jumped():
     seen = play(random.Random(1), replace(SMALL, seconds=4.5), [Fault(500, "jump", "r0", 300, 10.0)])
-    return seen.broken, seen.lost, seen.faults, len(list(seen.fleet.history.of("send")))
+    return seen.broken, seen.lost, seen.faults, len(list(seen.fleet.history.events_of("send")))
 
 
 def without(guard):
--- a/tests/test_standalone_purges.py
+++ b/tests/test_standalone_purges.py
@@ -362,7 +362,7 @@
         now = fleet_purges.lease.started_at
         assert multi_pool_router.purge_bounds.max_age(route, from_origin, now) == 0
         assert multi_pool_router.purge_bounds.max_age(route, from_parent, now) == 3 * SECOND
-        deployment.proxy.hold()
+        deployment.proxy.block()
         await deployment.stop_purge_log()
         client = deployment.router.link
         while client.is_connected:
@@ -374,7 +374,7 @@
 
 
 async def purge_while_cut_off(deployment):
-    deployment.proxy.hold()
+    deployment.proxy.block()
     accepted = await deployment.purge("object", "/a")
     await anyio.sleep(0.35)
     return accepted
