--- a/quartzrouter/cli/explore.py
+++ b/quartzrouter/cli/explore.py
@@ -16,22 +16,22 @@
 
     models = {
         "purges": [
-            (purge_model.PurgeModel, purge_model.PLAYED),
-            (crossing_fill_model.CrossingFillModel, crossing_fill_model.PLAYED),
+            (purge_model.PurgeModel, purge_model.CASES),
+            (crossing_fill_model.CrossingFillModel, crossing_fill_model.CASES),
         ],
-        "sharing": [(quota_model.QuotaModel, quota_model.PLAYED)],
-        "leases": [(lease_model.LeaseModel, lease_model.PLAYED)],
+        "sharing": [(quota_model.QuotaModel, quota_model.CASES)],
+        "leases": [(lease_model.LeaseModel, lease_model.CASES)],
     }
     broken = False
     cases = [(model, *case) for model, played in models[name] for case in played.items()]
     for model, case, bounds in cases:
         found = search(model(bounds), states, seconds)
-        seen = "all" if found.whole else "not all"
+        seen = "all" if found.is_complete else "not all"
         click.echo(
             f"{case:42} {found.states:8} states, {seen}, {found.steps:8} steps, depth {found.depth:3}, "
             f"{found.seconds:.1f} s"
         )
-        if found.broken:
+        if found.violation:
             broken = True
-            click.echo(found.shown())
+            click.echo(found.format_trace())
     sys.exit(1 if broken else 0)
--- a/quartzrouter/model_checking/checker.py
+++ b/quartzrouter/model_checking/checker.py
@@ -27,27 +27,27 @@
         """What tells states apart: all that may matter later, and nothing else."""
         ...
 
-    def broken(self, state: Any) -> str:
+    def violation(self, state: Any) -> str:
         """The property that doesn't hold; empty where all do."""
         ...
 
 
 @dataclass
 class SearchResult:
-    """:param whole: all states within the model's own bounds were seen."""
+    """:param is_complete: all states within the model's own bounds were seen."""
 
     states: int = 0
     steps: int = 0
     depth: int = 0
     seconds: float = 0.0
-    whole: bool = True
-    broken: str = ""
+    is_complete: bool = True
+    violation: str = ""
     trace: list[tuple] = field(default_factory=list)
 
-    def shown(self) -> str:
+    def format_trace(self) -> str:
         """The trace, a line an action."""
         return "\n".join(
-            [*(f"{n:3}  {_said(a)}" for n, a in enumerate(self.trace, 1)), f"     {self.broken}"]
+            [*(f"{n:3}  {_said(a)}" for n, a in enumerate(self.trace, 1)), f"     {self.violation}"]
         )
 
 
@@ -58,7 +58,7 @@
 def explore(model: Model, most: int, seconds: float = 600.0) -> SearchResult:
     """Explores until a property is broken or all is seen.
 
-    :param most: states; beyond, `whole` is False.
+    :param most: states; beyond, `is_complete` is False.
     :param seconds: likewise.
     """
     found, began = SearchResult(), time.monotonic()
@@ -66,7 +66,7 @@
     came: list[tuple[int, tuple]] = [(-1, ())]  # by number of a state: from which, by what
     seen = {model.key(first)}
     todo = deque([(0, 0, pickle.dumps(first, -1))])
-    while todo and not found.broken:
+    while todo and not found.violation:
         number, depth, packed = todo.popleft()
         found.depth = max(found.depth, depth)
         state = pickle.loads(packed)
@@ -79,12 +79,12 @@
                 continue
             seen.add(key)
             came.append((number, action))
-            if broken := model.broken(after):
-                found.broken, found.trace = broken, _trace(came, len(came) - 1)
+            if violation := model.violation(after):
+                found.violation, found.trace = violation, _trace(came, len(came) - 1)
                 break
             todo.append((len(came) - 1, depth + 1, pickle.dumps(after, -1)))
         if len(seen) >= most or time.monotonic() - began > seconds:
-            found.whole = not todo
+            found.is_complete = not todo
             break
     found.states, found.seconds = len(seen), time.monotonic() - began
     return found
--- a/quartzrouter/model_checking/crossing_fill_model.py
+++ b/quartzrouter/model_checking/crossing_fill_model.py
@@ -256,7 +256,7 @@
             )
         return world.now, world.steps, world.fills, world.purged_at, world.knows_purge, tuple(parties)
 
-    def broken(self, world: World) -> str:
+    def violation(self, world: World) -> str:
         """Returns the property that doesn't hold; empty where all do."""
         made_at = world.caches[CACHE].copy_made_at
         if made_at is None or not world.knows_purge or world.now < world.purged_at + GRACE:
@@ -273,4 +273,4 @@
 
 
 # what is explored
-PLAYED = {"a fill that crosses a purge": Bounds()}
+CASES = {"a fill that crosses a purge": Bounds()}
--- a/quartzrouter/model_checking/lease_model.py
+++ b/quartzrouter/model_checking/lease_model.py
@@ -24,21 +24,21 @@
     :param step: us of one step of time.
     :param keepers: how many there are.
     :param ways: what may go wrong with words.
-    :param same: both claimants go by one name.
+    :param same_name: both claimants go by one name.
     """
 
     steps: int = 5
-    asks: int = 3
+    requests: int = 3
     faults: int = 1  # asks of which one word is lost, late or doubled
-    falls: int = 0  # keepers that restart with their numbers
-    losses: int = 0  # keepers that restart without
+    restarts: int = 0  # keepers that restart with their numbers
+    restarts_without_tokens: int = 0  # keepers that restart without
     stops: int = 0  # of a claimant between its look at the clock and its act
     releases: int = 0
     acts: int = 0
     step: int = LENGTH // 4
     keepers: int = 3
     ways: tuple[str, ...] = WAYS
-    same: bool = False
+    same_name: bool = False
 
 
 @dataclass
@@ -63,17 +63,17 @@
 
 
 class LeaseModel:
-    """:param checks: whoever is acted on refuses a lower number than it has seen."""
+    """:param rejects_old_tokens: whoever is acted on refuses a lower number than it has seen."""
 
-    def __init__(self, bounds: Bounds, checks: bool = True):
-        self.bounds, self.checks = bounds, checks
+    def __init__(self, bounds: Bounds, rejects_old_tokens: bool = True):
+        self.bounds, self.rejects_old_tokens = bounds, rejects_old_tokens
         names = tuple(f"k{n}" for n in range(bounds.keepers))
         self.terms = LeaseTerms(names, 1, LENGTH, DRIFT, (("t", ()),))
 
     def start(self) -> World:
         terms = self.terms
         keepers = [Acceptor(terms, name, 0) for name in terms.acceptors]
-        names = ("a", "a") if self.bounds.same else ("a", "b")
+        names = ("a", "a") if self.bounds.same_name else ("a", "b")
         claimants = [
             Claimant(Proposer(terms, "t", name, f"t{n}", _slow(START))) for n, name in enumerate(names)
         ]
@@ -84,9 +84,9 @@
         if left["steps"]:
             yield ("time",)
         for k in range(len(world.keepers)):
-            if left["falls"]:
+            if left["restarts"]:
                 yield "fall", k
-            if left["losses"]:
+            if left["restarts_without_tokens"]:
                 yield "lose", k
         for n, each in enumerate(world.claimants):
             yield from (("arrive", n, k) for k, words in each.up.items() if words)
@@ -100,7 +100,7 @@
                 for ks in combinations(range(len(world.keepers)), size)
                 for way in self.bounds.ways
             ]
-            if left["asks"] and not each.asked:
+            if left["requests"] and not each.asked:
                 yield "ask", n, (), ""
                 yield from (("ask", n, *each) for each in odd)
             if each.claim.may_act(_slow(world.now)):
@@ -133,7 +133,7 @@
 
     def _ask(self, world: World, n: int, odd: tuple[int, ...], way: str) -> None:
         each = world.claimants[n]
-        world.left["asks"] -= 1
+        world.left["requests"] -= 1
         world.left["faults"] -= len(odd)
         each.asked = True
         self._do(world, n, each.claim._request_votes(_slow(world.now), 0), odd, way)
@@ -180,12 +180,12 @@
         self._do(world, n, each.claim.handle_reply(each.down[k].pop(0), _slow(world.now)))
 
     def _fall(self, world: World, k: int) -> None:
-        world.left["falls"] -= 1
+        world.left["restarts"] -= 1
         keeper = world.keepers[k]
         world.keepers[k] = Acceptor(self.terms, keeper.name, _fast(world.now), keeper.highest_tokens())
 
     def _lose(self, world: World, k: int) -> None:
-        world.left["losses"] -= 1
+        world.left["restarts_without_tokens"] -= 1
         world.lost = True
         world.keepers[k] = Acceptor(self.terms, world.keepers[k].name, _fast(world.now))
 
@@ -205,7 +205,7 @@
     def _acted(self, world: World, n: int, number: int) -> None:
         if number >= world.seen:
             world.seen = number
-        elif self.checks:
+        elif self.rejects_old_tokens:
             claim = world.claimants[n].claim
             self._do(world, n, claim.handle_superseding_token(world.seen, _slow(world.now)))
         else:
@@ -219,7 +219,7 @@
         claim.is_wanted = True  # and wants it again
         self._do(world, n, effects, odd, way)
 
-    def broken(self, world: World) -> str:
+    def violation(self, world: World) -> str:
         holders = [n for n, each in enumerate(world.claimants) if each.claim.may_act(_slow(world.now))]
         if len(holders) > 1:
             return "two claimants hold the task, and both may act"
@@ -272,7 +272,7 @@
         )
 
 
-LEFT = ("steps", "asks", "faults", "falls", "losses", "stops", "releases", "acts")
+LEFT = ("steps", "requests", "faults", "restarts", "restarts_without_tokens", "stops", "releases", "acts")
 
 
 def _fast(now: int) -> int:
@@ -284,14 +284,14 @@
 
 
 FINE = LENGTH // 16
-PLAYED = {
-    "two claimants, words lost, late and doubled": Bounds(asks=3, faults=2),
-    "a keeper restarted with its numbers": Bounds(asks=3, faults=1, falls=1),
-    "a keeper restarted without its numbers": Bounds(asks=3, faults=1, losses=1),
-    "a holder stopped ahead of its act": Bounds(asks=2, faults=1, stops=1, acts=1),
-    "a holder that lets go and asks again": Bounds(steps=1, asks=4, faults=2, releases=2),
-    "clocks that differ": Bounds(steps=17, step=FINE, asks=3, faults=0),
-    "one name, two processes": Bounds(asks=2, faults=1, same=True),
-    "four keepers": Bounds(asks=2, faults=2, keepers=4),
-    "five keepers, most restarted": Bounds(asks=2, faults=0, falls=3, keepers=5),
+CASES = {
+    "two claimants, words lost, late and doubled": Bounds(requests=3, faults=2),
+    "a keeper restarted with its numbers": Bounds(requests=3, faults=1, restarts=1),
+    "a keeper restarted without its numbers": Bounds(requests=3, faults=1, restarts_without_tokens=1),
+    "a holder stopped ahead of its act": Bounds(requests=2, faults=1, stops=1, acts=1),
+    "a holder that lets go and asks again": Bounds(steps=1, requests=4, faults=2, releases=2),
+    "clocks that differ": Bounds(steps=17, step=FINE, requests=3, faults=0),
+    "one name, two processes": Bounds(requests=2, faults=1, same_name=True),
+    "four keepers": Bounds(requests=2, faults=2, keepers=4),
+    "five keepers, most restarted": Bounds(requests=2, faults=0, restarts=3, keepers=5),
 }
--- a/quartzrouter/model_checking/purge_model.py
+++ b/quartzrouter/model_checking/purge_model.py
@@ -313,7 +313,7 @@
         """Returns what tells states apart."""
         return StateKey(world).key()
 
-    def broken(self, world: World) -> str:
+    def violation(self, world: World) -> str:
         """Returns the property that doesn't hold; empty where all do."""
         on_disk = {purge.sequence_number: purge for purge in world.disk}
         for purge in world.promised:
@@ -348,7 +348,7 @@
 
 
 # what is explored: each so small by itself that all of it can be seen
-PLAYED = {
+CASES = {
     "a purge and a partition": Bounds(purges=1, steps=3, cuts=1),
     "a crash of the ledger": Bounds(purges=1, steps=3, crashes=1),
     "a ledger taken over from while it stalls": Bounds(purges=1, steps=3, takeovers=1),
--- a/quartzrouter/model_checking/quota_model.py
+++ b/quartzrouter/model_checking/quota_model.py
@@ -29,23 +29,24 @@
     """How often each thing may happen in one history.
 
     :param steps: of time.
-    :param turns: a router without demand gets as much as it may begin; one with demand has its requests end.
-    :param asks: requests for quota.
-    :param late: requests for quota that stay on their way.
+    :param demand_changes: a router without demand gets as much as it may begin; one with demand has its
+        requests end.
+    :param quota_requests: requests for quota.
+    :param delayed_requests: requests for quota that stay on their way.
     :param faults: messages lost, doubled or reordered.
     :param restarts: of routers.
-    :param falls: restarts of the allocator, which forgets everything.
+    :param allocator_restarts: restarts of the allocator, which forgets everything.
     :param takeovers: by another allocator, while the first one goes on.
     :param stops: of a router, between its reading of the clock and what it does then.
     """
 
     steps: int = 4
-    turns: int = 2
-    asks: int = 3
-    late: int = 0
+    demand_changes: int = 2
+    quota_requests: int = 3
+    delayed_requests: int = 0
     faults: int = 0
     restarts: int = 0
-    falls: int = 0
+    allocator_restarts: int = 0
     takeovers: int = 0
     stops: int = 0
 
@@ -128,7 +129,7 @@
         """What can happen next: the name of an action, and its arguments."""
         if world.left["steps"]:
             yield ("time",)
-        if world.left["falls"]:
+        if world.left["allocator_restarts"]:
             yield ("fall",)
         if world.left["takeovers"]:
             yield ("takeover",)
@@ -146,11 +147,11 @@
         if router.clock_reading != RUNNING:
             yield "wake", index
             return
-        if left["turns"]:
+        if left["demand_changes"]:
             yield "turn", index
-        if left["asks"] and not router.has_asked:
+        if left["quota_requests"] and not router.has_asked:
             yield from (("ask", index, allocator) for allocator in allocators)
-            if left["late"]:
+            if left["delayed_requests"]:
                 yield "send", index
         if left["stops"] and router.has_demand:
             yield "stop", index
@@ -190,7 +191,7 @@
 
     def _turn(self, world: World, index: int) -> None:
         """A router's demand begins, or ends with all its requests."""
-        world.left["turns"] -= 1
+        world.left["demand_changes"] -= 1
         router = world.routers[index]
         router.has_demand = not router.has_demand
         if router.has_demand:
@@ -227,8 +228,8 @@
             self._arrive(world, index, allocator)
 
     def _send(self, world: World, index: int) -> None:
-        world.left["asks"] -= 1
-        world.left["late"] -= bool(world.left["late"])
+        world.left["quota_requests"] -= 1
+        world.left["delayed_requests"] -= bool(world.left["delayed_requests"])
         router = world.routers[index]
         router.has_asked = self.bounds.steps > 1
         router.to_allocator.append(router.quota.next_request(world.now))
@@ -260,7 +261,7 @@
         router.has_demand = False
 
     def _fall(self, world: World) -> None:
-        world.left["falls"] -= 1
+        world.left["allocator_restarts"] -= 1
         world.allocators[-1] = QuotaAllocator([BUDGET], world.now)
 
     def _takeover(self, world: World) -> None:
@@ -281,7 +282,7 @@
         messages = world.routers[index].messages(direction)
         messages[0], messages[1] = messages[1], messages[0]
 
-    def broken(self, world: World) -> str:
+    def violation(self, world: World) -> str:
         """What doesn't hold in a state; empty where all is well."""
         if len(world.requests) > BUDGET.slots:
             return f"{len(world.requests)} reqs in hand, and the fleet's budget is {BUDGET.slots}"
@@ -349,12 +350,16 @@
 
 # What is explored: what breaks without a guard does so within these bounds.
 # Few of them are explored whole in a minute.
-PLAYED = {
-    "a share that ends, and is given to another": Bounds(steps=4, turns=2, asks=2),
-    "words late, lost, doubled and swapped": Bounds(steps=0, turns=2, asks=3, late=1, faults=1),
-    "a router that wants less, and more again": Bounds(steps=0, turns=4, asks=4),
-    "a router restarted": Bounds(steps=1, turns=3, asks=3, restarts=1),
-    "a granter that loses all it knew": Bounds(steps=4, turns=2, asks=2, falls=1),
-    "a granter taken over from": Bounds(steps=4, turns=2, asks=2, takeovers=1),
-    "a router stopped and awake again": Bounds(steps=4, turns=2, asks=2, stops=1),
+CASES = {
+    "a share that ends, and is given to another": Bounds(steps=4, demand_changes=2, quota_requests=2),
+    "words late, lost, doubled and swapped": Bounds(
+        steps=0, demand_changes=2, quota_requests=3, delayed_requests=1, faults=1
+    ),
+    "a router that wants less, and more again": Bounds(steps=0, demand_changes=4, quota_requests=4),
+    "a router restarted": Bounds(steps=1, demand_changes=3, quota_requests=3, restarts=1),
+    "a granter that loses all it knew": Bounds(
+        steps=4, demand_changes=2, quota_requests=2, allocator_restarts=1
+    ),
+    "a granter taken over from": Bounds(steps=4, demand_changes=2, quota_requests=2, takeovers=1),
+    "a router stopped and awake again": Bounds(steps=4, demand_changes=2, quota_requests=2, stops=1),
 }
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -5,7 +5,7 @@
 from quartzrouter.model_checking import crossing_fill_model
 from quartzrouter.model_checking.checker import explore
 from quartzrouter.model_checking.crossing_fill_model import CrossingFillModel
-from quartzrouter.model_checking.purge_model import PLAYED, Bounds, PurgeModel
+from quartzrouter.model_checking.purge_model import CASES, Bounds, PurgeModel
 from quartzrouter.purges.fleet_purges import FleetPurges
 from quartzrouter.purges.freshness_lease import FreshnessLease
 from quartzrouter.purges.registry import PurgeRegistry
@@ -35,44 +35,44 @@
     def key(self, state):
         return tuple(state)
 
-    def broken(self, state):
+    def violation(self, state):
         return "four" if 4 in state else ""
 
 
 def test_a_shortest_trace_is_found_and_all_states_are_seen():
     found = explore(Jugs(), 100)
-    assert (found.broken, len(found.trace)) == ("four", 6) and found.shown().endswith("four")
+    assert (found.violation, len(found.trace)) == ("four", 6) and found.format_trace().endswith("four")
     jugs = Jugs()
-    jugs.broken = lambda state: ""
+    jugs.violation = lambda state: ""
     found = explore(jugs, 100)
-    assert (found.states, found.whole) == (16, True)
-    assert not explore(jugs, 5).whole
+    assert (found.states, found.is_complete) == (16, True)
+    assert not explore(jugs, 5).is_complete
 
 
-@pytest.mark.parametrize("name", PLAYED)
+@pytest.mark.parametrize("name", CASES)
 def test_purges_hold(name):
-    found = explore(PurgeModel(PLAYED[name]), STATES)
-    assert not found.broken, found.shown()
+    found = explore(PurgeModel(CASES[name]), STATES)
+    assert not found.violation, found.format_trace()
     assert found.states >= STATES
 
 
 def missed(bounds, model=PurgeModel):
     found = explore(model(bounds), 40_000)
-    assert found.broken, f"{found.states} states, and nothing broke"
+    assert found.violation, f"{found.states} states, and nothing broke"
     return found
 
 
 def test_without_the_lease_a_router_that_was_cut_off_answers_with_old_copies(monkeypatch):
     """A router is cut off, and a purge comes that it never hears of."""
     monkeypatch.setattr(FreshnessLease, "max_age", lambda self, now: 0)
-    assert "answers at" in missed(Bounds(steps=2, cuts=1)).broken
+    assert "answers at" in missed(Bounds(steps=2, cuts=1)).violation
 
 
 def test_without_marks_purges_that_were_heard_do_not_hold(monkeypatch):
     """A router receives a purge and forgets it: its cache still has the old copy."""
     monkeypatch.setattr(FleetPurges, "_add", lambda self, purge, purged_at: None)
     found = missed(Bounds(steps=2))
-    assert "answers at" in found.broken and ("hear", 0) in found.trace
+    assert "answers at" in found.violation and ("hear", 0) in found.trace
 
 
 def test_without_the_wait_for_older_leases_too_much_is_told_complete(monkeypatch):
@@ -84,7 +84,7 @@
         self.older_leases_end = 0
 
     monkeypatch.setattr(PurgeRegistry, "__init__", at_once)
-    assert "is told complete" in missed(Bounds(steps=1, crashes=1)).broken
+    assert "is told complete" in missed(Bounds(steps=1, crashes=1)).violation
 
 
 def test_an_echo_that_vouches_for_what_is_not_durable_is_missed(monkeypatch):
@@ -92,7 +92,7 @@
     monkeypatch.setattr(
         PurgeRegistry, "ack_to_echo", lambda self, member: member.acks[-1].ack_id if member.acks else 0
     )
-    assert "answers at" in missed(Bounds(steps=3, crashes=1)).broken
+    assert "answers at" in missed(Bounds(steps=3, crashes=1)).violation
 
 
 def test_a_ledger_that_does_not_look_for_others_is_missed():
@@ -107,12 +107,12 @@
             purge_log.checked_echoes[number] = purge_log.registry.ack_to_echo(member)
             self._beat(world, number)
 
-    assert "serves without it" in missed(Bounds(steps=2, takeovers=1), Blind).broken
+    assert "serves without it" in missed(Bounds(steps=2, takeovers=1), Blind).violation
 
 
 def test_no_copy_that_crosses_a_purge_is_served():
     found = explore(CrossingFillModel(crossing_fill_model.Bounds()), 10_000)
-    assert found.whole and not found.broken, found.shown()
+    assert found.is_complete and not found.violation, found.format_trace()
     assert found.states > 2_500
 
 
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -313,8 +313,8 @@
 
 @pytest.mark.parametrize("case", ["a holder stopped ahead of its act", "one name, two processes"])
 def test_the_lease_model_has_no_violation_in_any_state(case):
-    exploration = explore(LeaseModel(model.PLAYED[case]), 60_000, 60)
-    assert exploration.whole and not exploration.broken, exploration.shown()
+    exploration = explore(LeaseModel(model.CASES[case]), 60_000, 60)
+    assert exploration.is_complete and not exploration.violation, exploration.format_trace()
 
 
 def _handle_old_replies(self, reply, now, handle_reply=Proposer.handle_reply):
@@ -332,27 +332,30 @@
     return cast_vote(self, request, now)
 
 
-LATE_REPLIES, NO_FAULTS = ("late back",), Bounds(steps=1, asks=3, faults=0)
+LATE_REPLIES, NO_FAULTS = ("late back",), Bounds(steps=1, requests=3, faults=0)
 MODEL_MUTATIONS = {
-    "a keeper votes right after its start": (None, Bounds(steps=1, asks=3, faults=0, falls=2)),
-    "a lease counts from its answers": (None, Bounds(steps=5, asks=3, faults=2, ways=LATE_REPLIES)),
-    "the drift is left out": (None, Bounds(steps=17, step=FINE, asks=3, faults=0)),
-    "half of the keepers will do": (None, Bounds(steps=1, asks=2, faults=2, keepers=4)),
+    "a keeper votes right after its start": (None, Bounds(steps=1, requests=3, faults=0, restarts=2)),
+    "a lease counts from its answers": (None, Bounds(steps=5, requests=3, faults=2, ways=LATE_REPLIES)),
+    "the drift is left out": (None, Bounds(steps=17, step=FINE, requests=3, faults=0)),
+    "half of the keepers will do": (None, Bounds(steps=1, requests=2, faults=2, keepers=4)),
     "a keeper votes for all": (None, NO_FAULTS),
-    "a name is enough": (None, Bounds(steps=1, asks=2, faults=0, same=True)),
+    "a name is enough": (None, Bounds(steps=1, requests=2, faults=0, same_name=True)),
     "a holder looks at no clock": (
         (Proposer, "may_act", lambda self, now: self.is_holder),
-        Bounds(steps=6, asks=3, faults=0, stops=1),
+        Bounds(steps=6, requests=3, faults=0, stops=1),
     ),
     "answers to older asks count": (
         (Proposer, "handle_reply", _handle_old_replies),
-        Bounds(steps=3, asks=2, faults=2, ways=LATE_REPLIES),
+        Bounds(steps=3, requests=2, faults=2, ways=LATE_REPLIES),
     ),
     "a late word frees a later vote": (
         (Acceptor, "release", _release_any_token),
-        Bounds(steps=2, asks=4, faults=2, releases=1, ways=("late there",)),
+        Bounds(steps=2, requests=4, faults=2, releases=1, ways=("late there",)),
+    ),
+    "a keeper takes any number": (
+        (Acceptor, "vote", _vote_for_any_token),
+        Bounds(steps=5, requests=2, faults=0),
     ),
-    "a keeper takes any number": ((Acceptor, "vote", _vote_for_any_token), Bounds(steps=5, asks=2, faults=0)),
 }
 
 
@@ -360,13 +363,13 @@
 def test_the_model_checker_detects_each_mutation(guard, monkeypatch):
     replacement, bounds = MODEL_MUTATIONS[guard]
     monkeypatch.setattr(*(replacement or mutations.LEASES[guard]))
-    assert explore(LeaseModel(bounds), 60_000, 60).broken
+    assert explore(LeaseModel(bounds), 60_000, 60).violation
 
 
 def test_fencing_tokens_of_actions_decrease_only_if_the_target_does_not_check():
-    bounds = Bounds(steps=6, asks=3, faults=0, stops=1, acts=1)
-    assert explore(LeaseModel(bounds, checks=False), 60_000, 60).broken
-    assert not explore(LeaseModel(bounds), 60_000, 60).broken
+    bounds = Bounds(steps=6, requests=3, faults=0, stops=1, acts=1)
+    assert explore(LeaseModel(bounds, rejects_old_tokens=False), 60_000, 60).violation
+    assert not explore(LeaseModel(bounds), 60_000, 60).violation
 
 
 # -- stored tokens -------------------------------------------------------------------------------------------
--- a/tests/test_purge_log.py
+++ b/tests/test_purge_log.py
@@ -52,7 +52,7 @@
                 run_until_crash(disk)
             except Crashed:
                 crashes += 1
-            disk.dead = True
+            disk.has_crashed = True
             after_crash = disk.after_crash()
             contents = read_log(after_crash)
             assert contents.head >= confirmed
@@ -74,7 +74,7 @@
     data = disk.read(log.segment_name)
     for end in range(length_before, len(data) + 1):
         for zeros in (b"", bytes(37)):
-            disk.names_seen[log.segment_name].data = bytearray(data[:end] + zeros)
+            disk.visible_entries[log.segment_name].data = bytearray(data[:end] + zeros)
             found = read_log(disk)
             assert found.head == (3 if end == len(data) else 2)
 
@@ -88,7 +88,7 @@
     for position in range(len(data)):
         corrupted = bytearray(data)
         corrupted[position] ^= 0x10
-        disk.names_seen[log.segment_name].data = corrupted
+        disk.visible_entries[log.segment_name].data = corrupted
         with pytest.raises(LogDamagedError) as raised:
             read_log(disk)
         assert log.segment_name in raised.value.place and raised.value.reason and raised.value.remedy
@@ -101,7 +101,7 @@
     write(log, 12)
     names = [name for name in disk.names() if name.endswith(".log")]
     assert len(names) >= 4
-    del disk.names_seen[names[1]]
+    del disk.visible_entries[names[1]]
     with pytest.raises(LogDamagedError, match=f"{names[1]}: it is missing, and with it purges up to"):
         read_log(disk)
 
@@ -112,7 +112,7 @@
     log = PurgeLog(disk, max_segment_bytes=200)
     write(log, 12)
     first = next(name for name in disk.names() if name.endswith(".log"))
-    del disk.names_seen[first].data[-5:]
+    del disk.visible_entries[first].data[-5:]
     with pytest.raises(LogDamagedError, match=f"{first}: it ends at byte"):
         read_log(disk)
 
@@ -122,7 +122,7 @@
     disk = FaultyDisk()
     log = PurgeLog(disk)
     write(log, 8)
-    data = disk.names_seen[log.segment_name].data
+    data = disk.visible_entries[log.segment_name].data
     data[data.index(b"obj-6")] ^= 1
     with pytest.raises(LogDamagedError, match="checksum"):
         PurgeLog(disk)
@@ -138,12 +138,12 @@
     disk = FaultyDisk()
     log = PurgeLog(disk)
     write(log, 2)
-    disk.room = disk.used + 10
+    disk.capacity = disk.used + 10
     for _ in range(3):
         with pytest.raises(DiskUnavailableError, match="No space left"):
             log.append([purge(3)])
     assert read_log(disk).head == 2
-    disk.room = 1 << 20
+    disk.capacity = 1 << 20
     write(log, 2)
     assert read_log(disk).head == 4 and PurgeLog(disk).head == 4
 
@@ -154,7 +154,7 @@
     log = PurgeLog(disk)
     write(log, 1)
     before = log.segment_name
-    disk.fail_sync = disk.syncs + 1
+    disk.failing_sync = disk.sync_count + 1
     with pytest.raises(DiskUnavailableError, match="Input/output"):
         log.append([purge(2)])
     log.append([purge(2)])
--- a/tests/test_purge_log_server.py
+++ b/tests/test_purge_log_server.py
@@ -120,7 +120,7 @@
         late = await purge_log.join("r2", applied_up_to=1_190)
         batch = await receive(late, PurgeBatch)
         assert [purge.sequence_number for purge in batch.purges] == list(range(1_191, 1_201))
-        assert disk.syncs < 1_000
+        assert disk.sync_count < 1_000
         repeated = await client.ask_all(requests[:5])
         found = [(answer.sequence_number, answer.is_duplicate) for answer in repeated]
         assert found == [(number, True) for number in range(1, 6)]
@@ -195,11 +195,11 @@
         purge_log = await RunningPurgeLog(tasks).start(disk)
         client, watcher = purge_log.client(), await purge_log.join("w", "watcher")
         assert isinstance(await client.ask(PurgeRequest("tag", ("a",), key="a")), PurgeAccepted)
-        disk.room = disk.used
+        disk.capacity = disk.used
         rejection = await client.ask(PurgeRequest("tag", ("b",), key="b"))
         assert (rejection.place, rejection.reason) == ("disk", "No space left on device")
         assert rejection.retry_after
-        disk.room = 1 << 30
+        disk.capacity = 1 << 30
         accepted = await client.ask(PurgeRequest("tag", ("b",), key="b"))
         registry = purge_log.server.registry
         assert accepted == PurgeAccepted(2, registry.purge(2).purged_at, registry.current_promise)
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -11,7 +11,7 @@
 
 from quartzrouter.fault_harness import quota_mutations
 from quartzrouter.model_checking.checker import explore
-from quartzrouter.model_checking.quota_model import PLAYED, Bounds, QuotaModel
+from quartzrouter.model_checking.quota_model import CASES, Bounds, QuotaModel
 from quartzrouter.quota.allocator import QuotaAllocator
 from quartzrouter.quota.budget import SECOND, Budget
 from quartzrouter.quota.client import QuotaClient, QuotaCounters, describe_changes
@@ -361,23 +361,23 @@
 # -- model checking ----------------------------------------------------------------------------------------
 
 
-@pytest.mark.parametrize("name", PLAYED)
+@pytest.mark.parametrize("name", CASES)
 def test_no_order_of_messages_and_stops_exceeds_the_budget(name):
-    found = explore(QuotaModel(PLAYED[name]), 1_500)
-    assert not found.broken, found.shown()
+    found = explore(QuotaModel(CASES[name]), 1_500)
+    assert not found.violation, found.format_trace()
 
 
 MODEL_MUTATIONS = {
     "a grant doesn't expire": (
-        Bounds(steps=4, turns=2, asks=2),
+        Bounds(steps=4, demand_changes=2, quota_requests=2),
         (Budget, "grant_expiry", quota_mutations.grant_never_expires),
     ),
     "a restarted router has its guaranteed slots at once": (
-        Bounds(steps=0, turns=3, asks=1, restarts=1),
+        Bounds(steps=0, demand_changes=3, quota_requests=1, restarts=1),
         (LocalQuota, "__init__", quota_mutations.restart_has_slots_at_once),
     ),
     "an allocator grants slots at once": (
-        Bounds(steps=0, turns=2, asks=2, falls=1),
+        Bounds(steps=0, demand_changes=2, quota_requests=2, allocator_restarts=1),
         (QuotaAllocator, "__init__", quota_mutations.slots_granted_at_once),
     ),
 }
@@ -389,8 +389,8 @@
     bounds, mutation = MODEL_MUTATIONS[name]
     monkeypatch.setattr(*mutation)
     found = explore(QuotaModel(bounds), 20_000)
-    print(found.shown())
-    assert "4 reqs in hand" in found.broken
+    print(found.format_trace())
+    assert "4 reqs in hand" in found.violation
 
 
 GRANT_EXPIRES = [("time",)] * 4
@@ -433,7 +433,7 @@
             if was_not_answered:
                 continue
             model.act(world, action)
-            broken = broken or model.broken(world)
+            broken = broken or model.violation(world)
         assert bool(broken) is not is_in_place
 
 
@@ -453,4 +453,4 @@
         *SECOND_ROUTER_BEGINS,
     ]:
         model.act(world, action)
-    assert model.broken(world)
+    assert model.violation(world)
