--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -20,7 +20,7 @@
 from quartzrouter.fakes.loopback import Server
 from quartzrouter.fault_harness import history_checks, mutations
 from quartzrouter.fault_harness.history import History, HistoryEvent
-from quartzrouter.fault_harness.linearizability import Operation, fenced, is_linearizable
+from quartzrouter.fault_harness.linearizability import Operation, fencing_spec, is_linearizable
 from quartzrouter.fault_scenarios.leases import DRAWN, SCENES, UNCHECKED, drawn, killed, play
 from quartzrouter.lease_service.client import ClusterLeaseClient
 from quartzrouter.lease_service.queries import ask_all
@@ -313,8 +313,8 @@
 
 @pytest.mark.parametrize("case", ["a holder stopped ahead of its act", "one name, two processes"])
 def test_the_lease_model_has_no_violation_in_any_state(case):
-    exploration = explore(LeaseModel(model.PLAYED[case]), 60_000, 60)
-    assert exploration.whole and not exploration.broken, exploration.shown()
+    exploration = explore(LeaseModel(model.CASES[case]), 60_000, 60)
+    assert exploration.is_complete and not exploration.violation, exploration.format_trace()
 
 
 def _handle_old_replies(self, reply, now, handle_reply=Proposer.handle_reply):
@@ -332,27 +332,30 @@
     return cast_vote(self, request, now)
 
 
-LATE_REPLIES, NO_FAULTS = ("late back",), Bounds(steps=1, asks=3, faults=0)
+LATE_REPLIES, NO_FAULTS = ("late back",), Bounds(steps=1, requests=3, faults=0)
 MODEL_MUTATIONS = {
-    "a keeper votes right after its start": (None, Bounds(steps=1, asks=3, faults=0, falls=2)),
-    "a lease counts from its answers": (None, Bounds(steps=5, asks=3, faults=2, ways=LATE_REPLIES)),
-    "the drift is left out": (None, Bounds(steps=17, step=FINE, asks=3, faults=0)),
-    "half of the keepers will do": (None, Bounds(steps=1, asks=2, faults=2, keepers=4)),
+    "a keeper votes right after its start": (None, Bounds(steps=1, requests=3, faults=0, restarts=2)),
+    "a lease counts from its answers": (None, Bounds(steps=5, requests=3, faults=2, ways=LATE_REPLIES)),
+    "the drift is left out": (None, Bounds(steps=17, step=FINE, requests=3, faults=0)),
+    "half of the keepers will do": (None, Bounds(steps=1, requests=2, faults=2, keepers=4)),
     "a keeper votes for all": (None, NO_FAULTS),
-    "a name is enough": (None, Bounds(steps=1, asks=2, faults=0, same=True)),
+    "a name is enough": (None, Bounds(steps=1, requests=2, faults=0, same_name=True)),
     "a holder looks at no clock": (
         (Proposer, "may_act", lambda self, now: self.is_holder),
-        Bounds(steps=6, asks=3, faults=0, stops=1),
+        Bounds(steps=6, requests=3, faults=0, stops=1),
     ),
     "answers to older asks count": (
         (Proposer, "handle_reply", _handle_old_replies),
-        Bounds(steps=3, asks=2, faults=2, ways=LATE_REPLIES),
+        Bounds(steps=3, requests=2, faults=2, ways=LATE_REPLIES),
     ),
     "a late word frees a later vote": (
         (Acceptor, "release", _release_any_token),
-        Bounds(steps=2, asks=4, faults=2, releases=1, ways=("late there",)),
+        Bounds(steps=2, requests=4, faults=2, releases=1, ways=("late there",)),
+    ),
+    "a keeper takes any number": (
+        (Acceptor, "vote", _vote_for_any_token),
+        Bounds(steps=5, requests=2, faults=0),
     ),
-    "a keeper takes any number": ((Acceptor, "vote", _vote_for_any_token), Bounds(steps=5, asks=2, faults=0)),
 }
 
 
@@ -360,13 +363,13 @@
 def test_the_model_checker_detects_each_mutation(guard, monkeypatch):
     replacement, bounds = MODEL_MUTATIONS[guard]
     monkeypatch.setattr(*(replacement or mutations.LEASES[guard]))
-    assert explore(LeaseModel(bounds), 60_000, 60).broken
+    assert explore(LeaseModel(bounds), 60_000, 60).violation
 
 
 def test_fencing_tokens_of_actions_decrease_only_if_the_target_does_not_check():
-    bounds = Bounds(steps=6, asks=3, faults=0, stops=1, acts=1)
-    assert explore(LeaseModel(bounds, checks=False), 60_000, 60).broken
-    assert not explore(LeaseModel(bounds), 60_000, 60).broken
+    bounds = Bounds(steps=6, requests=3, faults=0, stops=1, acts=1)
+    assert explore(LeaseModel(bounds, rejects_old_tokens=False), 60_000, 60).violation
+    assert not explore(LeaseModel(bounds), 60_000, 60).violation
 
 
 # -- stored tokens -------------------------------------------------------------------------------------------
@@ -622,14 +625,21 @@
     overlapping = history_of(
         (0, "begin", "a", 1), (5, "begin", "b", 2), (9, "finish", "a", 1), (12, "finish", "b", 2)
     )
-    assert len(history_checks.overlaps(overlapping, 100)) == 1 and not history_checks.falls(overlapping)
+    assert len(
+        history_checks.overlapping_actions(overlapping, 100)
+    ) == 1 and not history_checks.decreasing_tokens(overlapping)
     interrupted = history_of((0, "begin", "a", 1), (2, "stop", "a", 0), (5, "begin", "b", 2))
-    assert not history_checks.overlaps(interrupted, 100) and not history_checks.overlaps(overlapping, 4)
+    assert not history_checks.overlapping_actions(
+        interrupted, 100
+    ) and not history_checks.overlapping_actions(overlapping, 4)
     sequential = history_of(
         (0, "begin", "a", 2), (1, "finish", "a", 2), (3, "begin", "b", 1), (4, "finish", "b", 1)
     )
-    assert not history_checks.overlaps(sequential, 100) and len(history_checks.falls(sequential)) == 1
-    assert history_checks.pauses(sequential, 0, 10) == [0, 2, 6]
+    assert (
+        not history_checks.overlapping_actions(sequential, 100)
+        and len(history_checks.decreasing_tokens(sequential)) == 1
+    )
+    assert history_checks.idle_times(sequential, 0, 10) == [0, 2, 6]
 
 
 def operation(called, back, number, *answer):
@@ -643,22 +653,27 @@
         operation(6, 8, 2, "no", 3),
         operation(7, None, 5),
     ]
-    assert is_linearizable(linearizable, fenced, 0) is True
+    assert is_linearizable(linearizable, fencing_spec, 0) is True
     # The operation without an answer took effect.
-    assert is_linearizable([*linearizable, operation(10, 12, 4, "no", 5)], fenced, 0) is True
+    assert is_linearizable([*linearizable, operation(10, 12, 4, "no", 5)], fencing_spec, 0) is True
     assert (
         is_linearizable(
-            [*linearizable, operation(10, 12, 4, "yes", 4), operation(13, 14, 4, "no", 5)], fenced, 0
+            [*linearizable, operation(10, 12, 4, "yes", 4), operation(13, 14, 4, "no", 5)], fencing_spec, 0
         )
         is True
     )
-    assert is_linearizable([*linearizable, operation(10, 12, 2, "yes", 2)], fenced, 0) is False
-    assert is_linearizable([operation(0, 1, 3, "yes", 3), operation(2, 3, 2, "yes", 2)], fenced, 0) is False
+    assert is_linearizable([*linearizable, operation(10, 12, 2, "yes", 2)], fencing_spec, 0) is False
+    assert (
+        is_linearizable([operation(0, 1, 3, "yes", 3), operation(2, 3, 2, "yes", 2)], fencing_spec, 0)
+        is False
+    )
     # Concurrent operations may take effect in any order.
-    assert is_linearizable([operation(0, 4, 3, "yes", 3), operation(2, 3, 2, "yes", 2)], fenced, 0) is True
+    assert (
+        is_linearizable([operation(0, 4, 3, "yes", 3), operation(2, 3, 2, "yes", 2)], fencing_spec, 0) is True
+    )
     many = [operation(10 * n, 10 * n + 25, n, "yes", n) for n in range(400)]
-    assert is_linearizable(many, fenced, 0) is True
-    assert is_linearizable([*many, operation(4_100, 4_101, 5, "yes", 5)], fenced, 0) is False
+    assert is_linearizable(many, fencing_spec, 0) is True
+    assert is_linearizable([*many, operation(4_100, 4_101, 5, "yes", 5)], fencing_spec, 0) is False
 
 
 def test_the_linearizability_checker_agrees_with_a_brute_force_search():
@@ -672,27 +687,27 @@
             operations.append(
                 operation(called, called + generator.randint(1, 6) if answer else None, number, *answer)
             )
-        results.add(is_linearizable(operations, fenced, 0))
-        assert is_linearizable(operations, fenced, 0) == is_linearizable_by_brute_force(operations)
+        results.add(is_linearizable(operations, fencing_spec, 0))
+        assert is_linearizable(operations, fencing_spec, 0) == is_linearizable_by_brute_force(operations)
     assert results == {True, False}
 
 
 def is_linearizable_by_brute_force(operations):
-    known = [each for each in operations if each.answer]
+    known = [each for each in operations if each.result]
     for size in range(len(known), len(operations) + 1):
         for some in permutations(operations, size):
             if not set(known) <= set(some) or len(known) > size:
                 continue
             if any(
-                a.back is not None and b.called > a.back and some.index(b) < n
+                a.returned_at is not None and b.called_at > a.returned_at and some.index(b) < n
                 for n, a in enumerate(some)
                 for b in some
             ):
                 continue
             state = 0
             for each in some:
-                state, answer = fenced(state, each.what)
-                if each.answer and each.answer != answer:
+                state, answer = fencing_spec(state, each.arguments)
+                if each.result and each.result != answer:
                     break
             else:
                 return True
