--- a/benchmarks/plan.py
+++ b/benchmarks/plan.py
@@ -15,8 +15,8 @@
 from quartzrouter.config.matcher import Matcher, plain
 from quartzrouter.config.model import Route
 from quartzrouter.config.patterns import METHODS, pattern
-from quartzrouter.config.platform_json import compiled
-from quartzrouter.config.request_sets import Asked, Box, Lang
+from quartzrouter.config.platform_json import platform_configuration
+from quartzrouter.config.request_sets import Box, RouteQuery, TextSet
 from quartzrouter.configuration import Configuration
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.route_selection import traffic_class_name
@@ -73,8 +73,8 @@
     for n in range(count):
         area = f"/area{chance.randrange(max(1, count // 20))}/sub{n}"
         text = (area, area + "/{item}/{part}.jpg", area + "/**")[n % 3]
-        host = Lang((pattern(f"h{n % 7}.example", "."),)) if n % 10 == 0 else Lang()
-        box = Box(frozenset(["s1"]), frozenset(METHODS), host, Lang((pattern(text, "/"),)))
+        host = TextSet((pattern(f"h{n % 7}.example", "."),)) if n % 10 == 0 else TextSet()
+        box = Box(frozenset(["s1"]), frozenset(METHODS), host, TextSet((pattern(text, "/"),)))
         made.append(Route(f"r{n}", n, (box,), "page", "near", None, (), None, None, None))
     return tuple(made)
 
@@ -97,9 +97,9 @@
         asked = []
         for _ in range(2_000):
             route = chance.choice(routes)
-            path = route.boxes[0].path.yes[0].guess(f"x{chance.randrange(99)}")
+            path = route.boxes[0].path.required[0].guess(f"x{chance.randrange(99)}")
             host = f"h{chance.randrange(8)}.example"
-            asked.append(Asked("s1", host, path if chance.random() < 0.9 else path + "/none"))
+            asked.append(RouteQuery("s1", host, path if chance.random() < 0.9 else path + "/none"))
         for req in asked[:50]:
             found = matcher.find(req)
             assert (found.route if found else None) is plain(routes, req)
@@ -129,7 +129,9 @@
     print("| decisions | us a req |\n| --- | --- |")
     text = template(1)
     plan = load("main", lambda path: text).plan
-    arguments = Configuration(compiled(plan), {}, needs_discovery=False).settings.router_arguments
+    arguments = Configuration(
+        platform_configuration(plan), {}, needs_discovery=False
+    ).settings.router_arguments
     router = Router(**arguments)
     router.update_endpoints(listed(plan), True, 0)
 
@@ -150,7 +152,7 @@
         def planned(n: int, now: int, multi_pool_router=multi_pool_router, count=count) -> None:
             at = n % count
             selection = multi_pool_router.select_route(
-                Asked("s1", f"h{at}.example", f"/area/sub{at}/{n % 500}"), "10.0.0.7"
+                RouteQuery("s1", f"h{at}.example", f"/area/sub{at}/{n % 500}"), "10.0.0.7"
             )
             assert multi_pool_router.admit(n, selection, now) is None
             told = Request(
--- a/quartzrouter/cli/plan.py
+++ b/quartzrouter/cli/plan.py
@@ -149,7 +149,7 @@
 
 
 def _recorded(path: str):
-    from quartzrouter.config.request_sets import Asked
+    from quartzrouter.config.request_sets import RouteQuery
 
     with open(path) as file:
         for at, line in enumerate(file, 1):
@@ -157,7 +157,7 @@
                 continue
             try:
                 told = json.loads(line)
-                yield Asked(
+                yield RouteQuery(
                     told["store"],
                     told["host"].lower(),
                     told["path"],
@@ -187,7 +187,7 @@
 @PLAN
 def compile_(path: str) -> None:
     """Print the platform's JSON, for NODE_CONFIG and `python -m quartzrouter`."""
-    from quartzrouter.config.platform_json import compiled
+    from quartzrouter.config.platform_json import platform_configuration
 
     made = checked(path)
     if not made.deployment["journal"]:
@@ -198,7 +198,7 @@
             )
         )
         sys.exit(1)
-    click.echo(json.dumps(compiled(made), indent=2))
+    click.echo(json.dumps(platform_configuration(made), indent=2))
 
 
 @plan.command(epilog='Example: quartzrouter plan explain main.plan "GET media.example/photos/rose/3.jpg"')
--- a/quartzrouter/config/builder.py
+++ b/quartzrouter/config/builder.py
@@ -4,20 +4,20 @@
 
 from quartzrouter.config import patterns, request_sets
 from quartzrouter.config.keys import COLD
-from quartzrouter.config.model import Amount, Limit, Plan, Policy, Pool, Route, Split, belongs
+from quartzrouter.config.model import Amount, Limit, Plan, Policy, Pool, Route, Split, is_pool_member
 from quartzrouter.config.problems import Place, meant, names
 from quartzrouter.config.purge_settings import check_life
-from quartzrouter.config.schema import BAD, Check, Path
+from quartzrouter.config.schema import INVALID, Path, PlanCheck
 from quartzrouter.routing.model import Idempotency, TrafficClass
 
 DEFAULT_COLD = {name: entry.default for name, entry in COLD.entries.items()}
 POLICY_KEYS = tuple(Policy.__slots__)
 
 
-class Build:
+class PlanBuilder:
     """One plan: each part is checked by itself, so that one fault hides no other."""
 
-    def __init__(self, told: dict[str, Any], check: Check):
+    def __init__(self, told: dict[str, Any], check: PlanCheck):
         self.told, self.check = told, check
         self.parts = {
             name: self._part(name)
@@ -37,7 +37,7 @@
     def _part(self, name: str) -> dict[str, dict[str, Any]]:
         """Entries that could be read; those that could not have their fault already."""
         part = self.told.get(name)
-        return {k: v for k, v in part.items() if v is not BAD} if isinstance(part, dict) else {}
+        return {k: v for k, v in part.items() if v is not INVALID} if isinstance(part, dict) else {}
 
     def known(self, *parts: str) -> set[str]:
         """Names that stand there, usable or not: one that is broken is no dangling reference."""
@@ -48,13 +48,13 @@
 
     def refer(self, name: Any, path: Path, *parts: str) -> str | None:
         """The name, if it stands in one of the parts."""
-        if name is BAD or name is None or any(self.told.get(part) is BAD for part in parts):
+        if name is INVALID or name is None or any(self.told.get(part) is INVALID for part in parts):
             return None
         known = self.known(*parts)
         if name in known:
             return name
         remedy = meant(name, known) or (f"there are {names(known)}" if known else "none is there")
-        self.check.note(
+        self.check.report(
             self.place(*path),
             f"there is no {' or '.join(_one(part) for part in parts)} '{name}'",
             remedy,
@@ -63,7 +63,7 @@
         return None
 
     def refer_all(self, found: Any, path: Path, *parts: str) -> tuple[str, ...]:
-        if found is BAD or not found:
+        if found is INVALID or not found:
             return ()
         kept = []
         for at, name in enumerate(found):
@@ -72,7 +72,7 @@
                 kept.append(name)
         return tuple(kept)
 
-    def plan(self) -> Plan | None:
+    def build(self) -> Plan | None:
         """The plan, or None where faults were found."""
         deployment, leases = self._deployment(), self._leases()
         stores = {
@@ -97,7 +97,7 @@
         self._no_loop({n: p.fallback for n, p in pools.items()}, "pools", "fallback", "the fallbacks")
         splits = {name: self._split(name, told) for name, told in self.parts["splits"].items()}
         for name in self.known("pools") & self.known("splits"):
-            self.check.note(
+            self.check.report(
                 self.place("splits", name),
                 f"'{name}' is a pool as well",
                 "give it another name",
@@ -105,8 +105,12 @@
                 ((self.place("pools", name), "the pool"),),
             )
         routes = [self._route(n, name, told) for n, (name, told) in enumerate(self.parts["routes"].items())]
-        if not self.parts["routes"] and self.told.get("routes") is not BAD and not self.check.faults.errors:
-            self.check.note(
+        if (
+            not self.parts["routes"]
+            and self.told.get("routes") is not INVALID
+            and not self.check.faults.errors
+        ):
+            self.check.report(
                 self.place("routes"), "no route is there", "all reqs would be turned away", "value"
             )
         if self.check.faults.errors:
@@ -139,7 +143,7 @@
             told[key] = DEFAULT_COLD | told[key] if isinstance(told[key], dict) else DEFAULT_COLD
         here, all_ = told["routers_here"], told["routers"]
         if isinstance(here, int) and isinstance(all_, int) and here > all_:
-            self.check.note(
+            self.check.report(
                 self.place("deployment", "routers_here"),
                 f"{here} routers here of {all_} in all",
                 code="range",
@@ -147,7 +151,7 @@
         told["routers_here"] = here or all_
         self._shared(told)
         if not told["journal"] and not self.told.get("caches"):
-            self.check.note(
+            self.check.report(
                 self.place("deployment"),
                 "no caches are listed, and no journal tells of any",
                 "give `caches`, or `journal`",
@@ -162,18 +166,18 @@
         keepers = told["keepers"] if isinstance(told["keepers"], dict) else {}
         at: dict[str, str] = {}
         for name, address in keepers.items():
-            if address is not BAD and address in at:
-                self.check.note(
+            if address is not INVALID and address in at:
+                self.check.report(
                     self.place("leases", "keepers", name),
                     f"keeper '{name}' listens where keeper '{at[address]}' does",
                     "one keeper has one vote: give it an address of its own",
                     "duplicate",
                 )
-            elif address is not BAD:
+            elif address is not INVALID:
                 at[address] = name
         if told["keepers"] == {} or told["tasks"] == {}:
             missing = "keepers" if told["keepers"] == {} else "tasks"
-            self.check.note(
+            self.check.report(
                 self.place("leases", missing), f"there are no {missing}", f"name {missing}", "missing"
             )
         return told
@@ -182,14 +186,14 @@
         """What routers share goes over a ledger's lines."""
         colds = [key for key in ("cold", "cold_parent") if told[key]["across"] == "all"]
         for key in colds if not self.told.get("purges") else ():
-            self.check.note(
+            self.check.report(
                 self.place("deployment", key),
                 f"'{key}' is shared by all routers, and no ledger is named that grants parts of it",
                 "give the plan `purges` with its `ledgers`",
                 "never",
             )
         if told["counts"] is True and told["hearsay"] is False:
-            self.check.note(
+            self.check.report(
                 self.place("deployment", "counts"),
                 "'counts' goes by what routers tell, and none tells",
                 "set `hearsay` too",
@@ -199,15 +203,15 @@
     def _cache(self, name: str, cache: dict[str, Any]) -> None:
         at, tier = cache["at"], cache["tier"]
         if at in self.known("hubs") and at not in self.known("stores") and tier == "cache":
-            self.check.note(
+            self.check.report(
                 self.place("caches", name, "at"),
                 f"cache '{name}' stands at a hub",
                 'say tier: "parent", or name a store',
                 "value",
             )
         addresses = [n for n, other in self.parts["caches"].items() if other["address"] == cache["address"]]
-        if cache["address"] is not BAD and addresses[0] != name:
-            self.check.note(
+        if cache["address"] is not INVALID and addresses[0] != name:
+            self.check.report(
                 self.place("caches", name, "address"),
                 f"cache '{name}' has the address of '{addresses[0]}'",
                 code="duplicate",
@@ -215,11 +219,11 @@
             )
 
     def _vhost(self, name: str, told: dict[str, Any]) -> TrafficClass | None:
-        if any(value is BAD for value in told.values()):
+        if any(value is INVALID for value in told.values()):
             return None
         target = told["first_byte_target"] or told["client_timeout"]
         if target > told["client_timeout"]:
-            self.check.note(
+            self.check.report(
                 self.place("vhosts", name, "first_byte_target"),
                 f"vhost '{name}' has its target after its client timeout",
                 "done in time would be never late",
@@ -262,56 +266,56 @@
                             ("policies", name, key), place or self.place("policies", at)
                         )
                 at = above.get(at)
-            if not any(value is BAD for value in values.values()):
+            if not any(value is INVALID for value in values.values()):
                 found[name] = Policy(**values)
         return found
 
     def _limit(self, name: str, told: dict[str, Any]) -> Limit | None:
-        if any(value is BAD for value in told.values()):
+        if any(value is INVALID for value in told.values()):
             return None
         place = self.place("limits", name)
         if not (told["rate"] or told["concurrent"]):
-            self.check.note(
+            self.check.report(
                 place, f"limit '{name}' limits nothing", "give it `rate` or `concurrent`", "never"
             )
             return None
         if told["burst"] and not told["rate"]:
-            self.check.note(
+            self.check.report(
                 self.place("limits", name, "burst"),
                 f"limit '{name}' has a burst without a rate",
                 "give it `rate`",
                 "never",
             )
         if told["keep_free"] and not told["concurrent"]:
-            self.check.note(
+            self.check.report(
                 self.place("limits", name, "keep_free"),
                 f"limit '{name}' keeps a share free of no number",
                 "give it `concurrent`",
                 "never",
             )
         elif told["keep_free"] and not told["below"]:
-            self.check.note(
+            self.check.report(
                 self.place("limits", name, "keep_free"),
                 f"limit '{name}' keeps a share free for nobody",
                 "give it `below`",
                 "never",
             )
         elif told["below"] and not told["keep_free"]:
-            self.check.note(
+            self.check.report(
                 self.place("limits", name, "below"),
                 f"limit '{name}': 'below' without 'keep_free'",
                 "give it `keep_free`",
                 "never",
             )
         if told["across"] != "router" and not self.told.get("purges"):
-            self.check.note(
+            self.check.report(
                 self.place("limits", name, "across"),
                 f"limit '{name}' is shared by a {told['across']}, and no ledger is named that grants shares",
                 "give the plan `purges` with its `ledgers`",
                 "never",
             )
         if told["counts"] == "repeats" and (told["concurrent"] or not told["rate"]):
-            self.check.note(
+            self.check.report(
                 self.place("limits", name, "counts"),
                 f"limit '{name}' counts repeats, which are over time",
                 "give it `rate`, and `concurrent` to a limit of reqs",
@@ -333,7 +337,7 @@
         )
 
     def _pool(self, name: str, told: dict[str, Any]) -> Pool | None:
-        if any(value is BAD for value in told.values()):
+        if any(value is INVALID for value in told.values()):
             return None
         path = ("pools", name)
         home = self.told["deployment"]["home"] if isinstance(self.told.get("deployment"), dict) else None
@@ -355,10 +359,12 @@
             told["back_after"],
         )
         listed = self.parts["caches"]
-        usable = not broken and all(value is not BAD for cache in listed.values() for value in cache.values())
-        members = [n for n, cache in listed.items() if belongs(pool, n, cache)] if usable else []
-        if listed and usable and not members and self.told.get("caches") is not BAD:
-            self.check.note(
+        usable = not broken and all(
+            value is not INVALID for cache in listed.values() for value in cache.values()
+        )
+        members = [n for n, cache in listed.items() if is_pool_member(pool, n, cache)] if usable else []
+        if listed and usable and not members and self.told.get("caches") is not INVALID:
+            self.check.report(
                 self.place(*path), f"pool '{name}' has no members", _why_empty(pool, listed), "empty"
             )
         self._falls(name, told, pool, len(members) if listed and usable else None)
@@ -367,28 +373,28 @@
     def _falls(self, name: str, told: dict[str, Any], pool: Pool, members: int | None) -> None:
         path = ("pools", name)
         if pool.fallback and not pool.at_least:
-            self.check.note(
+            self.check.report(
                 self.place(*path, "fallback"),
                 f"the fallback of pool '{name}' is never reached",
                 "give `at_least`",
                 "never",
             )
         elif pool.at_least and not told["fallback"]:
-            self.check.note(
+            self.check.report(
                 self.place(*path, "at_least"),
                 f"pool '{name}' has 'at_least' and no fallback",
                 "give `fallback`",
                 "never",
             )
-        elif pool.at_least and members and pool.at_least.of(members) > members:
-            self.check.note(
+        elif pool.at_least and members and pool.at_least.to_count(members) > members:
+            self.check.report(
                 self.place(*path, "at_least"),
                 f"pool '{name}' has {members} members: its fallback always stands in",
                 "ask for fewer",
                 "range",
             )
-        elif pool.at_least and members and pool.back_at.of(members) < pool.at_least.of(members):
-            self.check.note(
+        elif pool.at_least and members and pool.back_at.to_count(members) < pool.at_least.to_count(members):
+            self.check.report(
                 self.place(*path, "back_at"),
                 f"pool '{name}' comes back below 'at_least'",
                 "it would flap: ask for as many or more",
@@ -397,13 +403,13 @@
 
     def _split(self, name: str, told: dict[str, Any]) -> Split | None:
         parts = told["parts"]
-        if parts is BAD or told["by"] is BAD or any(share is BAD for share in parts.values()):
+        if parts is INVALID or told["by"] is INVALID or any(share is INVALID for share in parts.values()):
             return None
         for pool in parts:
             self.refer(pool, ("splits", name, "parts", pool), "pools")
         total = sum(parts.values())
         if abs(total - 1) > 1e-9:
-            self.check.note(
+            self.check.report(
                 self.place("splits", name, "parts"),
                 f"the parts of split '{name}' add up to {total * 100:g}%",
                 "make them 100%",
@@ -418,10 +424,10 @@
         policy = self.refer(told["policy"], (*path, "policy"), "policies")
         limits = self.refer_all(told["limits"], (*path, "limits"), "limits")
         match = told["match"]
-        if match is BAD or any(value is BAD for value in (*told.values(), *match.values())):
+        if match is INVALID or any(value is INVALID for value in (*told.values(), *match.values())):
             return None
         conditions = (*match["header"].values(), *match["param"].values())
-        if any(value is BAD for value in conditions):
+        if any(value is INVALID for value in conditions):
             return None
         self._captures(name, told, match)
         stores = self.refer_all(match["store"], (*path, "match", "store"), "stores")
@@ -440,7 +446,7 @@
         )
         tenant_limits = [n for n in limits if (self.parts["limits"].get(n) or {}).get("per") == "tenant"]
         if tenant_limits and not told["tenant"]:
-            self.check.note(
+            self.check.report(
                 self.place(*path, "limits"),
                 f"limit '{tenant_limits[0]}' is per tenant, and route '{name}' names none",
                 "give the route `tenant`",
@@ -460,7 +466,7 @@
                 continue
             for asked in template(told[key]):
                 if asked not in (*have, "host", "path"):
-                    self.check.note(
+                    self.check.report(
                         self.place("routes", name, key),
                         f"'{{{asked}}}' is no capture of route '{name}'",
                         meant(asked, have) or f"there are {names([*have, 'host', 'path'])}",
@@ -478,7 +484,7 @@
                 at = above.get(at)
             if at in chain:
                 loop = chain[chain.index(at) :]
-                self.check.note(
+                self.check.report(
                     self.place(part, loop[0], key),
                     f"{what} go round: {' -> '.join([*loop, loop[0]])}",
                     "take one out",
@@ -494,13 +500,13 @@
     return [found[1] for found in patterns.TOKEN.finditer(text) if found[1] is not None]
 
 
-def _language(text: str, sep: str) -> request_sets.Lang:
-    return request_sets.Lang((patterns.pattern(text, sep),))
+def _language(text: str, sep: str) -> request_sets.TextSet:
+    return request_sets.TextSet((patterns.pattern(text, sep),))
 
 
-def _condition(told: str | bool) -> request_sets.Lang:
+def _condition(told: str | bool) -> request_sets.TextSet:
     if isinstance(told, bool):
-        return request_sets.Lang(absent=not told, present=told)
+        return request_sets.TextSet(allows_absent=not told, allows_present=told)
     return _language(told, "")
 
 
--- a/quartzrouter/config/diff.py
+++ b/quartzrouter/config/diff.py
@@ -11,7 +11,7 @@
 
 from quartzrouter.config.matcher import Matcher
 from quartzrouter.config.model import POLICY_OVERRIDES, TRAFFIC_CLASS_FIELDS, Plan, Policy, Pool, Route
-from quartzrouter.config.request_sets import Asked, Box, rest
+from quartzrouter.config.request_sets import Box, RouteQuery, rest
 from quartzrouter.config.shadowing import Near
 
 Pair = tuple[str | None, str | None]  # the old route's name and the new one's; None: no route takes it
@@ -23,13 +23,13 @@
 
     pair: Pair
     what: dict[str, tuple[str, str]]  # what differs: as it was, as it would be
-    witness: Asked
+    witness: RouteQuery
 
     def shown(self) -> str:
         old, new = (f"route '{name}'" if name else "no route" for name in self.pair)
         lines = [f"{old} -> {new}" if self.pair[0] != self.pair[1] else old]
         lines += [f"    {key}: {was} -> {now}" for key, (was, now) in self.what.items()]
-        return "\n".join([*lines, f"    e.g. {self.witness.shown()}"])
+        return "\n".join([*lines, f"    e.g. {self.witness.describe()}"])
 
     def as_json(self) -> dict[str, Any]:
         return {
@@ -86,7 +86,7 @@
     def _object(route: Route) -> str | None:
         if route.object:
             return route.object
-        path = route.boxes[0].path.yes
+        path = route.boxes[0].path.required
         return path[0].text if path and "part" in path[0].captures else None
 
 
@@ -188,7 +188,7 @@
     def same(self) -> bool:
         return not (self.changes or self.settings)
 
-    def replay(self, asked: Iterable[Asked]) -> tuple[Counter, Counter]:
+    def replay(self, asked: Iterable[RouteQuery]) -> tuple[Counter, Counter]:
         """How many reqs lie in each set, and how many route differently in no reported set (none should)."""
         old, new = Matcher(self.old.routes), Matcher(self.new.routes)
         reported = {change.pair for change in self.changes}
--- a/quartzrouter/config/explain.py
+++ b/quartzrouter/config/explain.py
@@ -9,7 +9,7 @@
 from quartzrouter.config.model import TRAFFIC_CLASS_FIELDS, Plan, Route
 from quartzrouter.config.problems import Place
 from quartzrouter.config.quantity import Duration
-from quartzrouter.config.request_sets import Asked
+from quartzrouter.config.request_sets import RouteQuery
 
 REQ = re.compile(
     r"(?:(?P<method>[A-Za-z]+)\s+)?(?:https?://)?(?P<host>[^/\s?]*)(?P<path>/[^?\s]*)(?:\?(?P<query>\S*))?"
@@ -24,12 +24,12 @@
 
 def asked(
     text: str, plan: Plan, store: str | None = None, headers: dict[str, str] | None = None
-) -> Asked | None:
+) -> RouteQuery | None:
     """`[METHOD] [HOST]/PATH[?QUERY]` as a req; None where it reads otherwise."""
     found = REQ.fullmatch(text.strip())
     if not found:
         return None
-    return Asked(
+    return RouteQuery(
         store or plan.deployment["home"],
         found["host"].lower(),
         found["path"],
@@ -39,7 +39,7 @@
     )
 
 
-def explain(plan: Plan, req: Asked) -> list[Line]:
+def explain(plan: Plan, req: RouteQuery) -> list[Line]:
     """Route, vhost, pool, policy and limits of a req, each value with its place."""
     found = matcher(plan).find(req)
     if found is None:
--- a/quartzrouter/config/loader.py
+++ b/quartzrouter/config/loader.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from quartzrouter.config.builder import Build
+from quartzrouter.config.builder import PlanBuilder
 from quartzrouter.config.evaluator import Evaluation, Loader, Unreadable
 from quartzrouter.config.keys import PLAN
 from quartzrouter.config.model import Plan
 from quartzrouter.config.parser import TEXT_MOST
 from quartzrouter.config.problems import Broken, Faults, Place, Source
-from quartzrouter.config.schema import BAD, Check
+from quartzrouter.config.schema import INVALID, PlanCheck
 from quartzrouter.config.shadowing import check_routes
 from quartzrouter.config.values import POISON, Slot
 
@@ -81,13 +81,13 @@
     sources = evaluation.sources
     if value is POISON:
         return Loaded(None, faults, value, sources)
-    check = Check(faults)
+    check = PlanCheck(faults)
     start = Place(sources[0], 1, 1)
     check.places[()] = start
-    told = PLAN.take(check, (), Slot(value, start))
+    told = PLAN.convert(check, (), Slot(value, start))
     plan = None
-    if told is not BAD:
-        plan = Build(told, check).plan()
+    if told is not INVALID:
+        plan = PlanBuilder(told, check).build()
     if plan is not None:
         check_routes(plan, check)
         plan = None if faults.errors else plan
--- a/quartzrouter/config/matcher.py
+++ b/quartzrouter/config/matcher.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from quartzrouter.config.model import Plan, Route
-from quartzrouter.config.request_sets import Asked, Box, Lang
+from quartzrouter.config.request_sets import Box, RouteQuery, TextSet
 
 NEVER = 1 << 31  # an order that no route has
 
@@ -37,7 +37,7 @@
                 self._hang(route.order, n, box)
 
     def _hang(self, order: int, n: int, box: Box) -> None:
-        pattern = box.path.yes[0] if box.path.yes else None
+        pattern = box.path.required[0] if box.path.required else None
         node = self.root
         node.first = min(node.first, order)
         if pattern is None:
@@ -50,7 +50,7 @@
         into = node.literal.setdefault(pattern.text, []) if whole else node.here
         insort(into, (order, n, box), key=lambda item: item[:2])
 
-    def find(self, asked: Asked) -> Found | None:
+    def find(self, asked: RouteQuery) -> Found | None:
         """The first route that takes the req."""
         best, node, path = NEVER, self.root, asked.path
         parts = path.split("/")[1:-1]
@@ -70,33 +70,33 @@
         if best == NEVER:
             return None
         route = self.routes[best]
-        pattern = route.boxes[0].path.yes
+        pattern = route.boxes[0].path.required
         return Found(route, pattern[0].capture(path) if pattern else {})
 
 
-def takes(box: Box, asked: Asked, path_known: bool = False) -> bool:
+def takes(box: Box, asked: RouteQuery, path_known: bool = False) -> bool:
     """Whether a req lies in a box."""
     if asked.store not in box.stores or asked.method not in box.methods:
         return False
-    if not path_known and not all(one.expression.fullmatch(asked.path) for one in box.path.yes):
+    if not path_known and not all(one.expression.fullmatch(asked.path) for one in box.path.required):
         return False
-    if box.host.yes and not all(one.expression.fullmatch(asked.host) for one in box.host.yes):
+    if box.host.required and not all(one.expression.fullmatch(asked.host) for one in box.host.required):
         return False
     return _hold(box.headers, asked.headers) and _hold(box.params, asked.params)
 
 
-def _hold(told: dict[str, Lang], given: dict[str, str]) -> bool:
+def _hold(told: dict[str, TextSet], given: dict[str, str]) -> bool:
     for name, lang in told.items():
         value = given.get(name)
         if value is None:
-            if not lang.absent:
+            if not lang.allows_absent:
                 return False
-        elif not lang.present or not all(one.expression.fullmatch(value) for one in lang.yes):
+        elif not lang.allows_present or not all(one.expression.fullmatch(value) for one in lang.required):
             return False
     return True
 
 
-def plain(routes: tuple[Route, ...], asked: Asked) -> Route | None:
+def plain(routes: tuple[Route, ...], asked: RouteQuery) -> Route | None:
     """The same by trying one route after the other: what the tree is measured against."""
     return next((route for route in routes if any(takes(box, asked) for box in route.boxes)), None)
 
--- a/quartzrouter/config/model.py
+++ b/quartzrouter/config/model.py
@@ -51,7 +51,7 @@
     count: int = 0
     share: float = 0.0
 
-    def of(self, listed: int) -> float:
+    def to_count(self, listed: int) -> float:
         return self.share * listed if self.share else self.count
 
 
@@ -126,10 +126,10 @@
 
     def members(self, pool: Pool) -> list[str]:
         """Caches listed in the plan that belong to a pool."""
-        return [name for name, cache in self.caches.items() if belongs(pool, name, cache)]
+        return [name for name, cache in self.caches.items() if is_pool_member(pool, name, cache)]
 
 
-def belongs(pool: Pool, name: str, cache: dict[str, Any]) -> bool:
+def is_pool_member(pool: Pool, name: str, cache: dict[str, Any]) -> bool:
     return (
         cache["tier"] == "cache"
         and (not pool.stores or cache["at"] in pool.stores)
--- a/quartzrouter/config/platform_json.py
+++ b/quartzrouter/config/platform_json.py
@@ -26,7 +26,7 @@
     return [*boxes, "parent", "origin"]
 
 
-def members(plan: Plan) -> list[dict[str, Any]]:
+def endpoint_list(plan: Plan) -> list[dict[str, Any]]:
     """The cache list, as the journal's events have it."""
     return [
         {
@@ -43,7 +43,7 @@
     ]
 
 
-def compiled(plan: Plan) -> dict[str, Any]:
+def platform_configuration(plan: Plan) -> dict[str, Any]:
     """What `python -m quartzrouter` reads; routes, pools and limits have no words there and are left out."""
     told, vhosts = plan.deployment, list(plan.vhosts.values())
     here = [told["routers_here"] if zone == told["home"] else told["routers"] for zone in zones(plan)]
@@ -53,7 +53,10 @@
         "listen": told["listen"],
         "seed": told["seed"],
         "limits": {"memory_mb": told["memory"] >> 20, "sockets": told["descriptors"]},
-        "known": {"pos": 1, "entries": [{"pos": 1, "hosts": {"complete": True, "members": members(plan)}}]}
+        "known": {
+            "pos": 1,
+            "entries": [{"pos": 1, "hosts": {"complete": True, "members": endpoint_list(plan)}}],
+        }
         if plan.caches
         else {"pos": 0, "entries": []},
         "settings": {
--- a/quartzrouter/config/purge_settings.py
+++ b/quartzrouter/config/purge_settings.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from quartzrouter.config.quantity import Duration
-from quartzrouter.config.schema import BAD, Check
+from quartzrouter.config.schema import INVALID, PlanCheck
 from quartzrouter.purges.settle_time import settle_time
 from quartzrouter.routing.model import TrafficClass
 
@@ -19,17 +19,17 @@
     return settle_time(purges["grace"], kept)
 
 
-def check_life(purges: Any, vhosts: Mapping[str, TrafficClass], check: Check) -> None:
+def check_life(purges: Any, vhosts: Mapping[str, TrafficClass], check: PlanCheck) -> None:
     """Notes a `life` that ends before purges settle: caches would never count as caught up under purges.
 
     :param purges: the plan's `purges` as they were read; None where there are none.
     :param vhosts: those that could be read, by name.
     """
-    if not isinstance(purges, dict) or BAD in (purges["life"], purges["grace"]):
+    if not isinstance(purges, dict) or INVALID in (purges["life"], purges["grace"]):
         return
     needed = settle_time_of(purges, vhosts)
     if purges["life"] < needed:
-        check.note(
+        check.report(
             check.place(("purges", "life")),
             f"'life' is {Duration(purges['life'])}, and a purge takes {Duration(needed)} to settle",
             "give a longer `life`, or the vhosts a shorter client timeout",
--- a/quartzrouter/config/request_sets.py
+++ b/quartzrouter/config/request_sets.py
@@ -12,7 +12,7 @@
 BOXES_MOST = 20_000  # that one set may fall into
 
 
-class Asked(NamedTuple):
+class RouteQuery(NamedTuple):
     """A req as routes see it; headers by lower-case name, the host in lower case."""
 
     store: str
@@ -22,7 +22,7 @@
     headers: dict[str, str] = {}
     params: dict[str, str] = {}
 
-    def shown(self) -> str:
+    def describe(self) -> str:
         query = "&".join(f"{name}={value}" for name, value in self.params.items())
         heads = "".join(f" {name}: {value};" for name, value in self.headers.items())
         url = f"{self.host}{self.path}{'?' + query if query else ''}"
@@ -30,44 +30,44 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lang:
-    """Texts that all of `yes` take and none of `no`; for what may be absent, whether that belongs to it."""
+class TextSet:
+    """Texts that match all of `required` and none of `excluded`; an absent value may be in the set too."""
 
-    yes: tuple[Pattern, ...] = ()
-    no: tuple[Pattern, ...] = ()
-    absent: bool = False
-    present: bool = True
+    required: tuple[Pattern, ...] = ()
+    excluded: tuple[Pattern, ...] = ()
+    allows_absent: bool = False
+    allows_present: bool = True
 
     @property
     def everything(self) -> bool:
-        return not (self.yes or self.no) and self.present
-
-    def meet(self, other: "Lang") -> "Lang":
-        return Lang(
-            tuple(dict.fromkeys(self.yes + other.yes)),
-            tuple(dict.fromkeys(self.no + other.no)),
-            self.absent and other.absent,
-            self.present and other.present,
+        return not (self.required or self.excluded) and self.allows_present
+
+    def meet(self, other: "TextSet") -> "TextSet":
+        return TextSet(
+            tuple(dict.fromkeys(self.required + other.required)),
+            tuple(dict.fromkeys(self.excluded + other.excluded)),
+            self.allows_absent and other.allows_absent,
+            self.allows_present and other.allows_present,
         )
 
-    def outside(self, may_be_absent: bool) -> "Lang":
+    def outside(self, may_be_absent: bool) -> "TextSet":
         """All else, of a language with at most one pattern in yes and none in no."""
-        if not self.present:
-            return Lang(absent=False)
-        return Lang((), self.yes, may_be_absent and not self.absent, bool(self.yes))
+        if not self.allows_present:
+            return TextSet(allows_absent=False)
+        return TextSet((), self.required, may_be_absent and not self.allows_absent, bool(self.required))
 
 
-ANY = Lang(absent=True)
-HERE = Lang()
+ANY = TextSet(allows_absent=True)
+HERE = TextSet()
 UNSET = object()
 
 
 @lru_cache(maxsize=1 << 16)
-def sample(lang: Lang) -> str | None | object:
+def sample(lang: TextSet) -> str | None | object:
     """A text of the language, None for the absent one, UNSET where the language is empty."""
-    if lang.absent:
+    if lang.allows_absent:
         return None
-    found = witness(lang.yes, lang.no) if lang.present else None
+    found = witness(lang.required, lang.excluded) if lang.allows_present else None
     return UNSET if found is None else found
 
 
@@ -75,10 +75,10 @@
 class Box:
     stores: frozenset[str]
     methods: frozenset[str]
-    host: Lang = HERE
-    path: Lang = HERE
-    headers: dict[str, Lang] = field(default_factory=dict)
-    params: dict[str, Lang] = field(default_factory=dict)
+    host: TextSet = HERE
+    path: TextSet = HERE
+    headers: dict[str, TextSet] = field(default_factory=dict)
+    params: dict[str, TextSet] = field(default_factory=dict)
 
     def meet(self, other: "Box") -> "Box | None":
         """What lies in both; None where nothing does."""
@@ -103,13 +103,13 @@
         named = (*self.headers.values(), *self.params.values())
         return all(sample(lang) is not UNSET for lang in (self.host, self.path, *named))
 
-    def witness(self) -> Asked | None:
+    def witness(self) -> RouteQuery | None:
         if not self.some:
             return None
         heads = {name: sample(lang) for name, lang in self.headers.items()}
         params = {name: sample(lang) for name, lang in self.params.items()}
         method = "GET" if "GET" in self.methods else min(self.methods)
-        return Asked(
+        return RouteQuery(
             min(self.stores),
             sample(self.host),
             sample(self.path),
@@ -143,16 +143,16 @@
         return [piece for piece in pieces if piece.some]
 
 
-def apart(a: Lang, b: Lang) -> bool:
+def apart(a: TextSet, b: TextSet) -> bool:
     """Seen at once to have no text in common: the texts with which they begin differ."""
-    for one in a.yes:
-        for other in b.yes:
+    for one in a.required:
+        for other in b.required:
             if not (one.prefix.startswith(other.prefix) or other.prefix.startswith(one.prefix)):
                 return True
     return False
 
 
-def _meet(a: dict[str, Lang], b: dict[str, Lang]) -> dict[str, Lang]:
+def _meet(a: dict[str, TextSet], b: dict[str, TextSet]) -> dict[str, TextSet]:
     return {name: a.get(name, ANY).meet(b.get(name, ANY)) for name in {**a, **b}}
 
 
--- a/quartzrouter/config/schema.py
+++ b/quartzrouter/config/schema.py
@@ -17,28 +17,28 @@
 REQUIRED = object()
 
 
-class Bad:
+class Invalid:
     """Where a value would be that its kind doesn't take; a fault has been noted."""
 
     def __bool__(self) -> bool:
         return False
 
 
-BAD = Bad()
+INVALID = Invalid()
 
 
 @dataclass
-class Check:
+class PlanCheck:
     """One run over a plan: the faults, and the place that gave each value."""
 
     faults: Faults
     places: dict[Path, Place] = field(default_factory=dict)
 
-    def note(
+    def report(
         self, place: Place, reason: str, remedy: str = "", code: str = "value", also=(), weight=Weight.ERROR
-    ) -> Bad:
+    ) -> Invalid:
         self.faults.add(Fault(place, reason, remedy, weight, code, tuple(also)))
-        return BAD
+        return INVALID
 
     def place(self, path: Path) -> Place:
         """Where a value was given, or the nearest around it."""
@@ -55,20 +55,20 @@
     def says(self) -> str:
         raise NotImplementedError
 
-    def take(self, check: Check, path: Path, slot: Slot) -> Any:
+    def convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         value = slot.value
         if value is POISON:
-            return BAD
+            return INVALID
         if isinstance(value, Closure):
-            return check.note(slot.place, f"{said(path)} is a function", "call it", "type")
+            return check.report(slot.place, f"{said(path)} is a function", "call it", "type")
         return self.make(check, path, slot)
 
-    def make(self, check: Check, path: Path, slot: Slot) -> Any:
+    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         raise NotImplementedError
 
-    def wrong(self, check: Check, path: Path, slot: Slot, remedy: str = "") -> Bad:
+    def wrong(self, check: PlanCheck, path: Path, slot: Slot, remedy: str = "") -> Invalid:
         reason = f"{said(path)} is {kind(slot.value)} where {self.says} belongs"
-        return check.note(slot.place, reason, remedy, "type")
+        return check.report(slot.place, reason, remedy, "type")
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -85,7 +85,7 @@
     def says(self) -> str:
         return self.word
 
-    def make(self, check: Check, path: Path, slot: Slot) -> Any:
+    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         value = slot.value
         number = isinstance(value, int | Fraction) and not isinstance(value, bool)
         if self.of is int and isinstance(value, Fraction):
@@ -93,14 +93,14 @@
         if not (number if self.of in (int, Fraction) else isinstance(value, self.of)):
             if number and self.of in (Duration, Size, Rate, Share):
                 reason = f"'{path[-1]}' is {plain(value)} without a unit"
-                return check.note(slot.place, reason, f"{self.word} is written as {self.example}", "unit")
+                return check.report(slot.place, reason, f"{self.word} is written as {self.example}", "unit")
             return self.wrong(check, path, slot, f"as in {self.example}")
         if self.least is not None and value < self.least:
-            return check.note(
+            return check.report(
                 slot.place, f"'{path[-1]}' is {shown(value)}, below {shown(self.least)}", code="range"
             )
         if self.most is not None and value > self.most:
-            return check.note(
+            return check.report(
                 slot.place, f"'{path[-1]}' is {shown(value)}, above {shown(self.most)}", code="range"
             )
         match value:
@@ -171,14 +171,16 @@
     def says(self) -> str:
         return self.word
 
-    def make(self, check: Check, path: Path, slot: Slot) -> Any:
+    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, str):
             return self.wrong(check, path, slot, 'texts are written as "..."')
         if len(slot.value) > self.most:
-            return check.note(slot.place, f"'{path[-1]}' has more than {self.most} characters", code="range")
+            return check.report(
+                slot.place, f"'{path[-1]}' has more than {self.most} characters", code="range"
+            )
         fault = self.test(slot.value) if self.test else ""
         if fault:
-            return check.note(slot.place, f"'{path[-1]}' is {shown(slot.value)}: {fault}", code="value")
+            return check.report(slot.place, f"'{path[-1]}' is {shown(slot.value)}: {fault}", code="value")
         return slot.value
 
 
@@ -199,7 +201,7 @@
     def says(self) -> str:
         return "true or false"
 
-    def make(self, check: Check, path: Path, slot: Slot) -> Any:
+    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         return slot.value if isinstance(slot.value, bool) else self.wrong(check, path, slot)
 
 
@@ -211,12 +213,12 @@
     def says(self) -> str:
         return "one of " + ", ".join(f'"{one}"' for one in self.of)
 
-    def make(self, check: Check, path: Path, slot: Slot) -> Any:
+    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, str):
             return self.wrong(check, path, slot)
         if slot.value not in self.of:
             remedy = meant(slot.value, self.of) or f"those are {', '.join(self.of)}"
-            return check.note(slot.place, f"'{path[-1]}' can't be {shown(slot.value)}", remedy, "value")
+            return check.report(slot.place, f"'{path[-1]}' can't be {shown(slot.value)}", remedy, "value")
         return slot.value
 
 
@@ -230,16 +232,16 @@
     def says(self) -> str:
         return ", or ".join(one.says for one in self.of)
 
-    def make(self, check: Check, path: Path, slot: Slot) -> Any:
+    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         for one in self.of:
-            trial = Check(Faults())
-            made = one.take(trial, path, slot)
-            if made is not BAD:
+            trial = PlanCheck(Faults())
+            made = one.convert(trial, path, slot)
+            if made is not INVALID:
                 check.places |= trial.places
                 return (one.says, made) if isinstance(one, Quantified) and one.of is Share else made
         fits = [one for one in self.of if _sort(one) == _sort_of(slot.value)]
         if fits:
-            return fits[0].take(check, path, slot)
+            return fits[0].convert(check, path, slot)
         return self.wrong(check, path, slot)
 
 
@@ -266,20 +268,20 @@
     def says(self) -> str:
         return f"a list, each {self.of.says}"
 
-    def make(self, check: Check, path: Path, slot: Slot) -> Any:
+    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, ListOf):
             if not self.one_too:
                 return self.wrong(check, path, slot)
-            made = self.of.take(check, path, slot)
-            return BAD if made is BAD else [made]
+            made = self.of.convert(check, path, slot)
+            return INVALID if made is INVALID else [made]
         if len(slot.value.slots) < self.least:
-            return check.note(slot.place, f"'{path[-1]}' is empty", "name at least one", "value")
+            return check.report(slot.place, f"'{path[-1]}' is empty", "name at least one", "value")
         found = []
         for at, item in enumerate(slot.value.slots):
             inner = (*path[:-1], f"{path[-1]}[{at}]")
             check.places[inner] = item.place
-            found.append(self.of.take(check, inner, item))
-        return BAD if any(one is BAD for one in found) else found
+            found.append(self.of.convert(check, inner, item))
+        return INVALID if any(one is INVALID for one in found) else found
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -294,7 +296,7 @@
     def says(self) -> str:
         return f"a record of {self.what}s, each {self.of.says}"
 
-    def make(self, check: Check, path: Path, slot: Slot) -> Any:
+    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, Rec):
             return self.wrong(check, path, slot)
         found = {}
@@ -304,10 +306,10 @@
                 continue
             fault = self.key(name) if self.key else ""
             if fault:
-                check.note(place, f"'{name}' is no {self.what}: {fault}", code="value")
+                check.report(place, f"'{name}' is no {self.what}: {fault}", code="value")
                 continue
             check.places[(*path, name)] = place
-            found[name] = self.of.take(check, (*path, name), inner)
+            found[name] = self.of.convert(check, (*path, name), inner)
         return found
 
 
@@ -315,14 +317,14 @@
     return f"'{path[-1]}'" if path else "the plan"
 
 
-def unmet(check: Check, path: Path, name: str, slot: Slot, among: dict[str, Slot]) -> bool:
+def unmet(check: PlanCheck, path: Path, name: str, slot: Slot, among: dict[str, Slot]) -> bool:
     """An override or a merge that met nothing."""
     if slot.how == ":":
         return False
     word = "override" if slot.how == "override" else "merge into"
     others = [other for other, there in among.items() if there.how == ":"]
     remedy = meant(name, others) or (f"there are {names(others)}" if others else "write it with ':'")
-    check.note(slot.named or slot.place, f"there is no '{name}' to {word}", remedy, "override")
+    check.report(slot.named or slot.place, f"there is no '{name}' to {word}", remedy, "override")
     return True
 
 
@@ -342,7 +344,7 @@
     def says(self) -> str:
         return self.word
 
-    def make(self, check: Check, path: Path, slot: Slot) -> Any:
+    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, Rec):
             return self.wrong(check, path, slot)
         found: dict[str, Any] = {}
@@ -351,19 +353,19 @@
             entry = self.entries.get(name)
             if entry is None:
                 remedy = meant(name, self.entries) or f"there are {names(self.entries, 12)}"
-                check.note(place, f"'{name}' is no key of {_of(path)}", remedy, "key")
+                check.report(place, f"'{name}' is no key of {_of(path)}", remedy, "key")
             elif unmet(check, path, name, inner, slot.value.slots):
-                found[name] = BAD
+                found[name] = INVALID
             elif inner.value is None and entry.default is not REQUIRED:
                 found[name] = entry.default
             else:
                 check.places[(*path, name)] = inner.place
-                found[name] = entry.of.take(check, (*path, name), inner)
+                found[name] = entry.of.convert(check, (*path, name), inner)
         for name, entry in self.entries.items():
             if name in found:
                 continue
             if entry.default is REQUIRED:
-                found[name] = check.note(
+                found[name] = check.report(
                     slot.place, f"'{name}' is missing in {_of(path)}", f"it is {entry.of.says}", "missing"
                 )
             else:
--- a/quartzrouter/config/shadowing.py
+++ b/quartzrouter/config/shadowing.py
@@ -7,7 +7,7 @@
 from quartzrouter.config.patterns import Undecided
 from quartzrouter.config.problems import Weight
 from quartzrouter.config.request_sets import Box, TooMany, rest
-from quartzrouter.config.schema import Check
+from quartzrouter.config.schema import PlanCheck
 
 NAMED_MOST = 3  # routes that one message names
 PAIRS_MOST = 60_000  # looked at for partial overlaps, some seconds
@@ -34,7 +34,7 @@
 
 
 def prefix(route: Route) -> str:
-    path = route.boxes[0].path.yes
+    path = route.boxes[0].path.required
     return path[0].prefix if path else ""
 
 
@@ -43,7 +43,7 @@
     return [both for one in a.boxes for other in b.boxes if (both := one.meet(other))]
 
 
-def check_routes(plan: Plan, check: Check) -> None:
+def check_routes(plan: Plan, check: PlanCheck) -> None:
     """Notes routes that can never be reached, and warns of those that overlap in part."""
     near, matcher, pairs = Near(plan.routes), Matcher(plan.routes), PAIRS_MOST
     for route in plan.routes:
@@ -52,7 +52,7 @@
             if not _reached(route, matcher) and _shadowed(check, route, earlier):
                 continue
         except (Undecided, TooMany):
-            check.note(
+            check.report(
                 check.place(("routes", route.name)),
                 f"whether route '{route.name}' can be reached takes too long to say",
                 "its patterns overlap in too many ways",
@@ -81,11 +81,11 @@
     return False
 
 
-def _shadowed(check: Check, route: Route, earlier: list[Route]) -> bool:
+def _shadowed(check: PlanCheck, route: Route, earlier: list[Route]) -> bool:
     """Notes a route of which nothing is left behind those before it."""
     place = check.place(("routes", route.name))
     if not any(box.some for box in route.boxes):
-        check.note(
+        check.report(
             place, f"route '{route.name}' takes no req", "its conditions rule each other out", "shadow"
         )
         return True
@@ -108,10 +108,10 @@
     said = " and ".join(f"'{other.name}'" for other, _ in by[:NAMED_MOST])
     more = f" and {len(by) - NAMED_MOST} more" if len(by) > NAMED_MOST else ""
     take = "takes" if len(by) == 1 else "take"
-    check.note(
+    check.report(
         place,
         f"route '{route.name}' is never reached: {said}{more} {take} all of it",
-        f"{asked.shown()} goes to '{by[0][0].name}'; put '{route.name}' before it",
+        f"{asked.describe()} goes to '{by[0][0].name}'; put '{route.name}' before it",
         "shadow",
         also,
     )
@@ -128,16 +128,16 @@
     return shared[0] if rest(list(later.boxes), list(earlier.boxes)) else None
 
 
-def _warn(check: Check, later: Route, found: list[tuple[Route, Box]]) -> None:
+def _warn(check: PlanCheck, later: Route, found: list[tuple[Route, Box]]) -> None:
     """One warning a route, however many it overlaps."""
     first, shared = found[0]
     said = ", ".join(f"'{other.name}'" for other, _ in found[:NAMED_MOST])
     more = f" and {len(found) - NAMED_MOST} more" if len(found) > NAMED_MOST else ""
     also = [(check.place(("routes", other.name)), f"route '{other.name}'") for other, _ in found[:NAMED_MOST]]
-    check.note(
+    check.report(
         check.place(("routes", later.name)),
         f"route '{later.name}' overlaps {said}{more} in part",
-        f"{shared.witness().shown()} goes to '{first.name}'",
+        f"{shared.witness().describe()} goes to '{first.name}'",
         "overlap",
         also,
         Weight.WARNING,
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -19,7 +19,7 @@
 from quartzrouter.config.loader import from_disk, load
 from quartzrouter.config.matcher import plain
 from quartzrouter.config.problems import Broken, Source
-from quartzrouter.config.request_sets import Asked
+from quartzrouter.config.request_sets import RouteQuery
 from quartzrouter.fakes.loopback import Cache, Client, free_port
 from quartzrouter.fault_scenarios import ScenarioReport
 from quartzrouter.server import process
@@ -142,7 +142,7 @@
 
 PATHS = ["/a", "/{x}", "/a/**", "/**", "/{x}/b", "/a/{x}", "/a-*"]
 ASKED = [
-    Asked(store, host, path, method, {}, {})
+    RouteQuery(store, host, path, method, {}, {})
     for store in ("north", "south")
     for host in ("a", "b.a")
     for path in ("/a", "/b", "/a/a", "/a/b", "/c/b", "/a-b", "/a/b/c")
@@ -188,7 +188,7 @@
             changed = (was and was.pool) != (now and now.pool)
             differ += changed
             pair = (was.name if was else None, now.name if now else None)
-            tally.expect((pair in pairs) == changed, f"{asked.shown()}: {pair} is {'no ' * changed}set")
+            tally.expect((pair in pairs) == changed, f"{asked.describe()}: {pair} is {'no ' * changed}set")
         counts, stray = diff.replay(ASKED)
         tally.expect(not stray and sum(counts.values()) == len(ASKED), f"replay: {stray}")
     tally.figures["routes found to be hidden"] = hidden
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -10,7 +10,7 @@
 
 from quartzrouter.config.matcher import Matcher
 from quartzrouter.config.model import Plan, Pool
-from quartzrouter.config.request_sets import Asked
+from quartzrouter.config.request_sets import RouteQuery
 from quartzrouter.pool_routing.fleet_reports import merge_demand, merge_observations
 from quartzrouter.pool_routing.policy_budgets import PolicyBudgets
 from quartzrouter.pool_routing.policy_classes import effective_traffic_classes
@@ -167,7 +167,7 @@
 
     # -- before a request is taken in --------------------------------------------------------------------
 
-    def select_route(self, asked: Asked, client: str) -> RouteSelection | None:
+    def select_route(self, asked: RouteQuery, client: str) -> RouteSelection | None:
         """:returns: the route of a request; None where no route takes it."""
         return select_route(self.plan, self.matcher, asked, client)
 
--- a/quartzrouter/pool_routing/pool_router.py
+++ b/quartzrouter/pool_routing/pool_router.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from quartzrouter.config.model import Pool, belongs
+from quartzrouter.config.model import Pool, is_pool_member
 from quartzrouter.routing.model import CacheCount, Endpoint, MaintenanceActions, Tier
 from quartzrouter.routing.router import Router
 from quartzrouter.routing.units import MILLISECOND, NEVER
@@ -34,7 +34,7 @@
             "kind": endpoint.machine_type,
             "cell": endpoint.cell,
         }
-        return belongs(self.pool, endpoint.name, attributes)
+        return is_pool_member(self.pool, endpoint.name, attributes)
 
     def update_endpoints(self, endpoints: Iterable[Endpoint], is_snapshot: bool, now: int) -> None:
         """Takes in the endpoint list, or changes to it; see ``Router.update_endpoints()``."""
--- a/quartzrouter/pool_routing/pools.py
+++ b/quartzrouter/pool_routing/pools.py
@@ -91,7 +91,7 @@
             return caches.available > 0
         state = self.states[name]
         needed = pool.at_least if state.is_serving else (pool.back_at or pool.at_least)
-        has_enough = caches.available >= needed.of(caches.listed) and caches.available > 0
+        has_enough = caches.available >= needed.to_count(caches.listed) and caches.available > 0
         if state.is_serving:
             if not has_enough:
                 state.set_serving(False)
--- a/quartzrouter/pool_routing/route_selection.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -5,7 +5,7 @@
 from quartzrouter.config.matcher import Found, Matcher
 from quartzrouter.config.model import Plan, Policy, Route
 from quartzrouter.config.patterns import TOKEN
-from quartzrouter.config.request_sets import Asked
+from quartzrouter.config.request_sets import RouteQuery
 from quartzrouter.pool_routing.rate_limits import COUNTS_RETRIES, LimitKey
 from quartzrouter.purges import purge_index
 from quartzrouter.purges.object_names import object_id
@@ -41,7 +41,7 @@
     path: str
 
 
-def select_route(plan: Plan, matcher: Matcher, asked: Asked, client: str) -> RouteSelection | None:
+def select_route(plan: Plan, matcher: Matcher, asked: RouteQuery, client: str) -> RouteSelection | None:
     """What the plan says of a request, or None where no route takes it.
 
     :param client: who asks, as the router's front tells.
@@ -112,24 +112,24 @@
     return f"{route.vhost}@{route.policy}" if route.policy else route.vhost
 
 
-def _tenant(route: Route, found: Found, asked: Asked) -> str:
+def _tenant(route: Route, found: Found, asked: RouteQuery) -> str:
     """From the path where the route captures it, else from the header of that name."""
     if not route.tenant:
         return ""
     return found.captures.get(route.tenant) or asked.headers.get(route.tenant.lower(), "")
 
 
-def _filled(template: str, found: Found, asked: Asked) -> str:
+def _filled(template: str, found: Found, asked: RouteQuery) -> str:
     """A template of the plan with its names replaced by what the path captures."""
     known = found.captures | {"host": asked.host, "path": asked.path}
     return TOKEN.sub(lambda token: known[token[1]] if token[1] is not None else token[0], template)
 
 
-def _path_without_chunk(found: Found, asked: Asked, has_chunk: bool) -> str:
+def _path_without_chunk(found: Found, asked: RouteQuery, has_chunk: bool) -> str:
     """Host and path, with the chunk's number left out where the path names one."""
     path = asked.path
     if has_chunk:
-        pattern = found.route.boxes[0].path.yes[0]
+        pattern = found.route.boxes[0].path.required[0]
         match = pattern.expression.fullmatch(path)
         start, end = match.span(pattern.captures.index("part") + 1)
         path = f"{path[:start]}{{}}{path[end:]}"
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -8,7 +8,7 @@
 
 from quartzrouter.config.loader import Loaded
 from quartzrouter.config.model import Plan
-from quartzrouter.config.platform_json import compiled, members
+from quartzrouter.config.platform_json import endpoint_list, platform_configuration
 from quartzrouter.configuration import Configuration
 from quartzrouter.configuration_section import ConfigurationError, ConfigurationSection, parse_address
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
@@ -151,7 +151,7 @@
 
     def _endpoints_of(self, plan: Plan) -> EndpointUpdate:
         """The endpoints that a plan lists; those that weren't listed before are taken for just started."""
-        hosts = {"hosts": {"complete": True, "members": members(plan)}}
+        hosts = {"hosts": {"complete": True, "members": endpoint_list(plan)}}
         (update,) = initial_events([ConfigurationSection(hosts)], self.configuration.settings)
         assert isinstance(update, EndpointUpdate)  # of an entry of hosts
         listed = self.state_machine.addresses
@@ -165,7 +165,7 @@
 
 def configuration(plan: Plan) -> Configuration:
     """The platform's configuration that says what a plan says of the router itself."""
-    return Configuration(compiled(plan), {}, needs_discovery=False)
+    return Configuration(platform_configuration(plan), {}, needs_discovery=False)
 
 
 def run(path: str, plan: Plan, log: Any, signals: Signals | None = None) -> int:
--- a/quartzrouter/standalone/request_parser.py
+++ b/quartzrouter/standalone/request_parser.py
@@ -8,7 +8,7 @@
 from urllib.parse import parse_qsl
 
 from quartzrouter.config.patterns import METHODS
-from quartzrouter.config.request_sets import Asked
+from quartzrouter.config.request_sets import RouteQuery
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.route_selection import RouteSelection
 from quartzrouter.routing.model import Idempotency
@@ -63,7 +63,7 @@
             route_selection=selection,
         )
 
-    def route_query(self, params: dict[str, str]) -> Asked:
+    def route_query(self, params: dict[str, str]) -> RouteQuery:
         """What routes are selected by.
 
         :raises InvalidRequestError: path, method, store or query can't be used.
@@ -79,7 +79,7 @@
             raise InvalidRequestError(f"X-Store is {store!r:.40}")
         headers = _headers(params)
         host = headers.get("host", "").lower().partition(":")[0]
-        return Asked(store, host, path, method, headers, _query(params))
+        return RouteQuery(store, host, path, method, headers, _query(params))
 
 
 def _headers(params: dict[str, str]) -> dict[str, str]:
--- a/tests/test_plan_properties.py
+++ b/tests/test_plan_properties.py
@@ -17,7 +17,7 @@
 from quartzrouter.config.parser import parse
 from quartzrouter.config.patterns import Unusable, pattern, witness
 from quartzrouter.config.problems import Broken, Faults, Source
-from quartzrouter.config.request_sets import Asked, rest
+from quartzrouter.config.request_sets import RouteQuery, rest
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None, print_blob=False)
 settings.load_profile("same")
@@ -195,7 +195,7 @@
 HOSTS = ["a", "b", "c.a"]
 PATHS = ["/", "/a", "/b", "/a/a", "/a/b", "/b/a", "/a/a/b", "/c/c"]
 UNIVERSE = [
-    Asked(store, host, path, method, {} if tag is None else {"x-tag": tag}, {})
+    RouteQuery(store, host, path, method, {} if tag is None else {"x-tag": tag}, {})
     for store in STORES
     for host in HOSTS
     for path in PATHS
--- a/tests/test_pool_routing.py
+++ b/tests/test_pool_routing.py
@@ -10,8 +10,8 @@
 
 from quartzrouter.config.loader import load
 from quartzrouter.config.model import Amount, Limit, Pool, Split
-from quartzrouter.config.platform_json import compiled
-from quartzrouter.config.request_sets import Asked
+from quartzrouter.config.platform_json import platform_configuration
+from quartzrouter.config.request_sets import RouteQuery
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
 from quartzrouter.pool_routing.pools import PoolSelector
 from quartzrouter.pool_routing.rate_limits import MAX_KEYS, LimitKey, RateLimiter
@@ -209,7 +209,7 @@
         from quartzrouter.configuration import Configuration
 
         self.plan = self.load(text)
-        configuration = Configuration(compiled(self.plan), {}, needs_discovery=False)
+        configuration = Configuration(platform_configuration(self.plan), {}, needs_discovery=False)
         self.router = MultiPoolRouter(self.plan, configuration.settings.router_arguments)
         self.now = 10 * S
         self.last_id = 0
@@ -240,7 +240,7 @@
 
     def request(self, path, client="c"):
         self.last_id += 1
-        selection = self.router.select_route(Asked("north", "", path, "GET", {}, {}), client)
+        selection = self.router.select_route(RouteQuery("north", "", path, "GET", {}, {}), client)
         denied = self.router.admit(self.last_id, selection, self.now)
         if denied:
             return Reject(denied.retry_after)
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -10,8 +10,8 @@
 from quartzrouter.cli.main import cli
 from quartzrouter.config.loader import load
 from quartzrouter.config.model import Limit
-from quartzrouter.config.platform_json import compiled
-from quartzrouter.config.request_sets import Asked
+from quartzrouter.config.platform_json import platform_configuration
+from quartzrouter.config.request_sets import RouteQuery
 from quartzrouter.configuration import Configuration
 from quartzrouter.fakes.faulty_disk import FaultyDisk
 from quartzrouter.fleet_health.messages import CacheObservation
@@ -335,9 +335,9 @@
 def test_a_client_waits_no_longer_than_a_shared_slot_counts_as_in_use():
     """The allocator considers a slot free once the plan's timeouts must have ended the request in it."""
     plan = load("main", lambda path: PLAN % PURGES).plan
-    settings = Configuration(compiled(plan), {}, needs_discovery=False).settings
+    settings = Configuration(platform_configuration(plan), {}, needs_discovery=False).settings
     multi_pool_router = MultiPoolRouter(plan, settings.router_arguments)
-    selection = multi_pool_router.select_route(Asked("north", "", "/a", "GET", {}, {}), "c")
+    selection = multi_pool_router.select_route(RouteQuery("north", "", "/a", "GET", {}, {}), "c")
     timeouts = [
         multi_pool_router.client_timeout(selection, requested) for requested in (0, 5 * SECOND, 60 * SECOND)
     ]
--- a/tests/test_standalone_purges.py
+++ b/tests/test_standalone_purges.py
@@ -8,7 +8,7 @@
 
 from quartzrouter.config.loader import load
 from quartzrouter.config.purge_settings import settle_time_of
-from quartzrouter.config.request_sets import Asked
+from quartzrouter.config.request_sets import RouteQuery
 from quartzrouter.fakes.caches import PurgeableCache
 from quartzrouter.fakes.faulty_disk import FaultyDisk
 from quartzrouter.fakes.loopback import Client, free_port
@@ -356,7 +356,7 @@
         fleet_purges, multi_pool_router = deployment.fleet_purges, deployment.router.multi_pool_router
         fleet_purges.index.expired_up_to = 1
         fleet_purges.caches_caught_up = {"n1": 1}
-        route = multi_pool_router.select_route(Asked("north", "", "/a", "GET", {}, {}), "")
+        route = multi_pool_router.select_route(RouteQuery("north", "", "/a", "GET", {}, {}), "")
         from_origin = Forward(0, "n1", "o", 1, 0, True, False, 1_000_000, 1 << 62)
         from_parent = replace(from_origin, fill_source="p")
         now = fleet_purges.lease.started_at
