--- a/quartzrouter/config/explain.py
+++ b/quartzrouter/config/explain.py
@@ -49,7 +49,7 @@
     lines += [Line(f"capture {name}", value, None) for name, value in found.captures.items()]
     lines.append(_line(plan, "vhost", route.vhost, "routes", route.name, "vhost"))
     vhost = plan.vhosts[route.vhost]
-    entries = PLAN.entries["vhosts"].of.of.entries
+    entries = PLAN.entries["vhosts"].type.value.entries
     policy = plan.policies.get(route.policy) if route.policy else None
     for key in entries:
         own = getattr(policy, key, None) if policy else None
--- a/quartzrouter/config/schema.py
+++ b/quartzrouter/config/schema.py
@@ -1,7 +1,7 @@
-"""Kinds of values that a plan may hold, and the check of a value against them.
+"""Types of the values that a plan may hold, and the check of an evaluated value against them.
 
-A kind turns a value into a plain one (whole microseconds, bytes, floats, texts, dicts) or notes one fault.
-The same kinds print the reference page.
+A type converts a value into a plain one (whole microseconds, bytes, floats, strings, dicts), or reports one
+fault.  The reference page is generated from the same types.
 """
 
 from collections.abc import Callable
@@ -10,15 +10,16 @@
 from typing import Any
 
 from quartzrouter.config.problems import Fault, Faults, Place, Weight, meant, names
-from quartzrouter.config.quantity import Duration, Rate, Share, Size, plain
+from quartzrouter.config.quantity import Duration, Rate, Share, Size, plain, quantity
 from quartzrouter.config.values import POISON, Closure, ListOf, Rec, Slot, kind, shown
 
 Path = tuple[str, ...]
-REQUIRED = object()
+REQUIRED = object()  # the default of an entry that must be given
+MAX_KEYS_IN_REMEDY = 12  # keys that a message about an unknown key lists
 
 
 class Invalid:
-    """Where a value would be that its kind doesn't take; a fault has been noted."""
+    """Stands for a value that its type rejects; a fault has been reported for it."""
 
     def __bool__(self) -> bool:
         return False
@@ -29,7 +30,10 @@
 
 @dataclass
 class PlanCheck:
-    """One run over a plan: the faults, and the place that gave each value."""
+    """One check of a plan: the faults found so far, and the place that gave each value.
+
+    :ivar places: by the path of keys that leads to a value.
+    """
 
     faults: Faults
     places: dict[Path, Place] = field(default_factory=dict)
@@ -37,124 +41,168 @@
     def report(
         self, place: Place, reason: str, remedy: str = "", code: str = "value", also=(), weight=Weight.ERROR
     ) -> Invalid:
+        """Adds a fault.
+
+        :param remedy: what to do about it; may be empty.
+        :param code: the kind of fault, for editors.
+        :param also: further places, each with what stands there.
+        :returns: ``INVALID``, for the caller to return in place of a value.
+        """
         self.faults.add(Fault(place, reason, remedy, weight, code, tuple(also)))
         return INVALID
 
     def place(self, path: Path) -> Place:
-        """Where a value was given, or the nearest around it."""
+        """Returns where a value was given, or the nearest value around it that was."""
         while path not in self.places:
             path = path[:-1]
         return self.places[path]
 
 
 @dataclass(frozen=True, kw_only=True)
-class Kind:
+class ValueType:
+    """What a value of a plan may be."""
+
     doc: str = ""
 
     @property
-    def says(self) -> str:
+    def description(self) -> str:
+        """The type as messages and the reference page name it."""
         raise NotImplementedError
 
     def convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+        """Returns the plain value, or ``INVALID`` once a fault has been reported."""
         value = slot.value
         if value is POISON:
             return INVALID
         if isinstance(value, Closure):
-            return check.report(slot.place, f"{said(path)} is a function", "call it", "type")
-        return self.make(check, path, slot)
+            return check.report(slot.place, f"{quoted_key(path)} is a function", "call it", "type")
+        return self.convert_value(check, path, slot)
 
-    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+        """Does the same for a value that was evaluated and is no function."""
         raise NotImplementedError
 
-    def wrong(self, check: PlanCheck, path: Path, slot: Slot, remedy: str = "") -> Invalid:
-        reason = f"{said(path)} is {kind(slot.value)} where {self.says} belongs"
+    def report_type_error(self, check: PlanCheck, path: Path, slot: Slot, remedy: str = "") -> Invalid:
+        """Reports that a value is of another type."""
+        reason = f"{quoted_key(path)} is {kind(slot.value)} where {self.description} belongs"
         return check.report(slot.place, reason, remedy, "type")
 
 
 @dataclass(frozen=True, kw_only=True)
-class Quantified(Kind):
-    """A figure with a unit, or without one, between two bounds of its own kind."""
+class QuantityType(ValueType):
+    """A number, with or without a unit, within bounds.
+
+    :ivar minimum: the smallest value allowed, a ``quantity_class``; None: any.
+    :ivar maximum: the largest value allowed, a ``quantity_class``; None: any.
+    :ivar quantity_class: int or Fraction without a unit, else the class of the quantity.
+    """
 
-    least: Any = None
-    most: Any = None
-    of: type = int
+    minimum: Any = None
+    maximum: Any = None
+    quantity_class: type = int
     example: str = "1"
     word: str = "a whole number"
 
     @property
-    def says(self) -> str:
+    def description(self) -> str:
         return self.word
 
-    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         value = slot.value
-        number = isinstance(value, int | Fraction) and not isinstance(value, bool)
-        if self.of is int and isinstance(value, Fraction):
-            return self.wrong(check, path, slot, "without a fraction")
-        if not (number if self.of in (int, Fraction) else isinstance(value, self.of)):
-            if number and self.of in (Duration, Size, Rate, Share):
+        is_number = isinstance(value, int | Fraction) and not isinstance(value, bool)
+        if self.quantity_class is int and isinstance(value, Fraction):
+            return self.report_type_error(check, path, slot, "without a fraction")
+        if not (
+            is_number if self.quantity_class in (int, Fraction) else isinstance(value, self.quantity_class)
+        ):
+            if is_number and self.quantity_class in (Duration, Size, Rate, Share):
                 reason = f"'{path[-1]}' is {plain(value)} without a unit"
                 return check.report(slot.place, reason, f"{self.word} is written as {self.example}", "unit")
-            return self.wrong(check, path, slot, f"as in {self.example}")
-        if self.least is not None and value < self.least:
+            return self.report_type_error(check, path, slot, f"as in {self.example}")
+        if self.minimum is not None and value < self.minimum:
             return check.report(
-                slot.place, f"'{path[-1]}' is {shown(value)}, below {shown(self.least)}", code="range"
+                slot.place, f"'{path[-1]}' is {shown(value)}, below {shown(self.minimum)}", code="range"
             )
-        if self.most is not None and value > self.most:
+        if self.maximum is not None and value > self.maximum:
             return check.report(
-                slot.place, f"'{path[-1]}' is {shown(value)}, above {shown(self.most)}", code="range"
+                slot.place, f"'{path[-1]}' is {shown(value)}, above {shown(self.maximum)}", code="range"
             )
         match value:
-            case Duration(us):
-                return us
+            case Duration(microseconds):
+                return microseconds
             case Size(bytes_):
                 return bytes_
             case Rate(per_s):
                 return float(per_s)
             case Share(part):
                 return float(part)
-        return value if self.of is int else float(value)
+        return value if self.quantity_class is int else float(value)
 
 
-def whole(least: int = 0, most: int = 1 << 31, **other: Any) -> Quantified:
-    return Quantified(least=least, most=most, of=int, example=str(least + 1), word="a whole number", **other)
-
+def whole_number(minimum: int = 0, maximum: int = 1 << 31, **other: Any) -> QuantityType:
+    """Returns the type of whole numbers between two bounds."""
+    return QuantityType(
+        minimum=minimum,
+        maximum=maximum,
+        quantity_class=int,
+        example=str(minimum + 1),
+        word="a whole number",
+        **other,
+    )
 
-def number(least: int = 0, most: int = 1_000_000, **other: Any) -> Quantified:
-    return Quantified(least=least, most=most, of=Fraction, example="1.5", word="a number", **other)
 
+def number(minimum: int = 0, maximum: int = 1_000_000, **other: Any) -> QuantityType:
+    """Returns the type of numbers between two bounds."""
+    return QuantityType(
+        minimum=minimum, maximum=maximum, quantity_class=Fraction, example="1.5", word="a number", **other
+    )
 
-def duration(least: str = "0us", most: str = "30d", **other: Any) -> Quantified:
-    from quartzrouter.config.quantity import quantity
 
-    return Quantified(
-        least=quantity(least), most=quantity(most), of=Duration, example="250ms", word="a duration", **other
+def duration(minimum: str = "0us", maximum: str = "30d", **other: Any) -> QuantityType:
+    """Returns the type of durations between two bounds, which are written as in plans."""
+    return QuantityType(
+        minimum=quantity(minimum),
+        maximum=quantity(maximum),
+        quantity_class=Duration,
+        example="250ms",
+        word="a duration",
+        **other,
     )
 
 
-def size(least: str = "0B", most: str = "1000GiB", **other: Any) -> Quantified:
-    from quartzrouter.config.quantity import quantity
-
-    return Quantified(
-        least=quantity(least), most=quantity(most), of=Size, example="64MiB", word="a size", **other
+def size(minimum: str = "0B", maximum: str = "1000GiB", **other: Any) -> QuantityType:
+    """Returns the type of sizes between two bounds, which are written as in plans."""
+    return QuantityType(
+        minimum=quantity(minimum),
+        maximum=quantity(maximum),
+        quantity_class=Size,
+        example="64MiB",
+        word="a size",
+        **other,
     )
 
 
-def rate(**other: Any) -> Quantified:
-    return Quantified(
-        least=Rate(Fraction(1, 3600)),
-        most=Rate(Fraction(10**7)),
-        of=Rate,
+def rate(**other: Any) -> QuantityType:
+    """Returns the type of rates, from one an hour to ten million a second."""
+    return QuantityType(
+        minimum=Rate(Fraction(1, 3600)),
+        maximum=Rate(Fraction(10**7)),
+        quantity_class=Rate,
         example="120/s",
         word="a rate",
         **other,
     )
 
 
-def share(least: int = 0, **other: Any) -> Quantified:
-    return Quantified(
-        least=Share(Fraction(least, 100)),
-        most=Share(Fraction(1)),
-        of=Share,
+def share(minimum: int = 0, **other: Any) -> QuantityType:
+    """Returns the type of shares up to 100%.
+
+    :param minimum: in percent.
+    """
+    return QuantityType(
+        minimum=Share(Fraction(minimum, 100)),
+        maximum=Share(Fraction(1)),
+        quantity_class=Share,
         example="35%",
         word="a share",
         **other,
@@ -162,163 +210,206 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class Text(Kind):
+class TextType(ValueType):
+    """A string.
+
+    :ivar find_problem: returns what is wrong with a string, or "".
+    :ivar max_length: in characters.
+    """
+
     word: str = "a text"
-    test: Callable[[str], str] | None = None  # what is wrong with it, or ""
-    most: int = 200
+    find_problem: Callable[[str], str] | None = None
+    max_length: int = 200
 
     @property
-    def says(self) -> str:
+    def description(self) -> str:
         return self.word
 
-    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, str):
-            return self.wrong(check, path, slot, 'texts are written as "..."')
-        if len(slot.value) > self.most:
+            return self.report_type_error(check, path, slot, 'texts are written as "..."')
+        if len(slot.value) > self.max_length:
             return check.report(
-                slot.place, f"'{path[-1]}' has more than {self.most} characters", code="range"
+                slot.place, f"'{path[-1]}' has more than {self.max_length} characters", code="range"
             )
-        fault = self.test(slot.value) if self.test else ""
-        if fault:
-            return check.report(slot.place, f"'{path[-1]}' is {shown(slot.value)}: {fault}", code="value")
+        problem = self.find_problem(slot.value) if self.find_problem else ""
+        if problem:
+            return check.report(slot.place, f"'{path[-1]}' is {shown(slot.value)}: {problem}", code="value")
         return slot.value
 
 
 @dataclass(frozen=True, kw_only=True)
-class Ref(Text):
-    """The name of something that stands elsewhere in the plan; looked up once the whole is read."""
+class ReferenceType(TextType):
+    """The name of an entry elsewhere in the plan; it is looked up once the whole plan has been read.
+
+    :ivar parts: the parts of the plan that may have the entry.
+    """
 
-    to: tuple[str, ...] = ()
+    parts: tuple[str, ...] = ()
 
     @property
-    def says(self) -> str:
-        return f"the name of one of {' or '.join(self.to)}"
+    def description(self) -> str:
+        return f"the name of one of {' or '.join(self.parts)}"
 
 
 @dataclass(frozen=True, kw_only=True)
-class Truth(Kind):
+class BooleanType(ValueType):
+    """True or false."""
+
     @property
-    def says(self) -> str:
+    def description(self) -> str:
         return "true or false"
 
-    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
-        return slot.value if isinstance(slot.value, bool) else self.wrong(check, path, slot)
+    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+        return slot.value if isinstance(slot.value, bool) else self.report_type_error(check, path, slot)
 
 
 @dataclass(frozen=True, kw_only=True)
-class Choice(Kind):
-    of: tuple[str, ...] = ()
+class ChoiceType(ValueType):
+    """One of several strings."""
+
+    options: tuple[str, ...] = ()
 
     @property
-    def says(self) -> str:
-        return "one of " + ", ".join(f'"{one}"' for one in self.of)
+    def description(self) -> str:
+        return "one of " + ", ".join(f'"{option}"' for option in self.options)
 
-    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, str):
-            return self.wrong(check, path, slot)
-        if slot.value not in self.of:
-            remedy = meant(slot.value, self.of) or f"those are {', '.join(self.of)}"
+            return self.report_type_error(check, path, slot)
+        if slot.value not in self.options:
+            remedy = meant(slot.value, self.options) or f"use one of {', '.join(self.options)}"
             return check.report(slot.place, f"'{path[-1]}' can't be {shown(slot.value)}", remedy, "value")
         return slot.value
 
 
 @dataclass(frozen=True, kw_only=True)
-class Either(Kind):
-    """The first of several kinds that fits; the last one says what is wrong."""
+class UnionType(ValueType):
+    """Any of several types: the first that accepts a value converts it.
 
-    of: tuple[Kind, ...] = ()
+    If none does, the first one of the value's category reports the fault: it knows best what is wrong.
+    """
+
+    alternatives: tuple[ValueType, ...] = ()
 
     @property
-    def says(self) -> str:
-        return ", or ".join(one.says for one in self.of)
+    def description(self) -> str:
+        return ", or ".join(alternative.description for alternative in self.alternatives)
 
-    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
-        for one in self.of:
+    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+        for alternative in self.alternatives:
             trial = PlanCheck(Faults())
-            made = one.convert(trial, path, slot)
-            if made is not INVALID:
+            converted = alternative.convert(trial, path, slot)
+            if converted is not INVALID:
                 check.places |= trial.places
-                return (one.says, made) if isinstance(one, Quantified) and one.of is Share else made
-        fits = [one for one in self.of if _sort(one) == _sort_of(slot.value)]
-        if fits:
-            return fits[0].convert(check, path, slot)
-        return self.wrong(check, path, slot)
-
-
-def _sort(one: Kind) -> str:
-    if isinstance(one, Quantified):
-        return "number" if one.of in (int, Fraction) else one.word
-    return {Text: "text", Ref: "text", Choice: "text", ListOfKind: "list", RecordOf: "record"}.get(
-        type(one), ""
-    )
+                return (
+                    (alternative.description, converted)
+                    if isinstance(alternative, QuantityType) and alternative.quantity_class is Share
+                    else converted
+                )
+        same_category = [
+            alternative
+            for alternative in self.alternatives
+            if _category(alternative) == _category_of_value(slot.value)
+        ]
+        if same_category:
+            return same_category[0].convert(check, path, slot)
+        return self.report_type_error(check, path, slot)
+
+
+def _category(value_type: ValueType) -> str:
+    if isinstance(value_type, QuantityType):
+        return "number" if value_type.quantity_class in (int, Fraction) else value_type.word
+    return {
+        TextType: "text",
+        ReferenceType: "text",
+        ChoiceType: "text",
+        ListType: "list",
+        RecordType: "record",
+    }.get(type(value_type), "")
 
 
-def _sort_of(value: Any) -> str:
-    said = kind(value)
-    return {"a number": "number", "a text": "text", "a list": "list", "a record": "record"}.get(said, said)
+def _category_of_value(value: Any) -> str:
+    name = kind(value)
+    return {"a number": "number", "a text": "text", "a list": "list", "a record": "record"}.get(name, name)
 
 
 @dataclass(frozen=True, kw_only=True)
-class ListOfKind(Kind):
-    of: Kind
-    least: int = 0
-    one_too: bool = False  # a single value stands for a list of it
+class ListType(ValueType):
+    """A list of values of one type.
+
+    :ivar min_length: in items.
+    :ivar accepts_single: whether a value that is no list stands for a list of it alone.
+    """
+
+    item: ValueType
+    min_length: int = 0
+    accepts_single: bool = False
 
     @property
-    def says(self) -> str:
-        return f"a list, each {self.of.says}"
+    def description(self) -> str:
+        return f"a list, each {self.item.description}"
 
-    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, ListOf):
-            if not self.one_too:
-                return self.wrong(check, path, slot)
-            made = self.of.convert(check, path, slot)
-            return INVALID if made is INVALID else [made]
-        if len(slot.value.slots) < self.least:
+            if not self.accepts_single:
+                return self.report_type_error(check, path, slot)
+            converted = self.item.convert(check, path, slot)
+            return INVALID if converted is INVALID else [converted]
+        if len(slot.value.slots) < self.min_length:
             return check.report(slot.place, f"'{path[-1]}' is empty", "name at least one", "value")
-        found = []
-        for at, item in enumerate(slot.value.slots):
-            inner = (*path[:-1], f"{path[-1]}[{at}]")
-            check.places[inner] = item.place
-            found.append(self.of.convert(check, inner, item))
-        return INVALID if any(one is INVALID for one in found) else found
+        items = []
+        for index, item in enumerate(slot.value.slots):
+            item_path = (*path[:-1], f"{path[-1]}[{index}]")
+            check.places[item_path] = item.place
+            items.append(self.item.convert(check, item_path, item))
+        return INVALID if any(item is INVALID for item in items) else items
 
 
 @dataclass(frozen=True, kw_only=True)
-class MapOf(Kind):
-    """Names of the reader's choice, each with a value of one kind; their order stays."""
+class MapType(ValueType):
+    """A record whose keys the plan's author chooses, with values of one type; their order is kept.
 
-    of: Kind
-    key: Callable[[str], str] | None = None
-    what: str = "name"
+    :ivar find_key_problem: returns what is wrong with a key, or "".
+    :ivar key_word: what a key names, for messages.
+    """
+
+    value: ValueType
+    find_key_problem: Callable[[str], str] | None = None
+    key_word: str = "name"
 
     @property
-    def says(self) -> str:
-        return f"a record of {self.what}s, each {self.of.says}"
+    def description(self) -> str:
+        return f"a record of {self.key_word}s, each {self.value.description}"
 
-    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, Rec):
-            return self.wrong(check, path, slot)
-        found = {}
+            return self.report_type_error(check, path, slot)
+        converted = {}
         for name, inner in slot.value.slots.items():
             place = inner.named or inner.place
-            if unmet(check, path, name, inner, slot.value.slots):
+            if report_missing_target(check, name, inner, slot.value.slots):
                 continue
-            fault = self.key(name) if self.key else ""
-            if fault:
-                check.report(place, f"'{name}' is no {self.what}: {fault}", code="value")
+            problem = self.find_key_problem(name) if self.find_key_problem else ""
+            if problem:
+                check.report(place, f"'{name}' is not a valid {self.key_word} name: {problem}", code="value")
                 continue
             check.places[(*path, name)] = place
-            found[name] = self.of.convert(check, (*path, name), inner)
-        return found
+            converted[name] = self.value.convert(check, (*path, name), inner)
+        return converted
 
 
-def said(path: Path) -> str:
+def quoted_key(path: Path) -> str:
+    """Returns the last key of a path in quotes, or "the plan" for the empty path."""
     return f"'{path[-1]}'" if path else "the plan"
 
 
-def unmet(check: PlanCheck, path: Path, name: str, slot: Slot, among: dict[str, Slot]) -> bool:
-    """An override or a merge that met nothing."""
+def report_missing_target(check: PlanCheck, name: str, slot: Slot, among: dict[str, Slot]) -> bool:
+    """Reports an override or a merge if there is no entry of that name to apply it to.
+
+    :param among: all entries of the record.
+    :returns: whether it was reported.
+    """
     if slot.how == ":":
         return False
     word = "override" if slot.how == "override" else "merge into"
@@ -330,48 +421,59 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Entry:
-    of: Kind
-    default: Any = None  # REQUIRED: it must be given; None: it may be left out
+    """A key of a record.
+
+    :ivar default: the plain value if the key isn't given; ``REQUIRED``: it must be given.
+    :ivar doc: its meaning, for the reference page.
+    """
+
+    type: ValueType
+    default: Any = None
     doc: str = ""
 
 
 @dataclass(frozen=True, kw_only=True)
-class RecordOf(Kind):
+class RecordType(ValueType):
+    """A record with a fixed set of keys."""
+
     entries: dict[str, Entry] = field(default_factory=dict)
     word: str = "a record"
 
     @property
-    def says(self) -> str:
+    def description(self) -> str:
         return self.word
 
-    def make(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, Rec):
-            return self.wrong(check, path, slot)
-        found: dict[str, Any] = {}
+            return self.report_type_error(check, path, slot)
+        converted: dict[str, Any] = {}
         for name, inner in slot.value.slots.items():
             place = inner.named or inner.place
             entry = self.entries.get(name)
             if entry is None:
-                remedy = meant(name, self.entries) or f"there are {names(self.entries, 12)}"
-                check.report(place, f"'{name}' is no key of {_of(path)}", remedy, "key")
-            elif unmet(check, path, name, inner, slot.value.slots):
-                found[name] = INVALID
+                remedy = meant(name, self.entries) or f"there are {names(self.entries, MAX_KEYS_IN_REMEDY)}"
+                check.report(place, f"'{name}' is no key of {_quoted_path(path)}", remedy, "key")
+            elif report_missing_target(check, name, inner, slot.value.slots):
+                converted[name] = INVALID
             elif inner.value is None and entry.default is not REQUIRED:
-                found[name] = entry.default
+                converted[name] = entry.default
             else:
                 check.places[(*path, name)] = inner.place
-                found[name] = entry.of.convert(check, (*path, name), inner)
+                converted[name] = entry.type.convert(check, (*path, name), inner)
         for name, entry in self.entries.items():
-            if name in found:
+            if name in converted:
                 continue
             if entry.default is REQUIRED:
-                found[name] = check.report(
-                    slot.place, f"'{name}' is missing in {_of(path)}", f"it is {entry.of.says}", "missing"
+                converted[name] = check.report(
+                    slot.place,
+                    f"'{name}' is missing in {_quoted_path(path)}",
+                    f"it is {entry.type.description}",
+                    "missing",
                 )
             else:
-                found[name] = entry.default
-        return found
+                converted[name] = entry.default
+        return converted
 
 
-def _of(path: Path) -> str:
+def _quoted_path(path: Path) -> str:
     return f"'{'.'.join(path)}'" if path else "the plan"
