--- a/quartzrouter/config/schema.py
+++ b/quartzrouter/config/schema.py
@@ -76,10 +76,9 @@
             return INVALID
         if isinstance(value, Closure):
             return check.report(slot.place, f"{quoted_key(path)} is a function", "call it", "type")
-        return self.convert_value(check, path, slot)
+        return self._convert(check, path, slot)
 
-    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
-        """Does the same for a value that was evaluated and is no function."""
+    def _convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         raise NotImplementedError
 
     def report_type_error(self, check: PlanCheck, path: Path, slot: Slot, remedy: str = "") -> Invalid:
@@ -105,9 +104,10 @@
 
     @property
     def description(self) -> str:
+        """The word for it, without the bounds."""
         return self.word
 
-    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def _convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         value = slot.value
         is_number = isinstance(value, int | Fraction) and not isinstance(value, bool)
         if self.quantity_class is int and isinstance(value, Fraction):
@@ -223,9 +223,10 @@
 
     @property
     def description(self) -> str:
+        """The word for it."""
         return self.word
 
-    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def _convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, str):
             return self.report_type_error(check, path, slot, 'texts are written as "..."')
         if len(slot.value) > self.max_length:
@@ -249,6 +250,7 @@
 
     @property
     def description(self) -> str:
+        """The parts that may have the entry."""
         return f"the name of one of {' or '.join(self.parts)}"
 
 
@@ -258,9 +260,10 @@
 
     @property
     def description(self) -> str:
+        """Both values."""
         return "true or false"
 
-    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def _convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         return slot.value if isinstance(slot.value, bool) else self.report_type_error(check, path, slot)
 
 
@@ -272,9 +275,10 @@
 
     @property
     def description(self) -> str:
+        """All options."""
         return "one of " + ", ".join(f'"{option}"' for option in self.options)
 
-    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def _convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, str):
             return self.report_type_error(check, path, slot)
         if slot.value not in self.options:
@@ -294,9 +298,10 @@
 
     @property
     def description(self) -> str:
+        """All alternatives."""
         return ", or ".join(alternative.description for alternative in self.alternatives)
 
-    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def _convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         for alternative in self.alternatives:
             trial = PlanCheck(Faults())
             converted = alternative.convert(trial, path, slot)
@@ -348,9 +353,10 @@
 
     @property
     def description(self) -> str:
+        """What each item is."""
         return f"a list, each {self.item.description}"
 
-    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def _convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, ListOf):
             if not self.accepts_single:
                 return self.report_type_error(check, path, slot)
@@ -380,9 +386,10 @@
 
     @property
     def description(self) -> str:
+        """What each key names, and what each value is."""
         return f"a record of {self.key_word}s, each {self.value.description}"
 
-    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def _convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, Rec):
             return self.report_type_error(check, path, slot)
         converted = {}
@@ -441,9 +448,10 @@
 
     @property
     def description(self) -> str:
+        """The word for it."""
         return self.word
 
-    def convert_value(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
+    def _convert(self, check: PlanCheck, path: Path, slot: Slot) -> Any:
         if not isinstance(slot.value, Rec):
             return self.report_type_error(check, path, slot)
         converted: dict[str, Any] = {}
