--- a/quartzrouter/config/builder.py
+++ b/quartzrouter/config/builder.py
@@ -1,4 +1,7 @@
-"""A checked record to a Plan: what it names must be there, and what it says must be able to act."""
+"""Builds a Plan from a record that fits the schema.
+
+Reports names that the plan doesn't define, settings that contradict each other, and settings without effect.
+"""
 
 from typing import Any
 
@@ -12,13 +15,18 @@
 
 DEFAULT_COLD = {name: entry.default for name, entry in COLD.entries.items()}
 POLICY_KEYS = tuple(Policy.__slots__)
+SHARES_TOLERANCE = 1e-9  # by which shares of a split may differ from 100%: they are floats
 
 
 class PlanBuilder:
-    """One plan: each part is checked by itself, so that one fault hides no other."""
+    """Builds one plan.  Each part is checked by itself, so that one fault hides no other.
+
+    :ivar record: the plan as the schema converted it.
+    :ivar parts: by name of the part, its entries that could be converted.
+    """
 
-    def __init__(self, told: dict[str, Any], check: PlanCheck):
-        self.told, self.check = told, check
+    def __init__(self, record: dict[str, Any], check: PlanCheck):
+        self.record, self.check = record, check
         self.parts = {
             name: self._part(name)
             for name in (
@@ -35,83 +43,90 @@
         }
 
     def _part(self, name: str) -> dict[str, dict[str, Any]]:
-        """Entries that could be read; those that could not have their fault already."""
-        part = self.told.get(name)
+        """Returns the entries that could be converted; a fault has been reported for each of the others."""
+        part = self.record.get(name)
         return {k: v for k, v in part.items() if v is not INVALID} if isinstance(part, dict) else {}
 
-    def known(self, *parts: str) -> set[str]:
-        """Names that stand there, usable or not: one that is broken is no dangling reference."""
-        return {name for part in parts for name in (self.told.get(part) or {})}
+    def names_in(self, *parts: str) -> set[str]:
+        """Returns the names of all entries, also of invalid ones: a reference to those is not dangling."""
+        return {name for part in parts for name in (self.record.get(part) or {})}
 
     def place(self, *path: str) -> Place:
+        """Returns where a value was given, or the nearest value around it that was."""
         return self.check.place(path)
 
-    def refer(self, name: Any, path: Path, *parts: str) -> str | None:
-        """The name, if it stands in one of the parts."""
-        if name is INVALID or name is None or any(self.told.get(part) is INVALID for part in parts):
+    def resolve(self, name: Any, path: Path, *parts: str) -> str | None:
+        """Returns the name if one of the parts defines it; otherwise reports a fault and returns None."""
+        if name is INVALID or name is None or any(self.record.get(part) is INVALID for part in parts):
             return None
-        known = self.known(*parts)
-        if name in known:
+        defined = self.names_in(*parts)
+        if name in defined:
             return name
-        remedy = meant(name, known) or (f"there are {names(known)}" if known else "none is there")
+        remedy = meant(name, defined) or (f"there are {names(defined)}" if defined else "none is defined")
         self.check.report(
             self.place(*path),
-            f"there is no {' or '.join(_one(part) for part in parts)} '{name}'",
+            f"there is no {' or '.join(_singular(part) for part in parts)} '{name}'",
             remedy,
             "reference",
         )
         return None
 
-    def refer_all(self, found: Any, path: Path, *parts: str) -> tuple[str, ...]:
-        if found is INVALID or not found:
+    def resolve_all(self, references: Any, path: Path, *parts: str) -> tuple[str, ...]:
+        """Returns those names of a list that one of the parts defines; reports a fault for each other one."""
+        if references is INVALID or not references:
             return ()
-        kept = []
-        for at, name in enumerate(found):
-            inner = (*path[:-1], f"{path[-1]}[{at}]")
-            if self.refer(name, inner if inner in self.check.places else path, *parts):
-                kept.append(name)
-        return tuple(kept)
+        resolved = []
+        for index, name in enumerate(references):
+            item_path = (*path[:-1], f"{path[-1]}[{index}]")
+            if self.resolve(name, item_path if item_path in self.check.places else path, *parts):
+                resolved.append(name)
+        return tuple(resolved)
 
     def build(self) -> Plan | None:
-        """The plan, or None where faults were found."""
+        """Returns the plan, or None if faults were found."""
         deployment, leases = self._deployment(), self._leases()
         stores = {
-            name: self.refer(store["hub"], ("stores", name, "hub"), "hubs")
+            name: self.resolve(store["hub"], ("stores", name, "hub"), "hubs")
             for name, store in self.parts["stores"].items()
         }
         hubs = {
-            name: self.refer(hub["over"], ("hubs", name, "over"), "hubs")
+            name: self.resolve(hub["over"], ("hubs", name, "over"), "hubs")
             for name, hub in self.parts["hubs"].items()
         }
-        self._no_loop(hubs, "hubs", "over", "the hubs")
+        self._report_cycles(hubs, "hubs", "over", "the hubs")
         for name, cache in self.parts["caches"].items():
-            self.refer(cache["at"], ("caches", name, "at"), "stores", "hubs")
+            self.resolve(cache["at"], ("caches", name, "at"), "stores", "hubs")
             self._cache(name, cache)
-        vhosts = {name: self._vhost(name, told) for name, told in self.parts["vhosts"].items()}
+        vhosts = {name: self._vhost(name, record) for name, record in self.parts["vhosts"].items()}
         readable_vhosts = {name: vhost for name, vhost in vhosts.items() if vhost}
-        check_life(self.told.get("purges"), readable_vhosts, self.check)
+        check_life(self.record.get("purges"), readable_vhosts, self.check)
         policies = self._policies()
-        limits = {name: self._limit(name, told) for name, told in self.parts["limits"].items()}
-        pools = {name: self._pool(name, told) for name, told in self.parts["pools"].items()}
+        limits = {name: self._limit(name, record) for name, record in self.parts["limits"].items()}
+        pools = {name: self._pool(name, record) for name, record in self.parts["pools"].items()}
         pools = {name: pool for name, pool in pools.items() if pool}
-        self._no_loop({n: p.fallback for n, p in pools.items()}, "pools", "fallback", "the fallbacks")
-        splits = {name: self._split(name, told) for name, told in self.parts["splits"].items()}
-        for name in self.known("pools") & self.known("splits"):
+        self._report_cycles({n: p.fallback for n, p in pools.items()}, "pools", "fallback", "the fallbacks")
+        splits = {name: self._split(name, record) for name, record in self.parts["splits"].items()}
+        for name in self.names_in("pools") & self.names_in("splits"):
             self.check.report(
                 self.place("splits", name),
-                f"'{name}' is a pool as well",
+                f"'{name}' names both a pool and a split",
                 "give it another name",
                 "duplicate",
                 ((self.place("pools", name), "the pool"),),
             )
-        routes = [self._route(n, name, told) for n, (name, told) in enumerate(self.parts["routes"].items())]
+        routes = [
+            self._route(n, name, record) for n, (name, record) in enumerate(self.parts["routes"].items())
+        ]
         if (
             not self.parts["routes"]
-            and self.told.get("routes") is not INVALID
+            and self.record.get("routes") is not INVALID
             and not self.check.faults.errors
         ):
             self.check.report(
-                self.place("routes"), "no route is there", "all reqs would be turned away", "value"
+                self.place("routes"),
+                "the plan has no routes",
+                "without routes, it would reject all requests",
+                "value",
             )
         if self.check.faults.errors:
             return None
@@ -126,7 +141,7 @@
             {n: s for n, s in splits.items() if s},
             limits,
             tuple(r for r in routes if r),
-            self.told.get("purges"),
+            self.record.get("purges"),
             leases,
             self.check.places,
         )
@@ -134,243 +149,256 @@
     # -- parts ---------------------------------------------------------------------------------------
 
     def _deployment(self) -> dict[str, Any]:
-        told = self.told.get("deployment")
-        if not isinstance(told, dict):
+        record = self.record.get("deployment")
+        if not isinstance(record, dict):
             return {}
-        told = dict(told)
-        self.refer(told["home"], ("deployment", "home"), "stores")
+        record = dict(record)
+        self.resolve(record["home"], ("deployment", "home"), "stores")
         for key in ("cold", "cold_parent"):
-            told[key] = DEFAULT_COLD | told[key] if isinstance(told[key], dict) else DEFAULT_COLD
-        here, all_ = told["routers_here"], told["routers"]
-        if isinstance(here, int) and isinstance(all_, int) and here > all_:
+            record[key] = DEFAULT_COLD | record[key] if isinstance(record[key], dict) else DEFAULT_COLD
+        here, in_all = record["routers_here"], record["routers"]
+        if isinstance(here, int) and isinstance(in_all, int) and here > in_all:
             self.check.report(
                 self.place("deployment", "routers_here"),
-                f"{here} routers here of {all_} in all",
+                f"'routers_here' is {here}, more than 'routers', which is {in_all}",
                 code="range",
             )
-        told["routers_here"] = here or all_
-        self._shared(told)
-        if not told["journal"] and not self.told.get("caches"):
+        record["routers_here"] = here or in_all
+        self._check_sharing(record)
+        if not record["journal"] and not self.record.get("caches"):
             self.check.report(
                 self.place("deployment"),
-                "no caches are listed, and no journal tells of any",
+                "no caches are listed, and there is no journal that lists them",
                 "give `caches`, or `journal`",
                 "missing",
             )
-        return told
+        return record
 
     def _leases(self) -> dict[str, Any] | None:
-        told = self.told.get("leases")
-        if not isinstance(told, dict):
+        record = self.record.get("leases")
+        if not isinstance(record, dict):
             return None
-        keepers = told["keepers"] if isinstance(told["keepers"], dict) else {}
-        at: dict[str, str] = {}
+        keepers = record["keepers"] if isinstance(record["keepers"], dict) else {}
+        keeper_at: dict[str, str] = {}
         for name, address in keepers.items():
-            if address is not INVALID and address in at:
+            if address is not INVALID and address in keeper_at:
                 self.check.report(
                     self.place("leases", "keepers", name),
-                    f"keeper '{name}' listens where keeper '{at[address]}' does",
-                    "one keeper has one vote: give it an address of its own",
+                    f"keeper '{name}' has the address of keeper '{keeper_at[address]}'",
+                    "each keeper has one vote: give each an address of its own",
                     "duplicate",
                 )
             elif address is not INVALID:
-                at[address] = name
-        if told["keepers"] == {} or told["tasks"] == {}:
-            missing = "keepers" if told["keepers"] == {} else "tasks"
+                keeper_at[address] = name
+        if record["keepers"] == {} or record["tasks"] == {}:
+            missing = "keepers" if record["keepers"] == {} else "tasks"
             self.check.report(
                 self.place("leases", missing), f"there are no {missing}", f"name {missing}", "missing"
             )
-        return told
+        return record
 
-    def _shared(self, told: dict[str, Any]) -> None:
-        """What routers share goes over a ledger's lines."""
-        colds = [key for key in ("cold", "cold_parent") if told[key]["across"] == "all"]
-        for key in colds if not self.told.get("purges") else ():
+    def _check_sharing(self, record: dict[str, Any]) -> None:
+        """Reports settings that share something between routers if what carries it is missing.
+
+        Routers share what they know, and the capacity of cold servers, over their connections to a ledger.
+        """
+        shared_keys = [key for key in ("cold", "cold_parent") if record[key]["across"] == "all"]
+        for key in shared_keys if not self.record.get("purges") else ():
             self.check.report(
                 self.place("deployment", key),
-                f"'{key}' is shared by all routers, and no ledger is named that grants parts of it",
+                f"'{key}' is shared by all routers, but no ledger is named to grant parts of it",
                 "give the plan `purges` with its `ledgers`",
                 "never",
             )
-        if told["counts"] is True and told["hearsay"] is False:
+        if record["counts"] is True and record["hearsay"] is False:
             self.check.report(
                 self.place("deployment", "counts"),
-                "'counts' goes by what routers tell, and none tells",
-                "set `hearsay` too",
+                "'counts' needs what routers report to each other, but 'hearsay' is off",
+                "set `hearsay` to true",
                 "never",
             )
 
     def _cache(self, name: str, cache: dict[str, Any]) -> None:
         at, tier = cache["at"], cache["tier"]
-        if at in self.known("hubs") and at not in self.known("stores") and tier == "cache":
+        if at in self.names_in("hubs") and at not in self.names_in("stores") and tier == "cache":
             self.check.report(
                 self.place("caches", name, "at"),
-                f"cache '{name}' stands at a hub",
-                'say tier: "parent", or name a store',
+                f"cache '{name}' is at a hub, where only parents and origins may be",
+                'set tier: "parent", or name a store',
                 "value",
             )
-        addresses = [n for n, other in self.parts["caches"].items() if other["address"] == cache["address"]]
-        if cache["address"] is not INVALID and addresses[0] != name:
+        same_address = [
+            n for n, other in self.parts["caches"].items() if other["address"] == cache["address"]
+        ]
+        if cache["address"] is not INVALID and same_address[0] != name:
             self.check.report(
                 self.place("caches", name, "address"),
-                f"cache '{name}' has the address of '{addresses[0]}'",
+                f"cache '{name}' has the address of '{same_address[0]}'",
                 code="duplicate",
-                also=((self.place("caches", addresses[0], "address"), "the first"),),
+                also=((self.place("caches", same_address[0], "address"), "the first"),),
             )
 
-    def _vhost(self, name: str, told: dict[str, Any]) -> TrafficClass | None:
-        if any(value is INVALID for value in told.values()):
+    def _vhost(self, name: str, record: dict[str, Any]) -> TrafficClass | None:
+        if any(value is INVALID for value in record.values()):
             return None
-        target = told["first_byte_target"] or told["client_timeout"]
-        if target > told["client_timeout"]:
+        target = record["first_byte_target"] or record["client_timeout"]
+        if target > record["client_timeout"]:
             self.check.report(
                 self.place("vhosts", name, "first_byte_target"),
-                f"vhost '{name}' has its target after its client timeout",
-                "done in time would be never late",
+                f"vhost '{name}' has a target that is longer than its client timeout",
+                "no response could ever be late",
                 "range",
                 ((self.place("vhosts", name, "client_timeout"), "the client timeout"),),
             )
         return TrafficClass(
             name,
-            Idempotency(told["effect"]),
-            told["value"],
+            Idempotency(record["effect"]),
+            record["value"],
             target,
-            told["target_stretch"],
-            told["client_timeout"],
-            told["late_share"],
-            told["repeats_within"],
-            told["repeats_for"],
-            told["fresh_for"],
-            told["grace_for"],
-            told["old_share"],
-            not told["kept"],
+            record["target_stretch"],
+            record["client_timeout"],
+            record["late_share"],
+            record["repeats_within"],
+            record["repeats_for"],
+            record["fresh_for"],
+            record["grace_for"],
+            record["old_share"],
+            not record["kept"],
         )
 
     def _policies(self) -> dict[str, Policy]:
-        told = self.parts["policies"]
-        above = {
-            name: self.refer(policy["inherits"], ("policies", name, "inherits"), "policies")
-            for name, policy in told.items()
+        records = self.parts["policies"]
+        parent_of = {
+            name: self.resolve(policy["inherits"], ("policies", name, "inherits"), "policies")
+            for name, policy in records.items()
         }
-        if self._no_loop(above, "policies", "inherits", "the policies"):
+        if self._report_cycles(parent_of, "policies", "inherits", "the policies"):
             return {}
-        found: dict[str, Policy] = {}
-        for name in told:
-            values, at = {}, name
-            while at in told:
+        policies: dict[str, Policy] = {}
+        for name in records:
+            values, ancestor = {}, name
+            while ancestor in records:
                 for key in POLICY_KEYS:
-                    if told[at][key] is not None and key not in values:
-                        values[key] = told[at][key]
-                        place = self.check.places.get(("policies", at, key))
+                    if records[ancestor][key] is not None and key not in values:
+                        values[key] = records[ancestor][key]
+                        place = self.check.places.get(("policies", ancestor, key))
                         self.check.places.setdefault(
-                            ("policies", name, key), place or self.place("policies", at)
+                            ("policies", name, key), place or self.place("policies", ancestor)
                         )
-                at = above.get(at)
+                ancestor = parent_of.get(ancestor)
             if not any(value is INVALID for value in values.values()):
-                found[name] = Policy(**values)
-        return found
+                policies[name] = Policy(**values)
+        return policies
 
-    def _limit(self, name: str, told: dict[str, Any]) -> Limit | None:
-        if any(value is INVALID for value in told.values()):
+    def _limit(self, name: str, record: dict[str, Any]) -> Limit | None:
+        if any(value is INVALID for value in record.values()):
             return None
         place = self.place("limits", name)
-        if not (told["rate"] or told["concurrent"]):
+        if not (record["rate"] or record["concurrent"]):
             self.check.report(
                 place, f"limit '{name}' limits nothing", "give it `rate` or `concurrent`", "never"
             )
             return None
-        if told["burst"] and not told["rate"]:
+        if record["burst"] and not record["rate"]:
             self.check.report(
                 self.place("limits", name, "burst"),
                 f"limit '{name}' has a burst without a rate",
                 "give it `rate`",
                 "never",
             )
-        if told["keep_free"] and not told["concurrent"]:
+        if record["keep_free"] and not record["concurrent"]:
             self.check.report(
                 self.place("limits", name, "keep_free"),
-                f"limit '{name}' keeps a share free of no number",
+                f"limit '{name}': 'keep_free' without 'concurrent'",
                 "give it `concurrent`",
                 "never",
             )
-        elif told["keep_free"] and not told["below"]:
+        elif record["keep_free"] and not record["below"]:
             self.check.report(
                 self.place("limits", name, "keep_free"),
                 f"limit '{name}' keeps a share free for nobody",
                 "give it `below`",
                 "never",
             )
-        elif told["below"] and not told["keep_free"]:
+        elif record["below"] and not record["keep_free"]:
             self.check.report(
                 self.place("limits", name, "below"),
                 f"limit '{name}': 'below' without 'keep_free'",
                 "give it `keep_free`",
                 "never",
             )
-        if told["across"] != "router" and not self.told.get("purges"):
+        if record["across"] != "router" and not self.record.get("purges"):
             self.check.report(
                 self.place("limits", name, "across"),
-                f"limit '{name}' is shared by a {told['across']}, and no ledger is named that grants shares",
+                f"limit '{name}' is shared by a {record['across']}, but no ledger is named to grant shares",
                 "give the plan `purges` with its `ledgers`",
                 "never",
             )
-        if told["counts"] == "repeats" and (told["concurrent"] or not told["rate"]):
+        if record["counts"] == "repeats" and (record["concurrent"] or not record["rate"]):
             self.check.report(
                 self.place("limits", name, "counts"),
-                f"limit '{name}' counts repeats, which are over time",
-                "give it `rate`, and `concurrent` to a limit of reqs",
+                f"limit '{name}' counts repeats, for which it needs a rate and can't have 'concurrent'",
+                "give it `rate`, and move `concurrent` to a limit that counts reqs",
                 "never",
             )
-        burst = told["burst"] or max(1, round(told["rate"] or 0))
+        burst = record["burst"] or max(1, round(record["rate"] or 0))
         return Limit(
             name,
-            told["per"],
-            told["rate"] or 0.0,
-            burst if told["rate"] else 0,
-            told["concurrent"] or 0,
-            told["keep_free"] or 0.0,
-            told["below"] or 0.0,
-            told["across"],
-            told["floors"],
-            told["share_life"],
-            told["counts"],
+            record["per"],
+            record["rate"] or 0.0,
+            burst if record["rate"] else 0,
+            record["concurrent"] or 0,
+            record["keep_free"] or 0.0,
+            record["below"] or 0.0,
+            record["across"],
+            record["floors"],
+            record["share_life"],
+            record["counts"],
         )
 
-    def _pool(self, name: str, told: dict[str, Any]) -> Pool | None:
-        if any(value is INVALID for value in told.values()):
+    def _pool(self, name: str, record: dict[str, Any]) -> Pool | None:
+        if any(value is INVALID for value in record.values()):
             return None
         path = ("pools", name)
-        home = self.told["deployment"]["home"] if isinstance(self.told.get("deployment"), dict) else None
-        stores = self.refer_all(told["stores"], (*path, "stores"), "stores")
-        caches = self.refer_all(told["caches"], (*path, "caches"), "caches")
-        broken = len(stores) < len(told["stores"] or ()) or len(caches) < len(told["caches"] or ())
-        if not told["stores"] and not told["caches"]:
-            broken |= home not in self.known("stores")
+        home = self.record["deployment"]["home"] if isinstance(self.record.get("deployment"), dict) else None
+        stores = self.resolve_all(record["stores"], (*path, "stores"), "stores")
+        caches = self.resolve_all(record["caches"], (*path, "caches"), "caches")
+        has_invalid_names = len(stores) < len(record["stores"] or ()) or len(caches) < len(
+            record["caches"] or ()
+        )
+        if not record["stores"] and not record["caches"]:
+            has_invalid_names |= home not in self.names_in("stores")
             stores = (home,) if isinstance(home, str) else ()
         pool = Pool(
             name,
             stores,
-            tuple(told["kinds"] or ()),
-            tuple(told["cells"] or ()),
+            tuple(record["kinds"] or ()),
+            tuple(record["cells"] or ()),
             caches,
-            self.refer(told["fallback"], (*path, "fallback"), "pools"),
-            _amount(told["at_least"]),
-            _amount(told["back_at"]) or _amount(told["at_least"]),
-            told["back_after"],
+            self.resolve(record["fallback"], (*path, "fallback"), "pools"),
+            _amount(record["at_least"]),
+            _amount(record["back_at"]) or _amount(record["at_least"]),
+            record["back_after"],
         )
         listed = self.parts["caches"]
-        usable = not broken and all(
+        are_members_known = not has_invalid_names and all(
             value is not INVALID for cache in listed.values() for value in cache.values()
         )
-        members = [n for n, cache in listed.items() if is_pool_member(pool, n, cache)] if usable else []
-        if listed and usable and not members and self.told.get("caches") is not INVALID:
+        members = (
+            [n for n, cache in listed.items() if is_pool_member(pool, n, cache)] if are_members_known else []
+        )
+        if listed and are_members_known and not members and self.record.get("caches") is not INVALID:
             self.check.report(
-                self.place(*path), f"pool '{name}' has no members", _why_empty(pool, listed), "empty"
+                self.place(*path), f"pool '{name}' has no members", _empty_pool_remedy(pool, listed), "empty"
             )
-        self._falls(name, told, pool, len(members) if listed and usable else None)
+        self._check_fallback(name, record, pool, len(members) if listed and are_members_known else None)
         return pool
 
-    def _falls(self, name: str, told: dict[str, Any], pool: Pool, members: int | None) -> None:
+    def _check_fallback(self, name: str, record: dict[str, Any], pool: Pool, members: int | None) -> None:
+        """Reports a fallback that would never or always be used, or whose use would alternate.
+
+        :param members: the number of caches that are listed for the pool; None if it isn't known.
+        """
         path = ("pools", name)
         if pool.fallback and not pool.at_least:
             self.check.report(
@@ -379,7 +407,7 @@
                 "give `at_least`",
                 "never",
             )
-        elif pool.at_least and not told["fallback"]:
+        elif pool.at_least and not record["fallback"]:
             self.check.report(
                 self.place(*path, "at_least"),
                 f"pool '{name}' has 'at_least' and no fallback",
@@ -389,141 +417,156 @@
         elif pool.at_least and members and pool.at_least.to_count(members) > members:
             self.check.report(
                 self.place(*path, "at_least"),
-                f"pool '{name}' has {members} members: its fallback always stands in",
-                "ask for fewer",
+                f"pool '{name}' has {members} members, fewer than 'at_least': its fallback is always used",
+                "give a smaller `at_least`",
                 "range",
             )
         elif pool.at_least and members and pool.back_at.to_count(members) < pool.at_least.to_count(members):
             self.check.report(
                 self.place(*path, "back_at"),
-                f"pool '{name}' comes back below 'at_least'",
-                "it would flap: ask for as many or more",
+                f"pool '{name}' has 'back_at' below 'at_least'",
+                "it would flap: give `back_at` as many as `at_least`, or more",
                 "range",
             )
 
-    def _split(self, name: str, told: dict[str, Any]) -> Split | None:
-        parts = told["parts"]
-        if parts is INVALID or told["by"] is INVALID or any(share is INVALID for share in parts.values()):
+    def _split(self, name: str, record: dict[str, Any]) -> Split | None:
+        parts = record["parts"]
+        if parts is INVALID or record["by"] is INVALID or any(share is INVALID for share in parts.values()):
             return None
         for pool in parts:
-            self.refer(pool, ("splits", name, "parts", pool), "pools")
+            self.resolve(pool, ("splits", name, "parts", pool), "pools")
         total = sum(parts.values())
-        if abs(total - 1) > 1e-9:
+        if abs(total - 1) > SHARES_TOLERANCE:
             self.check.report(
                 self.place("splits", name, "parts"),
                 f"the parts of split '{name}' add up to {total * 100:g}%",
                 "make them 100%",
                 "sum",
             )
-        return Split(name, told["by"], tuple(parts.items()))
+        return Split(name, record["by"], tuple(parts.items()))
 
-    def _route(self, order: int, name: str, told: dict[str, Any]) -> Route | None:
+    def _route(self, order: int, name: str, record: dict[str, Any]) -> Route | None:
         path = ("routes", name)
-        vhost = self.refer(told["vhost"], (*path, "vhost"), "vhosts")
-        pool = self.refer(told["pool"], (*path, "pool"), "pools", "splits")
-        policy = self.refer(told["policy"], (*path, "policy"), "policies")
-        limits = self.refer_all(told["limits"], (*path, "limits"), "limits")
-        match = told["match"]
-        if match is INVALID or any(value is INVALID for value in (*told.values(), *match.values())):
+        vhost = self.resolve(record["vhost"], (*path, "vhost"), "vhosts")
+        pool = self.resolve(record["pool"], (*path, "pool"), "pools", "splits")
+        policy = self.resolve(record["policy"], (*path, "policy"), "policies")
+        limits = self.resolve_all(record["limits"], (*path, "limits"), "limits")
+        match = record["match"]
+        if match is INVALID or any(value is INVALID for value in (*record.values(), *match.values())):
             return None
         conditions = (*match["header"].values(), *match["param"].values())
         if any(value is INVALID for value in conditions):
             return None
-        self._captures(name, told, match)
-        stores = self.refer_all(match["store"], (*path, "match", "store"), "stores")
+        self._check_captures(name, record, match)
+        stores = self.resolve_all(match["store"], (*path, "match", "store"), "stores")
         if match["store"] and not stores:
             return None
         methods = frozenset(match["method"] or patterns.METHODS)
-        heads = {key.lower(): _condition(value) for key, value in match["header"].items()}
+        headers = {key.lower(): _condition(value) for key, value in match["header"].items()}
         params = {key: _condition(value) for key, value in match["param"].items()}
-        path_lang = _language(match["path"], "/") if match["path"] else request_sets.HERE
-        hosts = [_language(host.lower(), ".") for host in match["host"] or ()] or [request_sets.HERE]
+        path_set = _text_set(match["path"], "/") if match["path"] else request_sets.HERE
+        hosts = [_text_set(host.lower(), ".") for host in match["host"] or ()] or [request_sets.HERE]
         boxes = tuple(
             request_sets.Box(
-                frozenset(stores or self.known("stores")), methods, host, path_lang, heads, params
+                frozenset(stores or self.names_in("stores")), methods, host, path_set, headers, params
             )
             for host in hosts
         )
         tenant_limits = [n for n in limits if (self.parts["limits"].get(n) or {}).get("per") == "tenant"]
-        if tenant_limits and not told["tenant"]:
+        if tenant_limits and not record["tenant"]:
             self.check.report(
                 self.place(*path, "limits"),
-                f"limit '{tenant_limits[0]}' is per tenant, and route '{name}' names none",
+                f"limit '{tenant_limits[0]}' is per tenant, but route '{name}' names no tenant",
                 "give the route `tenant`",
                 "never",
             )
         if not (vhost and pool):
             return None
         return Route(
-            name, order, boxes, vhost, pool, policy, limits, told["tenant"], told["object"], told["group"]
+            name,
+            order,
+            boxes,
+            vhost,
+            pool,
+            policy,
+            limits,
+            record["tenant"],
+            record["object"],
+            record["group"],
         )
 
-    def _captures(self, name: str, told: dict[str, Any], match: dict[str, Any]) -> None:
-        """`object` and `group` are made of captures that the path has."""
-        have = patterns.pattern(match["path"], "/").captures if match["path"] else []
+    def _check_captures(self, name: str, record: dict[str, Any], match: dict[str, Any]) -> None:
+        """Reports names in `object` and `group` that the path doesn't capture."""
+        captures = patterns.pattern(match["path"], "/").captures if match["path"] else []
         for key in ("object", "group"):
-            if not told[key]:
+            if not record[key]:
                 continue
-            for asked in template(told[key]):
-                if asked not in (*have, "host", "path"):
+            for placeholder in placeholders(record[key]):
+                if placeholder not in (*captures, "host", "path"):
                     self.check.report(
                         self.place("routes", name, key),
-                        f"'{{{asked}}}' is no capture of route '{name}'",
-                        meant(asked, have) or f"there are {names([*have, 'host', 'path'])}",
+                        f"route '{name}' has no capture '{{{placeholder}}}'",
+                        meant(placeholder, captures) or f"there are {names([*captures, 'host', 'path'])}",
                         "reference",
                     )
 
-    def _no_loop(self, above: dict[str, str | None], part: str, key: str, what: str) -> bool:
-        """Notes each loop once, at its first name."""
-        seen: set[str] = set()
+    def _report_cycles(self, parent_of: dict[str, str | None], part: str, key: str, word: str) -> bool:
+        """Reports each cycle of references once, at its first name.
+
+        :param parent_of: by name, the name that it refers to.
+        :param key: of the reference.
+        :param word: for the entries, in messages.
+        :returns: whether there are cycles.
+        """
+        visited: set[str] = set()
         found = False
-        for name in above:
-            chain, at = [], name
-            while at is not None and at not in seen and at not in chain:
-                chain.append(at)
-                at = above.get(at)
-            if at in chain:
-                loop = chain[chain.index(at) :]
+        for start in parent_of:
+            chain, name = [], start
+            while name is not None and name not in visited and name not in chain:
+                chain.append(name)
+                name = parent_of.get(name)
+            if name in chain:
+                cycle = chain[chain.index(name) :]
                 self.check.report(
-                    self.place(part, loop[0], key),
-                    f"{what} go round: {' -> '.join([*loop, loop[0]])}",
-                    "take one out",
+                    self.place(part, cycle[0], key),
+                    f"{word} form a cycle: {' -> '.join([*cycle, cycle[0]])}",
+                    "remove one of these references",
                     "cycle",
                 )
                 found = True
-            seen.update(chain)
+            visited.update(chain)
         return found
 
 
-def template(text: str) -> list[str]:
-    """The names in braces of a text such as `{host}/{plant}`."""
-    return [found[1] for found in patterns.TOKEN.finditer(text) if found[1] is not None]
+def placeholders(text: str) -> list[str]:
+    """Returns the names in braces of a text such as `{host}/{plant}`."""
+    return [token[1] for token in patterns.TOKEN.finditer(text) if token[1] is not None]
 
 
-def _language(text: str, sep: str) -> request_sets.TextSet:
+def _text_set(text: str, sep: str) -> request_sets.TextSet:
     return request_sets.TextSet((patterns.pattern(text, sep),))
 
 
-def _condition(told: str | bool) -> request_sets.TextSet:
-    if isinstance(told, bool):
-        return request_sets.TextSet(allows_absent=not told, allows_present=told)
-    return _language(told, "")
+def _condition(value: str | bool) -> request_sets.TextSet:
+    if isinstance(value, bool):
+        return request_sets.TextSet(allows_absent=not value, allows_present=value)
+    return _text_set(value, "")
 
 
-def _amount(told: Any) -> Amount | None:
-    if told is None:
+def _amount(value: Any) -> Amount | None:
+    if value is None:
         return None
-    return Amount(share=told[1]) if isinstance(told, tuple) else Amount(count=told)
+    return Amount(share=value[1]) if isinstance(value, tuple) else Amount(count=value)
 
 
-def _why_empty(pool: Pool, caches: dict[str, dict[str, Any]]) -> str:
-    asked = [
+def _empty_pool_remedy(pool: Pool, caches: dict[str, dict[str, Any]]) -> str:
+    conditions = [
         f"{key} {names(map(str, value))}"
         for key, value in (("stores", pool.stores), ("kinds", pool.kinds), ("cells", pool.cells))
         if value
     ]
-    return f"of {len(caches)} servers listed none has {' and '.join(asked)}" if asked else ""
+    return f"none of the {len(caches)} servers listed has {' and '.join(conditions)}" if conditions else ""
 
 
-def _one(part: str) -> str:
+def _singular(part: str) -> str:
     return {"policies": "policy"}.get(part, part.removesuffix("s"))
