--- a/quartzrouter/cli/plan.py
+++ b/quartzrouter/cli/plan.py
@@ -136,16 +136,18 @@
         click.echo(json.dumps(told, indent=2))
     else:
         for change in found.changes:
-            click.echo(change.shown() + (f"\n    {counts.get(change.pair, 0)} reqs replayed" if reqs else ""))
+            click.echo(
+                change.describe() + (f"\n    {counts.get(change.pair, 0)} reqs replayed" if reqs else "")
+            )
         for key, was, now in found.settings:
             click.echo(f"{key}: {was} -> {now}")
         if reqs:
             click.echo(f"{counts.get(None, 0)} reqs of {sum(counts.values())} route as before")
-        if found.same:
+        if found.is_empty:
             click.echo("no req routes differently")
     for pair, n in stray.items():
         click.echo(f"{n} reqs route differently and lie in no set: {pair}: a fault of this program", err=True)
-    sys.exit(0 if found.same and not stray else 1)
+    sys.exit(0 if found.is_empty and not stray else 1)
 
 
 def _recorded(path: str):
@@ -211,14 +213,14 @@
 @AS_JSON
 def explain(path: str, req: str, store: str | None, headers: tuple[str, ...], as_json: bool) -> None:
     """Say what a req gets, and from which line each value came."""
-    from quartzrouter.config.explain import asked, explain
+    from quartzrouter.config.explain import explain, parse_request
 
     made = checked(path)
     for header in headers:
         if ":" not in header:
             raise click.UsageError(f"the header {header!r} has no ':'")
     told = {name.strip(): value.strip() for name, _, value in (header.partition(":") for header in headers)}
-    found = asked(req, made, store, told)
+    found = parse_request(req, made, store, told)
     if found is None:
         raise click.UsageError("a req is written as [METHOD] [HOST]/PATH[?QUERY]")
     if store and store not in made.stores:
--- a/quartzrouter/config/builder.py
+++ b/quartzrouter/config/builder.py
@@ -464,8 +464,8 @@
         methods = frozenset(match["method"] or patterns.METHODS)
         headers = {key.lower(): _condition(value) for key, value in match["header"].items()}
         params = {key: _condition(value) for key, value in match["param"].items()}
-        path_set = _text_set(match["path"], "/") if match["path"] else request_sets.HERE
-        hosts = [_text_set(host.lower(), ".") for host in match["host"] or ()] or [request_sets.HERE]
+        path_set = _text_set(match["path"], "/") if match["path"] else request_sets.ANY_TEXT
+        hosts = [_text_set(host.lower(), ".") for host in match["host"] or ()] or [request_sets.ANY_TEXT]
         boxes = tuple(
             request_sets.Box(
                 frozenset(stores or self.names_in("stores")), methods, host, path_set, headers, params
--- a/quartzrouter/config/diff.py
+++ b/quartzrouter/config/diff.py
@@ -1,7 +1,8 @@
-"""What a new version of a plan changes in effect: disjoint sets of reqs, each with a witness.
+"""Which requests a new version of a plan treats differently: disjoint sets, each with an example.
 
-A set is all reqs that one route of the old plan took and one of the new takes, where the two do
-different things.  So every req that routes differently lies in exactly one set, and no other req does.
+A set has all requests that reach a certain route of the old plan and a certain route of the new plan, if
+these routes treat them differently.  So each request that is treated differently is in exactly one set, and
+no other request is in any.
 """
 
 from collections import Counter
@@ -11,27 +12,34 @@
 
 from quartzrouter.config.matcher import Matcher
 from quartzrouter.config.model import POLICY_OVERRIDES, TRAFFIC_CLASS_FIELDS, Plan, Policy, Pool, Route
-from quartzrouter.config.request_sets import Box, RouteQuery, rest
-from quartzrouter.config.shadowing import Near
+from quartzrouter.config.request_sets import Box, RouteQuery, subtract
+from quartzrouter.config.shadowing import RoutesByPrefix
 
-Pair = tuple[str | None, str | None]  # the old route's name and the new one's; None: no route takes it
+Pair = tuple[str | None, str | None]  # the names of the old and the new route; None: no route matches
 
 
 @dataclass(frozen=True)
 class Change:
-    """A set of reqs that get something else: by which routes, what, and one of them."""
+    """A set of requests that are treated differently.
+
+    :ivar pair: the routes that match them.
+    :ivar what: the old and the new value of all that differs, by key.
+    :ivar witness: one of the requests.
+    """
 
     pair: Pair
-    what: dict[str, tuple[str, str]]  # what differs: as it was, as it would be
+    what: dict[str, tuple[str, str]]
     witness: RouteQuery
 
-    def shown(self) -> str:
+    def describe(self) -> str:
+        """Returns the change as lines of text."""
         old, new = (f"route '{name}'" if name else "no route" for name in self.pair)
         lines = [f"{old} -> {new}" if self.pair[0] != self.pair[1] else old]
         lines += [f"    {key}: {was} -> {now}" for key, (was, now) in self.what.items()]
         return "\n".join([*lines, f"    e.g. {self.witness.describe()}"])
 
     def as_json(self) -> dict[str, Any]:
+        """Returns the change under the keys that `--json` promises."""
         return {
             "from": self.pair[0],
             "to": self.pair[1],
@@ -41,23 +49,28 @@
 
 
 class Effects:
-    """What routes of a plan do, spelt out: two spellings of the same are equal."""
+    """What the routes of a plan do, in a normal form: equal if they do the same, however it is written."""
 
     def __init__(self, plan: Plan):
         self.plan = plan
 
     def pool(self, name: str, seen: tuple[str, ...] = ()) -> tuple:
+        """Returns which caches a pool or a split uses, with its fallbacks.
+
+        :param seen: pools whose fallback this is, so that a cycle ends.
+        """
         if name in self.plan.splits:
             split = self.plan.splits[name]
             return ("split", split.by, tuple((self.pool(pool), share) for pool, share in split.parts))
         pool: Pool = self.plan.pools[name]
         fallback = self.pool(pool.fallback, (*seen, name)) if pool.fallback and name not in seen else None
-        told = (sorted(pool.stores), sorted(pool.kinds), sorted(pool.cells), sorted(pool.caches))
+        conditions = (sorted(pool.stores), sorted(pool.kinds), sorted(pool.cells), sorted(pool.caches))
         members = tuple(sorted(self.plan.members(pool)))
         amounts = (pool.at_least, pool.back_at, pool.back_after) if pool.fallback else ()
-        return ("pool", members or str(told), fallback, amounts)
+        return ("pool", members or str(conditions), fallback, amounts)
 
-    def of(self, route: Route | None) -> dict[str, Any]:
+    def of_route(self, route: Route | None) -> dict[str, Any]:
+        """Returns what a route does with its requests, by key; None: no route matches."""
         if route is None:
             return {"route": None}
         plan = self.plan
@@ -70,27 +83,29 @@
             else:
                 policy.pop(key)
         limits = {(name, *asdict(plan.limits[name]).values()) for name in route.limits}
-        per = {plan.limits[name].per for name in route.limits}
+        counted_per = {plan.limits[name].per for name in route.limits}
         return {
             "vhost": vhost,
             "pool": self.pool(route.pool),
             "policy": policy,
             "limits": limits,
-            "tenant": route.tenant if "tenant" in per else None,
+            "tenant": route.tenant if "tenant" in counted_per else None,
             "object": self._object(route),
             "group": route.group,
-            "counted": route.name if "route" in per else None,
+            "counted": route.name if "route" in counted_per else None,
         }
 
     @staticmethod
     def _object(route: Route) -> str | None:
+        """Returns how the object's name is made; None: it is the whole path."""
         if route.object:
             return route.object
         path = route.boxes[0].path.required
         return path[0].text if path and "part" in path[0].captures else None
 
 
-def named(plan: Plan, route: Route | None, key: str) -> str:
+def named_value(route: Route | None, key: str) -> str:
+    """Returns what a route names under a key, for messages."""
     if route is None:
         return "none"
     value = getattr(route, key, None)
@@ -100,53 +115,69 @@
 
 
 class Diff:
+    """The differences between two plans.
+
+    :ivar changes: the sets of requests that are treated differently.
+    :ivar settings: what else differs: the key, its old and its new value.
+    """
+
     def __init__(self, old: Plan, new: Plan):
         self.old, self.new = old, new
         self.effects = Effects(old), Effects(new)
-        self.told: dict[int, dict[str, Any]] = {}
+        self._effects_by_route: dict[int, dict[str, Any]] = {}
         self.changes = sorted(self._changes(), key=lambda change: str(change.pair))
         self.settings = list(self._settings())
 
     def _effect(self, side: int, route: Route | None) -> dict[str, Any]:
-        known = self.told.get(id(route) if route else -1)
-        if known is None:
-            known = self.told[id(route) if route else -1] = self.effects[side].of(route)
-        return known
+        effect = self._effects_by_route.get(id(route) if route else -1)
+        if effect is None:
+            effect = self._effects_by_route[id(route) if route else -1] = self.effects[side].of_route(route)
+        return effect
 
     def differs(self, old: Route | None, new: Route | None) -> bool:
+        """Returns whether two routes, one of each plan, treat requests differently."""
         if old is None or new is None:
             return old is not new
         return self._effect(0, old) != self._effect(1, new)
 
     def _changes(self) -> Iterable[Change]:
-        near = Near(self.new.routes), Near(self.old.routes)
+        new_by_prefix, old_by_prefix = RoutesByPrefix(self.new.routes), RoutesByPrefix(self.old.routes)
         for old in self.old.routes:
-            boxes = self._own(old, near[1])
-            for new in near[0].of(old):
-                if boxes and self.differs(old, new) and (found := self._both(boxes, new, near[0])):
+            boxes = self._reached_by(old, old_by_prefix)
+            for new in new_by_prefix.related_to(old):
+                if (
+                    boxes
+                    and self.differs(old, new)
+                    and (found := self._reached_by_both(boxes, new, new_by_prefix))
+                ):
                     yield self._change(old, new, found)
-            if boxes and (found := self._left(boxes, near[0].of(old))):
+            if boxes and (found := self._matched_by_none(boxes, new_by_prefix.related_to(old))):
                 yield self._change(old, None, found)
         for new in self.new.routes:
-            boxes = self._own(new, near[0])
-            if boxes and (found := self._left(boxes, near[1].of(new))):
+            boxes = self._reached_by(new, new_by_prefix)
+            if boxes and (found := self._matched_by_none(boxes, old_by_prefix.related_to(new))):
                 yield self._change(None, new, found)
 
-    def _own(self, route: Route, near: Near) -> list[Box]:
-        """What a route takes behind those before it."""
-        earlier = [box for other in near.of(route) if other.order < route.order for box in other.boxes]
-        return rest(list(route.boxes), earlier)
+    def _reached_by(self, route: Route, by_prefix: RoutesByPrefix) -> list[Box]:
+        """Returns the requests that reach a route: it matches them, and no earlier route does."""
+        earlier = [
+            box for other in by_prefix.related_to(route) if other.order < route.order for box in other.boxes
+        ]
+        return subtract(list(route.boxes), earlier)
 
-    def _both(self, boxes: list[Box], new: Route, near: Near) -> list[Box]:
-        shared = [both for box in boxes for theirs in new.boxes if (both := box.meet(theirs))]
+    def _reached_by_both(self, boxes: list[Box], new: Route, by_prefix: RoutesByPrefix) -> list[Box]:
+        """Returns those requests of the boxes that reach a route of the new plan."""
+        shared = [both for box in boxes for theirs in new.boxes if (both := box.intersect(theirs))]
         if not shared:
             return []
-        earlier = [box for other in near.of(new) if other.order < new.order for box in other.boxes]
-        return rest(shared, earlier)
+        earlier = [
+            box for other in by_prefix.related_to(new) if other.order < new.order for box in other.boxes
+        ]
+        return subtract(shared, earlier)
 
     @staticmethod
-    def _left(boxes: list[Box], others: list[Route]) -> list[Box]:
-        return rest(boxes, [box for other in others for box in other.boxes])
+    def _matched_by_none(boxes: list[Box], others: list[Route]) -> list[Box]:
+        return subtract(boxes, [box for other in others for box in other.boxes])
 
     def _change(self, old: Route | None, new: Route | None, boxes: list[Box]) -> Change:
         what: dict[str, tuple[str, str]] = {}
@@ -157,18 +188,18 @@
             for key in was:
                 if was[key] != now.get(key):
                     name = "route" if key == "counted" else key
-                    before, after = (named(p, r, key) for p, r in ((self.old, old), (self.new, new)))
+                    before, after = (named_value(route, key) for route in (old, new))
                     if key in ("vhost", "policy"):
-                        inner = [k for k in was[key] if was[key][k] != now[key].get(k)]
+                        changed_keys = [k for k in was[key] if was[key][k] != now[key].get(k)]
                         before, after = (
-                            f"{n} ({', '.join(f'{k}={side[key][k]}' for k in inner)})"
+                            f"{n} ({', '.join(f'{k}={side[key][k]}' for k in changed_keys)})"
                             for n, side in ((before, was), (after, now))
                         )
                     what[name] = (before, after) if before != after else (before, f"{after}, changed")
         return Change((old.name if old else None, new.name if new else None), what, boxes[0].witness())
 
     def _settings(self) -> Iterable[tuple[str, str, str]]:
-        """What differs beside the routes: key, as it was, as it would be."""
+        """Yields what differs beside the routes: the key, its old and its new value."""
         for key, was in self.old.deployment.items():
             now = self.new.deployment.get(key)
             if was != now:
@@ -185,17 +216,22 @@
                     yield f"{part}.{name}", before, after
 
     @property
-    def same(self) -> bool:
+    def is_empty(self) -> bool:
+        """Whether nothing differs."""
         return not (self.changes or self.settings)
 
-    def replay(self, asked: Iterable[RouteQuery]) -> tuple[Counter, Counter]:
-        """How many reqs lie in each set, and how many route differently in no reported set (none should)."""
+    def replay(self, queries: Iterable[RouteQuery]) -> tuple[Counter, Counter]:
+        """Counts requests by the set that they are in, as a check of the sets themselves.
+
+        :returns: by pair of routes, the requests in each set, with None for those that are treated as before;
+            and those that are in a set by mistake, or by mistake in none, of which there should be none.
+        """
         old, new = Matcher(self.old.routes), Matcher(self.new.routes)
         reported = {change.pair for change in self.changes}
         counts: Counter = Counter()
         stray: Counter = Counter()
-        for req in asked:
-            was, now = old.find(req), new.find(req)
+        for query in queries:
+            was, now = old.find(query), new.find(query)
             before, after = was.route if was else None, now.route if now else None
             pair = (before.name if before else None, after.name if after else None)
             if not self.differs(before, after):
--- a/quartzrouter/config/model.py
+++ b/quartzrouter/config/model.py
@@ -1,4 +1,7 @@
-"""A checked plan, as plain values: what the matcher, the limits and the pools take."""
+"""A checked plan as plain values: the input of the matcher, the limits and the pools.
+
+Fields bear the names of the plan's keys; durations are in microseconds.
+"""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -7,7 +10,7 @@
 from quartzrouter.config.request_sets import Box
 from quartzrouter.routing.model import TrafficClass
 
-# The keys of a plan's vhost, and the fields of a traffic class that they set.
+# By key of a plan's vhost, the field of a traffic class that it sets.
 TRAFFIC_CLASS_FIELDS = {
     "name": "name",
     "effect": "idempotency",
@@ -24,79 +27,126 @@
     "never_kept": "uncacheable",
 }
 
-# Keys of a vhost that a policy may set in its place.
+# Keys of a vhost that a policy may override.
 POLICY_OVERRIDES = ("fresh_for", "grace_for", "old_share", "first_byte_target", "value")
 
 
 @dataclass(frozen=True, slots=True)
 class Policy:
-    """What a route changes of its vhost; None: as the vhost has it."""
+    """What a route overrides of its vhost; None: as the vhost or the deployment has it.
+
+    :ivar rank: the highest cache priority of what the route's requests fill.
+    :ivar dispatches: of one request, at most.
+    :ivar budget: further dispatches for each request, on average.
+    :ivar deny: whether all requests are rejected.
+    :ivar come_back: microseconds after which a rejected client is told to try again.
+    """
 
-    fresh_for: int | None = None  # us
-    grace_for: int | None = None  # us
+    fresh_for: int | None = None
+    grace_for: int | None = None
     old_share: float | None = None
-    first_byte_target: int | None = None  # us
+    first_byte_target: int | None = None
     value: float | None = None
     rank: int | None = None
     dispatches: int | None = None
-    budget: float | None = None  # further dispatches for each req
+    budget: float | None = None
     deny: bool | None = None
-    come_back: int | None = None  # us
+    come_back: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Amount:
-    """A number of caches, or a share of those listed."""
+    """A number of caches, or a share of those listed; a share of 0 means that ``count`` holds."""
 
     count: int = 0
     share: float = 0.0
 
     def to_count(self, listed: int) -> float:
+        """Returns how many caches that is.
+
+        :param listed: the number of caches that are listed.
+        """
         return self.share * listed if self.share else self.count
 
 
 @dataclass(frozen=True, slots=True)
 class Pool:
+    """Caches that serve routes: those that meet all conditions; an empty condition is met by any cache.
+
+    :ivar kinds: machine types.
+    :ivar fallback: the pool that is used while fewer than ``at_least`` caches are available.
+    :ivar back_at: how many have to be available again before the pool is used again.
+    :ivar back_after: microseconds for which they have to be.
+    """
+
     name: str
     stores: tuple[str, ...]
-    kinds: tuple[str, ...] = ()  # none named: any
+    kinds: tuple[str, ...] = ()
     cells: tuple[int, ...] = ()
     caches: tuple[str, ...] = ()
     fallback: str | None = None
     at_least: Amount | None = None
     back_at: Amount | None = None
-    back_after: int = 0  # us
+    back_after: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
+    """Pools that share the requests of a route.
+
+    :ivar by: "object" or "client": whose requests all go to the same pool.
+    :ivar parts: pools with their shares, which add up to 1.
+    """
+
     name: str
-    by: str  # object or client
+    by: str
     parts: tuple[tuple[str, float], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
+    """A limit on requests, with a counter for each route, pool, tenant or client, or with one for all.
+
+    :ivar per: what has a counter of its own: "route", "pool", "tenant", "client" or "all".
+    :ivar rate: requests a second; 0: no limit.
+    :ivar concurrent: requests in flight; 0: no limit.
+    :ivar keep_free: the share of ``concurrent`` that requests of a value under ``below`` may not use.
+    :ivar across: "router", or "store" or "fleet" if all routers of it share the limit.
+    :ivar floors: the share of it that routers have without a grant, in equal parts.
+    :ivar life: microseconds after which a granted share expires.
+    :ivar counts: "reqs", or "repeats" if it counts further dispatches.
+    """
+
     name: str
     per: str
-    rate: float = 0.0  # reqs a second; 0: none
+    rate: float = 0.0
     burst: int = 0
-    concurrent: int = 0  # 0: any
+    concurrent: int = 0
     keep_free: float = 0.0
     below: float = 0.0
-    across: str = "router"  # or store or fleet: what all routers of it share
-    floors: float = 0.0  # share of it that routers have whoever hears nothing
-    life: int = 0  # us of a granted share
-    counts: str = "reqs"  # or repeats
+    across: str = "router"
+    floors: float = 0.0
+    life: int = 0
+    counts: str = "reqs"
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
+    """What requests of a set get; of all routes that match a request, the first one is used.
+
+    :ivar order: the position among the routes of the plan, from 0.
+    :ivar boxes: the set of requests, in parts: one for each host pattern.
+    :ivar pool: the name of a pool or a split.
+    :ivar tenant: the capture or header that names the tenant.
+    :ivar object: the object's name, with captures in braces; None: the path.
+    :ivar group: the tag by which objects are purged together, written likewise.
+    """
+
     name: str
     order: int
-    boxes: tuple[Box, ...]  # together what it takes
+    boxes: tuple[Box, ...]
     vhost: str
-    pool: str  # or a split
+    pool: str
     policy: str | None
     limits: tuple[str, ...]
     tenant: str | None
@@ -106,9 +156,17 @@
 
 @dataclass(frozen=True)
 class Plan:
+    """A plan without faults; its parts by the names of their entries.
+
+    :ivar stores: the hub of each.
+    :ivar hubs: the hub above each.
+    :ivar caches: caches, parents and origins, each with the values of its keys.
+    :ivar places: where each value was given, by the path of keys that leads to it.
+    """
+
     deployment: dict[str, Any]
-    stores: dict[str, str]  # its hub
-    hubs: dict[str, str | None]  # the one above
+    stores: dict[str, str]
+    hubs: dict[str, str | None]
     caches: dict[str, dict[str, Any]]
     vhosts: dict[str, TrafficClass]
     policies: dict[str, Policy]
@@ -121,15 +179,19 @@
     places: dict[tuple[str, ...], Place] = field(default_factory=dict, compare=False)
 
     def pools_of(self, name: str) -> list[str]:
-        """The pools that a route's pool or split leads to, without fallbacks."""
+        """Returns the pools that a route's pool or split stands for, without fallbacks."""
         return [pool for pool, _ in self.splits[name].parts] if name in self.splits else [name]
 
     def members(self, pool: Pool) -> list[str]:
-        """Caches listed in the plan that belong to a pool."""
+        """Returns the caches listed in the plan that belong to a pool."""
         return [name for name, cache in self.caches.items() if is_pool_member(pool, name, cache)]
 
 
 def is_pool_member(pool: Pool, name: str, cache: dict[str, Any]) -> bool:
+    """Returns whether a server is a cache that meets all conditions of a pool.
+
+    :param cache: the values of its keys in the plan.
+    """
     return (
         cache["tier"] == "cache"
         and (not pool.stores or cache["at"] in pool.stores)
--- a/quartzrouter/config/platform_json.py
+++ b/quartzrouter/config/platform_json.py
@@ -1,39 +1,44 @@
-"""A plan as the platform's configuration: the JSON that NODE_CONFIG names, in the platform's own words."""
+"""Converts a plan to the platform's configuration: the JSON that NODE_CONFIG names."""
 
 from typing import Any
 
 from quartzrouter.config.model import Plan
 from quartzrouter.routing.model import Idempotency
 
-EFFECTS = {
+EFFECT_NAMES = {
     Idempotency.IDEMPOTENT: "retryable",
     Idempotency.IDEMPOTENT_WITH_KEY: "dedup",
     Idempotency.NON_IDEMPOTENT: "fragile",
 }
-KINDS = {"parent": "parent", "origin": "origin"}  # of servers that aren't caches
+MACHINE_TYPES_BY_TIER = {"parent": "parent", "origin": "origin"}  # of servers that aren't caches
 
 
 def zones(plan: Plan) -> list[str]:
+    """Returns all locations: the stores, and behind them the hubs that aren't stores too."""
     return [*plan.stores, *(hub for hub in plan.hubs if hub not in plan.stores)]
 
 
-def kind(cache: dict[str, Any]) -> str:
-    return KINDS.get(cache["tier"], cache["kind"])
+def machine_type(cache: dict[str, Any]) -> str:
+    """Returns the machine type that the platform knows a server by: for parents and origins their tier."""
+    return MACHINE_TYPES_BY_TIER.get(cache["tier"], cache["kind"])
 
 
-def models(plan: Plan) -> list[str]:
-    boxes = dict.fromkeys(kind(cache) for cache in plan.caches.values() if cache["tier"] == "cache")
-    return [*boxes, "parent", "origin"]
+def machine_types(plan: Plan) -> list[str]:
+    """Returns the machine types of the plan's caches, and behind them those of parents and origins."""
+    cache_types = dict.fromkeys(
+        machine_type(cache) for cache in plan.caches.values() if cache["tier"] == "cache"
+    )
+    return [*cache_types, "parent", "origin"]
 
 
 def endpoint_list(plan: Plan) -> list[dict[str, Any]]:
-    """The cache list, as the journal's events have it."""
+    """Returns the plan's caches, parents and origins as the events of the journal list them."""
     return [
         {
             "id": name,
             "host_port": cache["address"],
             "locality": cache["at"],
-            "flavor": kind(cache),
+            "flavor": machine_type(cache),
             "cell": cache["cell"],
             "phase": "SERVING",
             "size": cache["weight"],
@@ -44,15 +49,18 @@
 
 
 def platform_configuration(plan: Plan) -> dict[str, Any]:
-    """What `python -m quartzrouter` reads; routes, pools and limits have no words there and are left out."""
-    told, vhosts = plan.deployment, list(plan.vhosts.values())
-    here = [told["routers_here"] if zone == told["home"] else told["routers"] for zone in zones(plan)]
-    cold, parent, names = told["cold"], told["cold_parent"], models(plan)
+    """Returns what `python -m quartzrouter` reads; it has no keys for routes, pools and limits."""
+    deployment, vhosts = plan.deployment, list(plan.vhosts.values())
+    router_counts = [
+        deployment["routers_here"] if zone == deployment["home"] else deployment["routers"]
+        for zone in zones(plan)
+    ]
+    cold, cold_parent, type_names = deployment["cold"], deployment["cold_parent"], machine_types(plan)
     config = {
-        "name": f"{told['name']}-{told['number']}",
-        "listen": told["listen"],
-        "seed": told["seed"],
-        "limits": {"memory_mb": told["memory"] >> 20, "sockets": told["descriptors"]},
+        "name": f"{deployment['name']}-{deployment['number']}",
+        "listen": deployment["listen"],
+        "seed": deployment["seed"],
+        "limits": {"memory_mb": deployment["memory"] >> 20, "sockets": deployment["descriptors"]},
         "known": {
             "pos": 1,
             "entries": [{"pos": 1, "hosts": {"complete": True, "members": endpoint_list(plan)}}],
@@ -60,16 +68,16 @@
         if plan.caches
         else {"pos": 0, "entries": []},
         "settings": {
-            "me": told["number"],
-            "peers_total": told["routers"],
-            "zone": told["home"],
+            "me": deployment["number"],
+            "peers_total": deployment["routers"],
+            "zone": deployment["home"],
             "zones": zones(plan),
-            "models": names,
+            "models": type_names,
             "weights": "listed",
             "categories": [
                 {
                     "name": vhost.name,
-                    "effect": EFFECTS[vhost.idempotency],
+                    "effect": EFFECT_NAMES[vhost.idempotency],
                     "worth": vhost.priority_weight,
                     "aim_us": vhost.latency_objective,
                     "aim_stretch": vhost.objective_stretch,
@@ -81,13 +89,13 @@
                 for vhost in vhosts
             ],
             "limits": {
-                "try_limit": told["dispatches"],
-                "cancel": told["call_off"],
-                "probes": told["probes"],
-                "retry_after": told["longest_wait"] > 0,
-                "max_retry_after_us": told["longest_wait"],
-                "dial_timeout_us": told["connect_within"],
-                "conn_idle_us": told["idle_most"],
+                "try_limit": deployment["dispatches"],
+                "cancel": deployment["call_off"],
+                "probes": deployment["probes"],
+                "retry_after": deployment["longest_wait"] > 0,
+                "max_retry_after_us": deployment["longest_wait"],
+                "dial_timeout_us": deployment["connect_within"],
+                "conn_idle_us": deployment["idle_most"],
             },
             "rules": {
                 "cold_from": cold["floor"],
@@ -96,16 +104,16 @@
                 "tip_after_us": cold["window"],
             },
             "family_info": {
-                "shield_kind": names.index("parent"),
-                "store_kind": names.index("origin"),
-                "zone_balancers": here,
-                "shares_fills": told["joins"],
-                "pass_through_ok": told["pass_through"],
-                "flow_kb_per_s": (told["flow"] or 0) / 1000,
-                "gone_everywhere_us": told["purge_life"],
-                "parent_floor": parent["floor"],
-                "parent_cold_us": parent["ramp"],
-                "parent_fall_multiple": parent["multiple"],
+                "shield_kind": type_names.index("parent"),
+                "store_kind": type_names.index("origin"),
+                "zone_balancers": router_counts,
+                "shares_fills": deployment["joins"],
+                "pass_through_ok": deployment["pass_through"],
+                "flow_kb_per_s": (deployment["flow"] or 0) / 1000,
+                "gone_everywhere_us": deployment["purge_life"],
+                "parent_floor": cold_parent["floor"],
+                "parent_cold_us": cold_parent["ramp"],
+                "parent_fall_multiple": cold_parent["multiple"],
                 "never_kept": [vhost.uncacheable for vhost in vhosts],
                 "good_for_us": [vhost.max_age for vhost in vhosts],
                 "grace_for_us": [vhost.stale_grace for vhost in vhosts],
@@ -113,6 +121,6 @@
             },
         },
     }
-    if told["journal"]:
-        config["journal"] = told["journal"]
+    if deployment["journal"]:
+        config["journal"] = deployment["journal"]
     return config
--- a/tests/test_plan_properties.py
+++ b/tests/test_plan_properties.py
@@ -17,7 +17,8 @@
 from quartzrouter.config.parser import parse
 from quartzrouter.config.patterns import Unusable, pattern, witness
 from quartzrouter.config.problems import Broken, Faults, Source
-from quartzrouter.config.request_sets import RouteQuery, rest
+from quartzrouter.config.request_sets import RouteQuery
+from quartzrouter.config.request_sets import subtract as rest
 
 settings.register_profile("same", derandomize=True, deadline=None, database=None, print_blob=False)
 settings.load_profile("same")
