--- a/quartzrouter/cli/__init__.py
+++ b/quartzrouter/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `quartzrouter ...`.  Exit status 0: well; 1: something is wrong; 2: asked wrongly."""
+"""The command line: `quartzrouter ...`.  Exit status 0: success; 1: failure; 2: wrong usage."""
--- a/quartzrouter/cli/__main__.py
+++ b/quartzrouter/cli/__main__.py
@@ -1,3 +1,5 @@
+"""Runs the command line: `python -m quartzrouter.cli`."""
+
 from quartzrouter.cli.main import main
 
 main()
--- a/quartzrouter/cli/explore.py
+++ b/quartzrouter/cli/explore.py
@@ -1,4 +1,4 @@
-"""`quartzrouter explore`: play all that can happen to the decisions, up to a bound."""
+"""`quartzrouter explore`: model checking of the protocols, up to a bound."""
 
 import sys
 
@@ -7,10 +7,14 @@
 
 @click.command(epilog="Example: quartzrouter explore purges --states 200000")
 @click.argument("name", type=click.Choice(["purges", "sharing", "leases"]))
-@click.option("--states", default=70_000, show_default=True, help="Of each case, at most.")
-@click.option("--seconds", default=60.0, show_default=True, help="For each case, at most.")
+@click.option(
+    "--states", default=70_000, show_default=True, help="Explore at most this many states of each case."
+)
+@click.option(
+    "--seconds", default=60.0, show_default=True, help="Explore each case for at most this many seconds."
+)
 def explore(name: str, states: int, seconds: float) -> None:
-    """Explore a protocol over the real decisions; exit with 1 and the shortest trace if a property breaks."""
+    """Model-check a protocol on the real code; if a property fails, print the trace and exit with 1."""
     from quartzrouter.model_checking import crossing_fill_model, lease_model, purge_model, quota_model
     from quartzrouter.model_checking.checker import explore as search
 
@@ -22,16 +26,16 @@
         "sharing": [(quota_model.QuotaModel, quota_model.PLAYED)],
         "leases": [(lease_model.LeaseModel, lease_model.PLAYED)],
     }
-    broken = False
-    cases = [(model, *case) for model, played in models[name] for case in played.items()]
+    is_violated = False
+    cases = [(model, *case) for model, bounds_by_case in models[name] for case in bounds_by_case.items()]
     for model, case, bounds in cases:
-        found = search(model(bounds), states, seconds)
-        seen = "all" if found.whole else "not all"
+        result = search(model(bounds), states, seconds)
+        extent = "all" if result.whole else "not all"
         click.echo(
-            f"{case:42} {found.states:8} states, {seen}, {found.steps:8} steps, depth {found.depth:3}, "
-            f"{found.seconds:.1f} s"
+            f"{case:42} {result.states:8} states, {extent}, {result.steps:8} steps, depth {result.depth:3}, "
+            f"{result.seconds:.1f} s"
         )
-        if found.broken:
-            broken = True
-            click.echo(found.shown())
-    sys.exit(1 if broken else 0)
+        if result.broken:
+            is_violated = True
+            click.echo(result.shown())
+    sys.exit(1 if is_violated else 0)
--- a/quartzrouter/cli/keeper.py
+++ b/quartzrouter/cli/keeper.py
@@ -1,4 +1,4 @@
-"""`quartzrouter keeper ...`: an acceptor, one of those that grant leases by majority."""
+"""`quartzrouter keeper ...`: runs an acceptor, one of those whose majority grants leases."""
 
 import sys
 from typing import TYPE_CHECKING
@@ -13,15 +13,18 @@
 
 @click.group()
 def keeper() -> None:
-    """Vote on who does fleet-wide tasks."""
+    """Run a keeper, which votes on who holds fleet-wide tasks."""
 
 
 @keeper.command(epilog="Example: quartzrouter keeper run main.plan --name k0 --folder /var/lib/k0")
 @click.argument("path", metavar="PLAN")
-@click.option("--name", required=True, help="Which of the plan's keepers it is.")
-@click.option("--folder", help="Keeps numbers through a restart; none: holders tell them again.")
+@click.option("--name", required=True, help="Name of this keeper in the plan.")
+@click.option(
+    "--folder",
+    help="Folder that keeps fencing tokens through a restart; without it, holders report them again.",
+)
 def run(path: str, name: str, folder: str | None) -> None:
-    """Vote until SIGTERM; SIGHUP reads the plan anew: its list of keepers may change by one."""
+    """Vote until SIGTERM; SIGHUP reloads the plan, whose list of keepers may change by one."""
     import anyio
 
     from quartzrouter.lease_service import server
@@ -45,7 +48,7 @@
 def terms_reader(path: str, name: str) -> "TermsReader":
     """Returns a function that reads the terms out of a plan, each time it is called.
 
-    That function raises LeasesNotConfiguredError where the plan can't be used, or doesn't name this acceptor.
+    That function raises LeasesNotConfiguredError if the plan can't be used, or doesn't name this acceptor.
     """
     from quartzrouter.config.loader import load
     from quartzrouter.lease_service.plan_terms import LeasesNotConfiguredError, lease_terms
--- a/quartzrouter/cli/lease.py
+++ b/quartzrouter/cli/lease.py
@@ -1,4 +1,4 @@
-"""`quartzrouter lease ...`: who holds which fleet-wide task, and why nobody does."""
+"""`quartzrouter lease ...`: shows who holds fleet-wide tasks, and releases them."""
 
 import json
 import sys
@@ -18,14 +18,14 @@
 
 @click.group()
 def lease() -> None:
-    """See who holds fleet-wide tasks."""
+    """Show who holds fleet-wide tasks."""
 
 
 @lease.command("list", epilog="Example: quartzrouter lease list main.plan")
 @PLAN
 @AS_JSON
 def list_(path: str, as_json: bool) -> None:
-    """List tasks with holder, number and votes; exit with 1 where no majority of keepers answers."""
+    """List tasks with holder, number and votes; exit with 1 if no majority of keepers answers."""
     from quartzrouter.leases.status import describe, task_statuses
 
     terms, answers = _ask(path)
@@ -42,7 +42,7 @@
 
 
 def _as_json(status: "TaskStatus") -> dict[str, Any]:
-    """A task under the keys that `--json` promises."""
+    """Returns the status of a task under the keys that `--json` promises."""
     return {
         "task": status.task,
         "holder": status.holder,
@@ -58,7 +58,7 @@
 @PLAN
 @click.argument("task")
 def why(path: str, task: str) -> None:
-    """Tell who holds a task, since when, who voted for whom; or why nobody holds it."""
+    """Explain who holds a task, since when and by whose votes, or why nobody holds it."""
     from quartzrouter.leases.status import explain
 
     terms, answers = _ask(path)
@@ -68,9 +68,9 @@
 
 @lease.command(epilog="Example: quartzrouter lease watch main.plan")
 @PLAN
-@click.option("--every", type=float, default=0.5, show_default=True, help="Seconds between two looks.")
+@click.option("--every", type=float, default=0.5, show_default=True, help="Seconds between two queries.")
 def watch(path: str, every: float) -> None:
-    """Tell of each change until it is interrupted."""
+    """Print each change of a holder until interrupted."""
     import time
 
     from quartzrouter.leases.status import describe, task_statuses
@@ -94,7 +94,7 @@
 @PLAN
 @click.argument("task")
 def release(path: str, task: str) -> None:
-    """Take a task from its holder once its lease is over: keepers vote for others first, for three leases."""
+    """Take a task from its holder when its lease ends: keepers then prefer others for three leases."""
     import anyio
 
     from quartzrouter.lease_service.queries import ask_all
@@ -103,9 +103,9 @@
     terms, addresses = _lease_terms(path)
     _check_task(terms, task, path)
     answers = anyio.run(ask_all, addresses, RevokeHolder(task))
-    answered = sum(not isinstance(answer, str) for answer in answers.values())
-    click.echo(f"{task}: {answered} of {len(terms.acceptors)} keepers vote for others first now")
-    sys.exit(answered < terms.majority)
+    answer_count = sum(not isinstance(answer, str) for answer in answers.values())
+    click.echo(f"{task}: {answer_count} of {len(terms.acceptors)} keepers prefer other claimants now")
+    sys.exit(answer_count < terms.majority)
 
 
 def _check_task(terms: "LeaseTerms", task: str, path: str) -> None:
@@ -115,12 +115,12 @@
 
 
 def _lease_terms(path: str) -> "tuple[LeaseTerms, Addresses]":
-    """The terms of a plan; ends the command where it has none."""
-    from quartzrouter.cli.plan import checked
+    """Returns the lease terms of a plan; exits if it has none."""
+    from quartzrouter.cli.plan import load_plan_or_exit
     from quartzrouter.lease_service.plan_terms import LeasesNotConfiguredError, lease_terms
 
     try:
-        return lease_terms(checked(path))
+        return lease_terms(load_plan_or_exit(path))
     except LeasesNotConfiguredError as error:
         click.echo(f"quartzrouter: {path}: {error}", err=True)
         sys.exit(1)
--- a/quartzrouter/cli/ledger.py
+++ b/quartzrouter/cli/ledger.py
@@ -1,4 +1,4 @@
-"""`quartzrouter ledger ...`: run the ledger of purges, and look after its folder."""
+"""`quartzrouter ledger ...`: runs the ledger of purges, and checks or repairs its folder."""
 
 import sys
 from typing import TYPE_CHECKING, NoReturn
@@ -17,29 +17,31 @@
 
 @click.group()
 def ledger() -> None:
-    """Keep the ledger of purges."""
+    """Run the ledger of purges."""
 
 
 @ledger.command(epilog="Example: quartzrouter ledger run /var/lib/quartzrouter --listen 127.0.0.1:7700")
 @FOLDER
-@click.option("--listen", type=ADDRESS, default="127.0.0.1:7700", show_default=True, help="Where it listens.")
+@click.option(
+    "--listen", type=ADDRESS, default="127.0.0.1:7700", show_default=True, help="Address on which it listens."
+)
 @click.option(
     "--grace",
     type=TIME,
     default="300ms",
     show_default=True,
-    help="A purge holds this long after it is taken.",
+    help="Time within which an accepted purge takes effect at every router.",
 )
 @click.option(
     "--plan",
     type=click.Path(dir_okay=False),
-    help="Grant shares of the limits that this plan has across a store or the fleet; read again at SIGHUP.",
+    help="Grant shares of the limits that this plan shares across a store or the fleet; reloaded at SIGHUP.",
 )
 @click.option(
-    "--standby", type=ADDRESS, help="Take over the folder once the ledger at this address is silent."
+    "--standby", type=ADDRESS, help="Take over the folder once the ledger at this address stops answering."
 )
-@click.option("--task", help="Grant shares only while this task of the plan's `leases` is held here.")
-@click.option("--name", help="With --task: the claimant's name, one for each process.")
+@click.option("--task", help="Grant shares only while this process holds this task of the plan's `leases`.")
+@click.option("--name", help="With --task: name of the claimant, different for each process.")
 def run(
     folder: str,
     listen: tuple[str, int],
@@ -49,7 +51,7 @@
     task: str | None,
     name: str | None,
 ) -> None:
-    """Take purges and hand them to the fleet until SIGTERM; exit with 3 if another ledger took over."""
+    """Accept purges and send them to the fleet until SIGTERM; exit with 3 if another ledger took over."""
     import anyio
 
     from quartzrouter.purge_log import process
@@ -81,19 +83,19 @@
 
 
 def _lease_client(plan_path: str | None, task: str | None, name: str | None, report):
-    """The client that claims the task of granting, where one is named."""
+    """Returns the client that claims the task of granting, or None if no task is named."""
     if not task:
         return None
     if not plan_path:
         raise click.UsageError("--task needs --plan, which names the keepers")
-    from quartzrouter.cli.plan import checked
+    from quartzrouter.cli.plan import load_plan_or_exit
     from quartzrouter.cli.purge import lease_client_of
 
-    return lease_client_of(checked(plan_path), plan_path, task, name, report)
+    return lease_client_of(load_plan_or_exit(plan_path), plan_path, task, name, report)
 
 
 class PlanUnusableError(ValueError):
-    """A plan that can't be used; the message names the place, the reason and the remedy."""
+    """A plan can't be used; the message names the place, the reason and the remedy."""
 
 
 def budget_reader(path: str) -> "ReadBudgets":
@@ -118,7 +120,7 @@
 @ledger.command(epilog="Example: quartzrouter ledger check /var/lib/quartzrouter")
 @FOLDER
 def check(folder: str) -> None:
-    """Read a folder whole, and say what it holds; exit with 1 if it is damaged."""
+    """Read all of a folder, and print what it contains; exit with 1 if it is damaged."""
     from quartzrouter.purge_log.errors import LogDamagedError
     from quartzrouter.purge_log.segments import highest_epoch, read_log
 
@@ -136,7 +138,7 @@
 @ledger.command(epilog="Example: quartzrouter ledger repair /var/lib/quartzrouter")
 @FOLDER
 def repair(folder: str) -> None:
-    """Give up what follows the first damage.  It may have been promised, so purge all afterwards."""
+    """Drop all purges after the first damage.  They may have been confirmed, so purge all afterwards."""
     from quartzrouter.purge_log import segments
     from quartzrouter.purge_log.errors import LogDamagedError
 
--- a/quartzrouter/cli/parameter_types.py
+++ b/quartzrouter/cli/parameter_types.py
@@ -1,12 +1,15 @@
-"""Kinds of arguments that several commands take: an address, a duration."""
+"""Types of arguments that several commands take: an address, a duration."""
 
 import click
 
 
 class Address(click.ParamType):
+    """A host and a port; converted to a tuple of both."""
+
     name = "address"
 
     def convert(self, value, param, ctx) -> tuple[str, int]:
+        """Converts a text; fails if it is no address."""
         if isinstance(value, tuple):
             return value
         from quartzrouter.configuration_section import ConfigurationError, parse_address
@@ -18,22 +21,23 @@
 
 
 class Time(click.ParamType):
-    """A duration with its unit, as in plans; gives us."""
+    """A duration with its unit, written as in plans; converted to microseconds."""
 
     name = "duration"
 
     def convert(self, value, param, ctx) -> int:
+        """Converts a text; fails if it is no duration."""
         from quartzrouter.config.quantity import Duration, Wrong, quantity
 
         if isinstance(value, int):
             return value
         try:
-            found = quantity(value)
+            duration = quantity(value)
         except Wrong as error:
             self.fail(str(error), param, ctx)
-        if not isinstance(found, Duration):
-            self.fail(f"{value!r} is no duration, as 300ms", param, ctx)
-        return found.us
+        if not isinstance(duration, Duration):
+            self.fail(f"{value!r} is not a duration such as 300ms", param, ctx)
+        return duration.us
 
 
 ADDRESS, TIME = Address(), Time()
--- a/quartzrouter/cli/plan.py
+++ b/quartzrouter/cli/plan.py
@@ -9,16 +9,17 @@
 
 from quartzrouter.config.problems import Broken, Fault, Faults, Source, Weight
 
-if TYPE_CHECKING:  # each command imports what it needs, so that the others start sooner
+if TYPE_CHECKING:  # each command imports what it needs when it is called, so that the others start sooner
     from quartzrouter.config.loader import Loaded
     from quartzrouter.config.model import Plan
 
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON, for editors and CI.")
 PLAN = click.argument("path", metavar="PLAN")
+MAX_VALUE_WIDTH = 50  # of the column of values in `plan explain`; longer ones push their place to the right
 
 
-def read(path: str) -> "Loaded":
-    """The plan at a path, `-` for standard input."""
+def load_plan(path: str) -> "Loaded":
+    """Loads the plan at a path, or from standard input for `-`."""
     from quartzrouter.config.loader import from_disk, load
 
     if path == "-":
@@ -26,20 +27,21 @@
     return load(path)
 
 
-def tell(faults: Faults, err: bool = True) -> None:
+def print_faults(faults: Faults, err: bool = True) -> None:
+    """Prints messages in the order of their places, to standard error or to standard output."""
     for fault in faults.in_order():
         colour = "red" if fault.weight is Weight.ERROR else "yellow"
         head, _, more = fault.shown().partition("\n")
         click.echo(click.style(head, fg=colour) + (f"\n{more}" if more else ""), err=err)
     if faults.left_out:
-        click.echo(f"{faults.left_out} more are left out", err=err)
+        click.echo(f"{faults.left_out} more messages are left out", err=err)
 
 
-def checked(path: str) -> "Plan":
-    """The plan, or its messages and exit status 1."""
-    loaded = read(path)
+def load_plan_or_exit(path: str) -> "Plan":
+    """Loads a plan; if it has faults, prints them and exits with 1."""
+    loaded = load_plan(path)
     if loaded.plan is None:
-        tell(loaded.faults)
+        print_faults(loaded.faults)
         sys.exit(1)
     return loaded.plan
 
@@ -52,59 +54,61 @@
 @plan.command(epilog="Example: quartzrouter plan check --json main.plan")
 @PLAN
 @AS_JSON
-@click.option("--strict", is_flag=True, help="Take warnings for errors.")
+@click.option("--strict", is_flag=True, help="Treat warnings as errors.")
 def check(path: str, as_json: bool, strict: bool) -> None:
     """Check a plan; exit with 1 if it has faults."""
-    loaded = read(path)
+    loaded = load_plan(path)
     bad = bool(loaded.faults.errors) or (strict and bool(loaded.faults.warnings))
     if as_json:
         click.echo(
             json.dumps({"good": not bad, "faults": [f.as_json() for f in loaded.faults.in_order()]}, indent=2)
         )
     else:
-        tell(loaded.faults, err=False)
+        print_faults(loaded.faults, err=False)
         if loaded.plan:
-            made = loaded.plan
+            checked_plan = loaded.plan
             click.echo(
-                f"{path}: {len(made.routes)} routes, {len(made.pools)} pools, {len(made.limits)} limits, "
-                f"{len(loaded.faults.warnings)} warnings"
+                f"{path}: {len(checked_plan.routes)} routes, {len(checked_plan.pools)} pools, "
+                f"{len(checked_plan.limits)} limits, {len(loaded.faults.warnings)} warnings"
             )
     sys.exit(1 if bad else 0)
 
 
 @plan.command(epilog="Example: quartzrouter plan fmt --check *.plan")
 @click.argument("paths", metavar="FILE...", nargs=-1, required=True)
-@click.option("--check", "only", is_flag=True, help="Change nothing; exit with 1 if a file would change.")
-def fmt(paths: tuple[str, ...], only: bool) -> None:
-    """Lay files out in the one layout; `-` reads standard input and prints."""
+@click.option(
+    "--check", "check_only", is_flag=True, help="Change nothing; exit with 1 if a file would change."
+)
+def fmt(paths: tuple[str, ...], check_only: bool) -> None:
+    """Format plan files in place; `-` reads standard input and prints the result."""
     from quartzrouter.config.evaluator import Unreadable
     from quartzrouter.config.formatter import layout
     from quartzrouter.config.loader import from_disk
 
-    bad = False
+    failed = False
     for path in paths:
         try:
             text = sys.stdin.read() if path == "-" else from_disk()(path)
-            made = layout(Source(path, text))
+            formatted = layout(Source(path, text))
         except Unreadable as error:
             click.echo(f"{path}: {error}", err=True)
-            bad = True
+            failed = True
         except Broken as error:
-            tell(_one(error.fault))
-            bad = True
+            print_faults(_single(error.fault))
+            failed = True
         else:
             if path == "-":
-                click.echo(made, nl=False)
-            elif made != text and only:
+                click.echo(formatted, nl=False)
+            elif formatted != text and check_only:
                 click.echo(f"{path} would change")
-                bad = True
-            elif made != text:
-                Path(path).write_text(made)
-                click.echo(f"{path} laid out")
-    sys.exit(1 if bad else 0)
+                failed = True
+            elif formatted != text:
+                Path(path).write_text(formatted)
+                click.echo(f"{path} formatted")
+    sys.exit(1 if failed else 0)
 
 
-def _one(fault: Fault) -> Faults:
+def _single(fault: Fault) -> Faults:
     faults = Faults()
     faults.add(fault)
     return faults
@@ -115,72 +119,77 @@
 @click.argument("new")
 @click.option(
     "--replay",
-    "reqs",
+    "recorded",
     type=click.Path(exists=True, dir_okay=False),
-    help="Recorded reqs, a JSON object a line, to be counted by set.",
+    help="Recorded requests to count by set, a JSON object a line.",
 )
 @AS_JSON
-def diff(old: str, new: str, reqs: str | None, as_json: bool) -> None:
-    """Say which reqs would route differently; exit with 1 if any would."""
+def diff(old: str, new: str, recorded: str | None, as_json: bool) -> None:
+    """List which requests would be routed differently; exit with 1 if any would."""
     from quartzrouter.config.diff import Diff
 
-    found = Diff(checked(old), checked(new))
-    counts, stray = ({}, {}) if reqs is None else found.replay(_recorded(reqs))
+    difference = Diff(load_plan_or_exit(old), load_plan_or_exit(new))
+    counts, stray = ({}, {}) if recorded is None else difference.replay(_recorded_requests(recorded))
     if as_json:
-        told = {"changes": [change.as_json() for change in found.changes], "settings": found.settings}
-        if reqs is not None:
-            told["replayed"] = [
+        report = {
+            "changes": [change.as_json() for change in difference.changes],
+            "settings": difference.settings,
+        }
+        if recorded is not None:
+            report["replayed"] = [
                 {"from": p[0], "to": p[1], "reqs": n} for p, n in counts.items() if p is not None
             ]
-            told["same"] = counts.get(None, 0)
-        click.echo(json.dumps(told, indent=2))
+            report["same"] = counts.get(None, 0)
+        click.echo(json.dumps(report, indent=2))
     else:
-        for change in found.changes:
+        for change in difference.changes:
             click.echo(
-                change.describe() + (f"\n    {counts.get(change.pair, 0)} reqs replayed" if reqs else "")
+                change.describe()
+                + (f"\n    {counts.get(change.pair, 0)} requests replayed" if recorded else "")
             )
-        for key, was, now in found.settings:
+        for key, was, now in difference.settings:
             click.echo(f"{key}: {was} -> {now}")
-        if reqs:
-            click.echo(f"{counts.get(None, 0)} reqs of {sum(counts.values())} route as before")
-        if found.is_empty:
-            click.echo("no req routes differently")
+        if recorded:
+            click.echo(f"{counts.get(None, 0)} of {sum(counts.values())} requests are routed as before")
+        if difference.is_empty:
+            click.echo("no request is routed differently")
     for pair, n in stray.items():
-        click.echo(f"{n} reqs route differently and lie in no set: {pair}: a fault of this program", err=True)
-    sys.exit(0 if found.is_empty and not stray else 1)
+        click.echo(f"internal error: {n} requests of the routes {pair} don't fit the sets", err=True)
+    sys.exit(0 if difference.is_empty and not stray else 1)
 
 
-def _recorded(path: str):
+def _recorded_requests(path: str):
+    """Yields the requests in a file; exits with 2 at a line that is none."""
     from quartzrouter.config.request_sets import RouteQuery
 
     with open(path) as file:
-        for at, line in enumerate(file, 1):
+        for line_number, line in enumerate(file, 1):
             if not line.strip():
                 continue
             try:
-                told = json.loads(line)
+                fields = json.loads(line)
                 yield RouteQuery(
-                    told["store"],
-                    told["host"].lower(),
-                    told["path"],
-                    told.get("method", "GET"),
-                    {k.lower(): v for k, v in told.get("headers", {}).items()},
-                    told.get("params", {}),
+                    fields["store"],
+                    fields["host"].lower(),
+                    fields["path"],
+                    fields.get("method", "GET"),
+                    {k.lower(): v for k, v in fields.get("headers", {}).items()},
+                    fields.get("params", {}),
                 )
             except (ValueError, KeyError, TypeError, AttributeError) as error:
-                click.echo(f"{path}:{at}: no req: {type(error).__name__} {error}", err=True)
+                click.echo(f"{path}:{line_number}: not a request: {type(error).__name__}: {error}", err=True)
                 sys.exit(2)
 
 
 @plan.command(epilog="Example: quartzrouter plan show main.plan | less")
 @PLAN
 def show(path: str) -> None:
-    """Print a plan as evaluated: one record, as JSON, without templates and includes."""
+    """Print a plan as evaluated: as JSON, with all templates and includes expanded."""
     from quartzrouter.config.values import POISON, plain
 
-    loaded = read(path)
+    loaded = load_plan(path)
     if loaded.value is POISON:
-        tell(loaded.faults)
+        print_faults(loaded.faults)
         sys.exit(1)
     click.echo(json.dumps(plain(loaded.value), indent=2))
 
@@ -188,44 +197,51 @@
 @plan.command("compile", epilog="Example: quartzrouter plan compile main.plan > config.json")
 @PLAN
 def compile_(path: str) -> None:
-    """Print the platform's JSON, for NODE_CONFIG and `python -m quartzrouter`."""
+    """Print a plan as the platform's JSON, for NODE_CONFIG and `python -m quartzrouter`."""
     from quartzrouter.config.platform_json import platform_configuration
 
-    made = checked(path)
-    if not made.deployment["journal"]:
-        place = made.places[("deployment",)]
-        tell(
-            _one(
-                Fault(place, "'journal' is missing in 'deployment'", "the platform's configuration names one")
+    checked_plan = load_plan_or_exit(path)
+    if not checked_plan.deployment["journal"]:
+        place = checked_plan.places[("deployment",)]
+        print_faults(
+            _single(
+                Fault(place, "'journal' is missing in 'deployment'", "the platform's configuration needs one")
             )
         )
         sys.exit(1)
-    click.echo(json.dumps(platform_configuration(made), indent=2))
+    click.echo(json.dumps(platform_configuration(checked_plan), indent=2))
 
 
 @plan.command(epilog='Example: quartzrouter plan explain main.plan "GET media.example/photos/rose/3.jpg"')
 @PLAN
 @click.argument("req")
-@click.option("--store", help="The store it comes to; home, where not given.")
+@click.option("--store", help="Store at which the request arrives; the home store by default.")
 @click.option(
-    "-H", "--header", "headers", multiple=True, metavar="NAME:VALUE", help="A header; may be repeated."
+    "-H",
+    "--header",
+    "headers",
+    multiple=True,
+    metavar="NAME:VALUE",
+    help="Header of the request; may be repeated.",
 )
 @AS_JSON
 def explain(path: str, req: str, store: str | None, headers: tuple[str, ...], as_json: bool) -> None:
-    """Say what a req gets, and from which line each value came."""
+    """Explain what a request gets, and which line of the plan each value comes from."""
     from quartzrouter.config.explain import explain, parse_request
 
-    made = checked(path)
+    checked_plan = load_plan_or_exit(path)
     for header in headers:
         if ":" not in header:
             raise click.UsageError(f"the header {header!r} has no ':'")
-    told = {name.strip(): value.strip() for name, _, value in (header.partition(":") for header in headers)}
-    found = parse_request(req, made, store, told)
+    header_values = {
+        name.strip(): value.strip() for name, _, value in (header.partition(":") for header in headers)
+    }
+    found = parse_request(req, checked_plan, store, header_values)
     if found is None:
-        raise click.UsageError("a req is written as [METHOD] [HOST]/PATH[?QUERY]")
-    if store and store not in made.stores:
+        raise click.UsageError("write the request as [METHOD] [HOST]/PATH[?QUERY]")
+    if store and store not in checked_plan.stores:
         raise click.UsageError(f"there is no store '{store}'")
-    lines = explain(made, found)
+    lines = explain(checked_plan, found)
     if as_json:
         click.echo(
             json.dumps(
@@ -233,14 +249,17 @@
             )
         )
         return
-    wide, long = max(len(line.what) for line in lines), max(min(len(line.value), 50) for line in lines)
+    what_width = max(len(line.what) for line in lines)
+    value_width = max(min(len(line.value), MAX_VALUE_WIDTH) for line in lines)
     for what, value, place in lines:
-        click.echo(f"{what:{wide}}  {value:{long}}  {click.style(str(place or ''), dim=True)}".rstrip())
+        click.echo(
+            f"{what:{what_width}}  {value:{value_width}}  {click.style(str(place or ''), dim=True)}".rstrip()
+        )
 
 
 @plan.command(epilog="Example: quartzrouter plan reference > docs/plan-reference.md")
 def reference() -> None:
-    """Print the reference page of all keys."""
+    """Print the reference page of all keys of a plan."""
     from quartzrouter.config.reference import reference
 
     click.echo(reference(), nl=False)
--- a/quartzrouter/cli/purge.py
+++ b/quartzrouter/cli/purge.py
@@ -1,4 +1,4 @@
-"""`quartzrouter purge ...`: send purges, see how far they have come, bring them to caches."""
+"""`quartzrouter purge ...`: sends purges, shows their progress, and delivers them to caches."""
 
 import json
 import sys
@@ -16,13 +16,13 @@
     from quartzrouter.purges import messages
     from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-SHOW_PROGRESS_FROM = 100  # purges sent
-COMPLETION_POLL_INTERVAL = 0.02  # s
-FOLLOW_SILENCE_TIMEOUT = 10_000_000  # us without a message after which `follow` connects anew
+MIN_PURGES_FOR_PROGRESS_BAR = 100
+COMPLETION_POLL_INTERVAL = 0.02  # seconds
+FOLLOW_SILENCE_TIMEOUT = 10_000_000  # microseconds without a message after which `follow` reconnects
 KINDS_WITH_VALUES = ("object", "tag", "pattern")
 EXIT_SUCCESS = 0
-EXIT_REJECTED = 1  # also where a purge is not complete, or no purge log answers
-EXIT_NOT_COMPLETE = 2  # within --wait
+EXIT_REJECTED = 1  # also if a purge is not complete, or if no purge log answers
+EXIT_NOT_COMPLETE = 2  # within the time that --wait gives
 MICROSECONDS_PER_SECOND = 1e6
 MICROSECONDS_PER_MILLISECOND = 1000
 Addresses = Sequence[tuple[str, int]]
@@ -34,48 +34,62 @@
     multiple=True,
     default=("127.0.0.1:7700",),
     show_default=True,
-    help="Where a ledger listens; may be repeated.",
+    help="Address of a ledger; may be repeated.",
 )
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="Print JSON.")
 
 
 @click.group()
 def purge() -> None:
-    """Purge objects, tags and patterns at the whole fleet."""
+    """Purge objects by name, tag or pattern in all caches of the fleet."""
 
 
 @purge.command(
     epilog='Example: quartzrouter purge send --tag rose --wait 5s  |  purge send --pattern "/photos/rose/**"'
 )
 @LEDGERS
-@click.option("--object", "objects", multiple=True, help="An object, as routes name it; may be repeated.")
-@click.option("--tag", "tags", multiple=True, help="All that carry a tag; may be repeated.")
-@click.option("--pattern", "patterns", multiple=True, help="All whose [HOST]/PATH matches; may be repeated.")
 @click.option(
-    "--all", "whole", is_flag=True, help="All of the vhost and store; of everything, if neither is given."
+    "--object", "objects", multiple=True, help="Name of an object, as routes make it; may be repeated."
 )
-@click.option("--vhost", default="", help="Of this vhost only.")
-@click.option("--store", default="", help="In caches at this store only.")
-@click.option("--key", default="", help="By which the same purge sent twice is one; drawn, if not given.")
+@click.option("--tag", "tags", multiple=True, help="All objects with this tag; may be repeated.")
 @click.option(
-    "--from", "file", type=click.File(), help="One purge a line: object, tag or pattern, and its value."
+    "--pattern", "patterns", multiple=True, help="All objects whose [HOST]/PATH matches; may be repeated."
 )
-@click.option("--wait", type=TIME, help="Wait until it is complete, for at most this long.")
+@click.option(
+    "--all",
+    "everything",
+    is_flag=True,
+    help="All objects of the vhost and store; without those, all objects.",
+)
+@click.option("--vhost", default="", help="Only objects of this vhost.")
+@click.option("--store", default="", help="Only copies in caches at this store.")
+@click.option(
+    "--key",
+    default="",
+    help="Idempotency key: a purge sent again with the same key counts once; random by default.",
+)
+@click.option(
+    "--from",
+    "file",
+    type=click.File(),
+    help="File with a purge on each line: object, tag or pattern, and its value.",
+)
+@click.option("--wait", type=TIME, help="Wait until the purges are complete, for at most this long.")
 @AS_JSON
-def send(ledgers, objects, tags, patterns, whole, vhost, store, key, file, wait, as_json) -> None:
-    """Send purges; exit with 1 if one is refused, with 2 if --wait runs out."""
+def send(ledgers, objects, tags, patterns, everything, vhost, store, key, file, wait, as_json) -> None:
+    """Send purges; exit with 1 if one is rejected, with 2 if they aren't complete after --wait."""
     import secrets
 
     from quartzrouter.purges.messages import RequestRejected
 
     values_by_kind = {"object": objects, "tag": tags, "pattern": patterns}
-    requests = _requests_of_options(values_by_kind, whole, vhost, store, key)
+    requests = _requests_of_options(values_by_kind, everything, vhost, store, key)
     requests += _requests_of_file(file, vhost, store, key) if file else []
     if not requests:
         raise click.UsageError("nothing to purge: give --object, --tag, --pattern, --all or --from")
     for request in requests:
-        request.key = request.key or secrets.token_hex(8)  # sent again, it is still one purge
-    answers = ran(_send, ledgers, requests)
+        request.key = request.key or secrets.token_hex(8)  # a retry with the same key is still one purge
+    answers = run_or_exit(_send, ledgers, requests)
     rejections = [answer for answer in answers if isinstance(answer, RequestRejected)]
     accepted = [answer for answer in answers if not isinstance(answer, RequestRejected)]
     for rejection in rejections:
@@ -83,7 +97,7 @@
     _print_accepted(accepted, as_json)
     is_complete = True
     if wait and accepted:
-        status = ran(_wait_until_complete, ledgers, accepted[-1].sequence_number, wait)
+        status = run_or_exit(_wait_until_complete, ledgers, accepted[-1].sequence_number, wait)
         _print_status(status, as_json)
         is_complete = status.is_complete
     if rejections:
@@ -98,7 +112,7 @@
     store: str,
     key: str,
 ) -> "list[messages.PurgeRequest]":
-    """One purge for each kind; a key is made one for each kind as well."""
+    """Returns one purge for each kind; each gets a key of its own, made of the given one."""
     from quartzrouter.purges.messages import PurgeRequest
 
     requests = [
@@ -112,7 +126,7 @@
 
 
 def _requests_of_file(file: Iterable[str], vhost: str, store: str, key: str) -> "list[messages.PurgeRequest]":
-    """One purge for each line: a kind, a blank, and values."""
+    """Returns one purge for each line, which has a kind, a blank, and values."""
     from quartzrouter.purges.messages import PurgeRequest
 
     requests = []
@@ -120,7 +134,7 @@
         kind, _, values = line.strip().partition(" ")
         if kind not in KINDS_WITH_VALUES or not values.strip():
             place = f"{getattr(file, 'name', '')}:{line_number}"
-            raise click.UsageError(f"{place}: no purge: write object, tag or pattern, and its value")
+            raise click.UsageError(f"{place}: not a purge: write object, tag or pattern, and its value")
         line_key = key and f"{key}-{line_number}"
         requests.append(PurgeRequest(kind, tuple(values.split()), vhost, store, line_key))
     return requests
@@ -129,7 +143,7 @@
 async def _send(ledgers: Addresses, requests: "list[messages.PurgeRequest]") -> "list[messages.FromPurgeLog]":
     from quartzrouter.purge_log.query_client import QueryClient
 
-    is_quiet = len(requests) < SHOW_PROGRESS_FROM
+    is_quiet = len(requests) < MIN_PURGES_FOR_PROGRESS_BAR
     with click.progressbar(length=len(requests), label="sending", file=sys.stderr, hidden=is_quiet) as bar:
         return await QueryClient(ledgers).ask_all(requests, bar.update)
 
@@ -146,13 +160,13 @@
         ]
         click.echo(json.dumps(answers))
         return
-    if len(accepted) > SHOW_PROGRESS_FROM:
-        click.echo(f"purges {accepted[0].sequence_number} to {accepted[-1].sequence_number} are taken")
+    if len(accepted) > MIN_PURGES_FOR_PROGRESS_BAR:
+        click.echo(f"purges {accepted[0].sequence_number} to {accepted[-1].sequence_number} are accepted")
         return
     for answer in accepted:
-        again = ", as it had been before" if answer.is_duplicate else ""
+        again = " (it had been before)" if answer.is_duplicate else ""
         promised = f"promised within {_milliseconds(answer.promised_within)}"
-        click.echo(f"purge {answer.sequence_number} is taken{again}; {promised}")
+        click.echo(f"purge {answer.sequence_number} is accepted{again}; {promised}")
 
 
 def _print_rejection(rejection: "messages.RequestRejected") -> None:
@@ -185,10 +199,10 @@
 @LEDGERS
 @AS_JSON
 def status(number: int, ledgers: Addresses, as_json: bool) -> None:
-    """Say how far a purge has come, the last where none is named; exit with 1 if it isn't complete."""
+    """Show the progress of a purge, by default of the last one; exit with 1 if it isn't complete."""
     from quartzrouter.purges.messages import StatusQuery
 
-    purge_status = ran(ask, ledgers, StatusQuery(number))
+    purge_status = run_or_exit(ask, ledgers, StatusQuery(number))
     _print_status(purge_status, as_json)
     sys.exit(EXIT_SUCCESS if purge_status.is_complete else EXIT_REJECTED)
 
@@ -205,13 +219,13 @@
         click.echo(json.dumps(msgspec.to_builtins(status)))
         return
     if not status.sequence_number:
-        click.echo("no purge has been taken yet")
+        click.echo("no purge has been accepted yet")
         return
     purge_name = f"purge {status.sequence_number}, {status.description}"
     promised = f"{_milliseconds(status.promised_within)} promised"
     if not status.is_complete:
         waiting_for = ", ".join(status.waiting_for) or "the ledger's own first lease"
-        click.echo(f"{purge_name}: waits for {waiting_for}; {promised}")
+        click.echo(f"{purge_name}: waiting for {waiting_for}; {promised}")
     elif status.completed_after:
         click.echo(f"{purge_name}: complete after {_milliseconds(status.completed_after)}, {promised}")
     else:
@@ -225,7 +239,7 @@
     percentiles = ", ".join(
         f"{name} {delays[name] / MICROSECONDS_PER_MILLISECOND:.1f} ms" for name in ("p50", "p99", "highest")
     )
-    click.echo(f"{delays['purges']} purges since its start: {percentiles}; {delays['missed']} late")
+    click.echo(f"{delays['purges']} purges since the ledger's start: {percentiles}; {delays['missed']} late")
 
 
 def _milliseconds(microseconds: int) -> str:
@@ -236,12 +250,12 @@
 @LEDGERS
 @AS_JSON
 def members(ledgers: Addresses, as_json: bool) -> None:
-    """List routers and caches, and how far each has come."""
+    """List routers and caches, and the progress of each."""
     import msgspec
 
     from quartzrouter.purges.messages import MembersQuery
 
-    reply = ran(ask, ledgers, MembersQuery())
+    reply = run_or_exit(ask, ledgers, MembersQuery())
     if as_json:
         click.echo(json.dumps(msgspec.to_builtins(reply)))
         return
@@ -258,10 +272,12 @@
 
 @purge.command(epilog="Example: quartzrouter purge follow --after 0 | head")
 @LEDGERS
-@click.option("--after", type=int, help="From behind this number; from now on, if not given.")
+@click.option(
+    "--after", type=int, help="Start after the purge of this number; by default with the next purge."
+)
 def follow(ledgers: Addresses, after: int | None) -> None:
-    """Print purges as they are taken, one JSON object a line, until interrupted."""
-    ran(_follow, ledgers, after)
+    """Print purges as they are accepted, one JSON object a line, until interrupted."""
+    run_or_exit(_follow, ledgers, after)
 
 
 async def _follow(ledgers: Addresses, after: int | None) -> None:
@@ -305,24 +321,24 @@
 
 @purge.command(epilog="Example: quartzrouter purge deliver main.plan")
 @click.argument("path", metavar="PLAN")
-@click.option("--rate", type=float, default=500.0, show_default=True, help="Purges a second to one cache.")
-@click.option("--only", multiple=True, help="These caches only; may be repeated.")
-@click.option("--task", help="Deliver only while this task of the plan's `leases` is held here.")
-@click.option("--name", help="With --task: the claimant's name, one for each process.")
+@click.option("--rate", type=float, default=500.0, show_default=True, help="Purges a second to each cache.")
+@click.option("--only", multiple=True, help="Deliver to this cache only; may be repeated.")
+@click.option("--task", help="Deliver only while this process holds this task of the plan's `leases`.")
+@click.option("--name", help="With --task: name of the claimant, different for each process.")
 def deliver(path: str, rate: float, only: tuple[str, ...], task: str | None, name: str | None) -> None:
-    """Bring purges to the caches that a plan lists, by HTTP PURGE, until SIGTERM."""
+    """Deliver purges to the caches that a plan lists, by HTTP PURGE, until SIGTERM."""
     import anyio
 
-    from quartzrouter.cli.plan import checked
+    from quartzrouter.cli.plan import load_plan_or_exit
     from quartzrouter.config.purge_settings import settle_time_of
     from quartzrouter.configuration_section import parse_address
     from quartzrouter.purge_log.delivery import DeliverySettings
-    from quartzrouter.purge_log.delivery import deliver as run_courier
+    from quartzrouter.purge_log.delivery import deliver as run_delivery
     from quartzrouter.server.clock import wall_clock
     from quartzrouter.server.event_loop import BACKEND_OPTIONS
     from quartzrouter.standalone.structured_log import StructuredLog, logger
 
-    plan = checked(path)
+    plan = load_plan_or_exit(path)
     if not plan.purges:
         raise click.UsageError(f"{path} names no ledger: give it `purges`")
     targets = _delivery_targets(plan)
@@ -335,11 +351,11 @@
     lease_client = lease_client_of(plan, path, task, name, report) if task else None
     settings = DeliverySettings(plan.purges["grace"], rate, settle_time_of(plan.purges, plan.vhosts))
     arguments = (targets, purge_logs, settings, report, lease_client, task)
-    anyio.run(run_courier, *arguments, backend_options=BACKEND_OPTIONS)
+    anyio.run(run_delivery, *arguments, backend_options=BACKEND_OPTIONS)
 
 
 def _delivery_targets(plan: "Plan") -> "dict[str, DeliveryTarget]":
-    """The caches and parents of a plan; origins keep no copies."""
+    """Returns the caches and parents of a plan; origins keep no copies."""
     from quartzrouter.configuration_section import parse_address
     from quartzrouter.purge_log.delivery import DeliveryTarget
 
@@ -355,7 +371,7 @@
 def lease_client_of(
     plan: "Plan", path: str, task: str, name: str | None, report: "RateLimitedLog"
 ) -> "ClusterLeaseClient":
-    """Returns the client that claims a task of a plan's lease service; exits where the plan has no such task.
+    """Returns the client that claims a task of a plan's lease service; exits if there is none.
 
     :param path: of the plan, for messages.
     :param name: of the claimant.
@@ -365,7 +381,7 @@
     from quartzrouter.lease_service.plan_terms import lease_terms as terms
 
     if not name:
-        raise click.UsageError("--task needs --name: claimants are told apart by it")
+        raise click.UsageError("--task needs --name, which tells claimants apart")
     try:
         lease_terms, addresses = terms(plan)
     except LeasesNotConfiguredError as error:
@@ -389,10 +405,10 @@
     return await QueryClient(ledgers).ask(message)
 
 
-def ran(function: Callable[..., Awaitable[Any]], *arguments: Any) -> Any:
-    """Runs a function to its end; exits with one line where no purge log answers.
+def run_or_exit(function: Callable[..., Awaitable[Any]], *arguments: Any) -> Any:
+    """Runs an async function; exits with one line if no purge log answers.
 
-    :returns: what it returns.
+    :returns: what the function returns.
     """
     import anyio
 
@@ -401,6 +417,6 @@
     try:
         return anyio.run(function, *arguments)
     except UnreachableError as error:
-        _exit_with(f"no ledger answers: {error}; see that it runs, or name another with --ledger")
+        _exit_with(f"no ledger answers: {error}; check that it runs, or name another with --ledger")
     except KeyboardInterrupt:
         sys.exit(EXIT_SUCCESS)
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -470,7 +470,7 @@
 
 def printed(name: str, patch: pytest.MonkeyPatch) -> bytes:
     for module in (cli_purge, cli_fleet):
-        patch.setattr(module, "ran", answered)
+        patch.setattr(module, "run_or_exit", answered)
     patch.setattr(cli_lease, "_ask", lambda path: (LEASES, KEEPS))
     arguments, status = COMMANDS[name]
     groups = {
--- a/tests/test_shared_limits.py
+++ b/tests/test_shared_limits.py
@@ -358,10 +358,10 @@
         assert "calls: 50/s" in budgets_shown and "wants      5.0/s" in budgets_shown
         budget = json.loads(await member.command("budgets", "--json"))[0]
         assert budget["holders"][0]["name"] == "r" and budget["rate"] == 50
-        assert "1 budgets, 0 asks not obeyed" in await member.command("status")
+        assert "1 budgets, 0 quota requests refused" in await member.command("status")
         status = json.loads(await member.command("status", "--json"))
         assert status["budgets"] == 1 and status["silent"] == ["r"]  # it has acknowledged nothing
-        assert "no cache is left out" in await member.command("judgements")
+        assert "no cache is ejected" in await member.command("judgements")
         observations = tuple(CacheObservation(f"n{index}", index == 0, 3, 0, 2, 3) for index in range(3))
         await member.send(messages.HealthReport("north", observations, 3))
         await member.send(QuotaRequests(()))
