--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,9 +16,10 @@
 BROKEN = str(ROOT / "tests/broken/key_unknown.plan")
 
 
-def call(*arguments, given=None):
-    made = CliRunner().invoke(cli, arguments, input=given, catch_exceptions=False)
-    return made.exit_code, made.output
+def run_cli(*arguments, stdin=None):
+    """Runs a command; returns its exit status and what it prints."""
+    result = CliRunner().invoke(cli, arguments, input=stdin, catch_exceptions=False)
+    return result.exit_code, result.output
 
 
 @pytest.mark.parametrize(
@@ -45,35 +46,35 @@
     ],
 )
 def test_exit_status(words, status):
-    code, said = call(*words)
-    assert code == status, said
-    assert "Traceback" not in said
+    code, output = run_cli(*words)
+    assert code == status, output
+    assert "Traceback" not in output
 
 
 def test_check_reads_standard_input_and_prints_json():
-    code, said = call("plan", "check", "--json", "-", given="{ deployment: { naem: 3 } }")
-    told = json.loads(said)
-    assert code == 1 and not told["good"]
-    assert ("-", 1, 17) in [(fault["file"], fault["line"], fault["column"]) for fault in told["faults"]]
+    code, output = run_cli("plan", "check", "--json", "-", stdin="{ deployment: { naem: 3 } }")
+    report = json.loads(output)
+    assert code == 1 and not report["good"]
+    assert ("-", 1, 17) in [(fault["file"], fault["line"], fault["column"]) for fault in report["faults"]]
 
 
 def test_fmt_of_standard_input():
-    assert call("plan", "fmt", "-", given="{a:1,b:[1,2]}") == (0, "{ a: 1, b: [1, 2] }\n")
+    assert run_cli("plan", "fmt", "-", stdin="{a:1,b:[1,2]}") == (0, "{ a: 1, b: [1, 2] }\n")
 
 
 def test_explain_names_the_line_of_each_value():
-    code, said = call("plan", "explain", "--json", REGIONS, "media.lakes.example/video/rose/3")
-    told = {line["what"]: line for line in json.loads(said)}
-    assert code == 0 and told["route"]["value"] == "video" and told["capture clip"]["value"] == "rose"
-    assert told["client_timeout"]["place"].endswith("vhosts.plan:16:21")
-    assert told["come_back"]["value"] == "1s" and told["also matched by"]["value"] == "pages"
+    code, output = run_cli("plan", "explain", "--json", REGIONS, "media.lakes.example/video/rose/3")
+    lines = {line["what"]: line for line in json.loads(output)}
+    assert code == 0 and lines["route"]["value"] == "video" and lines["capture clip"]["value"] == "rose"
+    assert lines["client_timeout"]["place"].endswith("vhosts.plan:16:21")
+    assert lines["come_back"]["value"] == "1s" and lines["also matched by"]["value"] == "pages"
 
 
 def test_compiled_plans_start_the_platforms_router():
     from quartzrouter.configuration import Configuration
 
-    _, said = call("plan", "compile", HOLDS)
-    configuration = Configuration(json.loads(said), {})
+    _, output = run_cli("plan", "compile", HOLDS)
+    configuration = Configuration(json.loads(output), {})
     assert configuration.discovery_address == ("127.0.0.1", 4222) and [
         v.name for v in configuration.settings.traffic_classes
     ] == [
@@ -81,8 +82,8 @@
         "release",
         "stock",
     ]
-    made = load(HOLDS).plan
-    assert configuration.settings.traffic_classes == list(made.vhosts.values())
+    plan = load(HOLDS).plan
+    assert configuration.settings.traffic_classes == list(plan.vhosts.values())
 
 
 def test_diff_replays_recorded_reqs(tmp_path):
@@ -93,15 +94,17 @@
         text.replace("all: {", 'care: { match: { path: "/care/**" }, vhost: "page", pool: "far" }, all: {')
     )
     paths = ["/care/rose", "/care/lily", "/a", "/b"]
-    lines = [json.dumps({"store": "north", "host": "x", "path": path}) for path in paths]
-    reqs.write_text("\n".join(lines))
-    code, said = call("plan", "diff", "--json", "--replay", str(reqs), str(old), str(new))
-    told = json.loads(said)
-    assert code == 1 and told["replayed"] == [{"from": "all", "to": "care", "reqs": 2}] and told["same"] == 2
-    (change,) = told["changes"]
+    requests = [json.dumps({"store": "north", "host": "x", "path": path}) for path in paths]
+    reqs.write_text("\n".join(requests))
+    code, output = run_cli("plan", "diff", "--json", "--replay", str(reqs), str(old), str(new))
+    report = json.loads(output)
+    assert (
+        code == 1 and report["replayed"] == [{"from": "all", "to": "care", "reqs": 2}] and report["same"] == 2
+    )
+    (change,) = report["changes"]
     assert change["what"]["pool"] == ["near", "far"] and change["witness"]["path"].startswith("/care/")
     reqs.write_text("{}\n")
-    assert call("plan", "diff", "--replay", str(reqs), str(old), str(new))[0] == 2
+    assert run_cli("plan", "diff", "--replay", str(reqs), str(old), str(new))[0] == 2
 
 
 def test_the_reference_page_is_as_the_vocabulary_has_it():
@@ -109,11 +112,12 @@
 
 
 def test_the_platforms_router_imports_no_library_of_the_tools():
+    """The platform installs only the dependencies of the router, not those of the optional tools."""
     import subprocess
     import sys
 
     code = "import sys, quartzrouter.server.process, quartzrouter.drill.host; print(*sys.modules)"
-    told = subprocess.run(
+    modules = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     ).stdout.split()
     assert not {
@@ -123,4 +127,4 @@
         "xxhash",
         "quartzrouter.config",
         "quartzrouter.pool_routing",
-    } & set(told)
+    } & set(modules)
--- a/tests/test_plan_properties.py
+++ b/tests/test_plan_properties.py
@@ -1,4 +1,10 @@
-"""Plans: layout keeps the meaning, shadowing and diff equal brute force, nothing else is raised."""
+"""Properties of plans, on drawn examples.
+
+The layout keeps the meaning, shadowing and diff find what brute force finds, and no text raises anything but
+faults.
+
+The examples are drawn by the source of each test function (derandomize), so an edit in one draws others.
+"""
 
 import itertools
 import re
@@ -35,17 +41,18 @@
 )
 
 
-def joined(items, gap, opening, closing):
+def bracketed(items, gap, opening, closing):
     return opening + gap + f",{gap}".join(items) + ("," if items and "\n" in gap else "") + gap + closing
 
 
-def inner(children):
+def composite_expressions(children):
+    """Returns the strategy for expressions that contain others."""
     field = st.tuples(st.sampled_from(["{}: ", "{}+: ", "override {}: ", "[{}]: "]), NAMES, children).map(
         lambda t: t[0].format(t[1]) + t[2]
     )
     return st.one_of(
-        st.tuples(st.lists(children, max_size=3), GAPS).map(lambda t: joined(t[0], t[1], "[", "]")),
-        st.tuples(st.lists(field, max_size=4), GAPS).map(lambda t: joined(t[0], t[1], "{", "}")),
+        st.tuples(st.lists(children, max_size=3), GAPS).map(lambda t: bracketed(t[0], t[1], "[", "]")),
+        st.tuples(st.lists(field, max_size=4), GAPS).map(lambda t: bracketed(t[0], t[1], "{", "}")),
         st.tuples(field, GAPS, children).map(
             lambda t: "{" + t[1] + t[0] + t[1] + "for k in " + t[2] + t[1] + "}"
         ),
@@ -63,17 +70,17 @@
     )
 
 
-EXPRESSIONS = st.recursive(LEAVES, inner, max_leaves=14)
+EXPRESSIONS = st.recursive(LEAVES, composite_expressions, max_leaves=14)
 
 
 def meaning(node):
-    """A tree without its places and its layout."""
+    """Returns a syntax tree without its places and its layout."""
     if is_dataclass(node) and isinstance(node, syntax_tree.Node):
-        left_out = {"place", "depth", "end", "spread", "name_place"}
+        ignored = {"place", "depth", "end", "spread", "name_place"}
         if isinstance(node, syntax_tree.Text):
-            left_out.add("text")
-        told = [meaning(getattr(node, f.name)) for f in fields(node) if f.name not in left_out]
-        return (type(node).__name__, *told)
+            ignored.add("text")
+        kept = [meaning(getattr(node, f.name)) for f in fields(node) if f.name not in ignored]
+        return (type(node).__name__, *kept)
     return [meaning(item) for item in node] if isinstance(node, list) else node
 
 
@@ -190,7 +197,7 @@
     assert one.walk(asked) == one.match(asked) == bool(one.expression.fullmatch(asked))
 
 
-# -- random plans over a universe small enough to be gone through ------------------------------------------
+# -- random plans, compared with brute force over all requests of a small universe -------------------------
 
 STORES, METHODS, TAGS = ["north", "south"], ["GET", "POST"], [None, "1", "2"]
 HOSTS = ["a", "b", "c.a"]
@@ -228,16 +235,17 @@
 
 
 def plan_of(routes):
+    """Loads a plan with routes r0, r1 and so on, each given by its conditions and its pool."""
     lines = []
     for n, (match, pool) in enumerate(routes):
-        told = ", ".join(f"{key}: {value}" for key, value in match.items())
-        lines.append(f'r{n}: {{ match: {{ {told} }}, vhost: "page", pool: "{pool}" }}')
+        conditions = ", ".join(f"{key}: {value}" for key, value in match.items())
+        lines.append(f'r{n}: {{ match: {{ {conditions} }}, vhost: "page", pool: "{pool}" }}')
     text = BASE % ", ".join(lines)
     return load("main", lambda path: text)
 
 
-def boxes_take(route_match, asked):
-    """Whether a route takes a req, by a reading of its own."""
+def matches(conditions, asked):
+    """Returns whether a route matches a request, independently of the code under test."""
 
     def glob(text, value, sep):
         if text.startswith("**"):
@@ -246,7 +254,7 @@
         out = re.sub(r"\\\{\w+\\\}", f"[^{sep}]+" if sep else ".+", out)
         return re.fullmatch(out.replace(r"\*", f"[^{sep}]*" if sep else ".*"), value) is not None
 
-    listed = {key: re.findall(r'"([^"]*)"', value) for key, value in route_match.items()}
+    listed = {key: re.findall(r'"([^"]*)"', value) for key, value in conditions.items()}
     if "store" in listed and asked.store not in listed["store"]:
         return False
     if "method" in listed and asked.method not in listed["method"]:
@@ -255,16 +263,17 @@
         return False
     if "path" in listed and not glob(listed["path"][0], asked.path, "/"):
         return False
-    if "header" in route_match:
-        told, tag = route_match["header"], asked.headers.get("x-tag")
-        if "true" in told or "*" in told:
+    if "header" in conditions:
+        header, tag = conditions["header"], asked.headers.get("x-tag")
+        if "true" in header or "*" in header:
             return tag is not None
-        return tag is None if "false" in told else tag == "1"
+        return tag is None if "false" in header else tag == "1"
     return True
 
 
 def first(routes, asked):
-    return next((n for n, (match, _) in enumerate(routes) if boxes_take(match, asked)), None)
+    """Returns the index of the first route that matches a request, or None."""
+    return next((n for n, (match, _) in enumerate(routes) if matches(match, asked)), None)
 
 
 @settings(max_examples=120)
