--- a/quartzrouter/config/builder.py
+++ b/quartzrouter/config/builder.py
@@ -28,7 +28,7 @@
     def __init__(self, record: dict[str, Any], check: PlanCheck):
         self.record, self.check = record, check
         self.parts = {
-            name: self._part(name)
+            name: self._valid_entries(name)
             for name in (
                 "stores",
                 "hubs",
@@ -42,7 +42,7 @@
             )
         }
 
-    def _part(self, name: str) -> dict[str, dict[str, Any]]:
+    def _valid_entries(self, name: str) -> dict[str, dict[str, Any]]:
         """Returns the entries that could be converted; a fault has been reported for each of the others."""
         part = self.record.get(name)
         return {k: v for k, v in part.items() if v is not INVALID} if isinstance(part, dict) else {}
@@ -84,7 +84,7 @@
 
     def build(self) -> Plan | None:
         """Returns the plan, or None if faults were found."""
-        deployment, leases = self._deployment(), self._leases()
+        deployment, leases = self._build_deployment(), self._build_leases()
         stores = {
             name: self.resolve(store["hub"], ("stores", name, "hub"), "hubs")
             for name, store in self.parts["stores"].items()
@@ -96,16 +96,16 @@
         self._report_cycles(hubs, "hubs", "over", "the hubs")
         for name, cache in self.parts["caches"].items():
             self.resolve(cache["at"], ("caches", name, "at"), "stores", "hubs")
-            self._cache(name, cache)
-        vhosts = {name: self._vhost(name, record) for name, record in self.parts["vhosts"].items()}
+            self._check_cache(name, cache)
+        vhosts = {name: self._build_vhost(name, record) for name, record in self.parts["vhosts"].items()}
         readable_vhosts = {name: vhost for name, vhost in vhosts.items() if vhost}
         check_life(self.record.get("purges"), readable_vhosts, self.check)
-        policies = self._policies()
-        limits = {name: self._limit(name, record) for name, record in self.parts["limits"].items()}
-        pools = {name: self._pool(name, record) for name, record in self.parts["pools"].items()}
+        policies = self._build_policies()
+        limits = {name: self._build_limit(name, record) for name, record in self.parts["limits"].items()}
+        pools = {name: self._build_pool(name, record) for name, record in self.parts["pools"].items()}
         pools = {name: pool for name, pool in pools.items() if pool}
         self._report_cycles({n: p.fallback for n, p in pools.items()}, "pools", "fallback", "the fallbacks")
-        splits = {name: self._split(name, record) for name, record in self.parts["splits"].items()}
+        splits = {name: self._build_split(name, record) for name, record in self.parts["splits"].items()}
         for name in self.names_in("pools") & self.names_in("splits"):
             self.check.report(
                 self.place("splits", name),
@@ -115,7 +115,8 @@
                 ((self.place("pools", name), "the pool"),),
             )
         routes = [
-            self._route(n, name, record) for n, (name, record) in enumerate(self.parts["routes"].items())
+            self._build_route(n, name, record)
+            for n, (name, record) in enumerate(self.parts["routes"].items())
         ]
         if (
             not self.parts["routes"]
@@ -146,9 +147,9 @@
             self.check.places,
         )
 
-    # -- parts ---------------------------------------------------------------------------------------
+    # -- parts of the plan ----------------------------------------------------------------------------------
 
-    def _deployment(self) -> dict[str, Any]:
+    def _build_deployment(self) -> dict[str, Any]:
         record = self.record.get("deployment")
         if not isinstance(record, dict):
             return {}
@@ -174,7 +175,7 @@
             )
         return record
 
-    def _leases(self) -> dict[str, Any] | None:
+    def _build_leases(self) -> dict[str, Any] | None:
         record = self.record.get("leases")
         if not isinstance(record, dict):
             return None
@@ -218,7 +219,7 @@
                 "never",
             )
 
-    def _cache(self, name: str, cache: dict[str, Any]) -> None:
+    def _check_cache(self, name: str, cache: dict[str, Any]) -> None:
         at, tier = cache["at"], cache["tier"]
         if at in self.names_in("hubs") and at not in self.names_in("stores") and tier == "cache":
             self.check.report(
@@ -238,7 +239,7 @@
                 also=((self.place("caches", same_address[0], "address"), "the first"),),
             )
 
-    def _vhost(self, name: str, record: dict[str, Any]) -> TrafficClass | None:
+    def _build_vhost(self, name: str, record: dict[str, Any]) -> TrafficClass | None:
         if any(value is INVALID for value in record.values()):
             return None
         target = record["first_byte_target"] or record["client_timeout"]
@@ -266,7 +267,7 @@
             not record["kept"],
         )
 
-    def _policies(self) -> dict[str, Policy]:
+    def _build_policies(self) -> dict[str, Policy]:
         records = self.parts["policies"]
         parent_of = {
             name: self.resolve(policy["inherits"], ("policies", name, "inherits"), "policies")
@@ -290,7 +291,7 @@
                 policies[name] = Policy(**values)
         return policies
 
-    def _limit(self, name: str, record: dict[str, Any]) -> Limit | None:
+    def _build_limit(self, name: str, record: dict[str, Any]) -> Limit | None:
         if any(value is INVALID for value in record.values()):
             return None
         place = self.place("limits", name)
@@ -356,7 +357,7 @@
             record["counts"],
         )
 
-    def _pool(self, name: str, record: dict[str, Any]) -> Pool | None:
+    def _build_pool(self, name: str, record: dict[str, Any]) -> Pool | None:
         if any(value is INVALID for value in record.values()):
             return None
         path = ("pools", name)
@@ -429,7 +430,7 @@
                 "range",
             )
 
-    def _split(self, name: str, record: dict[str, Any]) -> Split | None:
+    def _build_split(self, name: str, record: dict[str, Any]) -> Split | None:
         parts = record["parts"]
         if parts is INVALID or record["by"] is INVALID or any(share is INVALID for share in parts.values()):
             return None
@@ -445,7 +446,7 @@
             )
         return Split(name, record["by"], tuple(parts.items()))
 
-    def _route(self, order: int, name: str, record: dict[str, Any]) -> Route | None:
+    def _build_route(self, order: int, name: str, record: dict[str, Any]) -> Route | None:
         path = ("routes", name)
         vhost = self.resolve(record["vhost"], (*path, "vhost"), "vhosts")
         pool = self.resolve(record["pool"], (*path, "pool"), "pools", "splits")
--- a/quartzrouter/config/explain.py
+++ b/quartzrouter/config/explain.py
@@ -20,7 +20,7 @@
     """A line of the explanation.
 
     :param what: the key or part that it is about, indented if it belongs to the line before.
-    :param place: where the value was given; None: it is a default, or none of the plan.
+    :param place: where the value was given; None: it is a default, or the plan does not give it.
     """
 
     what: str
