--- a/quartzrouter/config/loader.py
+++ b/quartzrouter/config/loader.py
@@ -5,13 +5,13 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from quartzrouter.config.builder import Build
+from quartzrouter.config.builder import PlanBuilder
 from quartzrouter.config.evaluator import Evaluation, Loader, Unreadable
 from quartzrouter.config.keys import PLAN
 from quartzrouter.config.model import Plan
 from quartzrouter.config.parser import MAX_FILE_BYTES
 from quartzrouter.config.problems import Faults, Place, PlanError, Source
-from quartzrouter.config.schema import BAD, Check
+from quartzrouter.config.schema import INVALID, PlanCheck
 from quartzrouter.config.shadowing import check_routes
 from quartzrouter.config.values import POISON, Slot
 
@@ -95,13 +95,13 @@
     sources = evaluation.sources
     if value is POISON:
         return LoadResult(None, faults, value, sources)
-    check = Check(faults)
+    check = PlanCheck(faults)
     start = Place(sources[0], 1, 1)
     check.places[()] = start
-    checked = PLAN.take(check, (), Slot(value, start))
+    load_plan_or_exit = PLAN.convert(check, (), Slot(value, start))
     plan = None
-    if checked is not BAD:
-        plan = Build(checked, check).plan()
+    if load_plan_or_exit is not INVALID:
+        plan = PlanBuilder(load_plan_or_exit, check).build()
     if plan is not None:
         check_routes(plan, check)
         plan = None if faults.errors else plan
--- a/quartzrouter/config/matcher.py
+++ b/quartzrouter/config/matcher.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from quartzrouter.config.model import Plan, Route
-from quartzrouter.config.request_sets import Asked, Box, Lang
+from quartzrouter.config.request_sets import Box, RouteQuery, TextSet
 
 NO_ORDER = 1 << 31  # greater than the order of any route
 
@@ -50,7 +50,7 @@
                 self._insert(route.order, index, box)
 
     def _insert(self, order: int, index: int, box: Box) -> None:
-        pattern = box.path.yes[0] if box.path.yes else None
+        pattern = box.path.required[0] if box.path.required else None
         node = self.root
         node.first_order = min(node.first_order, order)
         if pattern is None:
@@ -63,7 +63,7 @@
         entries = node.literals.setdefault(pattern.text, []) if is_literal else node.patterns
         insort(entries, (order, index, box), key=lambda item: item[:2])
 
-    def find(self, asked: Asked) -> RouteMatch | None:
+    def find(self, asked: RouteQuery) -> RouteMatch | None:
         """Returns the first route that matches a request, or None."""
         best, node, path = NO_ORDER, self.root, asked.path
         parts = path.split("/")[1:-1]
@@ -83,36 +83,36 @@
         if best == NO_ORDER:
             return None
         route = self.routes[best]
-        pattern = route.boxes[0].path.yes
+        pattern = route.boxes[0].path.required
         return RouteMatch(route, pattern[0].capture(path) if pattern else {})
 
 
-def box_contains(box: Box, asked: Asked, path_matches: bool = False) -> bool:
+def box_contains(box: Box, asked: RouteQuery, path_matches: bool = False) -> bool:
     """Returns True if a request lies in a box.
 
     :param path_matches: True if the path is known to match.
     """
     if asked.store not in box.stores or asked.method not in box.methods:
         return False
-    if not path_matches and not all(one.expression.fullmatch(asked.path) for one in box.path.yes):
+    if not path_matches and not all(one.expression.fullmatch(asked.path) for one in box.path.required):
         return False
-    if box.host.yes and not all(one.expression.fullmatch(asked.host) for one in box.host.yes):
+    if box.host.required and not all(one.expression.fullmatch(asked.host) for one in box.host.required):
         return False
     return _all_match(box.headers, asked.headers) and _all_match(box.params, asked.params)
 
 
-def _all_match(conditions: dict[str, Lang], values: dict[str, str]) -> bool:
+def _all_match(conditions: dict[str, TextSet], values: dict[str, str]) -> bool:
     for name, lang in conditions.items():
         value = values.get(name)
         if value is None:
-            if not lang.absent:
+            if not lang.allows_absent:
                 return False
-        elif not lang.present or not all(one.expression.fullmatch(value) for one in lang.yes):
+        elif not lang.allows_present or not all(one.expression.fullmatch(value) for one in lang.required):
             return False
     return True
 
 
-def first_match(routes: tuple[Route, ...], asked: Asked) -> Route | None:
+def first_match(routes: tuple[Route, ...], asked: RouteQuery) -> Route | None:
     """Returns the route that ``Matcher.find`` finds, by trying each in turn; for tests and benchmarks."""
     return next((route for route in routes if any(box_contains(box, asked) for box in route.boxes)), None)
 
--- a/quartzrouter/pool_routing/route_selection.py
+++ b/quartzrouter/pool_routing/route_selection.py
@@ -5,7 +5,7 @@
 from quartzrouter.config.matcher import Matcher, RouteMatch
 from quartzrouter.config.model import Plan, Policy, Route
 from quartzrouter.config.patterns import TOKEN
-from quartzrouter.config.request_sets import Asked
+from quartzrouter.config.request_sets import RouteQuery
 from quartzrouter.pool_routing.rate_limits import COUNTS_RETRIES, LimitKey
 from quartzrouter.purges import purge_index
 from quartzrouter.purges.object_names import object_id
@@ -41,7 +41,7 @@
     path: str
 
 
-def select_route(plan: Plan, matcher: Matcher, asked: Asked, client: str) -> RouteSelection | None:
+def select_route(plan: Plan, matcher: Matcher, asked: RouteQuery, client: str) -> RouteSelection | None:
     """Selects the route of a request; returns None if no route matches.
 
     :param client: the client, as identified by the router's front end.
@@ -112,24 +112,24 @@
     return f"{route.vhost}@{route.policy}" if route.policy else route.vhost
 
 
-def _tenant(route: Route, found: RouteMatch, asked: Asked) -> str:
+def _tenant(route: Route, found: RouteMatch, asked: RouteQuery) -> str:
     """Returns the tenant, from a capture of the path, else from the header of that name."""
     if not route.tenant:
         return ""
     return found.captures.get(route.tenant) or asked.headers.get(route.tenant.lower(), "")
 
 
-def _fill_template(template: str, found: RouteMatch, asked: Asked) -> str:
+def _fill_template(template: str, found: RouteMatch, asked: RouteQuery) -> str:
     """Returns a template of the plan with its placeholders replaced by captures of the path."""
     values = found.captures | {"host": asked.host, "path": asked.path}
     return TOKEN.sub(lambda token: values[token[1]] if token[1] is not None else token[0], template)
 
 
-def _path_without_chunk(found: RouteMatch, asked: Asked, has_chunk: bool) -> str:
+def _path_without_chunk(found: RouteMatch, asked: RouteQuery, has_chunk: bool) -> str:
     """Returns the host and path, without the chunk number if the path has one."""
     path = asked.path
     if has_chunk:
-        pattern = found.route.boxes[0].path.yes[0]
+        pattern = found.route.boxes[0].path.required[0]
         match = pattern.expression.fullmatch(path)
         start, end = match.span(pattern.captures.index("part") + 1)
         path = f"{path[:start]}{{}}{path[end:]}"
--- a/quartzrouter/standalone/process.py
+++ b/quartzrouter/standalone/process.py
@@ -8,7 +8,7 @@
 
 from quartzrouter.config.loader import LoadResult
 from quartzrouter.config.model import Plan
-from quartzrouter.config.platform_json import compiled, members
+from quartzrouter.config.platform_json import endpoint_list, platform_configuration
 from quartzrouter.configuration import Configuration
 from quartzrouter.configuration_section import ConfigurationError, ConfigurationSection, parse_address
 from quartzrouter.pool_routing.multi_pool_router import MultiPoolRouter
@@ -50,7 +50,7 @@
         self.plan = plan
         self._started_with = plan
         self._logger = log
-        super().__init__(platform_configuration(plan), signals=signals)
+        super().__init__(router_configuration(plan), signals=signals)
         self._reloader = PlanReloader(path, self._apply, self.log)
 
     # -- parts that replace the platform router's ----------------------------------------------------
@@ -153,7 +153,7 @@
 
     def _endpoints_of(self, plan: Plan) -> EndpointUpdate:
         """Returns the endpoints that a plan lists; those not listed before count as just started."""
-        hosts = {"hosts": {"complete": True, "members": members(plan)}}
+        hosts = {"hosts": {"complete": True, "members": endpoint_list(plan)}}
         (update,) = initial_events([ConfigurationSection(hosts)], self.configuration.settings)
         assert isinstance(update, EndpointUpdate)  # as for every entry with hosts
         listed = self.state_machine.addresses
@@ -165,9 +165,9 @@
         return update._replace(endpoints=endpoints)
 
 
-def platform_configuration(plan: Plan) -> Configuration:
+def router_configuration(plan: Plan) -> Configuration:
     """Converts a plan's settings of the router itself to the platform's configuration."""
-    return Configuration(compiled(plan), {}, needs_discovery=False)
+    return Configuration(platform_configuration(plan), {}, needs_discovery=False)
 
 
 def run(path: str, plan: Plan, log: Any, signals: Signals | None = None) -> int:
