--- a/quartzrouter/fault_harness/__init__.py
+++ b/quartzrouter/fault_harness/__init__.py
@@ -1,1 +1,1 @@
-"""The fleet stand: many real processes, links and clocks between them that misbehave, and one history."""
+"""A fault-injection harness: fleets of real processes, faulty links and clocks, and a recorded history."""
--- a/quartzrouter/fault_harness/fault_schedule.py
+++ b/quartzrouter/fault_harness/fault_schedule.py
@@ -1,4 +1,4 @@
-"""What goes wrong, and when: drawn from a seed, written out, played again, cut down while it still fails."""
+"""Schedules of faults: drawn from a seed, stored, played, and shrunk while they still make a check fail."""
 
 import random
 from collections.abc import Awaitable, Callable, Sequence
@@ -9,13 +9,13 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One thing that goes wrong.
+    """One fault; stored as a JSON line.
 
-    :param at_ms: ms after the schedule's start.
-    :param kind: one of the kinds that the fleet that plays it knows.
-    :param target: whom it strikes.
-    :param duration_ms: ms until it is mended.
-    :param amount: how much of it, in the kind's unit.
+    :param at_ms: when it starts, in ms after the start of the schedule.
+    :param kind: one of the kinds that the fleet supports.
+    :param target: the name of what it affects.
+    :param duration_ms: how long it lasts.
+    :param amount: its size, in a unit that depends on the kind.
     """
 
     at_ms: int = msgspec.field(name="at")
@@ -31,65 +31,74 @@
     faults: int,
     until: int,
 ) -> list[Fault]:
-    """So many faults before a time.
+    """Draws a schedule of random faults.
 
-    :param kinds: by name: whom it may strike, least and most ms it lasts, how much.
-    :param until: ms; what lasts ends before it.
+    :param kinds: by kind: possible targets, least and most duration in ms, and possible amounts.
+    :param faults: how many to draw.
+    :param until: ms after the start by which each fault has ended.
     """
-    found = []
-    while len(found) < faults:
-        what = chance.choice(list(kinds))
-        who, (least, most), much = kinds[what]
-        lasts = chance.randint(least, most)
-        at = chance.randint(0, max(0, until - lasts))
-        found.append(Fault(at, what, chance.choice(list(who)), lasts, chance.choice(list(much))))
-    return sorted(found, key=lambda fault: fault.at_ms)
+    drawn = []
+    while len(drawn) < faults:
+        kind = chance.choice(list(kinds))
+        targets, (shortest, longest), amounts = kinds[kind]
+        duration = chance.randint(shortest, longest)
+        at = chance.randint(0, max(0, until - duration))
+        drawn.append(Fault(at, kind, chance.choice(list(targets)), duration, chance.choice(list(amounts))))
+    return sorted(drawn, key=lambda fault: fault.at_ms)
 
 
 def write(path: Path, faults: Sequence[Fault]) -> None:
+    """Writes a schedule, one JSON object per line."""
     path.write_bytes(b"".join(msgspec.json.encode(each) + b"\n" for each in faults))
 
 
 def read(path: Path) -> list[Fault]:
-    """Raises OSError, msgspec.ValidationError and msgspec.DecodeError."""
+    """Reads a schedule.
+
+    :raises OSError: if the file can't be read.
+    :raises msgspec.ValidationError: if a line isn't a fault.
+    :raises msgspec.DecodeError: if a line isn't JSON.
+    """
     return [msgspec.json.decode(line, type=Fault) for line in path.read_bytes().splitlines() if line.strip()]
 
 
-async def play(faults: Sequence[Fault], strike: Callable[[Fault], Awaitable[None]]) -> None:
-    """Strikes with each at its time; returns when all are mended.
+async def play(faults: Sequence[Fault], inject: Callable[[Fault], Awaitable[None]]) -> None:
+    """Injects each fault at its time; returns when all have ended.
 
-    :param strike: does it, waits for as long as it lasts, and mends it.
+    :param inject: starts a fault, waits for its duration and ends it.
     """
     began = anyio.current_time()
 
-    async def one(fault: Fault) -> None:
+    async def play_one(fault: Fault) -> None:
         await anyio.sleep(max(0.0, began + fault.at_ms / 1000 - anyio.current_time()))
-        await strike(fault)
+        await inject(fault)
 
     async with anyio.create_task_group() as tasks:
         for fault in faults:
-            tasks.start_soon(one, fault)
+            tasks.start_soon(play_one, fault)
 
 
-def shrink(faults: Sequence[Fault], fails: Callable[[Sequence[Fault]], bool], tries: int = 64) -> list[Fault]:
-    """A shorter schedule that still fails, by leaving out parts of it (Zeller's delta debugging).
+def shrink(
+    faults: Sequence[Fault], fails: Callable[[Sequence[Fault]], bool], max_plays: int = 64
+) -> list[Fault]:
+    """Finds a shorter schedule that still fails, by leaving out parts of it (Zeller's delta debugging).
 
-    :param fails: plays a schedule and says whether a checker found something.
-    :param tries: how often it is played at most.
+    :param fails: plays a schedule and returns True if a check failed.
+    :param max_plays: how often a schedule is played at most.
     """
     kept, parts = list(faults), 2
-    while len(kept) > 1 and tries > 0:
-        size = -(-len(kept) // parts)
-        for at in range(0, len(kept), size):
-            tries -= 1
-            less = kept[:at] + kept[at + size :]
-            if less and fails(less):
-                kept, parts = less, max(2, parts - 1)
+    while len(kept) > 1 and max_plays > 0:
+        part_size = -(-len(kept) // parts)
+        for start in range(0, len(kept), part_size):
+            max_plays -= 1
+            shorter = kept[:start] + kept[start + part_size :]
+            if shorter and fails(shorter):
+                kept, parts = shorter, max(2, parts - 1)
                 break
-            if tries <= 0:
+            if max_plays <= 0:
                 return kept
         else:
-            if size == 1:
+            if part_size == 1:
                 return kept
             parts = min(len(kept), parts * 2)
     return kept
--- a/quartzrouter/fault_harness/history_checks.py
+++ b/quartzrouter/fault_harness/history_checks.py
@@ -1,4 +1,4 @@
-"""What a history shows of budgets: how much was in use, at the caches, whatever any process believes."""
+"""Checks of a history against budgets and leases: what happened at caches and at the witness."""
 
 from bisect import bisect_right, insort
 from collections import deque
@@ -9,70 +9,92 @@
 from quartzrouter.fault_harness.history import History, HistoryEvent
 from quartzrouter.quota.budget import SECOND, Budget
 
-HALT = 50_000  # us by which an act may reach its witness after its process was stopped: it was on its way
+# us by which an action that was already sent may reach the witness after its process was stopped
+MAX_TRANSIT = 50_000
 
 
 def peak_in_flight(history: History, prefix: str, since: int = 0) -> tuple[int, int]:
-    """The most reqs that were at caches at a time from then on, each req once, and when (us)."""
-    steps: list[tuple[int, int, str]] = []
+    """Returns the most requests that caches were handling at once, and when that was.
+
+    A request that several caches handle counts once.
+
+    :param prefix: of the paths that count.
+    :param since: us; earlier peaks don't count.
+    :returns: the number, and the time in us.
+    """
+    changes: list[tuple[int, int, str]] = []
     for event in history.events_of("arrive", "leave"):
         if event.details["path"].startswith(prefix):
-            steps.append((event.time, 1 if event.kind == "arrive" else -1, event.details["path"]))
-    here: dict[str, int] = {}
-    most, when = 0, 0
-    for at, step, path in sorted(steps):  # at the same us those that leave go first
-        here[path] = here.get(path, 0) + step
-        if not here[path]:
-            del here[path]
-        if len(here) > most and at >= since:
-            most, when = len(here), at
-    return most, when
+            changes.append((event.time, 1 if event.kind == "arrive" else -1, event.details["path"]))
+    in_flight: dict[str, int] = {}
+    peak, peak_time = 0, 0
+    for time, change, path in sorted(changes):  # in the same us, requests end before others arrive
+        in_flight[path] = in_flight.get(path, 0) + change
+        if not in_flight[path]:
+            del in_flight[path]
+        if len(in_flight) > peak and time >= since:
+            peak, peak_time = len(in_flight), time
+    return peak, peak_time
 
 
 def admission_intervals(history: History, prefix: str) -> list[tuple[int, int]]:
-    """For each req that reached a cache: us when its client sent it, and when it first arrived there.
+    """Returns the interval within which the router admitted each request that reached a cache.
 
-    Its router let it through in between.
+    :param prefix: of the paths that count.
+    :returns: for each, us when its client sent it and when it first arrived at a cache.
     """
     arrived: dict[str, int] = {}
     for event in history.events_of("arrive"):
         if event.details["path"].startswith(prefix):
             arrived.setdefault(event.details["path"], event.time)
     sent = {event.details["path"]: event.time for event in history.events_of("send")}
-    return [(sent[path], at) for path, at in arrived.items() if path in sent]
+    return [(sent[path], time) for path, time in arrived.items() if path in sent]
+
 
+def max_budget_excess(requests: Iterable[tuple[int, int]], budget: Budget) -> tuple[float, int, int]:
+    """Returns by how many requests the worst window exceeds the budget.
 
-def max_budget_excess(reqs: Iterable[tuple[int, int]], budget: Budget) -> tuple[float, int, int]:
-    """By how many reqs the worst window had more than the budget allows, and that window in us.
+    A window counts the requests that were certainly admitted in it: sent and arrived within it.
 
-    Counted in a window are those that were surely let through in it: sent and arrived within it.
+    :param requests: as of ``admission_intervals``.
+    :returns: the excess, and begin and end of that window in us.
     """
-    least = budget.max_use(0)
-    slope = (budget.max_use(SECOND) - least) / SECOND
-    worst, window = -least, (0, 0)
-    later: list[int] = []  # arrivals of reqs that were sent at a window's start or after
-    for sent, arrived in sorted(reqs, reverse=True):
-        insort(later, arrived)
-        for count, end in enumerate(later, 1):
-            if (excess := count - least - slope * (end - sent)) > worst:
+    burst = budget.max_use(0)
+    rate = (budget.max_use(SECOND) - burst) / SECOND
+    worst, window = -burst, (0, 0)
+    arrivals: list[int] = []  # of requests that were sent at the window's begin or later
+    for sent, arrived in sorted(requests, reverse=True):
+        insort(arrivals, arrived)
+        for count, end in enumerate(arrivals, 1):
+            if (excess := count - burst - rate * (end - sent)) > worst:
                 worst, window = excess, (sent, end)
     return worst, *window
 
 
 def count_by_status(history: History, prefix: str, since: int, until: int) -> dict[str, int]:
-    """How reqs ended that were sent in that time, by status; `none` for those without an answer."""
-    found: dict[str, int] = {}
+    """Counts responses by status, for requests that were sent in a time; `none` counts those without one.
+
+    :param prefix: of the paths that count.
+    :param since: us.
+    :param until: us.
+    """
+    counts: dict[str, int] = {}
     ended = {event.details["path"]: event.details["status"] for event in history.events_of("end")}
     for event in history.events_of("send"):
         path = event.details["path"]
         if path.startswith(prefix) and since <= event.time < until:
             status = ended.get(path, "none")
-            found[status] = found.get(status, 0) + 1
-    return found
+            counts[status] = counts.get(status, 0) + 1
+    return counts
 
 
 def unanswered(history: History, within: int) -> list[HistoryEvent]:
-    """Reqs without an answer in time; not those whose connection ended with their router."""
+    """Returns the requests that had no response in time, as their "send" events.
+
+    A request whose connection ended because its router was killed isn't among them.
+
+    :param within: us.
+    """
     ended = {event.details["path"]: event.time for event in history.events_of("end", "cut")}
     last = history.events[-1].time
     return [
@@ -84,9 +106,12 @@
 
 @dataclass
 class Action:
-    """An act that its witness took: us of its begin and end, None where no end came.
+    """An action that the witness accepted.
 
-    :param sent_at: us when its word left its process; it may be late on its way.
+    :param actor: the process that acted.
+    :param began_at: us when it reached the witness.
+    :param sent_at: us when its message left the process; it may be delayed on its way.
+    :param ended_at: us; None if no end reached the witness.
     """
 
     actor: str
@@ -97,85 +122,108 @@
 
 
 def actions(history: History) -> list[Action]:
-    """All that a witness took, in their order."""
+    """Returns all actions that the witness accepted, in their order."""
     found: list[Action] = []
-    under_way: dict[str, Action] = {}
-    called: dict[str, int] = {}
+    current: dict[str, Action] = {}
+    last_sent: dict[str, int] = {}
     for event in history.events_of("call", "begin", "finish"):
         if event.kind == "call":
-            called[event.actor] = event.time
+            last_sent[event.actor] = event.time
         elif event.kind == "begin":
-            left = called.get(event.actor, event.time)
-            under_way[event.actor] = Action(event.actor, event.details["number"], event.time, left)
-            found.append(under_way[event.actor])
-        elif (act := under_way.pop(event.actor, None)) and act.fencing_token == event.details["number"]:
-            act.ended_at = event.time
+            sent_at = last_sent.get(event.actor, event.time)
+            current[event.actor] = Action(event.actor, event.details["number"], event.time, sent_at)
+            found.append(current[event.actor])
+        elif (action := current.pop(event.actor, None)) and action.fencing_token == event.details["number"]:
+            action.ended_at = event.time
     return found
 
 
-def overlapping_actions(history: History, most: int) -> list[tuple[Action, Action]]:
-    """Acts that began while another's was under way; not where the other's process was stopped or dead.
+def overlapping_actions(history: History, max_duration: int) -> list[tuple[Action, Action]]:
+    """Returns pairs of actions of which the second began while the first was in progress.
 
-    Whoever is stopped in the middle of an act can't end it; what it says afterwards is refused by its number.
+    A pair doesn't count if the first one's process was stopped or killed meanwhile: it can't end its action,
+    and what it sends afterwards is rejected by its fencing token.
 
-    :param most: us that an act may take; one that takes longer had no CPU, which is a stop as well, or was
-        late on its way.
+    :param max_duration: us that an action may take; a second action that took longer to reach the witness was
+        delayed on its way, or had no CPU, which is a stop as well, and doesn't count.
     """
-    halted: dict[str, list[int]] = {}
+    interruptions: dict[str, list[int]] = {}
     for event in history.events_of("stop", "kill"):
-        halted.setdefault(event.actor, []).append(event.time)
-    found, open_ = [], []
-    for act in actions(history):
-        open_ = [each for each in open_ if each.ended_at is None or each.ended_at > act.began_at]
-        for each in open_:
-            halts = halted.get(each.actor, ())
-            broken_off = any(each.began_at - HALT <= at <= act.began_at for at in halts)
-            if each.actor != act.actor and not broken_off and act.began_at - each.sent_at <= most:
-                found.append((each, act))
-        open_ = [act]
+        interruptions.setdefault(event.actor, []).append(event.time)
+    found, unfinished = [], []
+    for action in actions(history):
+        unfinished = [each for each in unfinished if each.ended_at is None or each.ended_at > action.began_at]
+        for each in unfinished:
+            interrupted_at = interruptions.get(each.actor, ())
+            is_interrupted = any(
+                each.began_at - MAX_TRANSIT <= time <= action.began_at for time in interrupted_at
+            )
+            if (
+                each.actor != action.actor
+                and not is_interrupted
+                and action.began_at - each.sent_at <= max_duration
+            ):
+                found.append((each, action))
+        unfinished = [action]
     return found
 
 
 def decreasing_tokens(history: History) -> list[tuple[Action, Action]]:
-    """Acts of a lower number than one before them, with that one."""
+    """Returns each action with a lower fencing token than an earlier one, behind that earlier one."""
     found: list[tuple[Action, Action]] = []
     highest: Action | None = None
-    for act in actions(history):
-        if highest and act.fencing_token < highest.fencing_token:
-            found.append((highest, act))
-        elif highest is None or act.fencing_token > highest.fencing_token:
-            highest = act
+    for action in actions(history):
+        if highest and action.fencing_token < highest.fencing_token:
+            found.append((highest, action))
+        elif highest is None or action.fencing_token > highest.fencing_token:
+            highest = action
     return found
 
 
 def idle_times(history: History, since: int, until: int) -> list[int]:
-    """us between the end of acts and the begin of the next, in that time; without end, from its begin."""
+    """Returns the times between the end of one action and the begin of the next, in us.
+
+    An action without an end counts as ended when it began.
+
+    :param since: us.
+    :param until: us.
+    """
     found, last = [], since
-    for act in actions(history):
-        if act.began_at >= since:
-            if last >= since and act.began_at <= until:
-                found.append(max(0, act.began_at - last))
-            last = max(last, act.ended_at or act.began_at)
+    for action in actions(history):
+        if action.began_at >= since:
+            if last >= since and action.began_at <= until:
+                found.append(max(0, action.began_at - last))
+            last = max(last, action.ended_at or action.began_at)
     found.append(max(0, until - last))
     return found
 
 
-def max_window_excess(times: Iterable[int], window: int, most: Callable[[int], float]) -> tuple[float, int]:
-    """By how many reqs the worst window had more than a server may be sent, and when that window ended (us).
+def max_window_excess(
+    times: Iterable[int], window: int, max_requests: Callable[[int], float]
+) -> tuple[float, int]:
+    """Returns by how many requests the worst window exceeds what a server may be sent.
 
-    :param most: reqs that may come in a window which ends then.
+    :param times: of requests, us.
+    :param window: its length in us.
+    :param max_requests: returns how many may come in a window, by the window's end in us.
+    :returns: the excess, and the end of that window in us.
+    """
+    worst, worst_end, in_window = -inf, 0, deque()
+    for time in sorted(times):
+        in_window.append(time)
+        while in_window[0] <= time - window:
+            in_window.popleft()
+        if (excess := len(in_window) - max_requests(time)) > worst:
+            worst, worst_end = excess, time
+    return worst, worst_end
+
+
+def arrival_rate(requests: list[tuple[int, int]], since: int, until: int) -> float:
+    """Returns requests per second that arrived in a time.
+
+    :param requests: as of ``admission_intervals``.
+    :param since: us.
+    :param until: us.
     """
-    worst, when, lately = -inf, 0, deque()
-    for at in sorted(times):
-        lately.append(at)
-        while lately[0] <= at - window:
-            lately.popleft()
-        if (excess := len(lately) - most(at)) > worst:
-            worst, when = excess, at
-    return worst, when
-
-
-def arrival_rate(reqs: list[tuple[int, int]], since: int, until: int) -> float:
-    """Reqs a second that arrived in that time."""
-    times = sorted(at for _, at in reqs)
+    times = sorted(arrived for _, arrived in requests)
     return (bisect_right(times, until) - bisect_right(times, since)) / ((until - since) / SECOND)
--- a/quartzrouter/fault_harness/linearizability.py
+++ b/quartzrouter/fault_harness/linearizability.py
@@ -1,8 +1,8 @@
-"""Whether what clients were answered could have come from one party that took one op after the other.
+"""Checks whether concurrent operations are linearizable: whether a sequential order explains their results.
 
-Wing and Gong's search with Lowe's memo: an op may come next if it was called before any op that is still to
-come had its answer; a set of ops that are over and a state that were seen once aren't looked at again.  Ops
-without an answer may have taken effect at any time after their call, or never.
+Wing and Gong's search with Lowe's memoization: an operation may be the next one if it was called before any
+other remaining operation returned; a combination of completed operations and state is examined only once.
+An operation without a result may have taken effect at any time after its call, or never.
 """
 
 from collections.abc import Callable, Hashable, Sequence
@@ -10,14 +10,16 @@
 
 from quartzrouter.fault_harness.history import History
 
-STATES_MOST = 200_000  # looked at; beyond, nothing is known
+MAX_STATES = 200_000  # examined; beyond that the check gives up
 
 
 class Operation(NamedTuple):
-    """:param called_at: us when the client's word passed.
-    :param returned_at: us when the answer did; None: none came.
-    :param arguments: of it, for the spec.
-    :param result: None where none came.
+    """One operation of a client.
+
+    :param called_at: us when the request passed.
+    :param returned_at: us when the response passed; None if there was none.
+    :param arguments: for the specification.
+    :param result: None if there was no response.
     """
 
     called_at: int
@@ -26,73 +28,82 @@
     result: tuple | None
 
 
-# state, what -> the state after it and the answer
+# A sequential specification: takes a state and arguments, returns the next state and the result.
 Spec = Callable[[Hashable, tuple], tuple[Hashable, tuple]]
 
 
 def is_linearizable(ops: Sequence[Operation], spec: Spec, state: Hashable) -> bool | None:
-    """Whether there is an order; None where that isn't found out within bounds."""
+    """Returns True if a sequential order explains all results; None if MAX_STATES didn't suffice to tell.
+
+    :param state: the specification's initial state.
+    """
     ops = sorted(ops, key=lambda op: op.called_at)
     never = max((op.returned_at or op.called_at for op in ops), default=0) + 1
     ends = [never if op.returned_at is None else op.returned_at for op in ops]
-    done = sum(1 << n for n, op in enumerate(ops) if op.returned_at is None)  # those may stay out
-    whole = (1 << len(ops)) - 1
-    seen: set[tuple[int, Hashable]] = set()
-    todo = [(0, 0, state)]
-    while todo:
-        over, first, now = todo.pop()
-        if over | done == whole:
+    optional = sum(1 << n for n, op in enumerate(ops) if op.returned_at is None)  # may not have taken effect
+    all_ops = (1 << len(ops)) - 1
+    examined: set[tuple[int, Hashable]] = set()
+    pending = [(0, 0, state)]
+    while pending:
+        completed, first, now = pending.pop()
+        if completed | optional == all_ops:
             return True
-        while over >> first & 1:
+        while completed >> first & 1:
             first += 1
-        if (over, now) in seen:
+        if (completed, now) in examined:
             continue
-        seen.add((over, now))
-        if len(seen) > STATES_MOST:
+        examined.add((completed, now))
+        if len(examined) > MAX_STATES:
             return None
-        soonest = min(ends[n] for n in _near(ops, ends, over, first))
+        earliest_end = min(ends[n] for n in _candidates(ops, ends, completed, first))
         for n in range(first, len(ops)):
-            if ops[n].called_at > soonest:
+            if ops[n].called_at > earliest_end:
                 break
-            if over >> n & 1:
+            if completed >> n & 1:
                 continue
-            after, answer = spec(now, ops[n].arguments)
-            if ops[n].result is None or ops[n].result == answer:
-                todo.append((over | 1 << n, first, after))
+            next_state, result = spec(now, ops[n].arguments)
+            if ops[n].result is None or ops[n].result == result:
+                pending.append((completed | 1 << n, first, next_state))
     return False
 
 
-def _near(ops: Sequence[Operation], ends: Sequence[int], over: int, first: int) -> list[int]:
-    """Ops still to come, up to one that is called after another of them has ended: later ones end later."""
-    found, soonest = [], None
+def _candidates(ops: Sequence[Operation], ends: Sequence[int], completed: int, first: int) -> list[int]:
+    """Returns the remaining operations among which the earliest end is.
+
+    The search stops at an operation that was called after another one ended: it ends later, as do all that
+    follow it.
+    """
+    found, earliest_end = [], None
     for n in range(first, len(ops)):
-        if over >> n & 1:
+        if completed >> n & 1:
             continue
-        if soonest is not None and ops[n].called_at > soonest:
+        if earliest_end is not None and ops[n].called_at > earliest_end:
             break
         found.append(n)
-        soonest = ends[n] if soonest is None else min(soonest, ends[n])
+        earliest_end = ends[n] if earliest_end is None else min(earliest_end, ends[n])
     return found
 
 
-def fencing_spec(seen: int, what: tuple) -> tuple[int, tuple]:
-    """The spec of whoever is acted on: a number lower than one that has acted is refused."""
-    (number,) = what
-    return (seen, ("no", seen)) if number < seen else (number, ("yes", number))
+def fencing_spec(highest_token: int, arguments: tuple) -> tuple[int, tuple]:
+    """Specifies the witness: it rejects a fencing token lower than the highest that has acted."""
+    (token,) = arguments
+    return (highest_token, ("no", highest_token)) if token < highest_token else (token, ("yes", token))
 
 
 def operations_from_history(history: History) -> list[Operation]:
-    """What passed between claimants and their witness, one op of each at a time."""
+    """Returns the operations of claimants on the witness; each claimant has one at a time."""
     found: list[Operation] = []
-    open_: dict[str, tuple[int, tuple]] = {}
+    in_progress: dict[str, tuple[int, tuple]] = {}
     for event in history.events_of("call", "back"):
         if event.kind == "call":
-            if before := open_.pop(event.actor, None):  # its line has ended without an answer
-                found.append(Operation(before[0], None, before[1], None))
-            open_[event.actor] = (event.time, (event.details["number"],))
-        elif event.actor in open_ and event.details["answer"][0] != "fails":
-            called, what = open_.pop(event.actor)
-            found.append(Operation(called, event.time, what, tuple(event.details["answer"])))
+            if unanswered := in_progress.pop(event.actor, None):  # its connection ended without an answer
+                found.append(Operation(unanswered[0], None, unanswered[1], None))
+            in_progress[event.actor] = (event.time, (event.details["number"],))
+        elif event.actor in in_progress and event.details["answer"][0] != "fails":
+            called_at, arguments = in_progress.pop(event.actor)
+            found.append(Operation(called_at, event.time, arguments, tuple(event.details["answer"])))
         else:
-            open_.pop(event.actor, None)  # what failed has changed nothing
-    return found + [Operation(called, None, what, None) for called, what in open_.values()]
+            in_progress.pop(event.actor, None)  # a failed action has changed nothing
+    return found + [
+        Operation(called_at, None, arguments, None) for called_at, arguments in in_progress.values()
+    ]
--- a/quartzrouter/fault_harness/mutations.py
+++ b/quartzrouter/fault_harness/mutations.py
@@ -1,6 +1,8 @@
-"""What stands in each guard's place when it is taken out: whose method, its name, one that guards nothing.
+"""All mutations: each takes one guard out, and a checker must notice that.
 
-A guard that no fault finds missing is not proven, so each is taken out once, in tests and in rehearsals.
+A guard that no fault finds missing is not proven, so tests and scenarios take each out once. A mutation is
+an attribute to replace, as for ``setattr``: its owner, its name and the replacement that guards nothing. The
+names are those that operators' reports show.
 """
 
 from quartzrouter.fault_harness.quota_mutations import QUOTA, SLOW_START
@@ -12,7 +14,7 @@
 from quartzrouter.purges.freshness_lease import FreshnessLease
 from quartzrouter.purges.purge_index import PurgeIndex
 
-# -- of purges -------------------------------------------------------------------------------------------
+# -- purges ----------------------------------------------------------------------------------------------
 
 PURGES = {
     "lease": (FreshnessLease, "max_age", lambda self, now: 0),
@@ -22,52 +24,53 @@
     "bound": (FleetPurges, "max_age", lambda self, lookup, store, held_by, usual_max_age, now: usual_max_age),
 }
 
-# -- of leases ---------------------------------------------------------------------------------------------
+# -- leases ------------------------------------------------------------------------------------------------
 
-ACCEPTOR_INIT = Acceptor.__init__
-VOTE = Acceptor.vote
-ACQUIRE = Proposer._acquire
-LEASE_CLIENT_INIT = ClusterLeaseClient.__init__
+_start_acceptor = Acceptor.__init__
+_vote = Acceptor.vote
+_acquire = Proposer._acquire
+_start_lease_client = ClusterLeaseClient.__init__
 
 
-def votes_at_once(self, terms, name, now, highest_tokens=None):
-    """An acceptor that forgets, in a restart, that it may have voted."""
-    ACCEPTOR_INIT(self, terms, name, now, highest_tokens)
-    self.voting_starts_at = now
+def votes_at_once(acceptor, terms, name, now, highest_tokens=None):
+    """Replaces ``Acceptor.__init__``: it votes right after a restart, though it may have voted before."""
+    _start_acceptor(acceptor, terms, name, now, highest_tokens)
+    acceptor.voting_starts_at = now
 
 
-def from_the_answer(self, now):
-    """A lease that lasts longer the later its replies come."""
-    requested_at, self.requested_at = self.requested_at, now
-    effects = ACQUIRE(self, now)
-    self.requested_at = requested_at
+def lease_counts_from_reply(proposer, now):
+    """Replaces ``Proposer._acquire``: the lease lasts longer the later its replies come."""
+    requested_at, proposer.requested_at = proposer.requested_at, now
+    effects = _acquire(proposer, now)
+    proposer.requested_at = requested_at
     return effects
 
 
-def votes_for_all(self, request, now):
-    """An acceptor whose votes for other proposers are over as soon as one asks."""
-    for vote in self.votes.values():
+def votes_for_all(acceptor, request, now):
+    """Replaces ``Acceptor.vote``: votes for other proposers expire as soon as one requests a vote."""
+    for vote in acceptor.votes.values():
         vote.expires_at = min(vote.expires_at, now)
-    return VOTE(self, request, now)
+    return _vote(acceptor, request, now)
 
 
-def votes_for_names(self, request, now):
-    """An acceptor that doesn't tell two processes of one name apart."""
-    reply = VOTE(self, request._replace(process_token="same"), now)
+def votes_for_names(acceptor, request, now):
+    """Replaces ``Acceptor.vote``: two processes with the same name count as one."""
+    reply = _vote(acceptor, request._replace(process_token="same"), now)
     return reply._replace(process_token=request.process_token) if isinstance(reply, VoteReply) else reply
 
 
-def leases_by_the_wall_clock(self, terms, addresses, name, report, steady, wall):
-    LEASE_CLIENT_INIT(self, terms, addresses, name, report, wall, wall)
+def expires_by_wall_clock(client, terms, addresses, name, report, steady, wall):
+    """Replaces ``ClusterLeaseClient.__init__``: the clock may be set back."""
+    _start_lease_client(client, terms, addresses, name, report, wall, wall)
 
 
 LEASES = {
     "a keeper votes right after its start": (Acceptor, "__init__", votes_at_once),
-    "a lease counts from its answers": (Proposer, "_acquire", from_the_answer),
+    "a lease counts from its answers": (Proposer, "_acquire", lease_counts_from_reply),
     "the drift is left out": (LeaseTerms, "clock_slack", lambda self, duration: 0),
     "half of the keepers will do": (LeaseTerms, "majority", property(lambda self: len(self.acceptors) // 2)),
     "a keeper votes for all": (Acceptor, "vote", votes_for_all),
     "a name is enough": (Acceptor, "vote", votes_for_names),
-    "leases end by the wall clock": (ClusterLeaseClient, "__init__", leases_by_the_wall_clock),
+    "leases end by the wall clock": (ClusterLeaseClient, "__init__", expires_by_wall_clock),
 }
 MUTATIONS = PURGES | QUOTA | SLOW_START | LEASES
--- a/quartzrouter/fault_harness/proxied_links.py
+++ b/quartzrouter/fault_harness/proxied_links.py
@@ -1,4 +1,4 @@
-"""Links on loopback that misbehave, each way by itself: held, late, reset; lines lost, doubled, swapped."""
+"""TCP proxies on loopback that block, delay or reset connections, and lose, double or swap lines."""
 
 import random
 from collections.abc import AsyncIterator, Callable
@@ -9,19 +9,20 @@
 from quartzrouter.fakes.caches import CONNECTION_LOST
 from quartzrouter.purge_log.line_connection import read_lines
 
-LOOK_EVERY = 0.005  # s between looks whether a held way is open again
-READ = 1 << 16
-UNDER_WAY = 4_096  # pieces of a connection and way
+BLOCKED_POLL_INTERVAL = 0.005  # s between checks of whether a blocked direction is open again
+RECEIVE_SIZE = 1 << 16  # bytes
+MAX_CHUNKS_IN_TRANSIT = 4_096  # per connection and direction
 
 
 @dataclass
 class LinkDirection:
-    """One direction.
+    """One direction of a link, and its faults.
 
-    :param is_blocked: nothing passes, and nobody is told.
-    :param delay: s by which each line is late.
-    :param fault_rate: the share of lines that are lost, doubled or swapped with the next, as `fault_kinds`
-        says.
+    :param is_blocked: nothing passes, and neither side is notified of it.
+    :param delay: seconds by which each line is delayed.
+    :param fault_rate: the share of lines that are lost, doubled or swapped with the next one.
+    :param fault_kinds: which of these happen.
+    :param fault_count: lines to which it has happened.
     """
 
     is_blocked: bool = False
@@ -32,119 +33,130 @@
 
 
 class ProxiedLink:
-    """From a client to a server, the same for all its connections.
+    """A link from clients to one server; its faults affect all connections alike.
 
-    :param to: the server's address.
-    :param is_line_based: what passes is lines, which can be spoilt one by one; else bytes.
-    :param tap: is told of each piece as it comes from a client, and as it goes to one: then with True.
+    :param server_address: host and port that connections are forwarded to.
+    :param is_line_based: lines are forwarded, with faults of single lines; otherwise bytes.
+    :param tap: is called with each chunk when it arrives from a client (False), and when it is sent to one
+        (True).
     """
 
     def __init__(
         self,
-        to: tuple[str, int],
+        server_address: tuple[str, int],
         chance: random.Random,
         is_line_based: bool = True,
-        tap: Callable[[bool, bytes], None] = lambda down, piece: None,
+        tap: Callable[[bool, bytes], None] = lambda down, chunk: None,
     ):
-        self.to, self.chance, self.is_line_based, self.tap = to, chance, is_line_based, tap
+        self.server_address, self.chance, self.is_line_based, self.tap = (
+            server_address,
+            chance,
+            is_line_based,
+            tap,
+        )
         self.up, self.down = LinkDirection(), LinkDirection()  # to the server, to the client
-        self.open: set[anyio.CancelScope] = set()
+        self.connections: set[anyio.CancelScope] = set()
         self.port = 0
 
     @property
     def directions(self) -> tuple[LinkDirection, LinkDirection]:
+        """Both directions: to the server, and to the client."""
         return self.up, self.down
 
     @property
     def fault_count(self) -> int:
+        """Lines that were lost, doubled or swapped in both directions."""
         return self.up.fault_count + self.down.fault_count
 
     def block(self, is_blocked: bool = True) -> None:
-        for way in self.directions:
-            way.is_blocked = is_blocked
+        """Blocks both directions, or opens them again."""
+        for direction in self.directions:
+            direction.is_blocked = is_blocked
 
     def restore(self) -> None:
-        for way in self.directions:
-            way.is_blocked, way.delay, way.fault_rate = False, 0.0, 0.0
+        """Ends all faults of both directions."""
+        for direction in self.directions:
+            direction.is_blocked, direction.delay, direction.fault_rate = False, 0.0, 0.0
 
     def reset(self) -> None:
-        """All its connections end."""
-        for scope in list(self.open):
+        """Closes all connections."""
+        for scope in list(self.connections):
             scope.cancel()
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
+        """Listens at a free port, which it sets."""
         listener = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
         self.port = listener.extra(anyio.abc.SocketAttribute.local_port)
         tasks.start_soon(listener.serve, self._serve)
 
     async def _serve(self, client: anyio.abc.ByteStream) -> None:
         scope = anyio.CancelScope()
-        self.open.add(scope)
+        self.connections.add(scope)
         try:
             with scope:
-                await self._pass(client)
+                await self._forward_connection(client)
         except* CONNECTION_LOST:
             pass
         finally:
-            self.open.discard(scope)
+            self.connections.discard(scope)
             with anyio.CancelScope(shield=True):
                 await anyio.aclose_forcefully(client)
 
-    async def _pass(self, client: anyio.abc.ByteStream) -> None:
-        await _opened(self.up)  # where nothing gets there, no connection does
+    async def _forward_connection(self, client: anyio.abc.ByteStream) -> None:
+        await _wait_until_open(self.up)  # nothing reaches the server, so no connection is made
         async with (
-            await anyio.connect_tcp(*self.to) as server,
+            await anyio.connect_tcp(*self.server_address) as server,
             anyio.create_task_group() as tasks,
         ):
-            tasks.start_soon(self._carry, client, server, self.up, tasks.cancel_scope)
-            await self._carry(server, client, self.down, tasks.cancel_scope)
+            tasks.start_soon(self._forward, client, server, self.up, tasks.cancel_scope)
+            await self._forward(server, client, self.down, tasks.cancel_scope)
 
-    async def _carry(self, source, sink, way: LinkDirection, scope: anyio.CancelScope) -> None:
-        """What is late is under way together: each piece by its own time, none ahead of another."""
-        give, take = anyio.create_memory_object_stream(UNDER_WAY)
+    async def _forward(self, source, sink, direction: LinkDirection, scope: anyio.CancelScope) -> None:
+        """Forwards one direction: each chunk after its own delay, in order; delays don't add up."""
+        give, take = anyio.create_memory_object_stream(MAX_CHUNKS_IN_TRANSIT)
 
         async def read() -> None:
             async with give:
-                async for piece in self._pieces(source, way):
-                    if way is self.up:
-                        self.tap(False, piece)
-                    await give.send((anyio.current_time() + way.delay, piece))
+                async for chunk in self._chunks(source, direction):
+                    if direction is self.up:
+                        self.tap(False, chunk)
+                    await give.send((anyio.current_time() + direction.delay, chunk))
 
         try:
             async with anyio.create_task_group() as tasks, take:
                 tasks.start_soon(read)
-                async for due, piece in take:
+                async for due, chunk in take:
                     await anyio.sleep(max(0.0, due - anyio.current_time()))
-                    await _opened(way)
-                    if way is self.down:
-                        self.tap(True, piece)
-                    await sink.send(piece)
+                    await _wait_until_open(direction)
+                    if direction is self.down:
+                        self.tap(True, chunk)
+                    await sink.send(chunk)
                 tasks.cancel_scope.cancel()
         except* CONNECTION_LOST:
             pass
         scope.cancel()
 
-    async def _pieces(self, source, way: LinkDirection) -> AsyncIterator[bytes]:
-        """What comes from one side, spoilt."""
+    async def _chunks(self, source, direction: LinkDirection) -> AsyncIterator[bytes]:
+        """Yields what one side sends, with lines lost, doubled or swapped."""
         if not self.is_line_based:
             while True:
-                yield await source.receive(READ)
-        kept: bytes | None = None
+                yield await source.receive(RECEIVE_SIZE)
+        swapped: bytes | None = None
         async for line in read_lines(source):
-            out = [line]
-            if way.fault_rate and self.chance.random() < way.fault_rate:
-                way.fault_count += 1
-                what = self.chance.choice(way.fault_kinds)
-                out = [] if what == "lose" else [line, line] if what == "double" else []
-                if what == "swap":
-                    kept = line
+            lines = [line]
+            if direction.fault_rate and self.chance.random() < direction.fault_rate:
+                direction.fault_count += 1
+                fault_kind = self.chance.choice(direction.fault_kinds)
+                lines = [] if fault_kind == "lose" else [line, line] if fault_kind == "double" else []
+                if fault_kind == "swap":
+                    swapped = line
                     continue
-            if kept is not None:
-                out, kept = [*out, kept], None
-            for each in out:
+            if swapped is not None:
+                lines, swapped = [*lines, swapped], None
+            for each in lines:
                 yield each + b"\n"
 
 
-async def _opened(way: LinkDirection) -> None:
-    while way.is_blocked:
-        await anyio.sleep(LOOK_EVERY)
+async def _wait_until_open(direction: LinkDirection) -> None:
+    while direction.is_blocked:
+        await anyio.sleep(BLOCKED_POLL_INTERVAL)
--- a/quartzrouter/fault_harness/skewed_clocks.py
+++ b/quartzrouter/fault_harness/skewed_clocks.py
@@ -1,4 +1,4 @@
-"""Clocks of processes that are off, jump, run fast or slow: told over a page that the process reads."""
+"""Clocks of a process that are off, jump, or run fast or slow, set through a memory-mapped file."""
 
 import mmap
 import struct
@@ -7,11 +7,15 @@
 
 from quartzrouter.server.clock import steady_clock, wall_clock
 
-PAGE = struct.Struct("=qq")  # us by which the wall clock is off; parts in a million by which both run fast
+PAGE = struct.Struct("=qq")  # offset of the wall clock in us, drift of both clocks in parts per million
 
 
 class ClockPage:
-    """What the stand tells of one process's clocks; `offset` may be changed while it runs."""
+    """The harness's side: sets the clocks of one process, whose offset may change while it runs.
+
+    :param offset: us by which the wall clock is ahead.
+    :param drift: parts per million by which both clocks run fast.
+    """
 
     def __init__(self, path: Path, offset: int = 0, drift: int = 0):
         self.path, self.drift = path, drift
@@ -21,28 +25,30 @@
 
     @property
     def offset(self) -> int:
+        """The current offset of the wall clock in us."""
         return PAGE.unpack(self.map[:])[0]
 
     def set_offset(self, offset: int) -> None:
+        """Sets the wall clock, effective at the process's next reading."""
         self.map[:] = PAGE.pack(offset, self.drift)
 
 
 def open_clocks(path: str) -> tuple[Callable[[], int], Callable[[], int]]:
-    """The process's side: its wall clock and its steady one."""
+    """The process's side: returns its wall clock and its steady clock, both in us."""
     with open(path, "r+b") as file:
-        told = mmap.mmap(file.fileno(), PAGE.size, access=mmap.ACCESS_READ)
-    began, since = wall_clock(), steady_clock()
-    fast = PAGE.unpack(told[:])[1]
+        page = mmap.mmap(file.fileno(), PAGE.size, access=mmap.ACCESS_READ)
+    wall_start, steady_start = wall_clock(), steady_clock()
+    drift = PAGE.unpack(page[:])[1]
 
-    def gained(time: int) -> int:
-        return time * fast // 1_000_000
+    def gained(elapsed: int) -> int:
+        return elapsed * drift // 1_000_000
 
     def wall() -> int:
         now = wall_clock()
-        return now + PAGE.unpack(told[:])[0] + gained(now - began)
+        return now + PAGE.unpack(page[:])[0] + gained(now - wall_start)
 
-    def even() -> int:
+    def steady() -> int:
         now = steady_clock()
-        return now + gained(now - since)
+        return now + gained(now - steady_start)
 
-    return wall, even
+    return wall, steady
