--- a/quartzrouter/model_checking/__init__.py
+++ b/quartzrouter/model_checking/__init__.py
@@ -1,1 +1,1 @@
-"""A small model checker: all that can happen, in every order, to the real decisions, up to a bound."""
+"""A small model checker: explores all interleavings of the real protocol code, up to a bound."""
--- a/quartzrouter/model_checking/checker.py
+++ b/quartzrouter/model_checking/checker.py
@@ -1,6 +1,6 @@
-"""Breadth first over all states of a model, so that the first trace that breaks a property is a shortest one.
+"""A breadth-first search over all states of a model, so that it finds a shortest trace to a violation.
 
-States are copied by pickle, and told apart by what the model says of them.
+States are copied by pickle, and compared by the keys that the model gives them.
 """
 
 import pickle
@@ -12,29 +12,38 @@
 
 
 class Model(Protocol):
-    """What may happen to a state; the state itself is any value that can be pickled."""
+    """What may happen to a state; a state is any value that can be pickled."""
+
+    def start(self) -> Any:
+        """Returns the initial state."""
+        ...
 
-    def start(self) -> Any: ...
     def actions(self, state: Any) -> Iterable[tuple]:
-        """All that can happen next, each as a name and its arguments."""
+        """Yields all actions that are possible next, each as a name and its arguments."""
         ...
 
     def act(self, state: Any, action: tuple) -> None:
-        """Lets it happen, in place."""
+        """Carries out an action, in place."""
         ...
 
     def key(self, state: Any) -> Hashable:
-        """What tells states apart: all that may matter later, and nothing else."""
+        """Returns what identifies a state: all that may matter later, and nothing else."""
         ...
 
     def violation(self, state: Any) -> str:
-        """The property that doesn't hold; empty where all do."""
+        """Returns the property that doesn't hold; empty if all do."""
         ...
 
 
 @dataclass
 class SearchResult:
-    """:param is_complete: all states within the model's own bounds were seen."""
+    """What a search found.
+
+    :param steps: actions that were carried out.
+    :param depth: the longest trace that was explored.
+    :param is_complete: all states within the model's own bounds were seen.
+    :param violation: the property that doesn't hold in the last state of the trace; empty if none was found.
+    """
 
     states: int = 0
     steps: int = 0
@@ -45,54 +54,58 @@
     trace: list[tuple] = field(default_factory=list)
 
     def format_trace(self) -> str:
-        """The trace, a line an action."""
+        """Returns the trace with one action per line, and the violation."""
         return "\n".join(
-            [*(f"{n:3}  {_said(a)}" for n, a in enumerate(self.trace, 1)), f"     {self.violation}"]
+            [
+                *(f"{number:3}  {_format_action(action)}" for number, action in enumerate(self.trace, 1)),
+                f"     {self.violation}",
+            ]
         )
 
 
-def _said(action: tuple) -> str:
+def _format_action(action: tuple) -> str:
     return " ".join(map(str, action))
 
 
-def explore(model: Model, most: int, seconds: float = 600.0) -> SearchResult:
-    """Explores until a property is broken or all is seen.
+def explore(model: Model, max_states: int, seconds: float = 600.0) -> SearchResult:
+    """Explores until a property is violated or all states were seen.
 
-    :param most: states; beyond, `is_complete` is False.
+    :param max_states: after which the search stops, with `is_complete` False.
     :param seconds: likewise.
     """
-    found, began = SearchResult(), time.monotonic()
+    result, began = SearchResult(), time.monotonic()
     first = model.start()
-    came: list[tuple[int, tuple]] = [(-1, ())]  # by number of a state: from which, by what
+    origins: list[tuple[int, tuple]] = [(-1, ())]  # by a state's number: its predecessor, and the action
     seen = {model.key(first)}
-    todo = deque([(0, 0, pickle.dumps(first, -1))])
-    while todo and not found.violation:
-        number, depth, packed = todo.popleft()
-        found.depth = max(found.depth, depth)
+    queue = deque([(0, 0, pickle.dumps(first, -1))])
+    while queue and not result.violation:
+        number, depth, packed = queue.popleft()
+        result.depth = max(result.depth, depth)
         state = pickle.loads(packed)
         for action in list(model.actions(state)):
-            after = pickle.loads(packed)
-            model.act(after, action)
-            found.steps += 1
-            key = model.key(after)
+            successor = pickle.loads(packed)
+            model.act(successor, action)
+            result.steps += 1
+            key = model.key(successor)
             if key in seen:
                 continue
             seen.add(key)
-            came.append((number, action))
-            if violation := model.violation(after):
-                found.violation, found.trace = violation, _trace(came, len(came) - 1)
+            origins.append((number, action))
+            if violation := model.violation(successor):
+                result.violation, result.trace = violation, _trace(origins, len(origins) - 1)
                 break
-            todo.append((len(came) - 1, depth + 1, pickle.dumps(after, -1)))
-        if len(seen) >= most or time.monotonic() - began > seconds:
-            found.is_complete = not todo
+            queue.append((len(origins) - 1, depth + 1, pickle.dumps(successor, -1)))
+        if len(seen) >= max_states or time.monotonic() - began > seconds:
+            result.is_complete = not queue
             break
-    found.states, found.seconds = len(seen), time.monotonic() - began
-    return found
+    result.states, result.seconds = len(seen), time.monotonic() - began
+    return result
 
 
-def _trace(came: list[tuple[int, tuple]], at: int) -> list[tuple]:
+def _trace(origins: list[tuple[int, tuple]], number: int) -> list[tuple]:
+    """Returns the actions that lead to a state."""
     trace = []
-    while at > 0:
-        at, action = came[at]
+    while number > 0:
+        number, action = origins[number]
         trace.append(action)
     return trace[::-1]
--- a/quartzrouter/model_checking/crossing_fill_model.py
+++ b/quartzrouter/model_checking/crossing_fill_model.py
@@ -1,8 +1,8 @@
-"""Fills that cross a purge as a model: real delivery queues and a router's real purges, over two tiers.
+"""A model of fills that cross a purge, for the model checker: real delivery queues and fleet purges.
 
-One object, one purge of it; a cache fills from a parent, and the parent from the origin. A copy is known by
-when the origin made it, which is when the parent's fill began. Fills join each other as real caches let them,
-and end whenever they like within the client timeout. Time goes in steps.
+There are two tiers, one object, and one purge of it; a cache fills from a parent, and the parent from the
+origin. A copy is identified by when the origin made it, which is when the parent's fill began. A fill may
+join another one, as in real caches, and ends at any time within the client timeout. Time goes in steps.
 """
 
 from collections.abc import Hashable, Iterable
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True)
 class Bounds:
-    """What is played.
+    """How often each thing may happen, and the guards that are in place.
 
     :param steps: of time.
     :param fills: that the cache begins.
     :param settle_time: microseconds between the two deliveries to the cache.
-    :param waits_for_parents: whether it counts from when the parent has purged as well.
+    :param waits_for_parents: the settle time counts from when the parent has purged as well.
     """
 
     steps: int = 9
@@ -49,8 +49,8 @@
     """A fill in progress.
 
     :param began_at: microseconds.
-    :param made_at: microseconds, when the copy that it brings was made; None while the parent's still runs.
-    :param is_purged: what it brings is not to be kept.
+    :param made_at: microseconds, when the copy that it brings was made; None while the parent's fill runs.
+    :param is_purged: the copy that it brings must not be stored.
     """
 
     began_at: int
@@ -62,7 +62,7 @@
 class CacheState:
     """A cache or a parent.
 
-    :param copy_made_at: microseconds; None where it holds no copy.
+    :param copy_made_at: microseconds; None if it holds no copy.
     """
 
     queue: DeliveryQueue
@@ -72,8 +72,12 @@
 
 @dataclass
 class World:
-    """All parties; one clock in microseconds.
+    """One state of the model.
 
+    :param now: microseconds; all clocks agree.
+    :param steps: of time that are left.
+    :param fills: of the cache that are left.
+    :param purged_at: microseconds; 0: not yet.
     :param knows_purge: the router has applied the purge.
     """
 
@@ -88,13 +92,16 @@
 
 
 class CrossingFillModel:
-    """The model. Actions are named as their methods, without the leading underscore."""
+    """What can happen, and what must hold.
+
+    Actions are named as their methods, without the leading underscore.
+    """
 
     def __init__(self, bounds: Bounds):
         self.bounds = bounds
 
     def start(self) -> World:
-        """Returns the state with empty caches and a fill at the parent, made for some other cache."""
+        """Returns the initial state: empty caches, and a fill at the parent that another cache has caused."""
         parent_queue = DeliveryQueue(PARENT)
         parents = [parent_queue] if self.bounds.waits_for_parents else []
         cache_queue = DeliveryQueue(CACHE, settle_time=self.bounds.settle_time, parents=parents)
@@ -106,10 +113,10 @@
         fleet_purges = FleetPurges(GRACE, max(self.bounds.settle_time, STEP), 100, 10)
         return World(START, caches, fleet_purges, self.bounds.steps, self.bounds.fills)
 
-    # -- what can happen -----------------------------------------------------------------------------------
+    # -- possible actions ----------------------------------------------------------------------------------
 
     def actions(self, world: World) -> Iterable[Action]:
-        """Yields all that can happen next."""
+        """Yields all actions that are possible next."""
         cache, parent = world.caches[CACHE], world.caches[PARENT]
         if not world.purged_at:
             yield ("purge",)
@@ -130,9 +137,9 @@
 
     @staticmethod
     def _must_act(world: World) -> bool:
-        """Whether something has to happen before time goes on.
+        """Returns True if something has to happen before time passes.
 
-        A fill ends within its time, a router learns of a purge within the grace, and the purge of interest
+        A fill ends within the client timeout, the router learns of the purge within the grace, and the purge
         comes while the parent's first fill runs.
         """
         if not world.purged_at and world.now - START >= CLIENT_TIMEOUT:
@@ -149,7 +156,7 @@
         return bool(queue.pending or queue.settled or is_due)
 
     def act(self, world: World, action: Action) -> None:
-        """Lets an action happen, in place."""
+        """Carries out an action, in place."""
         name, *arguments = action
         getattr(self, f"_{name}")(world, *arguments)
         for state in world.caches.values():
@@ -160,7 +167,7 @@
         world.now += STEP
 
     def _purge(self, world: World) -> None:
-        """The purge is accepted, and goes to the delivery queues."""
+        """The purge is accepted, and is added to the delivery queues."""
         world.purged_at = world.now
         for state in world.caches.values():
             state.queue.add([self._purge_of(world)], 0)
@@ -176,7 +183,7 @@
         world.fleet_purges.apply(ApplyPurges((self._purge_of(world),), 0), 1, world.now)
 
     def _deliver(self, world: World, name: str) -> None:
-        """A cache takes what is delivered to it."""
+        """A cache carries out all purges that are due for delivery to it."""
         state = world.caches[name]
         for delivery in state.queue.next_deliveries(world.now):
             self._take(world, state, delivery)
@@ -191,7 +198,7 @@
             state.fill.is_purged = True
 
     def _end_parent_fill(self, world: World) -> None:
-        """The parent's fill ends; a cache that joined it has its copy."""
+        """The parent's fill ends; a cache whose fill joined it gets the copy."""
         cache, parent = world.caches[CACHE], world.caches[PARENT]
         assert parent.fill
         if not parent.fill.is_purged:
@@ -205,7 +212,7 @@
         self._begin_cache_fill(world, self._max_age(world))
 
     def _refresh(self, world: World) -> None:
-        """The cache begins a fill that no request bounds, as to renew in the background."""
+        """The cache begins a fill without a bound on the copy's age, as for a refresh in the background."""
         self._begin_cache_fill(world, 0)
 
     def _begin_cache_fill(self, world: World, max_age: int) -> None:
@@ -231,7 +238,7 @@
 
     @staticmethod
     def _max_age(world: World) -> int:
-        """The age that the router allows a copy now; it holds a lease."""
+        """Returns the age that the router, which holds a lease, allows a copy now."""
         fleet_purges = world.fleet_purges
         fleet_purges.lease.renew(world.now)
         fleet_purges.caches_caught_up = {
@@ -242,7 +249,7 @@
     # -- what must hold ------------------------------------------------------------------------------------
 
     def key(self, world: World) -> Hashable:
-        """Returns what tells states apart."""
+        """Returns what identifies a state."""
         parties = []
         for state in world.caches.values():
             queue, fill = state.queue, state.fill
@@ -257,7 +264,7 @@
         return world.now, world.steps, world.fills, world.purged_at, world.knows_purge, tuple(parties)
 
     def violation(self, world: World) -> str:
-        """Returns the property that doesn't hold; empty where all do."""
+        """Returns the property that doesn't hold; empty if all do."""
         made_at = world.caches[CACHE].copy_made_at
         if made_at is None or not world.knows_purge or world.now < world.purged_at + GRACE:
             return ""
@@ -272,5 +279,4 @@
         return ""
 
 
-# what is explored
 CASES = {"a fill that crosses a purge": Bounds()}
--- a/quartzrouter/model_checking/lease_model.py
+++ b/quartzrouter/model_checking/lease_model.py
@@ -1,7 +1,8 @@
-"""Leases as a model: real keepers and claims; words, keepers' memories, wakes and clocks misbehave.
+"""A model of leases for the model checker: real acceptors and proposers, between faulty parts.
 
-Keepers' clocks run fast and claimants' slow, by an eighth each, which the terms allow.  An ask reaches all
-keepers at once and is answered at once, but for one or two of them, where it may be late, lost or doubled.
+Messages are lost, delayed and doubled, keepers restart, claimants are stopped, and clocks drift: keepers'
+clocks run fast and claimants' slow, by an eighth each, which the terms allow. A request reaches all keepers
+at once and is answered at once, except for one or two of them, for which a fault may happen.
 """
 
 from collections.abc import Iterable
@@ -12,58 +13,91 @@
 from quartzrouter.leases.proposer import Effect, LeaseAcquired, Proposer, SendToAcceptors
 from quartzrouter.leases.terms import LeaseTerms, VoteRefusal, VoteRelease, VoteReply, VoteRequest
 
-LENGTH, DRIFT = 8_000, 125_000
-START = 100 * LENGTH  # by then keepers that were there from the start vote
-WAYS = ("late there", "late back", "doubled")  # one that is late for good is lost
+LENGTH, DRIFT = 8_000, 125_000  # us of a lease, parts per million
+START = 100 * LENGTH  # by then the keepers that were there from the start vote
+MESSAGE_FAULTS = ("late there", "late back", "doubled")  # a message that stays delayed for ever is lost
 
 
 @dataclass(frozen=True)
 class Bounds:
     """How often each thing may happen.
 
-    :param step: us of one step of time.
+    :param steps: of time.
+    :param requests: for votes.
+    :param faults: requests of which one message is lost, delayed or doubled.
+    :param restarts: of keepers, with their stored tokens.
+    :param restarts_without_tokens: of keepers.
+    :param stops: of a claimant between its check of the lease and its action.
+    :param releases: of the lease.
+    :param acts: on the target.
+    :param step: microseconds of one step of time.
     :param keepers: how many there are.
-    :param ways: what may go wrong with words.
-    :param same_name: both claimants go by one name.
+    :param ways: the faults that may happen to messages.
+    :param same_name: both claimants use the same name.
     """
 
     steps: int = 5
     requests: int = 3
-    faults: int = 1  # asks of which one word is lost, late or doubled
-    restarts: int = 0  # keepers that restart with their numbers
-    restarts_without_tokens: int = 0  # keepers that restart without
-    stops: int = 0  # of a claimant between its look at the clock and its act
+    faults: int = 1
+    restarts: int = 0
+    restarts_without_tokens: int = 0
+    stops: int = 0
     releases: int = 0
     acts: int = 0
     step: int = LENGTH // 4
     keepers: int = 3
-    ways: tuple[str, ...] = WAYS
+    ways: tuple[str, ...] = MESSAGE_FAULTS
     same_name: bool = False
 
 
 @dataclass
 class Claimant:
-    claim: Proposer
-    up: dict[int, list[VoteRequest | VoteRelease]] = field(default_factory=dict)  # on their way, by keeper
-    down: dict[int, list[VoteReply]] = field(default_factory=dict)
-    looked: int = 0  # the number under which it was stopped ahead of its act; 0: it runs
-    asked: bool = False  # in this step of time
+    """A claimant, and the delayed messages between it and the keepers.
+
+    :param to_keepers: by keeper, the next to arrive first.
+    :param to_claimant: likewise.
+    :param stopped_with_token: the fencing token with which it was stopped ahead of its action; 0: it isn't
+        stopped.
+    :param has_asked: in this step of time.
+    """
+
+    proposer: Proposer
+    to_keepers: dict[int, list[VoteRequest | VoteRelease]] = field(default_factory=dict)
+    to_claimant: dict[int, list[VoteReply]] = field(default_factory=dict)
+    stopped_with_token: int = 0
+    has_asked: bool = False
 
 
 @dataclass
 class World:
+    """One state of the model.
+
+    :param now: microseconds of the true clock.
+    :param left: of each of the bounds, by its name.
+    :param highest_action_token: the highest fencing token that has acted.
+    :param highest_acquired_token: the highest fencing token of an acquired lease.
+    :param decrease: describes an action or a lease with a lower token than an earlier one; empty: none.
+    :param tokens_lost: a keeper has lost its stored tokens.
+    """
+
     now: int
     keepers: list[Acceptor]
     claimants: list[Claimant]
     left: dict[str, int]
-    seen: int = 0  # the highest number that has acted
-    gained: int = 0  # the highest that was gained
-    fell: str = ""  # an act or a lease under a lower number than one before
-    lost: bool = False  # a keeper has forgotten numbers
+    highest_action_token: int = 0
+    highest_acquired_token: int = 0
+    decrease: str = ""
+    tokens_lost: bool = False
 
 
 class LeaseModel:
-    """:param rejects_old_tokens: whoever is acted on refuses a lower number than it has seen."""
+    """What can happen, and what must hold.
+
+    Actions are named as their methods, without the leading underscore.
+
+    :param bounds: of what happens.
+    :param rejects_old_tokens: the target rejects fencing tokens lower than the highest that it has seen.
+    """
 
     def __init__(self, bounds: Bounds, rejects_old_tokens: bool = True):
         self.bounds, self.rejects_old_tokens = bounds, rejects_old_tokens
@@ -71,15 +105,17 @@
         self.terms = LeaseTerms(names, 1, LENGTH, DRIFT, (("t", ()),))
 
     def start(self) -> World:
+        """Returns the state that all histories begin with."""
         terms = self.terms
         keepers = [Acceptor(terms, name, 0) for name in terms.acceptors]
         names = ("a", "a") if self.bounds.same_name else ("a", "b")
         claimants = [
             Claimant(Proposer(terms, "t", name, f"t{n}", _slow(START))) for n, name in enumerate(names)
         ]
-        return World(START, keepers, claimants, {k: v for k, v in vars(self.bounds).items() if k in LEFT})
+        return World(START, keepers, claimants, {k: v for k, v in vars(self.bounds).items() if k in COUNTED})
 
     def actions(self, world: World) -> Iterable[tuple]:
+        """Yields all actions that are possible next."""
         left = world.left
         if left["steps"]:
             yield ("time",)
@@ -88,202 +124,263 @@
                 yield "fall", k
             if left["restarts_without_tokens"]:
                 yield "lose", k
-        for n, each in enumerate(world.claimants):
-            yield from (("arrive", n, k) for k, words in each.up.items() if words)
-            yield from (("hear", n, k) for k, words in each.down.items() if words)
-            if each.looked:
+        for n, claimant in enumerate(world.claimants):
+            yield from (("arrive", n, k) for k, messages in claimant.to_keepers.items() if messages)
+            yield from (("hear", n, k) for k, messages in claimant.to_claimant.items() if messages)
+            if claimant.stopped_with_token:
                 yield "wake", n
                 continue
-            odd = [
+            message_faults = [
                 (ks, way)
                 for size in range(1, min(2, left["faults"]) + 1)
                 for ks in combinations(range(len(world.keepers)), size)
                 for way in self.bounds.ways
             ]
-            if left["requests"] and not each.asked:
+            if left["requests"] and not claimant.has_asked:
                 yield "ask", n, (), ""
-                yield from (("ask", n, *each) for each in odd)
-            if each.claim.may_act(_slow(world.now)):
+                yield from (("ask", n, *each) for each in message_faults)
+            if claimant.proposer.may_act(_slow(world.now)):
                 if left["stops"]:
                     yield "stop", n
                 if left["acts"]:
                     yield "act", n
                 if left["releases"]:
                     yield "release", n, (), ""
-                    yield from (("release", n, ks, way) for ks, way in odd if way == "late there")
+                    yield from (("release", n, ks, way) for ks, way in message_faults if way == "late there")
 
     def act(self, world: World, action: tuple) -> None:
-        name, *rest = action
-        getattr(self, f"_{name}")(world, *rest)
+        """Carries out an action, in place."""
+        name, *arguments = action
+        getattr(self, f"_{name}")(world, *arguments)
 
     # -- what happens --------------------------------------------------------------------------------------
 
     def _time(self, world: World) -> None:
+        """A step of time passes; a claimant that isn't stopped notices that its lease ends."""
         world.left["steps"] -= 1
         world.now += self.bounds.step
-        for n, each in enumerate(world.claimants):
-            each.asked = False
-            claim, now = each.claim, _slow(world.now)
+        for n, claimant in enumerate(world.claimants):
+            claimant.has_asked = False
+            proposer, now = claimant.proposer, _slow(world.now)
             if (
-                not each.looked
-                and claim.is_holder
-                and now + claim.terms.max_action_time >= claim.lease_ends_at
+                not claimant.stopped_with_token
+                and proposer.is_holder
+                and now + proposer.terms.max_action_time >= proposer.lease_ends_at
             ):
-                self._do(world, n, claim._lose("", now))
+                self._apply_effects(world, n, proposer._lose("", now))
 
-    def _ask(self, world: World, n: int, odd: tuple[int, ...], way: str) -> None:
-        each = world.claimants[n]
+    def _ask(self, world: World, n: int, faulty_keepers: tuple[int, ...], way: str) -> None:
+        """A claimant requests votes from all keepers."""
+        claimant = world.claimants[n]
         world.left["requests"] -= 1
-        world.left["faults"] -= len(odd)
-        each.asked = True
-        self._do(world, n, each.claim._request_votes(_slow(world.now), 0), odd, way)
+        world.left["faults"] -= len(faulty_keepers)
+        claimant.has_asked = True
+        self._apply_effects(
+            world, n, claimant.proposer._request_votes(_slow(world.now), 0), faulty_keepers, way
+        )
 
-    def _do(
-        self, world: World, n: int, effects: list[Effect], odd: tuple[int, ...] = (), way: str = ""
+    def _apply_effects(
+        self,
+        world: World,
+        n: int,
+        effects: list[Effect],
+        faulty_keepers: tuple[int, ...] = (),
+        way: str = "",
     ) -> None:
-        """Says what is to be said; to some keepers in that way.  Words on new lines overtake late ones."""
-        each = world.claimants[n]
+        """Delivers a claimant's messages and handles the replies; messages overtake delayed ones.
+
+        :param faulty_keepers: the keepers for which the fault happens.
+        :param way: the fault, one of ``MESSAGE_FAULTS``.
+        """
+        claimant = world.claimants[n]
         for effect in effects:
             if isinstance(effect, LeaseAcquired):
-                if effect.fencing_token <= world.gained and not world.lost:
-                    world.fell = f"number {effect.fencing_token} is gained after {world.gained}"
-                world.gained = max(world.gained, effect.fencing_token)
+                if effect.fencing_token <= world.highest_acquired_token and not world.tokens_lost:
+                    world.decrease = (
+                        f"fencing token {effect.fencing_token} is acquired after "
+                        f"{world.highest_acquired_token}"
+                    )
+                world.highest_acquired_token = max(world.highest_acquired_token, effect.fencing_token)
             if not isinstance(effect, SendToAcceptors):
                 continue
             for k in range(len(world.keepers)):
-                how = way if k in odd else ""
-                if how in ("late there", "doubled"):
-                    each.up.setdefault(k, []).append(effect.message)
-                if how != "late there":
-                    answer = self._given(world, k, effect.message)
-                    if answer and how == "late back":
-                        each.down.setdefault(k, []).append(answer)
-                    elif answer:
-                        self._do(world, n, each.claim.handle_reply(answer, _slow(world.now)))
-
-    def _given(self, world: World, k: int, said: VoteRequest | VoteRelease) -> VoteReply | None:
+                fault = way if k in faulty_keepers else ""
+                if fault in ("late there", "doubled"):
+                    claimant.to_keepers.setdefault(k, []).append(effect.message)
+                if fault != "late there":
+                    reply = self._deliver(world, k, effect.message)
+                    if reply and fault == "late back":
+                        claimant.to_claimant.setdefault(k, []).append(reply)
+                    elif reply:
+                        self._apply_effects(world, n, claimant.proposer.handle_reply(reply, _slow(world.now)))
+
+    def _deliver(self, world: World, k: int, message: VoteRequest | VoteRelease) -> VoteReply | None:
+        """A keeper handles a message.
+
+        :returns: its reply; None if it gives none, or refuses.
+        """
         keeper = world.keepers[k]
-        if isinstance(said, VoteRelease):
-            keeper.release(said, _fast(world.now))
+        if isinstance(message, VoteRelease):
+            keeper.release(message, _fast(world.now))
             return None
-        given = keeper.vote(said, _fast(world.now))
-        return None if isinstance(given, VoteRefusal) else given
+        reply = keeper.vote(message, _fast(world.now))
+        return None if isinstance(reply, VoteRefusal) else reply
 
     def _arrive(self, world: World, n: int, k: int) -> None:
-        """A word that was late comes; its answer is, too."""
-        each = world.claimants[n]
-        if answer := self._given(world, k, each.up[k].pop(0)):
-            each.down.setdefault(k, []).append(answer)
+        """A delayed message reaches a keeper; its reply is delayed as well."""
+        claimant = world.claimants[n]
+        if reply := self._deliver(world, k, claimant.to_keepers[k].pop(0)):
+            claimant.to_claimant.setdefault(k, []).append(reply)
 
     def _hear(self, world: World, n: int, k: int) -> None:
-        each = world.claimants[n]
-        self._do(world, n, each.claim.handle_reply(each.down[k].pop(0), _slow(world.now)))
+        """A delayed reply reaches a claimant."""
+        claimant = world.claimants[n]
+        self._apply_effects(
+            world, n, claimant.proposer.handle_reply(claimant.to_claimant[k].pop(0), _slow(world.now))
+        )
 
     def _fall(self, world: World, k: int) -> None:
+        """A keeper restarts with its stored tokens."""
         world.left["restarts"] -= 1
         keeper = world.keepers[k]
         world.keepers[k] = Acceptor(self.terms, keeper.name, _fast(world.now), keeper.highest_tokens())
 
     def _lose(self, world: World, k: int) -> None:
+        """A keeper restarts, and has lost its stored tokens."""
         world.left["restarts_without_tokens"] -= 1
-        world.lost = True
+        world.tokens_lost = True
         world.keepers[k] = Acceptor(self.terms, world.keepers[k].name, _fast(world.now))
 
     def _stop(self, world: World, n: int) -> None:
+        """A claimant is stopped after its check of the lease, ahead of its action."""
         world.left["stops"] -= 1
-        world.claimants[n].looked = world.claimants[n].claim.fencing_token
+        world.claimants[n].stopped_with_token = world.claimants[n].proposer.fencing_token
 
     def _wake(self, world: World, n: int) -> None:
-        each = world.claimants[n]
-        number, each.looked = each.looked, 0
-        self._acted(world, n, number)
+        """A stopped claimant goes on, and acts."""
+        claimant = world.claimants[n]
+        token, claimant.stopped_with_token = claimant.stopped_with_token, 0
+        self._record_action(world, n, token)
 
     def _act(self, world: World, n: int) -> None:
+        """A claimant acts."""
         world.left["acts"] -= 1
-        self._acted(world, n, world.claimants[n].claim.fencing_token)
+        self._record_action(world, n, world.claimants[n].proposer.fencing_token)
 
-    def _acted(self, world: World, n: int, number: int) -> None:
-        if number >= world.seen:
-            world.seen = number
+    def _record_action(self, world: World, n: int, token: int) -> None:
+        if token >= world.highest_action_token:
+            world.highest_action_token = token
         elif self.rejects_old_tokens:
-            claim = world.claimants[n].claim
-            self._do(world, n, claim.handle_superseding_token(world.seen, _slow(world.now)))
+            proposer = world.claimants[n].proposer
+            self._apply_effects(
+                world, n, proposer.handle_superseding_token(world.highest_action_token, _slow(world.now))
+            )
         else:
-            world.fell = f"an act of number {number} comes after one of {world.seen}"
+            world.decrease = (
+                f"an action with fencing token {token} follows one with {world.highest_action_token}"
+            )
 
-    def _release(self, world: World, n: int, odd: tuple[int, ...], way: str) -> None:
+    def _release(self, world: World, n: int, faulty_keepers: tuple[int, ...], way: str) -> None:
+        """A claimant releases its lease, and wants it again."""
         world.left["releases"] -= 1
-        world.left["faults"] -= len(odd)
-        claim = world.claimants[n].claim
-        effects = claim.release(_slow(world.now))
-        claim.is_wanted = True  # and wants it again
-        self._do(world, n, effects, odd, way)
+        world.left["faults"] -= len(faulty_keepers)
+        proposer = world.claimants[n].proposer
+        effects = proposer.release(_slow(world.now))
+        proposer.is_wanted = True
+        self._apply_effects(world, n, effects, faulty_keepers, way)
 
     def violation(self, world: World) -> str:
-        holders = [n for n, each in enumerate(world.claimants) if each.claim.may_act(_slow(world.now))]
+        """Returns the property that doesn't hold; empty if all do."""
+        holders = [
+            n for n, claimant in enumerate(world.claimants) if claimant.proposer.may_act(_slow(world.now))
+        ]
         if len(holders) > 1:
             return "two claimants hold the task, and both may act"
-        return world.fell
+        return world.decrease
 
-    # -- what tells states apart -----------------------------------------------------------------------------
+    # -- what identifies a state ---------------------------------------------------------------------------
 
     def key(self, world: World) -> tuple:
+        """Returns the same for two states from which the same can follow; times are relative to now."""
         fast, slow = _fast(world.now), _slow(world.now)
 
-        def keeper(k: int, it: Acceptor) -> tuple:
-            task_vote = it.votes.get("t")
-            silent = max(0, it.voting_starts_at - fast)
-            left = max(0, task_vote.expires_at - fast) if task_vote else 0
-            vote = (task_vote.process_token, task_vote.fencing_token, left) if left else ()
+        def keeper_key(k: int, keeper: Acceptor) -> tuple:
+            task_vote = keeper.votes.get("t")
+            voting_starts_in = max(0, keeper.voting_starts_at - fast)
+            expires_in = max(0, task_vote.expires_at - fast) if task_vote else 0
+            vote = (task_vote.process_token, task_vote.fencing_token, expires_in) if expires_in else ()
             known = (task_vote.highest_token, task_vote.highest_token_owner) if task_vote else ()
-            return silent, vote, known, tuple(line(k, it, each) for each in world.claimants)
-
-        def line(k: int, it: Acceptor, each: Claimant) -> tuple:
-            """What lies between a keeper and a claimant; rounds as that one counts them."""
-            claim = each.claim
-            up = tuple(
-                (said.fencing_token, claim.round - said.round, said.is_holder)
-                if isinstance(said, VoteRequest)
-                else said.fencing_token
-                for said in each.up.get(k, ())
+            return (
+                voting_starts_in,
+                vote,
+                known,
+                tuple(connection_key(k, keeper, claimant) for claimant in world.claimants),
+            )
+
+        def connection_key(k: int, keeper: Acceptor, claimant: Claimant) -> tuple:
+            """Returns what lies between a keeper and a claimant; rounds count back from the claimant's."""
+            proposer = claimant.proposer
+            to_keeper = tuple(
+                (message.fencing_token, proposer.round - message.round, message.is_holder)
+                if isinstance(message, VoteRequest)
+                else message.fencing_token
+                for message in claimant.to_keepers.get(k, ())
+            )
+            to_claimant = tuple(
+                (proposer.round - reply.round, reply.granted, reply.highest_token)
+                for reply in claimant.to_claimant.get(k, ())
             )
-            down = tuple(
-                (claim.round - it.round, it.granted, it.highest_token) for it in each.down.get(k, ())
+            return (
+                to_keeper,
+                to_claimant,
+                keeper.name in proposer.granted_by,
+                keeper.name in proposer.answered_by,
             )
-            return up, down, it.name in claim.granted_by, it.name in claim.answered_by
 
-        def claimant(it: Claimant) -> tuple:
-            claim = it.claim
-            held = (max(0, claim.lease_ends_at - slow),) if claim.is_holder else ()
-            age = min(slow - claim.requested_at, 2 * LENGTH)
-            tokens = (claim.fencing_token, claim.highest_token_seen, claim.may_repeat_token)
-            return held, tokens, age, it.looked, it.asked
+        def claimant_key(claimant: Claimant) -> tuple:
+            proposer = claimant.proposer
+            lease = (max(0, proposer.lease_ends_at - slow),) if proposer.is_holder else ()
+            request_age = min(slow - proposer.requested_at, 2 * LENGTH)
+            tokens = (proposer.fencing_token, proposer.highest_token_seen, proposer.may_repeat_token)
+            return lease, tokens, request_age, claimant.stopped_with_token, claimant.has_asked
 
-        # keepers are alike: which of them it is tells no states apart
-        keepers = sorted((keeper(k, it) for k, it in enumerate(world.keepers)), key=repr)
+        # Keepers are interchangeable, so their order doesn't distinguish states.
+        keepers = sorted((keeper_key(k, keeper) for k, keeper in enumerate(world.keepers)), key=repr)
         return (
             tuple(world.left.values()),
             tuple(keepers),
-            tuple(map(claimant, world.claimants)),
-            world.seen,
-            world.gained,
-            world.fell,
-            world.lost,
+            tuple(map(claimant_key, world.claimants)),
+            world.highest_action_token,
+            world.highest_acquired_token,
+            world.decrease,
+            world.tokens_lost,
         )
 
 
-LEFT = ("steps", "requests", "faults", "restarts", "restarts_without_tokens", "stops", "releases", "acts")
+# the bounds that are counted down
+COUNTED = (
+    "steps",
+    "requests",
+    "faults",
+    "restarts",
+    "restarts_without_tokens",
+    "stops",
+    "releases",
+    "acts",
+)
 
 
 def _fast(now: int) -> int:
+    """Returns the reading of a keeper's clock."""
     return now * 9 // 8
 
 
 def _slow(now: int) -> int:
+    """Returns the reading of a claimant's clock."""
     return now * 7 // 8
 
 
-FINE = LENGTH // 16
+FINE = LENGTH // 16  # us of a step of time, short enough for differences between clocks
 CASES = {
     "two claimants, words lost, late and doubled": Bounds(requests=3, faults=2),
     "a keeper restarted with its numbers": Bounds(requests=3, faults=1, restarts=1),
--- a/quartzrouter/model_checking/purge_model.py
+++ b/quartzrouter/model_checking/purge_model.py
@@ -1,7 +1,8 @@
-"""The purge protocol as a model: real registries, replicas and fleet purges; disk, lines and clock misbehave.
+"""A model of the purge protocol for the model checker: real registries, replicas and fleet purges.
 
-One object with one copy; routers that serve it; purge logs that crash, stall and are taken over from. Time
-goes in steps of a lease. What tells states apart is in purge_state_key.
+The disk loses writes, lines are lost, doubled and swapped, connections are cut, and time passes. There is one
+object with one copy, and routers that serve it; purge logs crash, stall and are taken over from. Time goes in
+steps as long as a lease. The key that identifies a state is in purge_state_key.
 """
 
 from collections.abc import Hashable, Iterable
@@ -36,14 +37,18 @@
 
 LOOKUP = PurgeLookup("page", OBJECT, "", f"/{OBJECT}")
 STORE = "north"
-Action = tuple  # a name, and its arguments: numbers of routers and purge logs
+Action = tuple  # a name, and its arguments: indexes of routers and purge logs
 
 
 @dataclass(frozen=True)
 class Bounds:
     """How often each thing may happen.
 
+    :param routers: how many there are.
+    :param purges: of the object.
     :param steps: of time, each a lease long.
+    :param crashes: of a purge log.
+    :param takeovers: by another purge log, while one runs.
     :param cuts: connections that are cut.
     :param faults: lines that are lost, doubled or swapped.
     """
@@ -58,7 +63,7 @@
 
 
 class PurgeModel:
-    """The model.
+    """What can happen, and what must hold.
 
     Actions are named as their methods, without the leading underscore.
 
@@ -74,7 +79,7 @@
         del remaining["routers"]
         world = World(START, [], [], remaining=remaining)
         self._open(world)
-        world.now += lease_length(GRACE)  # nobody holds a lease from before
+        world.now += lease_length(GRACE)  # no router holds an older lease
         for number in range(self.bounds.routers):
             fleet_purges = FleetPurges(GRACE, INDEX_LIFETIME, 100, 10)
             replica = PurgeReplica(
@@ -93,16 +98,16 @@
 
     @staticmethod
     def _open(world: World) -> None:
-        """A purge log begins: it takes the next epoch, and reads what is on the disk."""
+        """A purge log starts: it takes the next epoch, and reads the purges on the disk."""
         registry = PurgeRegistry(world.newest_epoch + 1, GRACE, world.now)
         registry.delays = NoDelays()
         registry.recover(world.disk, 0, 0)
         world.purge_logs.append(PurgeLogProcess(registry))
 
-    # -- what can happen -----------------------------------------------------------------------------------
+    # -- possible actions ----------------------------------------------------------------------------------
 
     def actions(self, world: World) -> Iterable[Action]:
-        """Yields all that can happen next."""
+        """Yields all actions that are possible next."""
         if world.remaining["steps"]:
             yield ("time",)
         for number, purge_log in enumerate(world.purge_logs):
@@ -155,14 +160,14 @@
                 yield "swap", number
 
     def act(self, world: World, action: Action) -> None:
-        """Lets an action happen, in place."""
+        """Carries out an action, in place."""
         name, *arguments = action
         getattr(self, f"_{name}")(world, *arguments)
 
     # -- the purge log -------------------------------------------------------------------------------------
 
     def _time(self, world: World) -> None:
-        """Time goes on by a step."""
+        """A step of time passes."""
         world.remaining["steps"] -= 1
         world.now += STEP
         for purge_log in world.purge_logs:
@@ -174,18 +179,18 @@
                 router.connection.may_beat = True
 
     def _purge(self, world: World, purge_log: int) -> None:
-        """A client sends a purge, which is admitted."""
+        """A client sends a purge, which the purge log admits."""
         world.remaining["purges"] -= 1
         world.purge_logs[purge_log].registry.admit(PurgeRequest("object", (OBJECT,)), world.now)
 
     def _write(self, world: World, purge_log: int) -> None:
-        """What was admitted is on the disk."""
+        """The admitted purges are written to the disk."""
         world.disk = list(world.purge_logs[purge_log].registry.purges)
-        if not (self.bounds.crashes or self.bounds.takeovers):  # nothing can come between
+        if not (self.bounds.crashes or self.bounds.takeovers):  # no other action can come in between
             self._promise(world, purge_log)
 
     def _promise(self, world: World, purge_log: int) -> None:
-        """The write has returned; who finds that another has begun promises nothing, and ends."""
+        """The write has returned: the purges are confirmed, or this purge log finds a newer one and ends."""
         registry = world.purge_logs[purge_log].registry
         if registry.epoch != world.newest_epoch:
             self._end(world, purge_log)
@@ -195,7 +200,7 @@
         registry.mark_durable(registry.last_admitted, world.now)
 
     def _crash(self, world: World, purge_log: int, disk: str) -> None:
-        """A purge log dies; the disk keeps or loses what was not synced."""
+        """A purge log crashes; the disk keeps or loses what was not synced."""
         world.remaining["crashes"] -= 1
         if disk == "loses":
             world.disk = world.disk[: world.purge_logs[purge_log].registry.head]
@@ -206,17 +211,17 @@
         world.purge_logs[purge_log].is_alive = False
         for router in world.routers:
             if router.connection and router.connection.purge_log == purge_log:
-                router.connection.to_purge_log = []  # what it has sent may still arrive
+                router.connection.to_purge_log = []  # messages to the router may still arrive
 
     def _takeover(self, world: World) -> None:
-        """Another purge log begins while one is alive."""
+        """Another purge log starts while one is alive."""
         world.remaining["takeovers"] -= 1
         self._open(world)
 
     # -- connections ---------------------------------------------------------------------------------------
 
     def _connect(self, world: World, number: int, purge_log: int) -> None:
-        """A router connects, and says hello."""
+        """A router connects and sends its hello."""
         router = world.routers[number]
         registry = world.purge_logs[purge_log].registry
         member = registry.join(router.replica.start_connection(), world.now)
@@ -231,7 +236,7 @@
         self._hear(world, number)
 
     def _hear(self, world: World, number: int) -> None:
-        """All that was sent to a router arrives; what is late is what has not arrived yet."""
+        """All messages in transit to a router arrive; until this action happens, they are delayed."""
         router = world.routers[number]
         while router.connection and router.connection.to_router:
             message, *router.connection.to_router = router.connection.to_router
@@ -240,12 +245,12 @@
                     case ApplyPurges():
                         router.fleet_purges.apply(effect, router.replica.applied_up_to, world.now)
                     case SendMessage(ack) if router.connection:
-                        router.connection.to_purge_log = [ack]  # the last says all that those before it say
+                        router.connection.to_purge_log = [ack]  # the last one implies those before it
                     case EndConnection():
                         router.connection = None
         clock_offsets = router.replica.clock_offsets
         if clock_offsets:
-            least = min(clock_offsets)  # all that is read of them
+            least = min(clock_offsets)  # only the least one is ever read
             clock_offsets.clear()
             clock_offsets.append(least)
 
@@ -260,7 +265,7 @@
             registry.acknowledge(member, ack.applied_up_to, ack.ack_id, ack.is_unreachable, world.now)
 
     def _check(self, world: World, number: int) -> None:
-        """A heartbeat begins: its echo is read, and then whether another purge log has begun."""
+        """A heartbeat begins: its echo is read, and then whether a newer purge log has started."""
         connection = world.routers[number].connection
         connection.may_beat = False
         purge_log = world.purge_logs[connection.purge_log]
@@ -274,7 +279,7 @@
             self._beat(world, number)
 
     def _beat(self, world: World, number: int) -> None:
-        """A heartbeat that was checked is sent, behind the purges that the router lacks."""
+        """A checked heartbeat is sent, after the purges that the router lacks."""
         connection = world.routers[number].connection
         purge_log = world.purge_logs[connection.purge_log]
         registry = purge_log.registry
@@ -310,11 +315,11 @@
     # -- what must hold ------------------------------------------------------------------------------------
 
     def key(self, world: World) -> Hashable:
-        """Returns what tells states apart."""
+        """Returns what identifies a state."""
         return StateKey(world).key()
 
     def violation(self, world: World) -> str:
-        """Returns the property that doesn't hold; empty where all do."""
+        """Returns the property that doesn't hold; empty if all do."""
         on_disk = {purge.sequence_number: purge for purge in world.disk}
         for purge in world.promised:
             if on_disk.get(purge.sequence_number) != purge:
@@ -332,14 +337,14 @@
 
     @staticmethod
     def _serves_stale_copy(world: World, number: int, fleet_purges: FleetPurges) -> str:
-        """Whether a request now would get the copy of the start, after a purge of it must hold."""
+        """Returns the violation if a request now gets the initial copy after a purge of it must hold."""
         now = world.now
         age = now - START
         max_age = fleet_purges.max_age(LOOKUP, STORE, (), 0, now)
         is_served = not max_age or age <= max_age
         if is_served:
             is_served = fleet_purges.accepts(LOOKUP, STORE, CachedCopy(0, age, ()), now, max_age)
-        fleet_purges.object_tags.by_object.clear()  # the request was not real
+        fleet_purges.object_tags.by_object.clear()  # undoes what the simulated request has recorded
         fleet_purges.stale_copies = 0
         for purge in world.promised:
             if is_served and purge.purged_at + GRACE <= now:
@@ -347,7 +352,7 @@
         return ""
 
 
-# what is explored: each so small by itself that all of it can be seen
+# Each case is small enough that all of its states can be explored.
 CASES = {
     "a purge and a partition": Bounds(purges=1, steps=3, cuts=1),
     "a crash of the ledger": Bounds(purges=1, steps=3, crashes=1),
--- a/quartzrouter/model_checking/purge_state_key.py
+++ b/quartzrouter/model_checking/purge_state_key.py
@@ -1,7 +1,7 @@
-"""What tells states of the purge model apart.
+"""The key that identifies a state of the purge model.
 
-Times count as ages, no longer than any can matter, and ids of acknowledgements as the ages of those. So
-states that differ in nothing that may matter later are one.
+Times are replaced by ages, capped where greater ones make no difference, and ids of acknowledgements by the
+ages of the acknowledgements. So states from which the same can follow have the same key.
 """
 
 from collections.abc import Hashable, Iterable
@@ -50,7 +50,7 @@
         return tuple((purge.sequence_number, self._age(purge.purged_at)) for purge in purges)
 
     def _echo_age(self, number: int, ack_id: int) -> int:
-        """What an id is worth: the age of the acknowledgement that it stands for."""
+        """Returns the age of the acknowledgement with this id: nothing else about the id matters."""
         return self._lease_age(self.world.routers[number].replica.unechoed_acks.get(ack_id))
 
     def _purge_log(self, number: int, purge_log: PurgeLogProcess) -> tuple:
--- a/quartzrouter/model_checking/purge_world.py
+++ b/quartzrouter/model_checking/purge_world.py
@@ -12,21 +12,21 @@
 GRACE = 80  # us within which a purge must hold
 STEP = lease_length(GRACE)  # us
 START = 1_000  # us, when the copy was made
-INDEX_LIFETIME = 1_000_000  # us: longer than any play
+INDEX_LIFETIME = 1_000_000  # us: longer than any history
 OBJECT = "rose"
 
 
 class NoDelays(PropagationDelays):
-    """Keeps nothing, so that states can be copied fast: delays decide nothing in the model."""
+    """Records nothing, so that states can be copied fast: no decision depends on delays in the model."""
 
     def __init__(self) -> None:
         self.count = 0
 
     def add(self, delay: int) -> None:
-        """Keeps nothing of a delay."""
+        """Ignores a delay."""
 
     def percentile(self, percent: float) -> int:  # noqa: ARG002 - as in its base class
-        """Returns 0, as where nothing was recorded."""
+        """Returns 0, as if nothing was recorded."""
         return 0
 
 
@@ -34,7 +34,7 @@
 class PurgeLogProcess:
     """A purge log.
 
-    :param checked_echoes: by router, the echo of a heartbeat for which the epoch was checked.
+    :param checked_echoes: by router, the echo of a heartbeat whose epoch was checked, until it is sent.
     """
 
     registry: PurgeRegistry
@@ -46,10 +46,11 @@
 class Connection:
     """A router's connection.
 
-    :param purge_log: its number.
+    :param purge_log: the index of the purge log that it leads to.
     :param sent_up_to: the sequence number up to which purges were sent.
-    :param may_beat: no heartbeat was sent in this step of time yet.
-    :param to_router: messages on their way.
+    :param may_beat: no heartbeat has begun in this step of time yet.
+    :param to_router: messages in transit, the next to arrive first.
+    :param to_purge_log: the last acknowledgement in transit, if any.
     """
 
     purge_log: int
@@ -74,10 +75,11 @@
 
 @dataclass
 class World:
-    """All parties.
+    """One state of the model.
 
-    :param now: microseconds of the one clock.
-    :param promised: purges of which somebody was told that they are durable.
+    :param now: microseconds; all clocks agree.
+    :param disk: the purges that are on the disk that all purge logs share.
+    :param promised: purges that were confirmed as durable.
     :param remaining: how often each thing may still happen.
     """
 
@@ -90,5 +92,5 @@
 
     @property
     def newest_epoch(self) -> int:
-        """The epoch of the purge log that began last."""
+        """The epoch of the purge log that started last."""
         return len(self.purge_logs)
--- a/quartzrouter/model_checking/quota_model.py
+++ b/quartzrouter/model_checking/quota_model.py
@@ -29,15 +29,15 @@
     """How often each thing may happen in one history.
 
     :param steps: of time.
-    :param demand_changes: a router without demand gets as much as it may begin; one with demand has its
+    :param demand_changes: a router without demand begins all requests that it may; one with demand has its
         requests end.
     :param quota_requests: requests for quota.
-    :param delayed_requests: requests for quota that stay on their way.
+    :param delayed_requests: requests for quota that stay in transit.
     :param faults: messages lost, doubled or reordered.
     :param restarts: of routers.
     :param allocator_restarts: restarts of the allocator, which forgets everything.
     :param takeovers: by another allocator, while the first one goes on.
-    :param stops: of a router, between its reading of the clock and what it does then.
+    :param stops: of a router, between its reading of the clock and its use of the reading.
     """
 
     steps: int = 4
@@ -69,11 +69,11 @@
     """A router, and the messages between it and the allocator.
 
     :param quota: its part in the budget.
-    :param to_allocator: messages on their way, the next to arrive first.
+    :param to_allocator: messages in transit, the next to arrive first.
     :param to_router: likewise.
-    :param has_asked: in this step of time.
+    :param has_asked: it has requested quota in this step of time.
     :param has_demand: it begins each request that it may.
-    :param clock_reading: microseconds, what it read before it was stopped; ``RUNNING``: it isn't stopped.
+    :param clock_reading: microseconds, read before it was stopped; ``RUNNING``: it isn't stopped.
     """
 
     quota: LocalQuota
@@ -84,7 +84,7 @@
     clock_reading: int = RUNNING
 
     def messages(self, direction: str) -> list:
-        """Those on their way in one of ``DIRECTIONS``."""
+        """Returns the messages in transit in one of ``DIRECTIONS``."""
         return self.to_allocator if direction == "to_allocator" else self.to_router
 
 
@@ -93,7 +93,7 @@
     """One state of the model.
 
     :param now: microseconds; all clocks agree.
-    :param allocators: the last one is the current one; earlier ones go on unaware.
+    :param allocators: the last one is the current one; earlier ones go on, unaware of it.
     :param routers: of the fleet.
     :param requests: in flight, whatever became of the process that began them.
     :param left: of each of the bounds, by its name.
@@ -120,13 +120,13 @@
         self.rereads_clock = rereads_clock
 
     def start(self) -> World:
-        """The state that all histories begin with."""
+        """Returns the state that all histories begin with."""
         routers = [Router(LocalQuota(BUDGET, f"r{index}", "t1", 0)) for index in range(2)]
         allocator = QuotaAllocator([BUDGET], 0, first_allocator=True)
         return World(START, [allocator], routers, left=dict(vars(self.bounds)))
 
     def actions(self, world: World) -> Iterable[tuple]:
-        """What can happen next: the name of an action, and its arguments."""
+        """Yields all actions that are possible next: the name of each, and its arguments."""
         if world.left["steps"]:
             yield ("time",)
         if world.left["allocator_restarts"]:
@@ -171,12 +171,12 @@
                 yield "swap", index, direction
 
     def act(self, world: World, action: tuple) -> None:
-        """Carries out one of ``actions``."""
+        """Carries out an action, in place."""
         name, *arguments = action
         getattr(self, f"_{name}")(world, *arguments)
 
     def _time(self, world: World) -> None:
-        """A step of time passes, and requests end whose time is over."""
+        """A step of time passes, and requests end that have reached the maximum request time."""
         world.left["steps"] -= 1
         world.now += STEP
         over = [each for each in world.requests if world.now - each.began_at >= BUDGET.max_request_time]
@@ -222,7 +222,7 @@
         self._begin(world, index, clock_reading)
 
     def _ask(self, world: World, index: int, allocator: int) -> None:
-        """A router asks for quota, and the request arrives at once where no other is on its way."""
+        """A router requests quota; the request arrives at once if no other is in transit."""
         self._send(world, index)
         if len(world.routers[index].to_allocator) == 1:
             self._arrive(world, index, allocator)
@@ -251,7 +251,7 @@
         self._begin(world, index, world.now)
 
     def _restart(self, world: World, index: int) -> None:
-        """Another process under the name: messages of the first may still arrive, and its requests go on."""
+        """A router restarts: messages of the former process may still arrive, and its requests go on."""
         world.left["restarts"] -= 1
         router = world.routers[index]
         process_token = f"{router.quota.process_token}'"
@@ -283,15 +283,15 @@
         messages[0], messages[1] = messages[1], messages[0]
 
     def violation(self, world: World) -> str:
-        """What doesn't hold in a state; empty where all is well."""
+        """Returns the property that doesn't hold; empty if all do."""
         if len(world.requests) > BUDGET.slots:
             return f"{len(world.requests)} reqs in hand, and the fleet's budget is {BUDGET.slots}"
         return ""
 
-    # -- what tells states apart ---------------------------------------------------------------------------
+    # -- what identifies a state ---------------------------------------------------------------------------
 
     def key(self, world: World) -> tuple:
-        """Equal for two states from which the same can follow; times are relative to now."""
+        """Returns the same for two states from which the same can follow; times are relative to now."""
         return (
             tuple(world.left.values()),
             tuple(self._router_key(world, router) for router in world.routers),
@@ -348,8 +348,8 @@
         )
 
 
-# What is explored: what breaks without a guard does so within these bounds.
-# Few of them are explored whole in a minute.
+# Within these bounds, each guard that is removed leads to a violation.
+# Few of the cases can be explored completely in a minute.
 CASES = {
     "a share that ends, and is given to another": Bounds(steps=4, demand_changes=2, quota_requests=2),
     "words late, lost, doubled and swapped": Bounds(
