--- a/quartzrouter/fakes/__init__.py
+++ b/quartzrouter/fakes/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the parties around a router, on loopback: for tests and rehearsals."""
+"""Fakes of the parties around a router, on loopback, for tests and scenarios."""
--- a/quartzrouter/fakes/caches.py
+++ b/quartzrouter/fakes/caches.py
@@ -1,7 +1,7 @@
 """Fake caches, parents and an origin: they keep copies, fill, collapse requests into fills and take purges.
 
-A copy's body names its object and the true time at which the origin made it, so that a checker can judge any
-response. The fakes are as careless as the protocol allows: a request that joins a fill gets what the fill
+A copy's body contains its path and the true time at which the origin made it, so that a checker can check any
+response. The fakes are as lax as the protocol allows: a request that joins a fill gets the copy that the fill
 brings, however old that is.
 """
 
@@ -26,7 +26,7 @@
 
 
 class CopyKey(NamedTuple):
-    """What a cache keeps a copy under, as in the target /x/VHOST/OBJECT/CHUNK."""
+    """The key of a copy in a cache, as in the target /x/VHOST/OBJECT/CHUNK."""
 
     vhost: str
     object_key: str
@@ -35,9 +35,9 @@
 
 @dataclass
 class StoredCopy:
-    """A copy.
+    """A copy of an object.
 
-    :param minted_at: microseconds of its origin's clock.
+    :param minted_at: when the origin made it, in microseconds of the origin's clock.
     :param made_at: microseconds of this machine's clock; the copy was made then or later.
     """
 
@@ -49,16 +49,17 @@
     path: str
 
     def age(self, now: int) -> int:
-        """Returns microseconds since it was made, at most."""
+        """Returns an upper bound of its age in microseconds."""
         return now - self.made_at
 
 
 @dataclass
 class FillInProgress:
-    """A fill.
+    """A fill in progress.
 
     :param began_at: microseconds.
-    :param is_purged: a purge of what it brings came meanwhile, so that it is not kept.
+    :param copy: the copy that it has brought; None until then, or if it failed.
+    :param is_purged: a purge of its object arrived meanwhile, so the copy is not stored.
     """
 
     vhost: str
@@ -74,11 +75,14 @@
     """One server: a cache, a parent or the origin.
 
     :param addresses: of all servers by name, for fills.
-    :param is_origin: it makes copies.
+    :param chance: draws which purges are refused.
+    :param is_origin: it makes copies itself.
     :param skew: microseconds by which the origin's clock is ahead.
     :param tags_of: returns the value of Cache-Tag for a path.
     :param delay: returns the seconds that a fill or the making of a copy takes.
-    :param fill_source: the server that it fills from, where a request names no other.
+    :param fill_source: the server that it fills from, unless a request names another one.
+    :param purged_up_to: the sequence number up to which it has carried out all purges.
+    :param purged_out_of_order: sequence numbers of purges beyond that which it has carried out.
     :param refusal_rate: share of purges that it answers with 503.
     """
 
@@ -96,14 +100,14 @@
     purged_out_of_order: set[int] = field(default_factory=set)
     refusal_rate: float = 0.0
     requests: int = 0
-    merged_requests: int = 0  # those of them that joined a fill
-    highest_lease_token: int = 0  # of the couriers that purged here; a lower one is refused
+    merged_requests: int = 0  # requests that joined a fill
+    highest_lease_token: int = 0  # of couriers that sent purges; purges with a lower one are refused
     purged_copies: int = 0
     max_purges_per_second: int = 0
     recent_purge_times: list[int] = field(default_factory=list)  # us, of the last second
 
     def stop(self) -> None:
-        """Stops serving; copies stay, as on a disk, and fills are lost."""
+        """Stops serving; copies are kept, as on a disk, and fills are lost."""
         super().stop()
         self.fills.clear()
 
@@ -133,7 +137,7 @@
         copy, outcome = await self._find_copy(CopyKey(vhost, object_key, chunk), target, headers)
         if copy is None:
             return _response(504, {"X-No-Effect": "0", "X-Tell": "up_lost"}, b"")
-        age_on_receipt = received_at - copy.made_at  # negative: made since
+        age_on_receipt = received_at - copy.made_at  # negative if it was made since
         response_headers = {
             "X-Tag": tag_of_target(target.encode()).decode(),
             "X-Minted": str(copy.minted_at // MILLISECOND),
@@ -147,7 +151,7 @@
     async def _find_copy(
         self, key: CopyKey, target: str, headers: dict[str, str]
     ) -> tuple[StoredCopy | None, str]:
-        """A copy, and how it was found in the protocol's word."""
+        """Returns a copy, and the protocol's word for how it was found; None if the fill failed."""
         copy = self.copies.get(key)
         max_age_ms = headers.get("x-fresh-ms")
         is_too_old = copy and max_age_ms and copy.age(wall_clock()) > int(max_age_ms) * MILLISECOND
@@ -183,7 +187,7 @@
         return fill.copy
 
     async def _fetch(self, key: CopyKey, target: str, headers: dict[str, str]) -> StoredCopy | None:
-        """A copy from the fill source; None where that has none or doesn't answer."""
+        """Returns a copy from the fill source; None if that has none or doesn't answer."""
         named_source = headers.get("x-parent", self.fill_source)
         source = named_source if named_source in self.addresses else self.fill_source
         host, _, port = self.addresses[source].rpartition(":")
@@ -203,7 +207,7 @@
         if " 200 " not in status_line:
             return None
         response_headers = _headers(header_lines)
-        # The age counts from when the request came there, which was later than it went out here.
+        # The age was taken when the request arrived there, which was after it was sent here.
         made_at = sent_at - int(response_headers.get("x-age-ms", "0")) * MILLISECOND
         return StoredCopy(
             body,
@@ -223,7 +227,7 @@
             return _response(503, {}, b"")
         lease_token = int(headers.get("x-purge-lease", "0"))
         if lease_token < self.highest_lease_token:
-            # Guards against a courier that was stopped and doesn't know of its successor.
+            # Guards against a courier that was stopped and isn't aware of its successor.
             return _response(409, {"X-Purge-Lease-Seen": str(self.highest_lease_token)}, b"")
         self.highest_lease_token = lease_token
         kind = headers["x-purge-kind"]
@@ -251,7 +255,7 @@
                 self.purged_copies += 1
 
     def _mark_fills(self, purge: PurgeIndex, min_age: int, now: int) -> None:
-        """Fills that began before the purge may bring what it names: tags are known once they are done."""
+        """Marks fills that may bring a purged copy: their tags are unknown until they end."""
         for key, fill in self.fills.items():
             is_named = purge.newest(_lookup(key, fill.path), None, ANY_STORE)
             if is_named and now - fill.began_at >= min_age:
@@ -271,7 +275,7 @@
 
 @lru_cache(1_024)
 def _single_purge(kind: str, values: tuple[str, ...], vhost: str) -> PurgeIndex:
-    """An index of one purge, to ask what it names."""
+    """Returns an index with one purge, to look up what the purge matches."""
     index = PurgeIndex(1 << 50, 1_000)
     index.add(Purge(1, 1, kind, values, vhost), 1)
     return index
@@ -283,7 +287,7 @@
 
 
 def _headers(lines: list[str]) -> dict[str, str]:
-    """Header values by names in lower case."""
+    """Returns header values by names in lower case."""
     headers = {}
     for line in lines:
         name, _, value = line.partition(": ")
@@ -292,7 +296,7 @@
 
 
 def _is_whole(data: bytes) -> bool:
-    """Whether a response is there with all of its body."""
+    """Returns True if the data is a complete response, including its body."""
     head, end_of_head, body = data.partition(b"\r\n\r\n")
     if not end_of_head:
         return False
--- a/quartzrouter/fakes/loopback.py
+++ b/quartzrouter/fakes/loopback.py
@@ -1,4 +1,4 @@
-"""A client that speaks FastCGI, and caches that respond over HTTP/1.1, by the public pages of both."""
+"""A FastCGI client, and caches that respond over HTTP/1.1, as the specifications of both define them."""
 
 import random
 import zlib
@@ -11,33 +11,33 @@
 from quartzrouter.server.fastcgi import RecordType
 from quartzrouter.server.ring_buffer import RingBuffer
 
-COPY_TAG = b"4be0c1927d55a6f3"  # stands in a response until it is replaced by its target's
+COPY_TAG = b"4be0c1927d55a6f3"  # a placeholder in responses, replaced by the tag of the target
 COPY_HEADERS = b"X-Tag: " + COPY_TAG + b"\r\nX-Minted: 1764576000123\r\n"
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\n" + COPY_HEADERS + b"Content-Length: 5\r\n\r\nabcde"
 HEALTH_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
-PORT_RANGE = 20_000, 32_000  # below the ports that the system gives to connections
+PORT_RANGE = 20_000, 32_000  # below the ephemeral ports that the system assigns to connections
 CLIENT_BUFFER_SIZE = 1 << 16  # bytes
 MAX_STDIN_CONTENT = 60_000  # bytes in a record of a request's body
 
 
 def tag_of_target(target: bytes) -> bytes:
-    """The tag of a chunk's copy, and of no other's: copies are told apart by it."""
+    """Returns a tag that identifies the copy of one chunk."""
     return b"%016x" % zlib.crc32(target)
 
 
 def with_tag_of_request(response: bytes, request_head: bytes) -> bytes:
-    """The response, with the tag of the chunk that the request names."""
+    """Returns the response with the tag of the chunk that the request names."""
     target = request_head.split(b" ", 2)[1]
     return response.replace(COPY_TAG, tag_of_target(target))
 
 
 def begin_request_record(role: int = fastcgi.ROLE_RESPONDER) -> tuple[RecordType, bytes]:
-    """Type and content of a BEGIN_REQUEST that keeps its connection."""
+    """Returns type and content of a BEGIN_REQUEST record that keeps the connection open."""
     return RecordType.BEGIN_REQUEST, fastcgi.BEGIN_REQUEST_BODY.pack(role, fastcgi.FLAG_KEEP_CONNECTION)
 
 
 class Client:
-    """A front server with one connection.
+    """A fake front server with one connection.
 
     :param stream: an anyio byte stream to a router.
     """
@@ -49,7 +49,7 @@
         self._partial_responses: dict[int, bytes] = {}  # by FastCGI id
 
     async def send_request(self, id, *arguments, **keywords) -> None:
-        """Sends a request; arguments as ``encode_request``."""
+        """Sends a request; takes the arguments of ``encode_request``."""
         await self.stream.send(self.encode_request(id, *arguments, **keywords))
 
     def encode_request(
@@ -63,9 +63,9 @@
     ) -> bytes:
         """Encodes a request for an object of its own.
 
-        :param id: its FastCGI id, and what its object and correlation id are made of.
-        :param whole: False leaves the end of the body out.
-        :param params: CGI parameters beside, or instead of, the usual ones; None leaves one out.
+        :param id: its FastCGI id, from which its object and correlation id are derived.
+        :param whole: False leaves out the end of the body.
+        :param params: CGI parameters in addition to, or in place of, the default ones; None leaves one out.
         """
         all_params = {
             "SCRIPT_NAME": path,
@@ -103,8 +103,8 @@
     async def receive_response(self) -> str:
         """Waits for the next response.
 
-        :returns: its FastCGI id, status, the body's first 40 bytes and how it ended (application and
-            protocol status), in words; another record in words; "closed" at the end of the connection.
+        :returns: a text with its FastCGI id, status, the body's first 40 bytes, and application and protocol
+            status; a description of any other record; "closed" at the end of the connection.
         """
         while True:
             while record := self._records.next():
@@ -131,7 +131,7 @@
 
 
 async def free_port() -> int:
-    """A port that nobody listens at, below those that the system gives to connections."""
+    """Returns a port at which no process listens, below the ephemeral ports."""
     while True:
         port = random.SystemRandom().randrange(*PORT_RANGE)
         try:
@@ -142,18 +142,18 @@
 
 
 class Server:
-    """A party that listens, dies, and comes back at its port."""
+    """A server that listens, may be stopped, and can be started again at the same port."""
 
     port = 0
     scope: anyio.CancelScope | None = None
 
     @property
     def address(self) -> str:
-        """Host and port, as a configuration names them."""
+        """Host and port, as in a configuration."""
         return f"127.0.0.1:{self.port}"
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> str:
-        """Listens, at the port that it had before if any.
+        """Starts to listen, at its previous port if it had one.
 
         :returns: the address.
         """
@@ -169,7 +169,7 @@
         await listener.aclose()
 
     def stop(self) -> None:
-        """Ends it as if its process died: connections are reset, new ones refused."""
+        """Stops it as if its process was killed: connections are reset, and new ones refused."""
         self.scope.cancel()
 
     async def serve(self, stream: anyio.abc.ByteStream) -> None:
@@ -178,9 +178,9 @@
 
 
 class Cache(Server):
-    """A cache that responds after a while, and counts its requests.
+    """A cache that responds after a delay, and counts its requests.
 
-    :param delay: gives the seconds before each response.
+    :param delay: returns the seconds before each response.
     """
 
     def __init__(self, delay: Callable[[], float]):
@@ -209,7 +209,7 @@
 
 
 async def request_heads(stream: anyio.abc.ByteStream) -> AsyncIterator[bytes]:
-    """Yields the head of each request on a connection, until it ends; requests have no body."""
+    """Yields the head of each request on a connection until it ends; requests must not have a body."""
     data = b""
     while True:
         try:
@@ -222,7 +222,7 @@
 
 
 async def start_server(tasks: anyio.abc.TaskGroup, handler: Callable) -> str:
-    """Serves connections with the handler, at a port of its own.
+    """Serves connections with the handler, at a free port.
 
     :returns: the address.
     """
