--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""The model checker over the real decisions: nothing breaks, and each guard taken out is missed."""
+"""Model checking of the purge protocol: no violation is found, unless a guard is removed."""
 
 import pytest
 
@@ -10,27 +10,27 @@
 from quartzrouter.purges.freshness_lease import FreshnessLease
 from quartzrouter.purges.registry import PurgeRegistry
 
-STATES = 2_500  # of each, a second: `quartzrouter explore purges` goes further
+STATES = 2_500  # per case, about a second; `quartzrouter explore purges` explores more
 
 
 class Jugs:
-    """Two jugs of 3 and 5, of which one is to hold 4: known to take six steps."""
+    """Two jugs that hold 3 and 5, one of which must hold 4: known to take six steps."""
 
     def start(self):
         return [0, 0]
 
     def actions(self, state):
-        return [(what, n) for what in ("fill", "empty", "pour") for n in (0, 1)]
+        return [(action, n) for action in ("fill", "empty", "pour") for n in (0, 1)]
 
     def act(self, state, action):
-        what, n = action
+        name, n = action
         size = (3, 5)
-        if what == "pour":
-            much = min(state[n], size[1 - n] - state[1 - n])
-            state[n] -= much
-            state[1 - n] += much
+        if name == "pour":
+            amount = min(state[n], size[1 - n] - state[1 - n])
+            state[n] -= amount
+            state[1 - n] += amount
         else:
-            state[n] = size[n] if what == "fill" else 0
+            state[n] = size[n] if name == "fill" else 0
 
     def key(self, state):
         return tuple(state)
@@ -39,7 +39,7 @@
         return "four" if 4 in state else ""
 
 
-def test_a_shortest_trace_is_found_and_all_states_are_seen():
+def test_a_shortest_trace_is_found_and_all_states_are_explored():
     found = explore(Jugs(), 100)
     assert (found.violation, len(found.trace)) == ("four", 6) and found.format_trace().endswith("four")
     jugs = Jugs()
@@ -50,55 +50,56 @@
 
 
 @pytest.mark.parametrize("name", CASES)
-def test_purges_hold(name):
+def test_the_purge_model_has_no_violation(name):
     found = explore(PurgeModel(CASES[name]), STATES)
     assert not found.violation, found.format_trace()
     assert found.states >= STATES
 
 
-def missed(bounds, model=PurgeModel):
+def find_violation(bounds, model=PurgeModel):
+    """Returns the search result, which must contain a violation."""
     found = explore(model(bounds), 40_000)
-    assert found.violation, f"{found.states} states, and nothing broke"
+    assert found.violation, f"{found.states} states without a violation"
     return found
 
 
-def test_without_the_lease_a_router_that_was_cut_off_answers_with_old_copies(monkeypatch):
-    """A router is cut off, and a purge comes that it never hears of."""
+def test_without_the_lease_a_partitioned_router_serves_stale_copies(monkeypatch):
+    """A router is cut off from the purge log, and a purge comes that it doesn't receive."""
     monkeypatch.setattr(FreshnessLease, "max_age", lambda self, now: 0)
-    assert "answers at" in missed(Bounds(steps=2, cuts=1)).violation
+    assert "answers at" in find_violation(Bounds(steps=2, cuts=1)).violation
 
 
-def test_without_marks_purges_that_were_heard_do_not_hold(monkeypatch):
+def test_without_the_purge_index_received_purges_do_not_hold(monkeypatch):
     """A router receives a purge and forgets it: its cache still has the old copy."""
     monkeypatch.setattr(FleetPurges, "_add", lambda self, purge, purged_at: None)
-    found = missed(Bounds(steps=2))
+    found = find_violation(Bounds(steps=2))
     assert "answers at" in found.violation and ("hear", 0) in found.trace
 
 
-def test_without_the_wait_for_older_leases_too_much_is_told_complete(monkeypatch):
+def test_without_the_wait_for_older_leases_purges_are_complete_too_early(monkeypatch):
     """A purge log restarts and counts a purge as complete while a router serves under an older lease."""
-    begin = PurgeRegistry.__init__
+    initialize = PurgeRegistry.__init__
 
-    def at_once(self, *arguments, **other):
-        begin(self, *arguments, **other)
+    def without_wait(self, *arguments, **keywords):
+        initialize(self, *arguments, **keywords)
         self.older_leases_end = 0
 
-    monkeypatch.setattr(PurgeRegistry, "__init__", at_once)
-    assert "is told complete" in missed(Bounds(steps=1, crashes=1)).violation
+    monkeypatch.setattr(PurgeRegistry, "__init__", without_wait)
+    assert "is told complete" in find_violation(Bounds(steps=1, crashes=1)).violation
 
 
-def test_an_echo_that_vouches_for_what_is_not_durable_is_missed(monkeypatch):
+def test_an_echo_of_purges_that_are_not_durable_is_detected(monkeypatch):
     """A purge is admitted and not durable when the purge log crashes: no router may hold a lease past it."""
     monkeypatch.setattr(
         PurgeRegistry, "ack_to_echo", lambda self, member: member.acks[-1].ack_id if member.acks else 0
     )
-    assert "answers at" in missed(Bounds(steps=3, crashes=1)).violation
+    assert "answers at" in find_violation(Bounds(steps=3, crashes=1)).violation
 
 
-def test_a_ledger_that_does_not_look_for_others_is_missed():
+def test_a_purge_log_that_does_not_check_the_epoch_is_detected():
     """A purge log wakes after a takeover: its heartbeats renew leases without the new purges."""
 
-    class Blind(PurgeModel):
+    class WithoutEpochCheck(PurgeModel):
         def _check(self, world, number):
             connection = world.routers[number].connection
             connection.may_beat = False
@@ -107,7 +108,7 @@
             purge_log.checked_echoes[number] = purge_log.registry.ack_to_echo(member)
             self._beat(world, number)
 
-    assert "serves without it" in missed(Bounds(steps=2, takeovers=1), Blind).violation
+    assert "serves without it" in find_violation(Bounds(steps=2, takeovers=1), WithoutEpochCheck).violation
 
 
 def test_no_copy_that_crosses_a_purge_is_served():
@@ -130,4 +131,4 @@
     ],
 )
 def test_a_copy_that_crosses_a_purge_is_served_without_each_guard(bounds):
-    missed(bounds, CrossingFillModel)
+    find_violation(bounds, CrossingFillModel)
