--- a/benchmarks/leases.py
+++ b/benchmarks/leases.py
@@ -21,7 +21,9 @@
 SECONDS = 20
 PLAYS = 3  # of each kind
 FAULTS = 5  # in one play
-SHAPE = ScenarioSize(keepers=5, claimants=4, length="1s", drift=200, spoil=0.0, seconds=5.0 * FAULTS)
+SHAPE = ScenarioSize(
+    keepers=5, claimants=4, length="1s", drift=200, line_fault_rate=0.0, seconds=5.0 * FAULTS
+)
 KINDS = {
     "killed": ("kill", 500),
     "stopped": ("stop", 2_500),
--- a/quartzrouter/fault_scenarios/leases.py
+++ b/quartzrouter/fault_scenarios/leases.py
@@ -54,25 +54,26 @@
     """What is played.
 
     :param drift: parts in a million, of the plan; clocks are off by as much at most.
-    :param fast: likewise, of each keeper's clock; and `slow` of the first claimant's, the others' are fast by
-        as much.  None: drawn.
-    :param names: of claimants, where not all have one of their own.
+    :param keeper_drift: parts in a million by which each keeper's clock is fast.  None: drawn.
+    :param first_claimant_drift: likewise for the first claimant's clock; the others' are slow by as much.
+        None: drawn.
+    :param claimant_names: of claimants, where not all have one of their own.
     """
 
     keepers: int = 5
     claimants: int = 6
     length: str = "600ms"
     drift: int = 2_000
-    fast: int | None = None
-    slow: int | None = None
+    keeper_drift: int | None = None
+    first_claimant_drift: int | None = None
     seconds: float = 22.0
-    spoil: float = 0.02
-    only: tuple[str, ...] = ("lose", "double", "swap")
-    names: tuple[str, ...] = ()
+    line_fault_rate: float = 0.02
+    line_fault_kinds: tuple[str, ...] = ("lose", "double", "swap")
+    claimant_names: tuple[str, ...] = ()
     prefer: str = ""
 
 
-DRAWN = ScenarioSize()
+DEFAULT_SIZE = ScenarioSize()
 
 
 class LeaseFleet(FaultInjectedFleet):
@@ -82,10 +83,10 @@
         super().__init__(folder, chance)
         self.shape, self.line_fault_rate, self.out = (
             shape,
-            shape.spoil,
-            [each for each in guards if each != UNCHECKED],
+            shape.line_fault_rate,
+            [each for each in guards if each != ACCEPT_ANY_TOKEN],
         )
-        self.witness = Witness(self.history, UNCHECKED not in guards)
+        self.witness = Witness(self.history, ACCEPT_ANY_TOKEN not in guards)
         self.keepers, self.claimants = [], []
         self.keeper_ports: list[int] = []
         self.ways_of: dict[str, list[ProxiedLink]] = {}  # of a claimant, to each keeper
@@ -97,7 +98,7 @@
         self.keeper_ports = [self._reserve_port() for _ in range(shape.keepers)]
         own = [f"127.0.0.1:{port}" for port in self.keeper_ports]
         for n in range(shape.keepers):
-            clocks = self._clocks(shape.fast)
+            clocks = self._clocks(shape.keeper_drift)
             self.keepers.append(self.add_keeper(f"k{n}", self.plan(own), clocks, self.out))
             self.keepers[-1].start()
         for n in range(shape.claimants):
@@ -105,11 +106,14 @@
             for link in links:
                 await link.start(tasks)
                 for way in link.directions:
-                    way.fault_rate, way.fault_kinds = shape.spoil, shape.only
+                    way.fault_rate, way.fault_kinds = shape.line_fault_rate, shape.line_fault_kinds
             self.ways_of[f"c{n}"] = links
-            name = shape.names[n] if shape.names else f"c{n}"
+            name = shape.claimant_names[n] if shape.claimant_names else f"c{n}"
             plan = self.plan([f"127.0.0.1:{link.port}" for link in links])
-            clocks = self._clocks(shape.slow and (shape.slow if n == 0 else -shape.slow))
+            clocks = self._clocks(
+                shape.first_claimant_drift
+                and (shape.first_claimant_drift if n == 0 else -shape.first_claimant_drift)
+            )
             acting = ProxiedLink(
                 ("127.0.0.1", self.witness.port), self.chance, tap=partial(self._tap, f"c{n}")
             )
@@ -239,7 +243,7 @@
         self.witness.failing_claimants.discard(fault.target)
 
 
-def drawn(chance: random.Random, shape: ScenarioSize, faults: int) -> list[Fault]:
+def draw_schedule(chance: random.Random, shape: ScenarioSize, faults: int) -> list[Fault]:
     """So many faults, most of them at claimants, and each of the hard ones once."""
     keepers, claimants = [f"k{n}" for n in range(shape.keepers)], [f"c{n}" for n in range(shape.claimants)]
     until, length = round(shape.seconds * 1000) - 2_500, parse_quantity(shape.length).us // 1000
@@ -279,31 +283,31 @@
     faults: tuple[str, ...]  # of the program itself
 
     @property
-    def overlaps(self) -> list:
+    def overlapping_actions(self) -> list:
         return history_checks.overlapping_actions(
             self.fleet.history, parse_quantity(self.fleet.shape.length).us // ACTION_TIME_DIVISOR
         )
 
     @property
-    def falls(self) -> list:
+    def decreasing_tokens(self) -> list:
         return history_checks.decreasing_tokens(self.fleet.history)
 
     @property
-    def linear(self) -> bool | None:
+    def linearizable(self) -> bool | None:
         return is_linearizable(operations_from_history(self.fleet.history), fencing_spec, 0)
 
     @property
-    def acts(self) -> int:
+    def action_count(self) -> int:
         return len(history_checks.actions(self.fleet.history))
 
     @property
     def broken(self) -> bool:
-        return bool(self.overlaps or self.falls)
+        return bool(self.overlapping_actions or self.decreasing_tokens)
 
 
 def enough_acts(result: ScenarioResult) -> bool:
     """Whether so much was done that a fault would have had its chance to show."""
-    return result.acts > ACTS_PER_SECOND * result.fleet.shape.seconds
+    return result.action_count > ACTS_PER_SECOND * result.fleet.shape.seconds
 
 
 def play(
@@ -352,8 +356,8 @@
 
 # -- guards, each taken out once ---------------------------------------------------------------------------
 
-UNCHECKED = "whoever is acted on takes any number"  # a guard of the witness, not of a process
-FEW = ScenarioSize(keepers=3, claimants=2, length="1s", drift=200, seconds=8.0, spoil=0.0)
+ACCEPT_ANY_TOKEN = "whoever is acted on takes any number"  # a guard of the witness, not of a process
+FEW = ScenarioSize(keepers=3, claimants=2, length="1s", drift=200, seconds=8.0, line_fault_rate=0.0)
 STOPS = [Fault(2_000 + 2_500 * n, "holder", "halt", 2_200) for n in range(2)]
 
 SCENES: dict[str, tuple[ScenarioSize, list[Fault]]] = {
@@ -375,16 +379,18 @@
         FEW,
         [Fault(2_000, "holder", "jump", 6_000, -10.0), Fault(2_050, "holder", "cut", 5_000)],
     ),
-    "a name is enough": (replace(FEW, names=("c", "c")), []),
-    UNCHECKED: (FEW, STOPS),
+    "a name is enough": (replace(FEW, claimant_names=("c", "c")), []),
+    ACCEPT_ANY_TOKEN: (FEW, STOPS),
 }
 
 
-def killed(seed: int, guard: str) -> tuple[ScenarioResult, ScenarioResult]:
+def play_with_and_without(seed: int, guard: str) -> tuple[ScenarioResult, ScenarioResult]:
     """A guard's scene with it and without it.  The witness takes all numbers in both, or it would hide the
     guard's lack, but where that is the guard."""
     shape, faults = SCENES[guard]
-    with_guard, without_guard = ((), (guard,)) if guard == UNCHECKED else ((UNCHECKED,), (UNCHECKED, guard))
+    with_guard, without_guard = (
+        ((), (guard,)) if guard == ACCEPT_ANY_TOKEN else ((ACCEPT_ANY_TOKEN,), (ACCEPT_ANY_TOKEN, guard))
+    )
     return (
         play(random.Random(seed), shape, faults, with_guard),
         play(random.Random(seed), shape, faults, without_guard, enough=lambda result: result.broken),
@@ -394,20 +400,20 @@
 # -- the rehearsal -----------------------------------------------------------------------------------------
 
 
-def rehearse(seed: int, tally: ScenarioReport, shape: ScenarioSize = DRAWN) -> None:
+def rehearse(seed: int, tally: ScenarioReport, shape: ScenarioSize = DEFAULT_SIZE) -> None:
     chance = random.Random(seed)
-    faults = drawn(chance, shape, 26)
+    faults = draw_schedule(chance, shape, 26)
     seen = play(chance, shape, faults)
     history = seen.fleet.history
-    for word, pairs in (("while", seen.overlaps), ("after", seen.falls)):
+    for word, pairs in (("while", seen.overlapping_actions), ("after", seen.decreasing_tokens)):
         for one, act in pairs[:3]:
             tally.expect(
                 False,
                 f"{act.actor} acts under {act.fencing_token} {word} {one.actor} under {one.fencing_token}",
             )
-    tally.expect(seen.linear is not False, "answers that no order of acts explains")
+    tally.expect(seen.linearizable is not False, "answers that no order of acts explains")
     tally.figures["acts and answers in an order"] = {True: "yes", False: "no", None: "not found out"}[
-        seen.linear
+        seen.linearizable
     ]
     tally.expect(not seen.faults, f"faults: {seen.faults[:1]}")
     tally.figures["faults, keepers, claimants"] = f"{len(faults)}, {shape.keepers}, {shape.claimants}"
@@ -423,4 +429,6 @@
         f"{len(gaps)}, {max(gaps, default=0) / S:.2f} s, {sum(gaps) / S:.2f} s of {seconds:.0f}"
     )
     tally.expect(enough_acts(seen), f"only {len(found)} acts: nothing is shown")
-    tally.figures["acts at the same moment, numbers that fell"] = f"{len(seen.overlaps)}, {len(seen.falls)}"
+    tally.figures["acts at the same moment, numbers that fell"] = (
+        f"{len(seen.overlapping_actions)}, {len(seen.decreasing_tokens)}"
+    )
--- a/quartzrouter/fault_scenarios/mutations.py
+++ b/quartzrouter/fault_scenarios/mutations.py
@@ -15,7 +15,7 @@
         figures = f"over by {guarded_excess:.0f}; taken out by {mutated_excess:.0f}"
         _report(report, mutation, guarded_excess > 0, mutated_excess > 0, figures)
     for mutation in leases.SCENES:
-        guarded, mutated = leases.killed(seed, mutation)
+        guarded, mutated = leases.play_with_and_without(seed, mutation)
         figures = f"{_acts(guarded)}; taken out {_acts(mutated)}"
         _report(report, mutation, guarded.broken, mutated.broken, figures)
 
@@ -33,4 +33,7 @@
 
 
 def _acts(result) -> str:
-    return f"{len(result.overlaps)} acts at the same moment, {len(result.falls)} of a lower number"
+    return (
+        f"{len(result.overlapping_actions)} acts at the same moment, "
+        f"{len(result.decreasing_tokens)} of a lower number"
+    )
--- a/quartzrouter/fault_scenarios/peer_ejection.py
+++ b/quartzrouter/fault_scenarios/peer_ejection.py
@@ -30,7 +30,7 @@
     first_router_share=1 / 8,
     slot_clients=0,
     seconds=7.0,
-    spoilt_share=0.0,
+    line_fault_rate=0.0,
     caches=8,
     cache_links=True,
 )
--- a/quartzrouter/fault_scenarios/quota_fleet.py
+++ b/quartzrouter/fault_scenarios/quota_fleet.py
@@ -82,8 +82,8 @@
     :param demand: requests per second for the rate, in all.
     :param slot_clients: at each router, which ask for slots.
     :param seconds: of the load.
-    :param spoilt_share: of messages, spoilt from the start on.
-    :param spoil_kinds: how.
+    :param line_fault_rate: of messages, spoilt from the start on.
+    :param line_fault_kinds: how.
     :param slots_checked_from: milliseconds after the start, from which the bound on slots must hold.
     :param peer_ejection: whether routers eject caches by each other's reports, as the plan writes it.
     :param cache_links: a link from each router to each cache, which can be cut.
@@ -113,8 +113,8 @@
     demand: float = 96.0
     slot_clients: int = 3
     seconds: float = 30.0
-    spoilt_share: float = 0.02
-    spoil_kinds: tuple[str, ...] = ("lose", "double", "swap")
+    line_fault_rate: float = 0.02
+    line_fault_kinds: tuple[str, ...] = ("lose", "double", "swap")
     slots_checked_from: int = 0
     peer_ejection: str = "false"
     cache_links: bool = False
@@ -146,7 +146,7 @@
     ):
         super().__init__(folder, chance, parse_quantity(size.purge_grace).us)
         self.size = size
-        self.line_fault_rate = size.spoilt_share
+        self.line_fault_rate = size.line_fault_rate
         self.mutations = mutations
         self.caches: list[CountingCache] = []
         self.cache_addresses: list[str] = []
@@ -193,8 +193,8 @@
         self.add_router(index, self.plan(index), self._draw_clocks(), self.mutations)
         for link in self.links[index]:
             for direction in link.directions:
-                direction.fault_rate = self.size.spoilt_share
-                direction.fault_kinds = self.size.spoil_kinds
+                direction.fault_rate = self.size.line_fault_rate
+                direction.fault_kinds = self.size.line_fault_kinds
 
     def _draw_clocks(self) -> Clocks:
         error = self.chance.randint(-MAX_WALL_CLOCK_ERROR, MAX_WALL_CLOCK_ERROR) * SECOND
--- a/quartzrouter/fault_scenarios/quota_mutation_scenes.py
+++ b/quartzrouter/fault_scenarios/quota_mutation_scenes.py
@@ -19,7 +19,7 @@
     demand=20.0,
     slot_clients=10,
     seconds=7.0,
-    spoilt_share=0.0,
+    line_fault_rate=0.0,
     timeout="500ms",
     response_time=(0.15, 0.3),
 )
@@ -45,7 +45,9 @@
         [Fault(2000, "cut", f"r{n}", 3000, 2.0) for n in range(6)],
     ),
     "a doubled grant counts twice": (
-        replace(SMALL, rate=60, demand=200.0, spoilt_share=0.9, spoil_kinds=("double",), slot_clients=0),
+        replace(
+            SMALL, rate=60, demand=200.0, line_fault_rate=0.9, line_fault_kinds=("double",), slot_clients=0
+        ),
         [],
     ),
     "a router isn't confined by its own word": (
--- a/quartzrouter/fault_scenarios/slow_start.py
+++ b/quartzrouter/fault_scenarios/slow_start.py
@@ -39,7 +39,7 @@
     first_router_share=0.5,
     slot_clients=0,
     seconds=10.0,
-    spoilt_share=0.0,
+    line_fault_rate=0.0,
     cache_weight=1,
     traffic_class_keys=f"first_byte_target: {REQUEST_TIME // 1000}ms",
     max_clock_drift=100,
@@ -103,7 +103,9 @@
         [*LISTED, *(Fault(4_000 + 1_200 * n, "kill", f"ledger{n % 2}", 0) for n in range(5))],
     ),
     "a doubled part of a cold server counts twice": (
-        replace(SIZE, deployment_keys=GRANTED, demand=300.0, spoilt_share=0.9, spoil_kinds=("double",)),
+        replace(
+            SIZE, deployment_keys=GRANTED, demand=300.0, line_fault_rate=0.9, line_fault_kinds=("double",)
+        ),
         LISTED,
     ),
     "a cold server's granter forgets what it granted": (
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -21,7 +21,14 @@
 from quartzrouter.fault_harness import history_checks, mutations
 from quartzrouter.fault_harness.history import History, HistoryEvent
 from quartzrouter.fault_harness.linearizability import Operation, fencing_spec, is_linearizable
-from quartzrouter.fault_scenarios.leases import DRAWN, SCENES, UNCHECKED, drawn, killed, play
+from quartzrouter.fault_scenarios.leases import (
+    ACCEPT_ANY_TOKEN,
+    DEFAULT_SIZE,
+    SCENES,
+    draw_schedule,
+    play,
+    play_with_and_without,
+)
 from quartzrouter.lease_service.client import ClusterLeaseClient
 from quartzrouter.lease_service.queries import ask_all
 from quartzrouter.lease_service.server import LeaseServer
@@ -716,12 +723,18 @@
 
 def _run_scenario(seed):
     generator = random.Random(seed)
-    outcome = play(generator, DRAWN, drawn(generator, DRAWN, 26))
-    return len(outcome.overlaps), len(outcome.falls), outcome.faults, outcome.linear, outcome.acts
+    outcome = play(generator, DEFAULT_SIZE, draw_schedule(generator, DEFAULT_SIZE, 26))
+    return (
+        len(outcome.overlapping_actions),
+        len(outcome.decreasing_tokens),
+        outcome.faults,
+        outcome.linearizable,
+        outcome.action_count,
+    )
 
 
 def _run_with_and_without_mutation(guard):
-    unchanged, mutated = killed(1, guard)
+    unchanged, mutated = play_with_and_without(1, guard)
     return unchanged.broken, mutated.broken
 
 
@@ -740,7 +753,7 @@
     }
 
 
-SCENARIO_MUTATIONS = ("half of the keepers will do", "a keeper votes for all", UNCHECKED)
+SCENARIO_MUTATIONS = ("half of the keepers will do", "a keeper votes for all", ACCEPT_ANY_TOKEN)
 
 
 def test_five_keepers_and_six_claimants_have_one_holder_through_faults_of_all_kinds(results):
