--- a/quartzrouter/fault_scenarios/purge_fleet.py
+++ b/quartzrouter/fault_scenarios/purge_fleet.py
@@ -1,4 +1,7 @@
-"""The fleet of the purge scenario: routers, purge log and courier as processes, caches and clients here."""
+"""The fleet of the purge scenario.
+
+Routers, the purge log and the courier are processes; caches and clients run in this process.
+"""
 
 import random
 import re
@@ -25,20 +28,20 @@
 from quartzrouter.server import process
 
 CLIENT_TIMEOUT = "3s"  # so that a purge settles within INDEX_LIFETIME
-INDEX_LIFETIME = "7s"  # of purges at routers: short, so that a cache is away for longer
+INDEX_LIFETIME = "7s"  # of purges at routers: short, so that a cache can be unreachable for longer
 STORES = ("north", "south")
-PLANTS = 8
-PAGES = 6  # of each plant
-ORIGIN_SKEW = 3 * SECOND  # us by which the origin's clock is ahead
-PURGE_LOG_SKEWS = (-3 * SECOND, 2 * SECOND)  # us by which the purge log's clock may be ahead
-SLOW_FILL_SHARE = 0.05  # of copies, whose making takes far longer than the grace
-LAG_INTERVAL = 10_000  # us between two looks at how late this process wakes
-REQUEST_TIMEOUT = 4.0  # s; routers answer within three
-QUERY_TIMEOUT = 1.0  # s
-PURGE_TIMEOUT = 5 * SECOND  # us until a purge that no purge log accepts is a failure
-BODY = re.compile(rb"(\S+) (\d{16})")  # of a copy: its path, and when it was made
-DONE = re.compile(r"\d+: Status: (\d+) .*? b'(.*)' end")
-WITHOUT_BODY = re.compile(r"\d+: Status: (\d+)()")
+PLANT_COUNT = 8
+PAGES_PER_PLANT = 6
+ORIGIN_SKEW_US = 3 * SECOND  # by which the origin's clock is ahead
+PURGE_LOG_SKEWS_US = (-3 * SECOND, 2 * SECOND)  # by which the purge log's clock may be ahead
+SLOW_FILL_SHARE = 0.05  # of copies: the origin takes far longer than the grace to make them
+LAG_INTERVAL_US = 10_000  # between two measurements of how late this process wakes
+REQUEST_TIMEOUT_SECONDS = 4.0  # routers answer within three
+QUERY_TIMEOUT_SECONDS = 1.0
+PURGE_TIMEOUT_US = 5 * SECOND  # a purge that no purge log accepts for that long is a failure
+BODY_PATTERN = re.compile(rb"(\S+) (\d{16})")  # a copy: its path, and when it was made
+RESPONSE_PATTERN = re.compile(r"\d+: Status: (\d+) .*? b'(.*)' end")
+BODILESS_RESPONSE_PATTERN = re.compile(r"\d+: Status: (\d+)()")
 NO_RESPONSE = "without an answer"
 CUT_SHORT = "cut with its router"
 
@@ -67,11 +70,13 @@
 
 
 class PurgedFleet(Fleet):
-    """All parties.
+    """The routers, the purge log, the courier, the caches and the clients.
 
-    :param chance: seeds all that is drawn.
-    :param folder: for plans, logs and stored files.
-    :param mutations: guards that are taken out of the routers.
+    :param chance: seeds everything that is drawn.
+    :param folder: holds plans, logs and stored files.
+    :param router_count: how many routers run.
+    :param cache_count: how many caches run, in equal parts in each store.
+    :param mutations: names of guards that are removed from the routers.
     """
 
     def __init__(
@@ -86,17 +91,17 @@
         self.mutations = mutations
         self.router_count = router_count
         self.cache_count = cache_count
-        self.purge_log_skew = chance.choice(PURGE_LOG_SKEWS)
+        self.purge_log_skew = chance.choice(PURGE_LOG_SKEWS_US)
         self.checker = PurgeChecker(self.purge_log_skew)
         self.caches: dict[str, PurgeableCache] = {}
         self.stopping = anyio.Event()
-        self.max_lag = 0  # us
-        self.is_purge_log_down = False  # killed by the scenario, and not listening again yet
+        self.max_lag = 0  # largest delay of this process's own wake-ups, in microseconds
+        self.is_purge_log_down = False  # killed by the scenario and not listening again yet
 
-    # -- parties -------------------------------------------------------------------------------------------
+    # -- start ---------------------------------------------------------------------------------------------
 
     async def start(self, tasks: anyio.abc.TaskGroup) -> None:
-        """Starts all parties; processes may not listen yet."""
+        """Starts caches, links and processes; returns before the processes listen."""
         self.cache_lines = ", ".join(await self._start_caches(tasks))
         await self.add_ledger(clocks=Clocks(self.purge_log_skew))
         for _ in range(self.router_count):
@@ -111,7 +116,7 @@
             party.start()
 
     async def _start_caches(self, tasks: anyio.abc.TaskGroup) -> list[str]:
-        """Starts caches, parents and the origin; gives their lines in a plan."""
+        """Starts caches, parents and the origin; returns their entries for a plan."""
         caches_per_store = self.cache_count // len(STORES)
         names = [(f"{store[0]}{n}", "cache", store) for store in STORES for n in range(caches_per_store)]
         names += [("h1", "parent", "h"), ("h2", "parent", "h"), ("o", "origin", "h")]
@@ -124,9 +129,9 @@
                 addresses,
                 self.chance,
                 is_origin,
-                ORIGIN_SKEW,
+                ORIGIN_SKEW_US,
                 tags_of,
-                self._making_time if is_origin else partial(self.chance.uniform, 0.005, 0.06),
+                self._draw_making_time if is_origin else partial(self.chance.uniform, 0.005, 0.06),
                 fill_source="o",
             )
             await cache.start(tasks)
@@ -142,13 +147,17 @@
         """The port at which the purge log listens."""
         return self.ledger_ports[0]
 
-    def _making_time(self) -> float:
-        """Seconds that the origin takes for a copy; now and then far longer than the grace."""
+    def _draw_making_time(self) -> float:
+        """Draws the seconds that the origin takes to make a copy; a few take far longer than the grace."""
         if self.chance.random() < SLOW_FILL_SHARE:
             return self.chance.uniform(0.5, 1.0)
         return self.chance.uniform(0.01, 0.2)
 
     def _plan(self, number: int, purge_log_port: int, file: str) -> str:
+        """Returns the text of a router's plan.
+
+        :param file: the key for the file in which the router stores purges; empty for none.
+        """
         return PLAN.format(
             store=STORES[number % len(STORES)],
             port=self.ports[number],
@@ -168,8 +177,8 @@
         client: Client | None = None
         request_id = seed << 20
         while not self.stopping.is_set():
-            plant = min(int(chance.expovariate(0.4)), PLANTS - 1)
-            page = chance.randrange(PAGES)
+            plant = min(int(chance.expovariate(0.4)), PLANT_COUNT - 1)
+            page = chance.randrange(PAGES_PER_PLANT)
             path = f"/{chance.choice(('photos', 'pages'))}/p{plant}/{page}"
             request_id += 1
             try:
@@ -189,29 +198,32 @@
             await anyio.sleep(chance.uniform(0.005, 0.04))
 
     async def _request(self, client: Client, router: int, path: str, request_id: int) -> bool:
-        """Sends one request; False where its router was killed meanwhile."""
+        """Sends one request; returns False if its router was killed meanwhile."""
         sent_at = process.wall_clock()
         fields = {"HTTP_X_SUBJECT": None, "HTTP_X_CHUNK": None, "HTTP_X_DEADLINE_MS": "3000"}
         fields["HTTP_X_CORRELATION_ID"] = f"{request_id:016x}"
         await client.send_request(1, path=path, **fields)
-        with anyio.fail_after(REQUEST_TIMEOUT):
+        with anyio.fail_after(REQUEST_TIMEOUT_SECONDS):
             text = await client.receive_response()
-        found = DONE.match(text) or WITHOUT_BODY.match(text)
-        if not found:
+        matched = RESPONSE_PATTERN.match(text) or BODILESS_RESPONSE_PATTERN.match(text)
+        if not matched:
             self.checker.outcomes[CUT_SHORT] += 1
             return False
-        self.checker.outcomes[found[1]] += 1
-        body = BODY.search(found[2].encode())
+        self.checker.outcomes[matched[1]] += 1
+        body = BODY_PATTERN.search(matched[2].encode())
         if body:
             response = Response(sent_at, process.wall_clock(), path, int(body[2]), router)
             self.checker.responses.append(response)
         return True
 
     async def measure_lag(self) -> None:
-        """Measures how late this process wakes: it plays the network, and must not blame routers for that."""
+        """Measures how late this process wakes.
+
+        It plays the network, so that its own delays must not count as delays of routers.
+        """
         while not self.stopping.is_set():
-            due_at = process.wall_clock() + LAG_INTERVAL
-            await anyio.sleep(LAG_INTERVAL / SECOND)
+            due_at = process.wall_clock() + LAG_INTERVAL_US
+            await anyio.sleep(LAG_INTERVAL_US / SECOND)
             self.max_lag = max(self.max_lag, process.wall_clock() - due_at)
 
     # -- purges --------------------------------------------------------------------------------------------
@@ -219,30 +231,30 @@
     def random_purge(self) -> PurgeRequest:
         """Draws a purge of an object, a tag or a pattern."""
         chance = self.chance
-        plant = chance.randrange(PLANTS)
+        plant = chance.randrange(PLANT_COUNT)
         kind = chance.choice(("object", "tag", "tag", "pattern"))
         values = {
-            "object": f"/{chance.choice(('photos', 'pages'))}/p{plant}/{chance.randrange(PAGES)}",
+            "object": f"/{chance.choice(('photos', 'pages'))}/p{plant}/{chance.randrange(PAGES_PER_PLANT)}",
             "tag": chance.choice((*TAGS, f"plant{plant}", f"plant{plant}")),
             "pattern": chance.choice((f"/*/p{plant}/**", f"/photos/p{plant}/*", f"/pages/*{plant}/1")),
         }
         return PurgeRequest(kind, (values[kind],), key=f"{chance.random()}")
 
     async def purge(self, requests: list[PurgeRequest]) -> None:
-        """Sends purges, again until a purge log answers.
+        """Sends purges, and repeats that until a purge log answers.
 
-        :raises UnreachableError: where none does for PURGE_TIMEOUT; the time in which the scenario itself has
-            the purge log down doesn't count, which is long where a process starts slowly.
+        :raises UnreachableError: none answers for PURGE_TIMEOUT_US. The time in which the scenario itself has
+            stopped the purge log does not count; it is long if a process starts slowly.
         """
-        client = QueryClient([("127.0.0.1", self.purge_log_port)], QUERY_TIMEOUT)
-        give_up_at = process.wall_clock() + PURGE_TIMEOUT
+        client = QueryClient([("127.0.0.1", self.purge_log_port)], QUERY_TIMEOUT_SECONDS)
+        give_up_at = process.wall_clock() + PURGE_TIMEOUT_US
         while True:
             try:
                 answers = await client.ask_all(requests)
                 break
             except UnreachableError:
                 if self.is_purge_log_down:
-                    give_up_at = process.wall_clock() + PURGE_TIMEOUT
+                    give_up_at = process.wall_clock() + PURGE_TIMEOUT_US
                 if process.wall_clock() > give_up_at:
                     raise
                 await anyio.sleep(0.05)
@@ -253,8 +265,8 @@
                 self.checker.outcomes[f"purge refused: {answer.reason}"] += 1
         await client.close()
 
-    async def keep_purging(self) -> None:
-        """Sends a purge now and then until the fleet is stopping."""
+    async def run_purges(self) -> None:
+        """Sends drawn purges, with a drawn pause after each, until the fleet is stopping."""
         while not self.stopping.is_set():
             await self.purge([self.random_purge()])
             await anyio.sleep(self.chance.uniform(0.05, 0.2))
@@ -262,7 +274,10 @@
     # -- faults --------------------------------------------------------------------------------------------
 
     async def restart_purge_log(self, downtime: float) -> None:
-        """Kills the purge log, and starts it again after some seconds."""
+        """Kills the purge log and restarts it.
+
+        :param downtime: seconds between the two.
+        """
         since = process.wall_clock()
         self.is_purge_log_down = True
         self.ledgers[0].kill()
@@ -274,7 +289,10 @@
         self.checker.cut_offs.append(CutOff(None, since, process.wall_clock()))
 
     async def restart_router(self, number: int, downtime: float) -> None:
-        """Kills a router, and starts it again after some seconds."""
+        """Kills a router and restarts it.
+
+        :param downtime: seconds between the two.
+        """
         since = process.wall_clock()
         self.routers[number].kill()
         await anyio.sleep(downtime)
--- a/quartzrouter/fault_scenarios/purges.py
+++ b/quartzrouter/fault_scenarios/purges.py
@@ -1,6 +1,7 @@
-"""Purges of a whole fleet on loopback: routers, purge log and courier as processes, all others here.
+"""Scenario: purges of a whole fleet under load and injected faults.
 
-A script with all that goes wrong runs beside the load; a checker looks at every response.
+Routers, the purge log and the courier run as processes on loopback; caches and clients run in this process.
+A script injects the faults while the load runs, and a checker examines every response.
 """
 
 import os
@@ -15,9 +16,9 @@
 from quartzrouter.fault_scenarios.purge_checker import SECOND, TAGS, CutOff
 from quartzrouter.fault_scenarios.purge_fleet import (
     CUT_SHORT,
-    LAG_INTERVAL,
+    LAG_INTERVAL_US,
     NO_RESPONSE,
-    QUERY_TIMEOUT,
+    QUERY_TIMEOUT_SECONDS,
     PurgedFleet,
 )
 from quartzrouter.purge_log.disk import RealDisk
@@ -36,33 +37,34 @@
 ROUTERS = 6
 CACHES = 12
 CLIENTS_PER_ROUTER = 6
-STORM = 400  # purges at once: what 14 caches in one process take in some seconds
-LOAD_TIME = 24.0  # s: a cache is away for longer than INDEX_LIFETIME
-SCRIPT_UNITS = 16  # parts of the load time
-MIN_SUCCEEDED = 500  # requests; with fewer, too little was looked at
-MIN_SUCCEEDED_SHARE = 0.9  # of the requests that were answered
-MAX_EXTRA_LOAD_TIME = 20.0  # s beyond the load time within which a busy machine has to get as much done
-START_AND_END_TIME = 25  # s
-COMPLETION_TIME = 6  # s until the last purge is complete
-LOOK_BATCH = 5  # responses that the checker looks at in one turn of the event loop while the load goes on
+BURST_PURGES = 400  # sent at once: 14 caches in one process take some seconds for them
+LOAD_SECONDS = 24.0  # long enough that a cache is unreachable for longer than INDEX_LIFETIME
+SCRIPT_UNITS = 16  # parts of the load time, in which the script counts its waits
+MIN_SUCCEEDED = 500  # requests; fewer leave the checker too little to examine
+MIN_SUCCEEDED_SHARE = 0.9  # of the answered requests
+# Seconds beyond the load time in which a busy machine must get as much done.
+MAX_EXTRA_LOAD_SECONDS = 20.0
+START_AND_END_SECONDS = 25
+COMPLETION_TIMEOUT_SECONDS = 6  # until the last purge is complete
+CHECK_BATCH = 5  # responses that the checker examines in one turn of the event loop during the load
 
 
 def rehearse(
     seed: int,
-    tally: ScenarioReport,
-    guards: tuple[str, ...] = (),
-    seconds: float = LOAD_TIME,
+    report: ScenarioReport,
+    mutations: tuple[str, ...] = (),
+    seconds: float = LOAD_SECONDS,
     min_stale_copies: int = 0,
 ) -> None:
-    """Plays the scenario.
+    """Plays the scenario, and reports its violations and figures.
 
-    :param tally: takes figures and what broke.
-    :param guards: mutations: guards that are taken out of the routers.
-    :param seconds: of load, at least.
-    :param min_stale_copies: the load goes on until the checker has found as many, MAX_EXTRA_LOAD_TIME at
-        most.
+    :param report: takes the figures and the violations.
+    :param mutations: mutations: mutations that are taken out of the routers.
+    :param seconds: how long the load lasts at least.
+    :param min_stale_copies: the load continues until the checker has found as many stale copies, but not
+        longer than MAX_EXTRA_LOAD_SECONDS.
     """
-    play = partial(_play, random.Random(seed), tally, guards, seconds, min_stale_copies)
+    play = partial(_play, random.Random(seed), report, mutations, seconds, min_stale_copies)
     anyio.run(play, backend_options=process.BACKEND_OPTIONS)
 
 
@@ -73,7 +75,7 @@
     seconds: float,
     min_stale_copies: int,
 ) -> None:
-    time_limit = seconds + MAX_EXTRA_LOAD_TIME + START_AND_END_TIME
+    time_limit = seconds + MAX_EXTRA_LOAD_SECONDS + START_AND_END_SECONDS
     with tempfile.TemporaryDirectory() as folder, anyio.fail_after(time_limit):
         fleet = PurgedFleet(chance, Path(folder), ROUTERS, CACHES, mutations)
         try:
@@ -83,71 +85,75 @@
                 async with anyio.create_task_group() as load:
                     for n in range(ROUTERS * CLIENTS_PER_ROUTER):
                         load.start_soon(fleet.run_client, n % ROUTERS, n + 1)
-                    load.start_soon(fleet.keep_purging)
+                    load.start_soon(fleet.run_purges)
                     load.start_soon(fleet.measure_lag)
                     load.start_soon(_script, fleet, report, tasks, seconds / SCRIPT_UNITS)
                     await anyio.sleep(seconds)
-                    with anyio.move_on_after(MAX_EXTRA_LOAD_TIME):
-                        await _enough_done(fleet, min_stale_copies)
+                    with anyio.move_on_after(MAX_EXTRA_LOAD_SECONDS):
+                        await _wait_for_enough_requests(fleet, min_stale_copies)
                     fleet.stopping.set()
                 await _wait_for_completion(fleet, report)
                 tasks.cancel_scope.cancel()
         finally:
             fleet.close()
-            _keep_log(fleet)
-        _judge(fleet, report)
-        _judge_log(fleet, report)
+            _write_trace(fleet)
+        _report_responses(fleet, report)
+        _check_log(fleet, report)
+
 
+async def _wait_for_enough_requests(fleet: PurgedFleet, min_stale_copies: int) -> None:
+    """Waits until enough requests succeeded and enough stale copies were found.
 
-async def _enough_done(fleet: PurgedFleet, min_stale_copies: int) -> None:
-    """Returns once enough was done: how much that is in a given time is the machine's matter."""
+    How much that takes of a given time depends on the machine.
+    """
     while fleet.checker.outcomes["200"] <= MIN_SUCCEEDED:
-        await anyio.sleep(LAG_INTERVAL / SECOND)
-    looked_at = 0
+        await anyio.sleep(LAG_INTERVAL_US / SECOND)
+    checked_count = 0
     stale_copies = 0
     while stale_copies < min_stale_copies:
-        stop = min(looked_at + LOOK_BATCH, len(fleet.checker.responses))
-        stale_copies += len(fleet.checker.stale_copies(looked_at, stop))
-        looked_at = stop
-        await anyio.sleep(LAG_INTERVAL / SECOND)
+        stop = min(checked_count + CHECK_BATCH, len(fleet.checker.responses))
+        stale_copies += len(fleet.checker.stale_copies(checked_count, stop))
+        checked_count = stop
+        await anyio.sleep(LAG_INTERVAL_US / SECOND)
 
 
-# -- what goes wrong ---------------------------------------------------------------------------------------
+# -- faults ------------------------------------------------------------------------------------------------
 
 
 async def _script(
     fleet: PurgedFleet, report: ScenarioReport, tasks: anyio.abc.TaskGroup, unit: float
 ) -> None:
-    """Plays all faults in their order.
+    """Injects all faults in a fixed order.
 
-    :param unit: seconds, a sixteenth of the load time.
+    :param unit: a sixteenth of the load time, in seconds.
     """
     await anyio.sleep(2 * unit)
-    absent_cache = fleet.caches["n1"]
-    await _partition(fleet, absent_cache, unit)
+    unreachable_cache = fleet.caches["n1"]
+    await _partition(fleet, unreachable_cache, unit)
     await anyio.sleep(unit)
     await fleet.restart_purge_log(0.3 * unit)
     await anyio.sleep(unit)
-    await _storm_over_bad_links(fleet, unit)
-    await absent_cache.start(tasks)  # with its old copies, while purges keep coming
+    await _burst_over_faulty_links(fleet, unit)
+    await unreachable_cache.start(tasks)  # with its old copies, while purges continue
     await anyio.sleep(unit)
     await fleet.purge([PurgeRequest("pattern", ("/**",)), PurgeRequest("pattern", ("/" + "*a" * 15,))])
-    await _second_process_of_one_name(fleet, report)
+    await _join_under_a_taken_name(fleet, report)
     await anyio.sleep(unit)
     await fleet.restart_purge_log(0.0)
     await fleet.restart_router(fleet.chance.randrange(ROUTERS), 0.0)
 
 
-async def _partition(fleet: PurgedFleet, absent_cache, unit: float) -> None:
-    """Cuts a router off for longer than a lease, and heals that while purges go on.
+async def _partition(fleet: PurgedFleet, unreachable_cache, unit: float) -> None:
+    """Cuts a router off for longer than a lease, and restores its link while purges continue.
 
-    A cache drains meanwhile, for longer than routers hold purges in their indexes; it keeps its disk.
+    Meanwhile a cache becomes unreachable, for longer than routers keep purges in their indexes. It keeps its
+    copies.
     """
     since = process.wall_clock()
     link = fleet.links[0][0]
     link.block()
     await fleet.purge([fleet.random_purge() for _ in range(5)])
-    absent_cache.stop()
+    unreachable_cache.stop()
     await anyio.sleep(1.2 * unit)
     await fleet.purge([PurgeRequest("tag", (TAGS[0],)), PurgeRequest("tag", ("care",))])
     link.restore()
@@ -155,48 +161,48 @@
     fleet.checker.cut_offs.append(CutOff(0, since, process.wall_clock()))
 
 
-async def _storm_over_bad_links(fleet: PurgedFleet, unit: float) -> None:
-    """Sends many purges while two links lose, double and delay lines, and caches refuse purges."""
+async def _burst_over_faulty_links(fleet: PurgedFleet, unit: float) -> None:
+    """Sends many purges while one link spoils lines, another delays them, and caches refuse purges."""
     since = process.wall_clock()
-    spoilt_link, late_link = fleet.links[1][0], fleet.links[2][0]
-    spoilt_link.down.fault_rate = 0.1
+    lossy_link, late_link = fleet.links[1][0], fleet.links[2][0]
+    lossy_link.down.fault_rate = 0.1
     late_link.down.delay = 0.02
     await fleet.restart_router(ROUTERS - 1, 0.3 * unit)
     for cache in list(fleet.caches.values())[::3]:
         cache.refusal_rate = 0.2
-    await fleet.purge([fleet.random_purge() for _ in range(STORM)])
+    await fleet.purge([fleet.random_purge() for _ in range(BURST_PURGES)])
     await anyio.sleep(unit)
     for cache in fleet.caches.values():
         cache.refusal_rate = 0.0
-    spoilt_link.restore()
+    lossy_link.restore()
     late_link.restore()
     await fleet.wait_until_joined()
     until = process.wall_clock()
     fleet.checker.cut_offs += [CutOff(router, since, until) for router in (1, 2)]
 
 
-async def _second_process_of_one_name(fleet: PurgedFleet, report: ScenarioReport) -> None:
-    """Joins under the name of a live router, as a second process with the same settings would."""
-    client = QueryClient([("127.0.0.1", fleet.purge_log_port)], QUERY_TIMEOUT)
+async def _join_under_a_taken_name(fleet: PurgedFleet, report: ScenarioReport) -> None:
+    """Joins under the name of a live router, as a second process with the same settings does."""
+    client = QueryClient([("127.0.0.1", fleet.purge_log_port)], QUERY_TIMEOUT_SECONDS)
     reply = await client.ask(MembersQuery())
-    live = [member.name for member in reply.members if member.kind == "router" and member.is_live]
-    if live:
+    live_routers = [member.name for member in reply.members if member.kind == "router" and member.is_live]
+    if live_routers:
         await client.close()
         await client.connect()
-        await client.stream.send(encode_line(MemberHello(live[0], "router", "other", epoch=0)))
+        await client.stream.send(encode_line(MemberHello(live_routers[0], "router", "other", epoch=0)))
         answer = await client.receive()
         is_refused = isinstance(answer, RequestRejected) and answer.place == "name"
-        report.expect(is_refused, f"a second {live[0]} was told {answer}")
+        report.expect(is_refused, f"a second process named {live_routers[0]} got {answer}, not a refusal")
     await client.close()
 
 
-# -- what is judged ----------------------------------------------------------------------------------------
+# -- checks ------------------------------------------------------------------------------------------------
 
 
 async def _wait_for_completion(fleet: PurgedFleet, report: ScenarioReport) -> None:
-    """Waits until the last purge is complete, and reports what the purge log says."""
-    client = QueryClient([("127.0.0.1", fleet.purge_log_port)], 2 * QUERY_TIMEOUT)
-    with anyio.move_on_after(COMPLETION_TIME):
+    """Waits until the last purge is complete, and reports the purge log's status."""
+    client = QueryClient([("127.0.0.1", fleet.purge_log_port)], 2 * QUERY_TIMEOUT_SECONDS)
+    with anyio.move_on_after(COMPLETION_TIMEOUT_SECONDS):
         while not (status := await client.ask(StatusQuery())).is_complete:
             await anyio.sleep(0.05)
     members = (await client.ask(MembersQuery())).members
@@ -211,7 +217,8 @@
     report.figures["promised in ms, missed"] = f"{promised_ms:.0f}, {status.delays['missed']}"
 
 
-def _judge(fleet: PurgedFleet, report: ScenarioReport) -> None:
+def _report_responses(fleet: PurgedFleet, report: ScenarioReport) -> None:
+    """Reports stale copies, the outcomes of requests, and faults of the program itself."""
     checker = fleet.checker
     report.broken += checker.stale_copies()
     outcomes = checker.outcomes
@@ -230,23 +237,24 @@
     spoilt_lines = sum(link.fault_count for links in fleet.links for link in links)
     figures["lines lost, doubled or swapped"] = spoilt_lines
     unanswered = outcomes[NO_RESPONSE]
-    report.expect(not unanswered, f"{unanswered} reqs without an answer")
-    is_most = succeeded > answered * MIN_SUCCEEDED_SHARE
-    report.expect(is_most, f"{succeeded} of {answered} reqs done: {dict(outcomes)}")
-    report.expect(succeeded > MIN_SUCCEEDED, f"only {succeeded} reqs done")
+    report.expect(not unanswered, f"{unanswered} requests without a response")
+    is_share_enough = succeeded > answered * MIN_SUCCEEDED_SHARE
+    report.expect(is_share_enough, f"{succeeded} of {answered} requests succeeded: {dict(outcomes)}")
+    report.expect(succeeded > MIN_SUCCEEDED, f"only {succeeded} requests succeeded")
     faults = fleet.fault_log_lines()
     report.expect(not faults, f"faults: {faults[:1]}")
 
 
-def _judge_log(fleet: PurgedFleet, report: ScenarioReport) -> None:
+def _check_log(fleet: PurgedFleet, report: ScenarioReport) -> None:
+    """Checks that the purge log's files contain every purge that was accepted."""
     contents = read_log(RealDisk(str(fleet.folder / "ledger")))
-    kept = {purge.sequence_number for purge in contents.purges}
-    lost = [number for number in fleet.checker.purges if number not in kept]
-    report.expect(not lost, f"{len(lost)} purges were promised and are lost: {lost[:5]}")
+    logged = {purge.sequence_number for purge in contents.purges}
+    lost = [number for number in fleet.checker.purges if number not in logged]
+    report.expect(not lost, f"{len(lost)} accepted purges are not in the log: {lost[:5]}")
 
 
-def _keep_log(fleet: PurgedFleet) -> None:
-    """Keeps the processes' log lines in a file, where the environment names one."""
+def _write_trace(fleet: PurgedFleet) -> None:
+    """Writes the processes' log lines into a file if QUARTZROUTER_TRACE is set."""
     name = os.environ.get("QUARTZROUTER_TRACE")
     if name:
         Path(f"rehearse-{name}.log").write_bytes((fleet.folder / "log").read_bytes())
