--- a/quartzrouter/fault_scenarios/leases.py
+++ b/quartzrouter/fault_scenarios/leases.py
@@ -88,7 +88,7 @@
     """Keepers with folders, claimants with a link to each keeper, and the witness that they act on.
 
     :param folder: holds plans, logs and the keepers' folders.
-    :param chance: seeds clocks and links.
+    :param chance: the generator of everything random.
     :param mutations: names of guards that are removed, ``ACCEPT_ANY_TOKEN`` from the witness and the others
         from all processes.
     """
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -1,4 +1,8 @@
-"""The hard cases of plans: what is broken, what shadows, what changes, and a plan in force on loopback."""
+"""Scenario: the difficult cases of plans.
+
+Checks the messages on faulty plans, the detection of routes that hide others and the comparison of plans
+against an exhaustive search, and runs a router on loopback whose plan changes under load.
+"""
 
 import io
 import json
@@ -26,13 +30,13 @@
 from quartzrouter.standalone.process import StandaloneProcess
 from quartzrouter.standalone.structured_log import logger
 
-SPOILT = 1_000  # texts made by spoiling a good one
-PAIRS = 40  # of random plans
-ASKERS, EACH = 8, 90  # clients, and reqs of each, on loopback
-CROWD = 6  # the limit on reqs in hand that they meet
-STOPPED_WITHIN = 5  # s at most until what is in hand has ended
+SPOILT_PLANS = 1_000  # texts made by spoiling a valid one
+PLAN_PAIRS = 40  # of drawn plans
+CLIENT_COUNT, REQUESTS_PER_CLIENT = 8, 90  # on loopback
+CONCURRENCY_LIMIT = 6  # requests in flight at most
+STOP_TIMEOUT_SECONDS = 5  # until requests in flight have ended
 
-BASE = """{
+VALID_PLAN = """{
   deployment: { name: "t", home: "north" },
   stores: { north: { hub: "h" }, south: { hub: "h" } }, hubs: { h: {} },
   caches: { n: { address: "127.0.0.1:1", at: "north" }, s: { address: "127.0.0.1:2", at: "south" } },
@@ -41,7 +45,7 @@
   limits: { some: { rate: 10/s } },
   routes: { all: { match: { path: "/**" }, vhost: "page", pool: "near" } },
 }"""
-CASES = {  # files, and what the one message says
+CASES = {  # files, and a part of the only message
     "include cycle through three": (
         {"main": 'include "a"', "a": 'include "b"', "b": 'include "main"'},
         "main -> a -> b -> main",
@@ -71,16 +75,19 @@
 }
 
 
-def rehearse(seed: int, tally: ScenarioReport) -> None:
+def rehearse(seed: int, report: ScenarioReport) -> None:
+    """Plays all cases, and reports those that failed and the figures."""
     chance = random.Random(seed)
-    _cases(tally)
-    _files(tally)
-    _spoilt(chance, tally)
-    _pairs(chance, tally)
-    anyio.run(partial(_loopback, chance, tally), backend_options=process.BACKEND_OPTIONS)
+    _check_faulty_plans(report)
+    _check_unreadable_includes(report)
+    _check_spoilt_plans(chance, report)
+    _check_plan_pairs(chance, report)
+    anyio.run(partial(_run_router, chance, report), backend_options=process.BACKEND_OPTIONS)
 
 
 def _reader(files: dict[str, str]):
+    """Returns a function that reads plan files from a dict by path."""
+
     def read(path: str) -> str:
         if path not in files:
             raise Unreadable("there is no such file")
@@ -89,59 +96,64 @@
     return read
 
 
-def _cases(tally: ScenarioReport) -> None:
-    for name, (files, said) in CASES.items():
-        errors = load("main", _reader({"base": BASE} | files)).faults.errors
-        one = len(errors) == 1 and said in errors[0].reason
-        tally.expect(one, f"{name}: {[error.reason for error in errors]}")
-    tally.figures["hard cases with their one message"] = len(CASES)
+def _check_faulty_plans(report: ScenarioReport) -> None:
+    """Checks that each faulty plan gets exactly one message, with the expected text."""
+    for name, (files, expected) in CASES.items():
+        errors = load("main", _reader({"base": VALID_PLAN} | files)).faults.errors
+        is_only_message = len(errors) == 1 and expected in errors[0].reason
+        report.expect(is_only_message, f"{name}: {[error.reason for error in errors]}")
+    report.figures["hard cases with their one message"] = len(CASES)
 
 
-def _files(tally: ScenarioReport) -> None:
-    """Includes that a disk can't give."""
+def _check_unreadable_includes(report: ScenarioReport) -> None:
+    """Checks the messages on includes that can not be read from a disk."""
     with tempfile.TemporaryDirectory() as folder:
-        root = Path(folder)
-        (root / "dir").mkdir()
-        (root / "latin").write_bytes(b'{ a: "\xe9" }')
-        for name, said in {"dir": "a folder", "latin": "not UTF-8", "none": "no such file"}.items():
-            (root / "main").write_text(f'include "{name}"')
-            errors = load(str(root / "main"), disk_loader()).faults.errors
-            tally.expect(len(errors) == 1 and said in errors[0].reason, f"include of {name}")
-    tally.figures["includes that can't be read"] = 3
-
-
-def _spoilt(chance: random.Random, tally: ScenarioReport) -> None:
-    """A good text with pieces taken out, doubled and swapped: faults or a plan, never anything else."""
+        folder_path = Path(folder)
+        (folder_path / "dir").mkdir()
+        (folder_path / "latin").write_bytes(b'{ a: "\xe9" }')
+        for name, expected in {"dir": "a folder", "latin": "not UTF-8", "none": "no such file"}.items():
+            (folder_path / "main").write_text(f'include "{name}"')
+            errors = load(str(folder_path / "main"), disk_loader()).faults.errors
+            report.expect(len(errors) == 1 and expected in errors[0].reason, f"include of {name}")
+    report.figures["includes that can't be read"] = 3
+
+
+def _check_spoilt_plans(chance: random.Random, report: ScenarioReport) -> None:
+    """Checks that a plan with pieces removed, doubled or swapped loads or gives faults, and nothing else."""
     outcomes: Counter[str] = Counter()
-    for _ in range(SPOILT):
-        text, words = BASE, re.findall(r"[\w-]+|[^\w-]", BASE)
-        if chance.random() < 0.5:  # words that stand in the wrong place
+    for _ in range(SPOILT_PLANS):
+        text, words = VALID_PLAN, re.findall(r"[\w-]+|[^\w-]", VALID_PLAN)
+        if chance.random() < 0.5:  # puts a word into the place of another
             at, other = chance.randrange(len(words)), chance.choice([w for w in words if w[0].isalnum()])
             words[at] = other if words[at][0].isalnum() else words[at]
             text = "".join(words)
-        if text == BASE or chance.random() < 0.2:
+        if text == VALID_PLAN or chance.random() < 0.2:
             at, size = chance.randrange(len(text)), chance.randint(0, 12)
             piece = chance.choice(["", text[at : at + size] * 2, chance.choice('{}[](),:;"$+/*\n\x00é0s%')])
             text = text[:at] + piece + text[at + size :]
         try:
             loaded = load("main", _reader({"main": text}))
             outcomes["good" if loaded.plan else "faulty"] += 1
-            tally.expect(
-                (loaded.plan is None) == bool(loaded.faults.errors), f"neither plan nor fault: {text!r}"
+            report.expect(
+                (loaded.plan is None) == bool(loaded.faults.errors),
+                f"both a plan and faults, or neither: {text!r}",
+            )
+            formatted = layout(Source("main", text))
+            report.expect(
+                layout(Source("main", formatted)) == formatted,
+                f"formatting twice differs from once: {text!r}",
             )
-            laid = layout(Source("main", text))
-            tally.expect(layout(Source("main", laid)) == laid, f"another layout of a layout: {text!r}")
         except PlanError:
             outcomes["not parsed"] += 1
         except Exception as error:
-            tally.broken.append(f"{type(error).__name__} on {text!r}")
-    tally.figures["spoilt texts"] = dict(sorted(outcomes.items()))
+            report.broken.append(f"{type(error).__name__} on {text!r}")
+    report.figures["spoilt texts"] = dict(sorted(outcomes.items()))
 
 
-# -- shadowing and diff ------------------------------------------------------------------------------------
+# -- hidden routes and differences -------------------------------------------------------------------------
 
-PATHS = ["/a", "/{x}", "/a/**", "/**", "/{x}/b", "/a/{x}", "/a-*"]
-ASKED = [
+PATH_PATTERNS = ["/a", "/{x}", "/a/**", "/**", "/{x}/b", "/a/{x}", "/a-*"]
+REQUESTS = [
     RouteQuery(store, host, path, method, {}, {})
     for store in ("north", "south")
     for host in ("a", "b.a")
@@ -151,55 +163,63 @@
 
 
 def _random_plan(chance: random.Random):
-    """A plan without faults: routes that others hide are taken out, as often as one says so."""
+    """Draws a plan, and removes hidden routes from it until it has no faults.
+
+    :returns: the plan, and how many routes were removed.
+    """
     routes = {}
     for n in range(chance.randint(2, 7)):
-        match = {"path": f'"{chance.choice(PATHS)}"'} if chance.random() < 0.8 else {}
+        match = {"path": f'"{chance.choice(PATH_PATTERNS)}"'} if chance.random() < 0.8 else {}
         if chance.random() < 0.4:
             match["method"] = chance.choice(['"GET"', '"POST"'])
         if chance.random() < 0.3:
             match["host"] = chance.choice(['"a"', '"**.a"', '"*"'])
-        told = ", ".join(f"{key}: {value}" for key, value in match.items())
+        keys = ", ".join(f"{key}: {value}" for key, value in match.items())
         routes[f"r{n}"] = (
-            f'{{ match: {{ {told} }}, vhost: "page", pool: "{chance.choice(["near", "far"])}" }}'
+            f'{{ match: {{ {keys} }}, vhost: "page", pool: "{chance.choice(["near", "far"])}" }}'
         )
-    hidden = 0
+    hidden_count = 0
     while True:
-        said = ", ".join(f"{name}: {route}" for name, route in routes.items())
-        text = BASE.replace(BASE[BASE.index("routes:") :], f"routes: {{ {said} }},\n}}")
+        entries = ", ".join(f"{name}: {route}" for name, route in routes.items())
+        text = VALID_PLAN.replace(VALID_PLAN[VALID_PLAN.index("routes:") :], f"routes: {{ {entries} }},\n}}")
         loaded = load("main", _reader({"main": text}))
         if loaded.plan:
-            return loaded.plan, hidden
+            return loaded.plan, hidden_count
         for fault in loaded.faults.errors:
             del routes[fault.reason.split("'")[1]]
-            hidden += 1
+            hidden_count += 1
 
 
-def _pairs(chance: random.Random, tally: ScenarioReport) -> None:
-    hidden = sets = differ = 0
-    for _ in range(PAIRS):
-        (old, out), (new, more) = _random_plan(chance), _random_plan(chance)
-        hidden += out + more
+def _check_plan_pairs(chance: random.Random, report: ScenarioReport) -> None:
+    """Checks the comparison of drawn plans by routing each of a set of requests under both."""
+    hidden_count = change_count = differing_count = 0
+    for _ in range(PLAN_PAIRS):
+        (old, old_hidden), (new, new_hidden) = _random_plan(chance), _random_plan(chance)
+        hidden_count += old_hidden + new_hidden
         diff = Diff(old, new)
-        sets += len(diff.changes)
+        change_count += len(diff.changes)
         pairs = {change.pair for change in diff.changes}
-        for asked in ASKED:
-            was, now = first_match(old.routes, asked), first_match(new.routes, asked)
-            changed = (was and was.pool) != (now and now.pool)
-            differ += changed
-            pair = (was.name if was else None, now.name if now else None)
-            tally.expect((pair in pairs) == changed, f"{asked.describe()}: {pair} is {'no ' * changed}set")
-        counts, stray = diff.replay(ASKED)
-        tally.expect(not stray and sum(counts.values()) == len(ASKED), f"replay: {stray}")
-    tally.figures["routes found to be hidden"] = hidden
-    tally.figures["pairs of plans, sets that differ"] = f"{PAIRS}, {sets}"
-    tally.figures["reqs replayed, that route differently"] = f"{PAIRS * len(ASKED)}, {differ}"
-
-
-# -- in force ------------------------------------------------------------------------------------------------
-
-OTHER = 'x: { address: "127.0.0.1:1", at: "north", kind: "none" },'
-SITE = """{{
+        for request in REQUESTS:
+            old_route, new_route = first_match(old.routes, request), first_match(new.routes, request)
+            changed = (old_route and old_route.pool) != (new_route and new_route.pool)
+            differing_count += changed
+            pair = (old_route.name if old_route else None, new_route.name if new_route else None)
+            report.expect(
+                (pair in pairs) == changed, f"{request.describe()}: {pair} is {'not ' * changed}in the diff"
+            )
+        counts, unexplained = diff.replay(REQUESTS)
+        report.expect(not unexplained and sum(counts.values()) == len(REQUESTS), f"replay: {unexplained}")
+    report.figures["routes found to be hidden"] = hidden_count
+    report.figures["pairs of plans, sets that differ"] = f"{PLAN_PAIRS}, {change_count}"
+    report.figures["reqs replayed, that route differently"] = (
+        f"{PLAN_PAIRS * len(REQUESTS)}, {differing_count}"
+    )
+
+
+# -- a running router --------------------------------------------------------------------------------------
+
+OTHER_KIND_CACHE = 'x: { address: "127.0.0.1:1", at: "north", kind: "none" },'
+ROUTER_PLAN = """{{
   deployment: {{ name: "t", home: "north", listen: "127.0.0.1:{port}", descriptors: 256 }},
   stores: {{ north: {{ hub: "h" }}, south: {{ hub: "h" }} }}, hubs: {{ h: {{}} }},
   caches: {{
@@ -216,56 +236,63 @@
 }}"""
 
 
-async def _loopback(chance: random.Random, tally: ScenarioReport) -> None:
+async def _run_router(chance: random.Random, report: ScenarioReport) -> None:
+    """Runs a router under load while its plan, its pool and its caches change, and stops it."""
     caches = {name: Cache(lambda: chance.uniform(0.005, 0.03)) for name in ("n1", "n2", "s1", "p", "o")}
-    ends: Counter[str] = Counter()
+    outcomes: Counter[str] = Counter()
     with tempfile.TemporaryDirectory() as folder, anyio.fail_after(30):
-        path, out = Path(folder) / "main.plan", io.StringIO()
+        path, log_output = Path(folder) / "main.plan", io.StringIO()
         async with anyio.create_task_group() as tasks:
-            told: dict[str, object] = {name: await cache.start(tasks) for name, cache in caches.items()}
-            told |= {"port": await free_port(), "more": "", "near": "", "crowd": CROWD}
+            values: dict[str, object] = {name: await cache.start(tasks) for name, cache in caches.items()}
+            values |= {"port": await free_port(), "more": "", "near": "", "crowd": CONCURRENCY_LIMIT}
 
-            async def put(text: str) -> None:
+            async def reload(text: str) -> None:
                 path.write_text(text)
                 os.kill(os.getpid(), signal.SIGHUP)
                 await anyio.sleep(0.15)
 
-            path.write_text(SITE.format(**told))
-            service = StandaloneProcess(str(path), load(str(path)).plan, logger("info", "json", out))
-            router = anyio.Event()
+            path.write_text(ROUTER_PLAN.format(**values))
+            service = StandaloneProcess(str(path), load(str(path)).plan, logger("info", "json", log_output))
+            stopped = anyio.Event()
 
-            async def run() -> None:
+            async def run_service() -> None:
                 await service.run()
-                router.set()
-
-            tasks.start_soon(run)
-
-            async def ask(first: int) -> None:
-                client = Client(await _connect(told["port"]))
-                for id in range(first, first + EACH):
-                    await client.send_request(id, path=f"/{chance.randrange(40)}", HTTP_X_DEADLINE_MS="3000")
-                    said = await client.receive_response()
-                    ends[
+                stopped.set()
+
+            tasks.start_soon(run_service)
+
+            async def send_requests(first: int) -> None:
+                client = Client(await _connect(values["port"]))
+                for request_id in range(first, first + REQUESTS_PER_CLIENT):
+                    await client.send_request(
+                        request_id, path=f"/{chance.randrange(40)}", HTTP_X_DEADLINE_MS="3000"
+                    )
+                    response = await client.receive_response()
+                    outcomes[
                         "200"
-                        if "200 OK" in said
+                        if "200 OK" in response
                         else "denied"
-                        if " 503 " in said or " 429 " in said
-                        else said
+                        if " 503 " in response or " 429 " in response
+                        else response
                     ] += 1
                     await anyio.sleep(chance.uniform(0, 0.02))
 
-            async with anyio.create_task_group() as askers:
-                for n in range(ASKERS):
-                    askers.start_soon(ask, 1 + 1000 * n)
+            async with anyio.create_task_group() as clients:
+                for n in range(CLIENT_COUNT):
+                    clients.start_soon(send_requests, 1 + 1000 * n)
                 await anyio.sleep(0.3)
-                await put(SITE.format(**told | {"crowd": CROWD // 2}))  # while it is saturated
-                await put("{ deployment: }")  # faulty: changes nothing
-                crowd = service.plan.limits["crowd"].concurrent
-                tally.expect(crowd == CROWD // 2, f"a faulty plan changed the limit to {crowd}")
-                path.write_text(SITE.format(**told | {"near": 'kinds: "none"', "more": OTHER}))
-                os.kill(os.getpid(), signal.SIGHUP)  # empties the pool, and twice within a second
-                await put(SITE.format(**told))
-                for _ in range(3):  # the caches of the pool flap around its threshold
+                # The limit changes while it is saturated.
+                await reload(ROUTER_PLAN.format(**values | {"crowd": CONCURRENCY_LIMIT // 2}))
+                await reload("{ deployment: }")  # a faulty plan changes nothing
+                limit = service.plan.limits["crowd"].concurrent
+                report.expect(limit == CONCURRENCY_LIMIT // 2, f"a faulty plan changed the limit to {limit}")
+                path.write_text(
+                    ROUTER_PLAN.format(**values | {"near": 'kinds: "none"', "more": OTHER_KIND_CACHE})
+                )
+                # The pool becomes empty, and the next reload follows within a second.
+                os.kill(os.getpid(), signal.SIGHUP)
+                await reload(ROUTER_PLAN.format(**values))
+                for _ in range(3):  # the number of caches crosses the threshold of the pool repeatedly
                     for name in ("n1", "n2"):
                         caches[name].stop()
                     await anyio.sleep(0.3)
@@ -273,42 +300,51 @@
                         await caches[name].start(tasks)
                     await anyio.sleep(0.3)
             changes = service.multi_pool_router.pools.states["near"].changes
-            held, where = (
+            held_limit_count, held_request_count = (
                 len(service.multi_pool_router.limits.held_keys),
                 len(service.multi_pool_router.routers_by_request),
             )
             os.kill(os.getpid(), signal.SIGTERM)
-            await put(SITE.format(**told | {"crowd": 1}))  # a plan replaced during SIGTERM
-            last = Client(await _connect(told["port"]))
-            await last.send_request(50_000, path="/late")
-            ends["200" if "200 OK" in await last.receive_response() else "late req not answered"] += 1
-            with anyio.move_on_after(STOPPED_WITHIN):
-                await router.wait()
-            tally.expect(router.is_set(), "the router didn't stop")
+            await reload(ROUTER_PLAN.format(**values | {"crowd": 1}))  # the plan changes during a shutdown
+            late_client = Client(await _connect(values["port"]))
+            await late_client.send_request(50_000, path="/late")
+            outcomes[
+                "200" if "200 OK" in await late_client.receive_response() else "late request not answered"
+            ] += 1
+            with anyio.move_on_after(STOP_TIMEOUT_SECONDS):
+                await stopped.wait()
+            report.expect(stopped.is_set(), "the router did not stop in time")
             tasks.cancel_scope.cancel()
-    lines = [json.loads(line) for line in out.getvalue().splitlines()]
-    asked = ASKERS * EACH + 1
-    most = max(cache.max_open_requests for cache in caches.values())
+    lines = [json.loads(line) for line in log_output.getvalue().splitlines()]
+    sent = CLIENT_COUNT * REQUESTS_PER_CLIENT + 1
+    max_open_requests = max(cache.max_open_requests for cache in caches.values())
     faults = [line["event"] for line in lines if line["kind"] == "fault"]
-    told_once = sum("nothing changes" in line["event"] for line in lines)
-    hand = sum(ends[end] for end in ("200", "denied"))
-    tally.figures["reqs on loopback, done, denied"] = f"{asked}, {ends['200']}, {ends['denied']}"
-    tally.figures["most at one cache at once, limit"] = f"{most}, {CROWD}"
+    refusal_count = sum("nothing changes" in line["event"] for line in lines)
+    answered = sum(outcomes[end] for end in ("200", "denied"))
+    report.figures["reqs on loopback, done, denied"] = f"{sent}, {outcomes['200']}, {outcomes['denied']}"
+    report.figures["most at one cache at once, limit"] = f"{max_open_requests}, {CONCURRENCY_LIMIT}"
     reloads = sum("SIGHUP" in line["event"] for line in lines)
-    tally.figures["reloads, refused with one message"] = f"{reloads}, {told_once}"
-    tally.figures["changes between pool and fallback"] = changes
-    tally.expect(
+    report.figures["reloads, refused with one message"] = f"{reloads}, {refusal_count}"
+    report.figures["changes between pool and fallback"] = changes
+    report.expect(
         1 <= changes <= 6, f"{changes} changes between pool and fallback in six changes of its caches"
     )
-    tally.expect(hand == asked, f"{asked - hand} reqs without an answer: {dict(ends)}")
-    tally.expect(most <= CROWD, f"{most} reqs at one cache, with {CROWD} allowed in hand")
-    tally.expect(ends["200"] > asked // 4, "hardly any req was done")
-    tally.expect(not held and not where, f"{held} reqs still counted, {where} still held")
-    tally.expect(told_once == 1, f"{told_once} messages for one faulty plan")
-    tally.expect(not faults, f"faults: {faults[:1]}")
+    report.expect(answered == sent, f"{sent - answered} requests without a response: {dict(outcomes)}")
+    report.expect(
+        max_open_requests <= CONCURRENCY_LIMIT,
+        f"{max_open_requests} requests at one cache, but the limit is {CONCURRENCY_LIMIT} in flight",
+    )
+    report.expect(outcomes["200"] > sent // 4, "no more than a quarter of the requests succeeded")
+    report.expect(
+        not held_limit_count and not held_request_count,
+        f"{held_limit_count} requests still count in limits, {held_request_count} are still held",
+    )
+    report.expect(refusal_count == 1, f"{refusal_count} messages for one faulty plan")
+    report.expect(not faults, f"faults: {faults[:1]}")
 
 
 async def _connect(port: int):
+    """Connects to a port as soon as a process listens at it."""
     while True:
         try:
             return await anyio.connect_tcp("127.0.0.1", port)
--- a/quartzrouter/fault_scenarios/purge_fleet.py
+++ b/quartzrouter/fault_scenarios/purge_fleet.py
@@ -72,7 +72,7 @@
 class PurgedFleet(Fleet):
     """The routers, the purge log, the courier, the caches and the clients.
 
-    :param chance: seeds everything that is drawn.
+    :param chance: the generator of everything random.
     :param folder: holds plans, logs and stored files.
     :param router_count: how many routers run.
     :param cache_count: how many caches run, in equal parts in each store.
--- a/quartzrouter/fault_scenarios/quota_fleet.py
+++ b/quartzrouter/fault_scenarios/quota_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of processes on loopback that share limits, its load, and the faults that strike it."""
+"""A fleet of processes on loopback that share limits, the load on it, and the faults injected into it."""
 
 import random
 from collections.abc import Sequence
@@ -25,12 +25,12 @@
 SLOTS_PATH = "/crowd/"  # requests that count in the shared concurrency
 RATE_LIMIT = "calls"  # names of the limits in the plan
 SLOTS_LIMIT = "crowd"
-RATE_RESPONSE_TIME = (0.002, 0.01)  # seconds at a cache, least and most
-SLOT_CLIENT_PAUSE = (0.05, 0.2)  # seconds from an answer to the client's next request, least and most
-REQUESTS_PER_CLIENT = 20  # a second: a client sends its next request only once the last one is answered
-MAX_WALL_CLOCK_ERROR = 5  # seconds
-STANDBY_ARGUMENT = 5  # index in a purge log's arguments of the address that it stands by for
-TAKEOVER_NOTICE = 1.0  # seconds after which a purge log that was stopped has seen its successor, and ended
+RATE_RESPONSE_SECONDS = (0.002, 0.01)  # at a cache, least and most
+SLOT_CLIENT_PAUSE_SECONDS = (0.05, 0.2)  # from a response to the client's next request, least and most
+REQUESTS_PER_CLIENT = 20  # per second: a client sends its next request only after the response to the last
+MAX_WALL_CLOCK_ERROR_SECONDS = 5
+STANDBY_ARGUMENT = 5  # index in a purge log's arguments of the address of the log that it is a standby for
+TAKEOVER_NOTICE_SECONDS = 1.0  # in which a resumed purge log notices its successor and ends
 
 PLAN = """{{
   deployment: {{
@@ -63,38 +63,38 @@
 
 @dataclass(frozen=True)
 class ScenarioSize:
-    """What is played.
+    """The size of a play, and the settings of its fleet and its load.
 
-    :param routers: of the fleet.
-    :param caches: of the store.
+    :param routers: how many routers run.
+    :param caches: how many caches the store has.
     :param rate: requests per second of the shared rate.
-    :param burst: of the shared rate.
-    :param rate_guarantee: share of the rate that is guaranteed, as the plan writes it.
-    :param slots: of the shared concurrency.
-    :param slots_guarantee: share of the slots that is guaranteed, as the plan writes it.
-    :param grant_ttl: time to live of grants, as the plan writes it.
+    :param burst: the burst of the shared rate.
+    :param rate_guarantee: the share of the rate that is guaranteed, as the plan writes it.
+    :param slots: the slots of the shared concurrency.
+    :param slots_guarantee: the share of the slots that is guaranteed, as the plan writes it.
+    :param grant_ttl: the time to live of grants, as the plan writes it.
     :param response_time: least and most seconds that a request counted in slots is at a cache.
     :param timeout: the client timeout, as the plan writes it.
-    :param cancels_abandoned: whether caches give up requests whose router has hung up.
-    :param purge_grace: of purges, as the plan writes it; four fifths of it without a message end a
-        connection to a purge log.
-    :param first_router_share: of the demand for the rate, which comes to router 0.
-    :param demand: requests per second for the rate, in all.
-    :param slot_clients: at each router, which ask for slots.
-    :param seconds: of the load.
-    :param line_fault_rate: of messages, spoilt from the start on.
-    :param line_fault_kinds: how.
-    :param slots_checked_from: milliseconds after the start, from which the bound on slots must hold.
+    :param cancels_abandoned: True if caches abandon requests whose router has closed its connection.
+    :param purge_grace: the grace of purges, as the plan writes it. A connection to a purge log ends after
+        four fifths of it without a message.
+    :param first_router_share: the share of the demand for the rate that arrives at router 0.
+    :param demand: requests per second for the rate at all routers together.
+    :param slot_clients: clients at each router that request slots.
+    :param seconds: how long the load lasts.
+    :param line_fault_rate: the share of messages that are spoilt from the start.
+    :param line_fault_kinds: the ways in which messages are spoilt.
+    :param slots_checked_from: milliseconds after the start from which the bound on slots must hold.
     :param peer_ejection: whether routers eject caches by each other's reports, as the plan writes it.
-    :param cache_links: a link from each router to each cache, which can be cut.
-    :param max_clock_drift: parts per million by which clocks run fast or slow.
-    :param fault_free_time: milliseconds at the start, in which the use of the budgets is measured.
-    :param max_attempts: per request.
+    :param cache_links: True if each router has a link to each cache that can be cut.
+    :param max_clock_drift: parts per million by which clocks run fast or slow at most.
+    :param fault_free_time: milliseconds at the start in which the use of the budgets is measured.
+    :param max_attempts: attempts per request at most.
     :param retry_rate: retries per second, a shared limit.
-    :param cache_weight: of each cache: transfers that its link carries.
-    :param traffic_class_keys: more keys of the traffic class.
-    :param deployment_keys: more keys of the deployment.
-    :param unlisted_caches: the first ones, which no plan lists until a fault ``list``.
+    :param cache_weight: the weight of each cache: the transfers that its link carries.
+    :param traffic_class_keys: more keys of the traffic class, as the plan writes them.
+    :param deployment_keys: more keys of the deployment, as the plan writes them.
+    :param unlisted_caches: how many of the first caches no plan lists until a fault ``list``.
     """
 
     routers: int = 12
@@ -129,16 +129,17 @@
 
     @property
     def other_router_demand(self) -> float:
-        """Requests per second for the rate at each router but the first."""
+        """Returns the requests per second for the rate at each router except the first."""
         return (1 - self.first_router_share) * self.demand / max(1, self.routers - 1)
 
 
 class QuotaFleet(FaultInjectedFleet):
-    """Two purge logs over one folder, the second stands by; routers with a link to each; caches that count.
+    """Two purge logs on one folder, the second as standby; routers with a link to each; counting caches.
 
-    :param chance: all that is random is drawn from it.
-    :param size: what is played.
-    :param mutations: names of guards that are taken out in all processes.
+    :param folder: holds plans, logs and the purge logs' folder.
+    :param chance: the generator of everything random.
+    :param size: the size of the play.
+    :param mutations: names of guards that are removed from all processes.
     """
 
     def __init__(
@@ -152,7 +153,7 @@
         self.cache_addresses: list[str] = []
         self.clients: list[LoadGenerator] = []
         self.budgets: dict[str, Budget] = {}
-        self.cache_links: list[list[ProxiedLink]] = []  # by router, by cache
+        self.cache_links: list[list[ProxiedLink]] = []  # by router, then by cache
         self.routers_with_slot_demand = set(range(size.routers))
         self.unlisted_caches = size.unlisted_caches
 
@@ -197,14 +198,14 @@
                 direction.fault_kinds = self.size.line_fault_kinds
 
     def _draw_clocks(self) -> Clocks:
-        error = self.chance.randint(-MAX_WALL_CLOCK_ERROR, MAX_WALL_CLOCK_ERROR) * SECOND
+        error = self.chance.randint(-MAX_WALL_CLOCK_ERROR_SECONDS, MAX_WALL_CLOCK_ERROR_SECONDS) * SECOND
         drift = self.chance.randint(-self.size.max_clock_drift, self.size.max_clock_drift)
         return Clocks(error, drift)
 
     def plan(self, index: int, **changes) -> str:
-        """The plan of one router.
+        """Returns the text of a router's plan.
 
-        :param changes: values of ``PLAN`` in place of those of the size.
+        :param changes: values of ``PLAN`` that replace those of the size.
         """
         ledgers = ", ".join(f'"127.0.0.1:{link.port}"' for link in self.links[index])
         weight = self.size.cache_weight
@@ -219,13 +220,14 @@
         return PLAN.format(port=self.ports[index], number=index, listed=listed, ledgers=ledgers, **values)
 
     def _cache_addresses_of(self, router: int) -> list[str]:
-        """Where a router finds the caches."""
+        """Returns the addresses at which a router reaches the caches."""
         if not self.size.cache_links:
             return self.cache_addresses
         return [f"127.0.0.1:{link.port}" for link in self.cache_links[router]]
 
     def _response_time(self, path: str) -> float:
-        bounds = self.size.response_time if path.startswith(SLOTS_PATH) else RATE_RESPONSE_TIME
+        """Draws the seconds that a cache takes for a request."""
+        bounds = self.size.response_time if path.startswith(SLOTS_PATH) else RATE_RESPONSE_SECONDS
         return self.chance.uniform(*bounds)
 
     # -- load ----------------------------------------------------------------------------------------------
@@ -244,45 +246,46 @@
         demand = size.first_router_share * size.demand if is_first else size.other_router_demand
         clients = max(1, round(demand / REQUESTS_PER_CLIENT))
         for client in range(clients):
-            pace = partial(self._uneven_pace, clients / demand)
+            next_pause = partial(self._draw_interval, clients / demand)
             path = f"{RATE_PATH}r{router}.{client}"
-            self.clients.append(LoadGenerator(path, self.history, self.ports[router], pace))
+            self.clients.append(LoadGenerator(path, self.history, self.ports[router], next_pause))
 
     def _add_slot_clients(self, router: int) -> None:
         for client in range(self.size.slot_clients):
-            pace = partial(self.chance.uniform, *SLOT_CLIENT_PAUSE)
+            next_pause = partial(self.chance.uniform, *SLOT_CLIENT_PAUSE_SECONDS)
             has_demand = partial(self._has_slot_demand, router)
             path = f"{SLOTS_PATH}r{router}.{client}"
-            self.clients.append(LoadGenerator(path, self.history, self.ports[router], pace, has_demand))
+            self.clients.append(LoadGenerator(path, self.history, self.ports[router], next_pause, has_demand))
 
     def _has_slot_demand(self, router: int) -> bool:
         return router in self.routers_with_slot_demand
 
-    def _uneven_pace(self, interval: float) -> float:
+    def _draw_interval(self, interval: float) -> float:
+        """Draws seconds around an average interval, so that the load is uneven."""
         return self.chance.uniform(0.6, 1.4) * interval
 
     def end_load(self) -> None:
-        """Ends all clients after their current request."""
+        """Makes all clients end after their current request."""
         for client in self.clients:
             client.is_stopping = True
 
     # -- faults, each a method by the name that schedules use ------------------------------------------------
 
     def links_of(self, name: str) -> list[ProxiedLink]:
-        """The links of a router to the purge logs, as r3, or one of them, as r3/1."""
+        """Returns a router's links to the purge logs: both for `r3`, that to the second for `r3/1`."""
         router, _, ledger = name[1:].partition("/")
         links = self.links[int(router)]
         return [links[int(ledger)]] if ledger else links
 
     async def _only(self, fault: Fault) -> None:
-        """From now on there is demand for slots at these routers only; ``all``: at all of them."""
+        """Limits the demand for slots to these routers from now on; ``all`` restores it at all of them."""
         if fault.target == "all":
             self.routers_with_slot_demand = set(range(self.size.routers))
         else:
             self.routers_with_slot_demand = {int(name[1:]) for name in fault.target.split()}
 
     async def _part(self, fault: Fault) -> None:
-        """A router is cut off from one cache, as r3/1, or from all of them, as r3."""
+        """Cuts a router off from the second cache for `r3/1`, and from all caches for `r3`."""
         router, _, cache = fault.target[1:].partition("/")
         links = self.cache_links[int(router)]
         links = [links[int(cache)]] if cache else links
@@ -293,32 +296,32 @@
             link.block(False)
 
     async def _bad(self, fault: Fault) -> None:
-        """A cache answers a share of its requests with an error."""
+        """Makes a cache answer a share of its requests with an error."""
         cache = self.caches[int(fault.target[1:])]
         cache.error_rate = fault.amount
         await anyio.sleep(fault.duration_ms / 1000)
         cache.error_rate = 0.0
 
     async def _lost(self, fault: Fault) -> None:
-        """A cache is gone, and comes back at its port."""
+        """Stops a cache, and starts it again at the same port."""
         cache = self.caches[int(fault.target[1:])]
         cache.stop()
         await anyio.sleep(fault.duration_ms / 1000)
         await cache.start(self.tasks)
 
     async def _stop(self, fault: Fault) -> None:
-        """SIGSTOP; a purge log that goes on finds a successor in its place, and ends."""
+        """Suspends a process with SIGSTOP; a purge log that resumes notices its successor and ends."""
         party = self.process_named(fault.target)
         party.stop()
         await anyio.sleep(fault.duration_ms / 1000)
         party.resume()
         if party in self.ledgers:
-            await anyio.sleep(TAKEOVER_NOTICE)
+            await anyio.sleep(TAKEOVER_NOTICE_SECONDS)
             if not party.is_running:
                 self._restart(party)
 
     async def _kill(self, fault: Fault) -> None:
-        """SIGKILL, with the loss of its folder where ``much`` says so, and a restart."""
+        """Kills a process and restarts it; an amount other than 0 deletes its folder."""
         party = self.process_named(fault.target)
         party.kill()
         if fault.amount:
@@ -327,7 +330,7 @@
         self._restart(party)
 
     def _restart(self, party: FleetProcess) -> None:
-        """Starts a process again; a purge log stands by for the other one where that runs."""
+        """Restarts a process; a purge log becomes the standby of the other one if that runs."""
         if party in self.ledgers:
             other = 1 - self.ledgers.index(party)
             other_address = f"127.0.0.1:{self.ledger_ports[other]}"
@@ -335,14 +338,14 @@
         party.start()
 
     async def _list(self, _fault: Fault) -> None:
-        """All routers read a plan that lists all caches: those that are new to it have just started."""
+        """Makes all routers read a plan that lists all caches; routers take the new ones for just started."""
         self.unlisted_caches = 0
         for index, router in enumerate(self.routers):
             self.plan_path(index).write_text(self.plan(index))
             router.reload()
 
     async def _reload(self, fault: Fault) -> None:
-        """A purge log or a router reads a plan with ``much`` slots."""
+        """Makes a purge log or a router read a plan with as many slots as the amount says."""
         slots = int(fault.amount)
         if fault.target.startswith("ledger"):
             (self.folder / "shared.plan").write_text(self.plan(0, slots=slots))
