--- a/quartzrouter/fault_scenarios/__init__.py
+++ b/quartzrouter/fault_scenarios/__init__.py
@@ -1,4 +1,4 @@
-"""Scenarios with injected faults: each plays the hard cases of one part and reports what broke."""
+"""Scenarios with injected faults: each plays the difficult cases of one part and reports violations."""
 
 import json
 import time
@@ -9,8 +9,8 @@
 class Scenario(NamedTuple):
     """A scenario of `quartzrouter rehearse`.
 
-    :param module: of this package, with a function ``rehearse(seed, report, **options)``.
-    :param summary: what it plays.
+    :param module: the module of this package that has its function ``rehearse(seed, report, **options)``.
+    :param summary: what it plays, as the command shows it.
     """
 
     module: str
@@ -19,72 +19,73 @@
 
 SCENARIOS = {
     "purges": Scenario(
-        "purges", "a fleet with a ledger: partitions, kills, storms, old caches; every answer is looked at"
+        "purges", "a fleet with a ledger: partitions, kills, bursts, old caches; every response is checked"
     ),
     "sharing": Scenario(
-        "quota", "limits that a fleet shares: routers and ledgers cut off, killed, stopped, with clocks off"
+        "quota", "limits that a fleet shares: routers and ledgers cut off, killed, stopped, with wrong clocks"
     ),
     "hearsay": Scenario(
         "peer_ejection",
-        "a cache goes bad, or out of reach of most: each router alone, and together; 100 s",
+        "a cache fails, or most routers can't reach it: each router alone, and together; 100 s",
     ),
     "leases": Scenario(
-        "leases", "one holder at a time: keepers and claimants cut off, killed, stopped, without folders"
+        "leases", "one holder at a time: keepers and claimants cut off, killed, stopped, their folders lost"
     ),
     "warming": Scenario(
         "slow_start",
-        "a cache comes back cold: equal parts of what it may be sent, or parts as wanted; 30 s",
+        "a cache comes back cold: equal parts of its capacity, or parts by demand; 30 s",
     ),
     "guards": Scenario(
         "mutations",
-        "each guard of shared limits, cold servers and leases taken out, by processes; eight minutes",
+        "each guard of shared limits, cold servers and leases removed from processes; eight minutes",
     ),
     "plan": Scenario(
         "plan",
-        "broken plans, shadowing and diff against brute force, limits, fallbacks and reloads on loopback",
+        "faulty plans, hidden routes and diff against brute force, limits, fallbacks, reloads on loopback",
     ),
 }
 
 
 class ScenarioReport:
-    """Figures by name, and what broke; both are printed, and keys of ``--json``."""
+    """Figures by name, and violations; both are printed, and are keys of ``--json``."""
 
     def __init__(self) -> None:
         self.figures: dict[str, object] = {}
         self.broken: list[str] = []
 
-    def expect(self, holds: bool, otherwise: str) -> None:
-        """Notes what broke, unless the condition holds."""
+    def expect(self, holds: bool, violation: str) -> None:
+        """Records a violation unless the condition holds."""
         if not holds:
-            self.broken.append(otherwise)
+            self.broken.append(violation)
 
 
 def play(name: str, seed: int, as_json: bool, **options) -> int:
     """Plays a scenario and prints its report.
 
-    :param name: of ``SCENARIOS``.
-    :param seed: for all that is random.
-    :param options: of this scenario.
-    :returns: the exit status: 1 if anything broke.
+    :param name: the scenario's key in ``SCENARIOS``.
+    :param seed: the seed of everything random.
+    :param as_json: prints JSON in place of lines.
+    :param options: more arguments of the scenario's function.
+    :returns: the exit status: 1 if there was a violation.
     """
     report = ScenarioReport()
-    began = time.monotonic()
+    started_at = time.monotonic()
     module = import_module(f"quartzrouter.fault_scenarios.{SCENARIOS[name].module}")
     module.rehearse(seed, report, **options)
-    seconds = round(time.monotonic() - began, 1)
+    seconds = round(time.monotonic() - started_at, 1)
     if as_json:
-        found = {
+        output = {
             "name": name,
             "seed": seed,
             "seconds": seconds,
             "figures": report.figures,
             "broken": report.broken,
         }
-        print(json.dumps(found, indent=2))
+        print(json.dumps(output, indent=2))
         return bool(report.broken)
-    for what, figure in report.figures.items():
-        print(f"{what:46} {figure}")
-    for broken in report.broken:
-        print(f"broken: {broken}")
+    for key, figure in report.figures.items():
+        print(f"{key:46} {figure}")
+    for violation in report.broken:
+        print(f"broken: {violation}")
     print(f"{name}, seed {seed}: {len(report.broken)} broken, {seconds} s")
     return bool(report.broken)
--- a/quartzrouter/fault_scenarios/mutations.py
+++ b/quartzrouter/fault_scenarios/mutations.py
@@ -1,11 +1,11 @@
-"""Scenario: guards of quota, slow start and leases are taken out one by one, and checkers must notice it."""
+"""Scenario: guards of quota, slow start and leases are removed one by one; checkers must notice it."""
 
 from quartzrouter.fault_scenarios import ScenarioReport, leases, quota_mutation_scenes, slow_start
 from quartzrouter.fault_scenarios.quota_play import ScenarioResult
 
 
 def rehearse(seed: int, report: ScenarioReport) -> None:
-    """Plays each guard's scene with it and without it; some minutes."""
+    """Plays each guard's scene with the guard and without it, which takes some minutes."""
     for mutation in quota_mutation_scenes.SCENES:
         guarded, mutated = quota_mutation_scenes.play_with_and_without(seed, mutation)
         figures = f"{_excess(guarded)}; taken out by {_excess(mutated)}"
@@ -24,8 +24,8 @@
     report: ScenarioReport, mutation: str, guarded_broke: bool, mutated_broke: bool, figures: str
 ) -> None:
     report.figures[mutation] = figures
-    report.expect(not guarded_broke, f"{mutation}: broken with all guards in place")
-    report.expect(mutated_broke, f"{mutation}: taken out, and no checker sees it")
+    report.expect(not guarded_broke, f"{mutation}: violations with all guards in place")
+    report.expect(mutated_broke, f"{mutation}: removed, and no checker notices it")
 
 
 def _excess(result: ScenarioResult) -> str:
--- a/quartzrouter/fault_scenarios/purge_checker.py
+++ b/quartzrouter/fault_scenarios/purge_checker.py
@@ -1,4 +1,4 @@
-"""Looks at every response of a fleet under purges, and finds those with a copy that a purge makes stale."""
+"""Checks every response of a fleet for a copy that a purge had made stale."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -7,18 +7,18 @@
 from quartzrouter.purges.messages import Purge, PurgeAccepted, PurgeRequest
 from quartzrouter.purges.purge_index import ANY_STORE, PurgeIndex, PurgeLookup
 
-SECOND = 1_000_000  # us
-GRACE = 300_000  # us within which a purge must hold
-MAX_TRANSIT = 100_000  # us that a response may take from its router until its client has looked at it
-FOR_EVER = 1 << 60  # us
+SECOND = 1_000_000  # microseconds
+GRACE = 300_000  # microseconds within which a purge must take effect
+MAX_TRANSIT = 100_000  # microseconds from when a router sends a response until its client has read it
+UNLIMITED_LIFETIME = 1 << 60  # microseconds
 
 TAGS = ("rose", "lily", "care", "hold")
 
 
 def tags_of(path: str) -> str:
-    """Returns the tags that the origin gives a page: of its plant, and on most pages `care` or `hold`.
+    """Returns the tags that the origin gives a page: those of its plant, and on most pages `care` or `hold`.
 
-    :param path: as /KIND/pPLANT/PAGE.
+    :param path: a path of the form /KIND/pPLANT/PAGE.
     """
     _, _, plant_part, page_part = path.split("/")
     plant, page = int(plant_part.removeprefix("p")), int(page_part)
@@ -29,11 +29,13 @@
 
 
 class Response(NamedTuple):
-    """A response that brought a copy. Times are microseconds of the true clock.
+    """A response with a copy. Times are microseconds of the true clock.
 
-    :param sent_at: when its request was sent.
-    :param received_at: when it came to its client.
+    :param sent_at: when the client sent the request.
+    :param received_at: when the client received the response.
+    :param path: the path of the request.
     :param made_at: when the origin made the copy.
+    :param router: the number of the router that answered.
     """
 
     sent_at: int
@@ -44,9 +46,9 @@
 
 
 class CutOff(NamedTuple):
-    """A time in which a router may have been cut off from the purge log; microseconds.
+    """A time in which a router may have been cut off from the purge log, in microseconds.
 
-    :param router: None for all.
+    :param router: the router's number, or None for all routers.
     """
 
     router: int | None
@@ -56,56 +58,63 @@
 
 @dataclass
 class PurgeChecker:
-    """Responses and purges, and what both break.
+    """Records responses and purges, and finds the responses that violate a purge.
 
     :param skew: microseconds by which the purge log's clock is ahead.
+    :param responses: all responses with a copy.
+    :param purges: an index for each purge, by sequence number.
+    :param outcomes: counts the outcomes of requests and purges.
+    :param cut_offs: times in which routers may have been cut off from the purge log.
     """
 
     skew: int
     responses: list[Response] = field(default_factory=list)
-    purges: dict[int, PurgeIndex] = field(default_factory=dict)  # each by itself, by sequence number
-    outcomes: Counter = field(default_factory=Counter)  # of requests and purges
+    purges: dict[int, PurgeIndex] = field(default_factory=dict)
+    outcomes: Counter = field(default_factory=Counter)
     cut_offs: list[CutOff] = field(default_factory=list)
 
     def purge_accepted(self, request: PurgeRequest, accepted: PurgeAccepted) -> None:
-        """Records a purge that must hold one grace after it was accepted."""
+        """Records a purge, which must take effect one grace after it was accepted."""
         purged_at = accepted.purged_at - self.skew
-        kind = "pattern" if request.kind == "object" else request.kind  # objects are named by paths here
-        index = PurgeIndex(FOR_EVER, 1_000)
+        # The scenario names objects by their paths.
+        kind = "pattern" if request.kind == "object" else request.kind
+        index = PurgeIndex(UNLIMITED_LIFETIME, 1_000)
         index.add(Purge(accepted.sequence_number, purged_at, kind, request.values, request.vhost), purged_at)
         self.purges[accepted.sequence_number] = index
 
     def stale_copies(self, start: int = 0, stop: int | None = None) -> list[str]:
         """Returns a line for each response with a copy that a purge had made stale.
 
-        :param start: the first response to look at, by its place in the list.
-        :param stop: the one behind the last.
+        :param start: the index of the first response to check.
+        :param stop: the index after the last one; None checks all that follow.
         """
-        found = []
+        lines = []
         for response in self.responses[start:stop]:
-            found += self._stale_by(response)
-        return found
+            lines += self._violations_of(response)
+        return lines
 
-    def _stale_by(self, response: Response) -> list[str]:
+    def _violations_of(self, response: Response) -> list[str]:
+        """Returns a line for each purge that makes the copy of a response stale."""
         lookup = PurgeLookup("photo" if "/photos/" in response.path else "page", "", "", response.path)
         tags = [tag.strip() for tag in tags_of(response.path).split(",")]
-        must_hold_at = max(response.sent_at, self._decided_at(response))
-        found = []
+        must_apply_at = max(response.sent_at, self._earliest_forwarding(response))
+        lines = []
         for sequence_number, index in self.purges.items():
             purged_at = index.newest(lookup, tags, ANY_STORE)
-            if response.made_at < purged_at and purged_at + GRACE <= must_hold_at:
+            if response.made_at < purged_at and purged_at + GRACE <= must_apply_at:
                 age = (purged_at - response.made_at) / SECOND
                 delay = (response.sent_at - purged_at) / SECOND
-                found.append(
+                lines.append(
                     f"router {response.router} answered {response.path} with a copy {age:.3f} s older than "
-                    f"purge {sequence_number}, to a req sent {delay:.3f} s after it"
+                    f"purge {sequence_number}, to a request sent {delay:.3f} s after it"
                 )
-        return found
+        return lines
 
-    def _decided_at(self, response: Response) -> int:
-        """When the router passed the copy on, at the earliest; 0 for a router that may have been cut off.
+    def _earliest_forwarding(self, response: Response) -> int:
+        """Returns the earliest time at which the router passed the copy on, in microseconds.
 
-        Such a router can't know of purges that came while it waited for the copy.
+        For a router that may have been cut off that is 0, as it can not know of purges that were accepted
+        while it waited for the copy.
         """
         for cut_off in self.cut_offs:
             is_of_router = cut_off.router in (None, response.router)
--- a/quartzrouter/fault_scenarios/quota.py
+++ b/quartzrouter/fault_scenarios/quota.py
@@ -1,6 +1,6 @@
 """Scenario: limits that a whole fleet shares, under faults of all kinds that are drawn from a seed.
 
-Routers and purge logs are processes on loopback; they are cut off, killed and stopped, and their clocks are
+Routers and purge logs are processes on loopback. They are cut off, killed and suspended, and their clocks are
 wrong.
 """
 
@@ -16,16 +16,16 @@
 from quartzrouter.quota.budget import SECOND
 
 DEFAULT_SIZE = ScenarioSize()
-FAULTS = 24  # drawn, of routers
-MAX_SHRINK_PLAYS = 16  # in which a schedule is cut down, half a minute each
-SETTLING_TIME = 2_000  # milliseconds of the time without faults, until grants have followed the demand
-FAULT_FREE_END = 1_500  # milliseconds at the end
-MIN_REQUEST_RATE = 20  # per second: fewer prove nothing
-MIN_RATE_USE = 0.6  # of the shared rate in the time without faults: less proves nothing
+ROUTER_FAULTS = 24  # that are drawn
+MAX_SHRINK_PLAYS = 16  # to shorten a schedule; each takes half a minute
+SETTLING_TIME_MS = 2_000  # from the start, until grants have followed the demand
+FAULT_FREE_END_MS = 1_500  # at the end of the play
+MIN_REQUEST_RATE = 20  # per second; with fewer the play shows nothing
+MIN_RATE_USE = 0.6  # of the shared rate in the time without faults; with less the play shows nothing
 
 
 def fault_kinds(size: ScenarioSize) -> dict[str, tuple[Sequence[str], tuple[int, int], Sequence[float]]]:
-    """What a drawn schedule is made of, as of ``fault_schedule.draw``."""
+    """Returns the kinds of faults of a drawn schedule, in the form of ``fault_schedule.draw``."""
     routers = [f"r{index}" for index in range(size.routers)]
     pairs = [f"{first} {second}" for first in routers[:4] for second in routers[2:5] if first != second]
     return {
@@ -41,12 +41,12 @@
 
 
 def draw_schedule(chance: random.Random, size: ScenarioSize, faults: int) -> list[Fault]:
-    """Draws faults of routers, and three of the purge logs, each by itself: one of them grants at times.
+    """Draws faults of routers, and three of the purge logs, one after the other, so that one log can grant.
 
-    :param faults: how many of routers.
+    :param faults: how many faults of routers.
     """
-    duration = round(size.seconds * 1000) - FAULT_FREE_END - size.fault_free_time
-    found = fault_schedule.draw(chance, fault_kinds(size), faults, duration)
+    duration = round(size.seconds * 1000) - FAULT_FREE_END_MS - size.fault_free_time
+    schedule = fault_schedule.draw(chance, fault_kinds(size), faults, duration)
     third = duration // 3
     of_purge_logs = [
         Fault(0, "kill", "ledger0", 300),
@@ -55,12 +55,17 @@
         Fault(0, "kill", "ledger1", 300),
     ]
     for index, fault in enumerate(chance.sample(of_purge_logs, 3)):
-        found.append(_delayed(fault, index * third + chance.randint(0, third // 2)))
-    return sorted((_delayed(fault, size.fault_free_time) for fault in found), key=lambda fault: fault.at_ms)
+        schedule.append(_delayed(fault, index * third + chance.randint(0, third // 2)))
+    return sorted(
+        (_delayed(fault, size.fault_free_time) for fault in schedule), key=lambda fault: fault.at_ms
+    )
 
 
 def _delayed(fault: Fault, delay: int) -> Fault:
-    """:param delay: milliseconds."""
+    """Returns the same fault at a later time.
+
+    :param delay: milliseconds.
+    """
     return Fault(fault.at_ms + delay, fault.kind, fault.target, fault.duration_ms, fault.amount)
 
 
@@ -72,21 +77,21 @@
     path: str | None = None,
     shrink: bool = False,
 ) -> None:
-    """Plays one schedule, and reports whether the budgets were kept and how far they were used.
+    """Plays one schedule, and reports whether the budgets were kept and how much of them was used.
 
-    :param mutations: names of guards that are taken out in all processes.
-    :param path: a schedule to play instead of a drawn one.
-    :param shrink: cut down a schedule that breaks a budget; it is written to a file either way.
+    :param mutations: names of guards that are removed from all processes.
+    :param path: a file with the schedule to play; None draws one.
+    :param shrink: True to shorten a schedule that exceeds a budget; it is written to a file in either case.
     """
     chance = random.Random(seed)
-    faults = fault_schedule.read(Path(path)) if path else draw_schedule(chance, size, FAULTS)
+    faults = fault_schedule.read(Path(path)) if path else draw_schedule(chance, size, ROUTER_FAULTS)
     result = play(chance, size, faults, mutations)
     if result.broken:
         if shrink:
             faults = _shrunk(seed, size, faults, mutations)
-        kept = Path(f"schedule-{seed}.jsonl")
-        fault_schedule.write(kept, faults)
-        report.figures["schedule, in faults"] = f"{kept}, {len(faults)}"
+        schedule_path = Path(f"schedule-{seed}.jsonl")
+        fault_schedule.write(schedule_path, faults)
+        report.figures["schedule, in faults"] = f"{schedule_path}, {len(faults)}"
     _report_bounds(result, report)
     _report_use(result, report)
 
@@ -94,7 +99,7 @@
 def _shrunk(
     seed: int, size: ScenarioSize, faults: Sequence[Fault], mutations: Sequence[str]
 ) -> Sequence[Fault]:
-    """A shorter schedule that breaks a budget still."""
+    """Returns a shorter schedule that still exceeds a budget."""
 
     def fails(some: Sequence[Fault]) -> bool:
         return play(random.Random(seed), size, some, mutations).broken
@@ -103,49 +108,51 @@
 
 
 def _report_bounds(result: ScenarioResult, report: ScenarioReport) -> None:
-    """Whether the budgets were kept, and requests answered."""
+    """Reports whether the budgets were kept and the requests answered."""
     slots = result.fleet.budgets[SLOTS_LIMIT].slots
     report.expect(
-        result.over_rate <= 0, f"calls: {result.over_rate:.1f} reqs more than the bound in a window"
+        result.over_rate <= 0, f"calls: {result.over_rate:.1f} requests above the bound in a window"
+    )
+    report.expect(
+        result.over_slots <= 0, f"crowd: {result.peak_in_flight} requests in flight, but the limit is {slots}"
     )
-    report.expect(result.over_slots <= 0, f"crowd: {result.peak_in_flight} reqs in hand of {slots}")
     within = f"{MAX_ANSWER_TIME / SECOND:.0f} s"
-    report.expect(not result.lost, f"{result.lost} reqs without an answer within {within}")
+    report.expect(not result.lost, f"{result.lost} requests without a response within {within}")
     report.expect(not result.faults, f"faults: {result.faults[:1]}")
 
 
 def _report_use(result: ScenarioResult, report: ScenarioReport) -> None:
-    """How far the budgets were used; where that is little, nothing is proven."""
+    """Reports how much of the budgets was used; if that is little, the play shows nothing."""
     history = result.fleet.history
     size = result.fleet.size
     budget = result.fleet.budgets[RATE_LIMIT]
     slots = result.fleet.budgets[SLOTS_LIMIT].slots
-    for what in ("fault", "send"):
-        report.figures[f"{what}s"] = sum(1 for _ in history.events_of(what))
+    for kind in ("fault", "send"):
+        report.figures[f"{kind}s"] = sum(1 for _ in history.events_of(kind))
     sent = report.figures["sends"]
-    report.expect(sent > MIN_REQUEST_RATE * size.seconds, f"only {sent} reqs were sent")
-    settled = result.began + SETTLING_TIME * 1000
+    report.expect(sent > MIN_REQUEST_RATE * size.seconds, f"only {sent} requests were sent")
+    settled_at = result.began + SETTLING_TIME_MS * 1000
     first_fault = result.began + size.fault_free_time * 1000
     end = result.began + round(size.seconds * SECOND)
     admitted = history_checks.admission_intervals(history, RATE_PATH)
-    used = history_checks.arrival_rate(admitted, settled, first_fault) / budget.rate
+    used = history_checks.arrival_rate(admitted, settled_at, first_fault) / budget.rate
     without_sharing = _rate_without_sharing(size) / budget.rate
     report.figures["use of the rate in quiet, with static parts"] = f"{used:.2f}, {without_sharing:.2f}"
-    used_in_all = history_checks.arrival_rate(admitted, settled, end) / budget.rate
+    used_in_all = history_checks.arrival_rate(admitted, settled_at, end) / budget.rate
     report.figures["use of the rate in all"] = f"{used_in_all:.2f}"
-    answers = history_checks.count_by_status(history, RATE_PATH, settled, end)
+    answers = history_checks.count_by_status(history, RATE_PATH, settled_at, end)
     report.figures["reqs of the rate: done, denied, aborted"] = [
         answers.get(status, 0) for status in ("200", "503", "502")
     ]
     report.figures["reqs below the bound in the worst window"] = f"{-result.over_rate:.1f}"
     report.figures["most reqs in hand, of"] = f"{result.peak_in_flight}, {slots}"
-    were_used = used > MIN_RATE_USE and result.peak_in_flight > slots / 2
-    report.expect(were_used, "the budgets were hardly used: nothing is shown")
+    were_budgets_used = used > MIN_RATE_USE and result.peak_in_flight > slots / 2
+    report.expect(were_budgets_used, "the budgets were hardly used, so the play shows nothing")
     report.figures["budgets exceeded"] = int(result.over_rate > 0) + int(result.over_slots > 0)
 
 
 def _rate_without_sharing(size: ScenarioSize) -> float:
-    """Requests per second where each router has an equal part of the rate, by the demand at each."""
+    """Returns the requests per second, of the demand, if each router has an equal part of the rate."""
     part = size.rate / size.routers
     first_router = min(part, size.first_router_share * size.demand)
     other_demand = (1 - size.first_router_share) * size.demand / (size.routers - 1)
--- a/quartzrouter/fault_scenarios/quota_mutation_scenes.py
+++ b/quartzrouter/fault_scenarios/quota_mutation_scenes.py
@@ -1,6 +1,6 @@
-"""For each guard of quota, a scene in which checkers must notice that the guard is taken out.
+"""For each guard of quota, a scene in which the checkers must notice that the guard is removed.
 
-The scenes are named as the mutations are, see ``fault_harness.quota_mutations``.
+Scenes have the names of the mutations, see ``fault_harness.quota_mutations``.
 """
 
 import random
@@ -23,7 +23,7 @@
     timeout="500ms",
     response_time=(0.15, 0.3),
 )
-# Requests outlive grants and routers; slots are guaranteed once what a former process had in flight is over.
+# Requests outlive grants and routers; slots are guaranteed once the requests of a former process have ended.
 LONG_REQUESTS = replace(SMALL, timeout="4s", response_time=(3.4, 3.8), cancels_abandoned=False, seconds=11.0)
 LARGE_BURST = replace(
     SMALL, rate=5, burst=80, rate_guarantee="50%", demand=160.0, first_router_share=1 / 6, slot_clients=0
@@ -31,7 +31,10 @@
 
 
 def _demand_only_at(at: int, routers: str) -> Fault:
-    """From then on, milliseconds, there is demand for slots at these routers only."""
+    """Returns a fault that limits the demand for slots to these routers.
+
+    :param at: milliseconds after the start.
+    """
     return Fault(at, "only", routers)
 
 
@@ -109,10 +112,10 @@
 
 
 class MutationResult(NamedTuple):
-    """One scene, played twice.
+    """The results of one scene that was played twice.
 
-    :param guarded: with all guards.
-    :param mutated: with one of them taken out.
+    :param guarded: the result with all guards.
+    :param mutated: the result with one of them removed.
     """
 
     guarded: ScenarioResult
@@ -120,7 +123,7 @@
 
 
 def play_with_and_without(seed: int, mutation: str) -> MutationResult:
-    """Plays a guard's scene with it, and without it."""
+    """Plays a guard's scene with the guard, and without it."""
     size, faults = SCENES[mutation]
     return MutationResult(
         play(random.Random(seed), size, faults), play(random.Random(seed), size, faults, (mutation,))
--- a/quartzrouter/fault_scenarios/quota_play.py
+++ b/quartzrouter/fault_scenarios/quota_play.py
@@ -1,6 +1,7 @@
-"""Plays a schedule of faults to a fleet that shares limits, and has the checkers read its history.
+"""Injects a schedule of faults into a fleet that shares limits, and checks the fleet's history.
 
-Checkers read what reached the caches and what clients were answered, never what a process believes.
+The checkers read which requests reached the caches and which responses the clients received, never the state
+of a process.
 """
 
 import os
@@ -26,21 +27,21 @@
 from quartzrouter.quota.budget import SECOND
 from quartzrouter.server import process
 
-MAX_ANSWER_TIME = 4 * SECOND  # beyond it a request counts as lost
-MAX_OVERHEAD = 60  # seconds beyond the load, in which a play must have ended
+MAX_ANSWER_TIME = 4 * SECOND  # after which a request counts as lost
+MAX_OVERHEAD_SECONDS = 60  # for start and end of a play, beside its load
 
 
 @dataclass
 class ScenarioResult:
     """What the checkers found in one play.
 
-    :param fleet: that was played.
-    :param began: when the load began, microseconds.
-    :param over_rate: requests beyond the bound in the worst window; negative: so many were left.
-    :param over_slots: requests in flight beyond the bound; negative: so many slots were left.
-    :param peak_in_flight: requests counted in slots.
-    :param lost: requests without an answer.
-    :param faults: of the program itself, as its log shows them.
+    :param fleet: the fleet, with its history.
+    :param began: when the load began, in microseconds.
+    :param over_rate: requests above the bound in the worst window; negative if the window had room for more.
+    :param over_slots: requests in flight above the bound; negative if slots were free at all times.
+    :param peak_in_flight: the most requests in flight that count in slots.
+    :param lost: how many requests got no response within ``MAX_ANSWER_TIME``.
+    :param faults: faults of the program itself, as its log shows them.
     """
 
     fleet: QuotaFleet
@@ -53,7 +54,7 @@
 
     @property
     def broken(self) -> bool:
-        """Whether a budget was exceeded."""
+        """Returns True if a budget was exceeded."""
         return self.over_rate > 0 or self.over_slots > 0
 
 
@@ -62,7 +63,7 @@
 ) -> ScenarioResult:
     """Plays a schedule once.
 
-    :param mutations: names of guards that are taken out in all processes.
+    :param mutations: names of guards that are removed from all processes.
     """
     return anyio.run(partial(_play, chance, size, faults, mutations), backend_options=process.BACKEND_OPTIONS)
 
@@ -70,7 +71,7 @@
 async def _play(
     chance: random.Random, size: ScenarioSize, faults: Sequence[Fault], mutations: Sequence[str]
 ) -> ScenarioResult:
-    with tempfile.TemporaryDirectory() as folder, anyio.fail_after(size.seconds + MAX_OVERHEAD):
+    with tempfile.TemporaryDirectory() as folder, anyio.fail_after(size.seconds + MAX_OVERHEAD_SECONDS):
         fleet = QuotaFleet(Path(folder), chance, size, mutations)
         try:
             async with anyio.create_task_group() as tasks:
@@ -90,7 +91,7 @@
 
 
 def _write_trace(fleet: QuotaFleet, faults: Sequence[Fault]) -> None:
-    """Writes history, schedule and log into the working directory, where the environment asks for it."""
+    """Writes history, schedule and log into the working directory if QUARTZROUTER_TRACE is set."""
     suffix = os.environ.get("QUARTZROUTER_TRACE")
     if suffix:
         fleet.history.write(Path(f"history-{suffix}.jsonl"))
@@ -99,6 +100,7 @@
 
 
 def _check(fleet: QuotaFleet, began: int) -> ScenarioResult:
+    """Returns what the checkers find in the history of a play."""
     history = fleet.history
     admitted = history_checks.admission_intervals(history, RATE_PATH)
     over_rate, *_ = history_checks.max_budget_excess(admitted, fleet.budgets[RATE_LIMIT])
--- a/quartzrouter/fault_scenarios/slow_start.py
+++ b/quartzrouter/fault_scenarios/slow_start.py
@@ -1,8 +1,9 @@
-"""Scenario: a cache comes into service, and must not be sent more than it can do while it is warming up.
+"""Scenario: a cache starts, and must not be sent more requests than it can handle while it is warming up.
 
-Compared is what routers send it with equal parts for each, and with parts that are granted.  What it may be
-sent in a window is counted at the cache, by when the first router was told of it: each router takes it for
-started when it is told of it, and so for colder than it is.
+The scenario compares the requests that routers send with an equal part of its capacity for each router, and
+with parts that are granted by demand. Requests are counted at the cache. The number allowed in a window
+depends on when the first router read of the cache: each router assumes that the cache started when it read of
+it, and so takes it for colder than it is.
 """
 
 import random
@@ -19,14 +20,14 @@
 from quartzrouter.routing.slow_start import BUDGET_SHARE
 
 NEW_CACHE = "n0"
-LISTED_AT = 2_500  # milliseconds, when routers are told of the cache
-INITIAL_SHARE = 0.25  # the plan's defaults of slow start: of the capacity, at the start
+LISTED_AT_MS = 2_500  # when routers read a plan with the cache
+INITIAL_SHARE = 0.25  # of the capacity, at the start; the plan's default, as the settings below
 RAMP_TIME = 16 * SECOND
 OVERLOAD_FACTOR = 2.0
 WINDOW = 1 * SECOND
 LONG_WINDOW = 4 * SECOND
-REQUEST_TIME = 50_000  # microseconds of sending time, as routers reckon without measurements: their objective
-IN_TRANSIT = 1  # requests on their way from one window into the next
+REQUEST_TIME = 50_000  # microseconds of transfer that routers assume until they measure: the objective
+IN_TRANSIT = 1  # requests that are sent in one window and arrive in the next
 REPORTED_SECONDS = 7
 SIZE = ScenarioSize(
     routers=12,
@@ -47,14 +48,14 @@
 )
 GRANTED = 'cold: { across: "all", share_life: 300ms },'  # keys of the deployment
 GRANTED_WITH_LONG_WINDOW = 'cold: { across: "all", share_life: 300ms, window: 4s },'
-LISTED = [Fault(LISTED_AT, "list", "all")]
+LISTED = [Fault(LISTED_AT_MS, "list", "all")]
 
 
 class MutationExcess(NamedTuple):
-    """One scene, played twice: requests beyond what the cache may be sent.
+    """Requests above what the cache may be sent, in one scene that was played twice.
 
-    :param guarded: with all guards.
-    :param mutated: with one of them taken out.
+    :param guarded: the excess with all guards.
+    :param mutated: the excess with one of them removed.
     """
 
     guarded: float
@@ -62,10 +63,10 @@
 
 
 def max_requests(started_at: int, window: int = WINDOW) -> Callable[[int], float]:
-    """The requests that all routers may send the cache in a window, by the end of the window.
+    """Returns a function that gives the most requests in a window, at all routers, by the window's end.
 
-    :param started_at: microseconds.
-    :param window: microseconds.
+    :param started_at: when the cache started, in microseconds.
+    :param window: the length of the window in microseconds.
     """
 
     def at(end: int) -> float:
@@ -78,19 +79,19 @@
 
 
 def arrivals(result: ScenarioResult) -> list[int]:
-    """When requests reached the cache, microseconds."""
+    """Returns when requests reached the cache, in microseconds."""
     return [event.time for event in result.fleet.history.events_of("arrive") if event.actor == NEW_CACHE]
 
 
 def listed_at(result: ScenarioResult) -> int:
-    """When the first router may have been told of the cache, microseconds."""
+    """Returns the earliest time at which a router may have read of the cache, in microseconds."""
     return next(
         event.time for event in result.fleet.history.events_of("fault") if event.details["kind"] == "list"
     )
 
 
 def excess(result: ScenarioResult) -> float:
-    """Requests beyond what the cache may be sent, in the worst window."""
+    """Returns the requests above what the cache may be sent, in the worst window."""
     has_long_window = result.fleet.size.deployment_keys == GRANTED_WITH_LONG_WINDOW
     window = LONG_WINDOW if has_long_window else WINDOW
     allowed = max_requests(listed_at(result), window)
@@ -116,7 +117,7 @@
 
 
 def play_with_and_without(seed: int, mutation: str) -> MutationExcess:
-    """Plays a guard's scene with it, and without it."""
+    """Plays a guard's scene with the guard, and without it."""
     size, faults = SCENES[mutation]
     guarded = play(random.Random(seed), size, faults)
     mutated = play(random.Random(seed), size, faults, (mutation,))
@@ -124,19 +125,19 @@
 
 
 def rehearse(seed: int, report: ScenarioReport) -> None:
-    """Plays the start of a cache with equal parts, and with parts that are granted."""
+    """Plays the start of a cache with equal parts, and with granted parts."""
     for name, deployment_keys in (("equal parts", ""), ("parts as wanted", GRANTED)):
         result = play(random.Random(seed), replace(SIZE, deployment_keys=deployment_keys), LISTED)
         _report_requests(result, report, name)
         over = excess(result)
         within = f"{MAX_ANSWER_TIME / SECOND} s"
-        report.expect(over <= 0, f"{name}: {over:.1f} reqs more than the cache may be sent")
-        report.expect(not result.lost, f"{name}: {result.lost} reqs without an answer in {within}")
-        report.expect(not result.faults, f"{name}: {result.faults[:1]}")
+        report.expect(over <= 0, f"{name}: {over:.1f} requests more than the cache may be sent")
+        report.expect(not result.lost, f"{name}: {result.lost} requests without a response within {within}")
+        report.expect(not result.faults, f"{name}: faults: {result.faults[:1]}")
 
 
 def _report_requests(result: ScenarioResult, report: ScenarioReport, name: str) -> None:
-    """Requests in each second after the start, and how many there might be."""
+    """Reports the requests in each second after the start, and how many are allowed."""
     times = arrivals(result)
     started_at = listed_at(result)
     allowed = max_requests(started_at)
