--- a/benchmarks/purges.py
+++ b/benchmarks/purges.py
@@ -1,4 +1,6 @@
-"""What purges cost: the index against plain dicts and lists, a request, the purge log, catching up, members.
+"""Measures what purges cost: the index, a request, the purge log, catching up and many members.
+
+The index is compared with plain dicts and lists.
 
 .venv/bin/python benchmarks/purges.py [marks|req|ledger|members]
 """
@@ -28,17 +30,17 @@
 from quartzrouter.server.process import wall_clock
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-GRACE = 300_000  # us
-LIFETIME = 3_600_000_000  # us, of index entries
+GRACE = 300_000  # microseconds
+LIFETIME = 3_600_000_000  # microseconds, of index entries
 LOOKUPS = 2_000
-FEW_LOOKUPS = 50  # where one takes milliseconds
-NOW = 10**9  # us
+FEW_LOOKUPS = 50  # if one takes milliseconds
+NOW = 10**9  # microseconds
 PIPELINED_PURGES = 10_000
 PURGES_WITH_MEMBERS = 500
 
 
 def random_purges(count: int, chance: random.Random) -> list[Purge]:
-    """Half objects, three tenths tags, two tenths patterns."""
+    """Returns purges: half of objects, three tenths of tags, two tenths of patterns."""
     purges = []
     for n in range(1, count + 1):
         draw = chance.random()
@@ -49,7 +51,7 @@
 
 
 class PlainIndex:
-    """The same in a dict each for objects and tags, and a list of regular expressions."""
+    """The interface of PurgeIndex on a dict each for objects and tags, and a list of regular expressions."""
 
     def __init__(self):
         self.objects, self.tags, self.patterns = {}, {}, []
@@ -75,8 +77,11 @@
         return newest
 
 
-def filled(name: str, purges: list[Purge]) -> "PurgeIndex | PlainIndex":
-    """An index with purges."""
+def filled_index(name: str, purges: list[Purge]) -> "PurgeIndex | PlainIndex":
+    """Returns an index that contains these purges.
+
+    :param name: `own` for PurgeIndex, `plain` for PlainIndex.
+    """
     index = PurgeIndex(LIFETIME, 10_000_000) if name == "own" else PlainIndex()
     for purge in purges:
         index.add(purge, purge.purged_at)
@@ -84,14 +89,14 @@
 
 
 def seconds(function: Callable[[], object]) -> float:
-    """Seconds that a call takes."""
+    """Returns the seconds that a call takes."""
     began = time.perf_counter()
     function()
     return time.perf_counter() - began
 
 
 def measure_index() -> None:
-    """Prints what an added purge, a lookup and the memory of both indexes cost."""
+    """Prints the time of adding a purge and of a lookup, and the memory, for both indexes."""
     print(f"{'marks':>9} {'kind':6} {'add us':>8} {'look us':>9} {'MB':>7}")
     for count in (1_000, 10_000, 100_000, 1_000_000):
         for name in ("own", "plain"):
@@ -105,10 +110,10 @@
     chance = random.Random(1)
     purges = random_purges(count, chance)
     tracemalloc.start()
-    index = filled(name, purges)
+    index = filled_index(name, purges)
     megabytes = tracemalloc.get_traced_memory()[0] / 1e6
     tracemalloc.stop()
-    add_us = seconds(lambda: filled(name, purges)) / count * 1e6
+    add_us = seconds(lambda: filled_index(name, purges)) / count * 1e6
     lookup_count = LOOKUPS if count < 100_000 or name == "own" else FEW_LOOKUPS
     lookups = [
         PurgeLookup("page", f"o{chance.randrange(count)}", "x", f"/p{n % 977}/rose-{n}/1")
@@ -120,7 +125,7 @@
 
 
 def measure_request() -> None:
-    """Prints what bounding and judging the copy of one request costs."""
+    """Prints the time to bound the age of a request's copy and to check the copy."""
     for count in (0, 1_000, 100_000):
         fleet_purges = FleetPurges(GRACE, LIFETIME, 1_000_000, 65_536)
         fleet_purges.lease.renew(NOW)
@@ -153,7 +158,7 @@
 
 
 async def start_server(tasks: anyio.abc.TaskGroup, folder: str) -> tuple[PurgeLogServer, tuple[str, int]]:
-    """A purge log in this process, and its address."""
+    """Starts a purge log in this process; returns it and its address."""
     listeners = await anyio.create_tcp_listener(local_host="127.0.0.1", local_port=0)
     address = ("127.0.0.1", listeners.extra(anyio.abc.SocketAttribute.local_port))
     server = PurgeLogServer(RealDisk(folder), GRACE, RateLimitedLog("ledger", wall_clock))
@@ -178,7 +183,7 @@
 
 
 async def catch_up(address: tuple[str, int], applied_up_to: int, head: int) -> float:
-    """Seconds until a member that lacks purges has all up to the head in an index."""
+    """Returns the seconds until a member that lacks purges has all up to the head in an index."""
     replica = PurgeReplica("r", "watcher", "t", FreshnessLease(lease_length(GRACE)), applied_up_to)
     index = PurgeIndex(LIFETIME, 1 << 30)
     began = time.perf_counter()
@@ -195,7 +200,7 @@
 
 
 async def run_member(address: tuple[str, int], name: str) -> None:
-    """A router that does nothing but acknowledge."""
+    """Runs a member that only acknowledges purges."""
     replica = PurgeReplica(name, "router", "t", FreshnessLease(lease_length(GRACE)))
     stream = await anyio.connect_tcp(*address)
     await stream.send(messages.encode_line(replica.start_connection()))
@@ -206,7 +211,7 @@
 
 
 async def measure_members() -> None:
-    """Prints delays until all members have a purge; they share this process, and are slower for it."""
+    """Prints delays until all members have a purge; they share this process, which makes them slower."""
     for count in (1, 6, 24):
         with tempfile.TemporaryDirectory() as folder:
             async with anyio.create_task_group() as tasks:
--- a/benchmarks/quota.py
+++ b/benchmarks/quota.py
@@ -1,4 +1,4 @@
-"""What shared state costs a purge log, and how soon limits are used in full again after a cut: tables.
+"""Measures what shared state costs a purge log, and how soon limits are used in full after a cut.
 
 python benchmarks/quota.py [words] [cuts]
 """
@@ -33,19 +33,19 @@
 from quartzrouter.quota.slow_start_allocator import SlowStartAllocator
 from quartzrouter.quota.slow_start_messages import SlowStartRequest, SlowStartTerms
 
-DURATION = 4  # seconds that are played
+SIMULATED_SECONDS = 4
 TICK = 50_000  # microseconds
 TICKS_PER_SECOND = SECOND // TICK
-QUOTA_TICKS = 5  # between two requests for quota of a router: four a second
-HEALTH_TICKS = 4  # between two reports on health of a router: five a second
+QUOTA_TICKS = 5  # between two quota requests of a router: four per second
+HEALTH_TICKS = 4  # between two health reports of a router: five per second
 BUDGETS = [
     Budget(f"b{index}", rate=100.0, burst=20.0, slots=40, max_request_time=SECOND, routers=200)
     for index in range(4)
 ]
 TERMS = SlowStartTerms(window=SECOND, guaranteed_share=0.2, routers=200, grant_ttl=500_000)
-CACHES = 40  # of a store
-USED_CACHES = 10  # of them, in use at one router
-STARTING_CACHES = 2  # of them, warming up
+CACHES = 40  # of the store
+USED_CACHES = 10  # that one router uses
+STARTING_CACHES = 2  # that are warming up
 SIZE = replace(
     SMALL,
     rate=80,
@@ -60,20 +60,20 @@
 
 @dataclass
 class Stopwatch:
-    """Seconds of processor time, in all."""
+    """Sums up the processor time of blocks, in seconds."""
 
     seconds: float = 0.0
 
     @contextmanager
     def running(self) -> Iterator[None]:
-        """Counts what the block takes."""
+        """Adds the processor time of the block."""
         began = time.process_time()
         yield
         self.seconds += time.process_time() - began
 
 
 class PurgeLogWork:
-    """What a purge log does for some routers: it reads their lines, decides, and writes its answers."""
+    """The work of a purge log for some routers: it reads their lines, decides, and writes its answers."""
 
     def __init__(self, routers: int):
         self.routers = routers
@@ -89,8 +89,8 @@
         self.writing = Stopwatch()
 
     def run(self) -> None:
-        """Plays all ticks."""
-        for tick in range(DURATION * TICKS_PER_SECOND):
+        """Runs all ticks."""
+        for tick in range(SIMULATED_SECONDS * TICKS_PER_SECOND):
             self.now += TICK
             for router in range(self.routers):
                 if tick % QUOTA_TICKS == router % QUOTA_TICKS:
@@ -103,7 +103,7 @@
     def _quota_requests(self, router: int) -> bytes:
         self.last_sequence_number += 1
         number = self.last_sequence_number
-        asks = tuple(
+        requests = tuple(
             QuotaRequest(budget.name, f"r{router}", "t", number, 20.0, 1.0, 2, 5, budget.terms_checksum)
             for budget in BUDGETS
         )
@@ -111,7 +111,7 @@
             SlowStartRequest(f"n{cache}", "cache", number, SECOND, SECOND, 0, 50_000, TERMS.terms_checksum)
             for cache in range(STARTING_CACHES)
         )
-        return encode_line(QuotaRequests(asks, slow_start))
+        return encode_line(QuotaRequests(requests, slow_start))
 
     def _health_report(self, router: int) -> bytes:
         observations = tuple(
@@ -155,20 +155,23 @@
                 encode_line(EjectionVerdicts(verdicts, loads))
 
 
-def words() -> None:
-    """A purge log's work for some routers in a second, in one process."""
+def measure_work() -> None:
+    """Prints a purge log's work per second, by the number of routers, in one process."""
     print("members  lines/s in, out  ms of CPU a second: read, decide, write")
     for routers in (12, 24, 200):
         work = PurgeLogWork(routers)
         work.run()
-        lines = f"{work.lines_in / DURATION:8.0f} {work.lines_out / DURATION:8.0f}"
+        lines = f"{work.lines_in / SIMULATED_SECONDS:8.0f} {work.lines_out / SIMULATED_SECONDS:8.0f}"
         stopwatches = (work.reading, work.deciding, work.writing)
-        milliseconds = ", ".join(f"{each.seconds / DURATION * 1000:.1f}" for each in stopwatches)
+        milliseconds = ", ".join(f"{each.seconds / SIMULATED_SECONDS * 1000:.1f}" for each in stopwatches)
         print(f"{routers:7} {lines}   {milliseconds}")
 
 
-def cuts() -> None:
-    """Six routers cut off from both purge logs, both ways: the rate used before, in the cut, and after it."""
+def measure_cuts() -> None:
+    """Prints the rate used before, during and after a cut.
+
+    Six routers are cut off from both purge logs in both directions.
+    """
     print("cut s   used before, in it, in the second after, in the next; s until nine tenths of before")
     for cut_seconds in (1, 10, 60):
         size = replace(SIZE, seconds=cut_seconds + 12.0)
@@ -199,4 +202,4 @@
 
 if __name__ == "__main__":
     for what in sys.argv[1:] or ("words", "cuts"):
-        {"words": words, "cuts": cuts}[what]()
+        {"words": measure_work, "cuts": measure_cuts}[what]()
--- a/benchmarks/restarts.py
+++ b/benchmarks/restarts.py
@@ -1,10 +1,10 @@
-"""Where the time of a restart goes: routers started at once, while their discovery service is down.
+"""Measures the parts of a restart: routers start together while their discovery service is down.
 
     python benchmarks/restarts.py [ROUTERS]
 
-A table of ms by part, median and worst: the interpreter, imports, the configuration, the process's objects,
-its event loop, the initial snapshot with the listener, and the first 200 on /health as a front server asks
-for it.
+Prints the milliseconds of each part, median and worst: the interpreter, imports, the configuration, the
+objects of the process, its event loop, the initial snapshot with the listener, and the first 200 on /health
+as a front server requests it.
 """
 
 import json
@@ -22,10 +22,10 @@
 
 ROUTERS = 20
 PARTS = "interpreter", "imports", "configuration", "objects", "event loop", "list, listener", "health"
-POLL_INTERVAL = 0.01  # s
-TIMEOUT = 60.0  # s for all of them
+POLL_SECONDS = 0.01
+TIMEOUT_SECONDS = 60.0  # for all routers together
 CACHES = 160
-# The router as it is, but for notes of when it got where.
+# The unchanged router, which also records when it reaches each part.
 ROUTER_WITH_NOTES = """
 import os, sys, time
 times = [time.monotonic()]
@@ -52,7 +52,7 @@
 
 
 def configuration() -> dict:
-    """A deployment of 160 caches, a parent and an origin, listed in the configuration."""
+    """Returns a configuration that lists 160 caches, a parent and an origin."""
     members = [
         {
             "id": f"s-{number:08x}",
@@ -82,7 +82,7 @@
 
 
 def is_healthy(port: int) -> bool:
-    """Whether /health answers 200, over FastCGI on a connection of its own."""
+    """Returns True if /health answers 200, over FastCGI on a connection of its own."""
     params = RecordType.PARAMS, b"\x0b\x07SCRIPT_NAME/health"
     end_of_params = RecordType.PARAMS, b""
     end_of_body = RecordType.STDIN, b""
@@ -96,7 +96,7 @@
 
 
 def start_router(config_path: Path, port: int) -> subprocess.Popen:
-    """Starts one router that prints when it got where."""
+    """Starts one router that prints when it reached each part."""
     environ = os.environ | {"NODE_CONFIG": str(config_path), "NODE_LISTEN": f"127.0.0.1:{port}"}
     command = [sys.executable, "-c", ROUTER_WITH_NOTES]
     return subprocess.Popen(
@@ -105,20 +105,20 @@
 
 
 def wait_until_healthy(ports: list[int], started_at: float) -> dict[int, float]:
-    """When each router was healthy first, by port; those that never were are missing."""
+    """Returns when each router was first healthy, by port; routers that never were are missing."""
     healthy_at: dict[int, float] = {}
-    while len(healthy_at) < len(ports) and time.monotonic() < started_at + TIMEOUT:
+    while len(healthy_at) < len(ports) and time.monotonic() < started_at + TIMEOUT_SECONDS:
         for port in ports:
             if port not in healthy_at and is_healthy(port):
                 healthy_at[port] = time.monotonic()
-        time.sleep(POLL_INTERVAL)
+        time.sleep(POLL_SECONDS)
     return healthy_at
 
 
 def measure(router_count: int) -> list[list[float]]:
-    """Starts routers at once; returns for each that got healthy when it reached the end of each part.
+    """Starts routers together; returns for each that became healthy when it reached the end of each part.
 
-    The first entry is the common start, in s of the monotonic clock.
+    The first entry is the common start, in seconds of the monotonic clock.
     """
     ports = random.SystemRandom().sample(range(*PORT_RANGE), router_count)
     with tempfile.TemporaryDirectory() as folder:
@@ -138,7 +138,7 @@
 
 
 def print_table(measured: list[list[float]], router_count: int) -> None:
-    """Prints ms by part."""
+    """Prints the milliseconds by part."""
     load = os.getloadavg()[0]
     healthy = len(measured)
     print(f"{router_count} routers at once, {os.cpu_count()} cores, load {load:.1f}; ready: {healthy}")
@@ -153,7 +153,7 @@
 
 
 def main(router_count: int) -> None:
-    """Measures and prints."""
+    """Measures, and prints the table."""
     print_table(measure(router_count), router_count)
 
 
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -1,10 +1,10 @@
-"""Writes site files of other customers into deploy/sites/, made from a site file that an operator has.
+"""Writes site files of other customers into deploy/sites/, made from an operator's site file.
 
     python benchmarks/variants.py SITE.toml
 
-A variant has other traffic classes, shares, deadlines, effects, limits and costs. The files that the site
-file is read with (real.json, wire.json, unlock.txt) are copied beside it. Git ignores the folder, as nothing
-of a site may enter the repository.
+A variant has other traffic classes, shares, deadlines, effects, limits and costs. The files that belong to
+the site file (real.json, wire.json, unlock.txt) are copied beside it. Git ignores the folder, as nothing of a
+site may enter the repository.
 """
 
 import re
@@ -16,9 +16,9 @@
 COMPANION_FILES = "real.json", "wire.json", "unlock.txt"
 SECTION_PATTERN = re.compile(r"\[+([a-z.]+)\]+")
 UNQUOTED_PATTERN = re.compile(r"[0-9.]+|\[.*\]|true|false")  # values that stand without quotation marks
-# By variant, section, its place among those of that name, and key: what stands there instead.  The first
-# customer has what may never run twice, short deadlines and few attempts; the second a narrow window for
-# repeats, and neither cancels nor a time to come back.
+# New values by variant, section, the section's index among those of its name, and key.  The first customer
+# has requests that must not run twice, short deadlines and few attempts; the second has a narrow window for
+# repeats, and neither cancellation nor retry-after.
 VARIANTS = {
     "tickets": {
         ("class", 0): dict(name="seat-maps", share="[2.1, 3.0]", aim_ms="300", deadline_ms="1500", worth="1"),
@@ -52,19 +52,19 @@
 
 
 class VariantError(Exception):
-    """A site file that a variant does not fit; says the place."""
+    """Raised if a site file lacks a key that a variant changes; names the place."""
 
 
-Place = tuple[str, int]  # a section, and its number among those of that name
-TOP: Place = ("", 0)  # ahead of the first section
+Place = tuple[str, int]  # a section, and its index among those of its name
+TOP: Place = ("", 0)  # before the first section
 
 
 def variant(text: str, name: str, changes: dict[Place, dict[str, str | None]]) -> str:
-    """Makes the site file as this customer would have it.
+    """Returns the text of a customer's site file.
 
     :param text: the operator's site file.
-    :param name: of the customer.
-    :param changes: values by place and key; None leaves the key out.
+    :param name: the customer's name.
+    :param changes: new values by place and key; None removes the key.
     :raises VariantError: the site file lacks a key that is to change.
     """
     pending = {(*place, key): value for place, values in changes.items() for key, value in values.items()}
