--- a/quartzrouter/config/builder.py
+++ b/quartzrouter/config/builder.py
@@ -523,7 +523,7 @@
         :returns: whether there are cycles.
         """
         visited: set[str] = set()
-        found = False
+        has_cycles = False
         for start in parent_of:
             chain, name = [], start
             while name is not None and name not in visited and name not in chain:
@@ -537,9 +537,9 @@
                     "remove one of these references",
                     "cycle",
                 )
-                found = True
+                has_cycles = True
             visited.update(chain)
-        return found
+        return has_cycles
 
 
 def placeholders(text: str) -> list[str]:
--- a/quartzrouter/config/diff.py
+++ b/quartzrouter/config/diff.py
@@ -148,15 +148,15 @@
                 if (
                     boxes
                     and self.differs(old, new)
-                    and (found := self._reached_by_both(boxes, new, new_by_prefix))
+                    and (changed_boxes := self._reached_by_both(boxes, new, new_by_prefix))
                 ):
-                    yield self._change(old, new, found)
-            if boxes and (found := self._matched_by_none(boxes, new_by_prefix.related_to(old))):
-                yield self._change(old, None, found)
+                    yield self._change(old, new, changed_boxes)
+            if boxes and (changed_boxes := self._matched_by_none(boxes, new_by_prefix.related_to(old))):
+                yield self._change(old, None, changed_boxes)
         for new in self.new.routes:
             boxes = self._reached_by(new, new_by_prefix)
-            if boxes and (found := self._matched_by_none(boxes, old_by_prefix.related_to(new))):
-                yield self._change(None, new, found)
+            if boxes and (changed_boxes := self._matched_by_none(boxes, old_by_prefix.related_to(new))):
+                yield self._change(None, new, changed_boxes)
 
     def _reached_by(self, route: Route, by_prefix: RoutesByPrefix) -> list[Box]:
         """Returns the requests that reach a route: it matches them, and no earlier route does."""
--- a/quartzrouter/config/evaluator.py
+++ b/quartzrouter/config/evaluator.py
@@ -79,10 +79,10 @@
         self.open_files: list[tuple[str, Place | None]] = []  # the files being evaluated, outermost first
         self.sources: list[Source] = []
 
-    def file(self, path: str, at: Place | None = None) -> Any:
+    def file(self, path: str, include_place: Place | None = None) -> Any:
         """Returns the value of a file, which is evaluated once even if it is included several times.
 
-        :param at: the place of the include; None for the main file.
+        :param include_place: the place of the include; None for the main file.
         """
         if path in self.files:
             return self.files[path]
@@ -93,12 +93,15 @@
             ]
             self.faults.add(
                 Fault(
-                    at, f"an include cycle: {' -> '.join(cycle)}", "remove one of the includes", code="cycle"
+                    include_place,
+                    f"an include cycle: {' -> '.join(cycle)}",
+                    "remove one of the includes",
+                    code="cycle",
                 )
             )
             return POISON
         source = Source(path, "")
-        start = at or Place(source, 1, 1)
+        start = include_place or Place(source, 1, 1)
         try:
             if len(self.files) >= MAX_FILES or len(self.open_files) >= MAX_NESTED_INCLUDES:
                 raise Unreadable(f"more than {MAX_FILES} files, or {MAX_NESTED_INCLUDES} nested includes")
@@ -108,7 +111,7 @@
             return POISON
         source = Source(path, text)
         self.sources.append(source)
-        self.open_files.append((path, at))
+        self.open_files.append((path, include_place))
         try:
             parsed = parse(source)
             with _raised_recursion_limit():
--- a/quartzrouter/config/explain.py
+++ b/quartzrouter/config/explain.py
@@ -50,12 +50,12 @@
 
 def explain(plan: Plan, query: RouteQuery) -> list[Line]:
     """Returns the route, vhost, pool, policy and limits of a request, each value with its place."""
-    found = build_matcher(plan).find(query)
-    if found is None:
+    match = build_matcher(plan).find(query)
+    if match is None:
         return [Line("route", "none: it is turned away with 404", None)]
-    route = found.route
+    route = match.route
     lines = [_line(plan, "route", route.name, "routes", route.name)]
-    lines += [Line(f"capture {name}", value, None) for name, value in found.captures.items()]
+    lines += [Line(f"capture {name}", value, None) for name, value in match.captures.items()]
     lines.append(_line(plan, "vhost", route.vhost, "routes", route.name, "vhost"))
     vhost = plan.vhosts[route.vhost]
     vhost_entries = PLAN.entries["vhosts"].type.value.entries
--- a/quartzrouter/config/formatter.py
+++ b/quartzrouter/config/formatter.py
@@ -1,7 +1,8 @@
 """Formats plans.  Formatting keeps the meaning and every comment, and leaves formatted text unchanged.
 
-A record or list takes several lines if it was written so, contains a comment or another that takes several
-lines, or is too long for one.  Each comment stays before or after the entry next to which it was written.
+A record or list is split into several lines if it was written on several lines, doesn't fit on one line, or
+contains a comment, or a record or list that is itself split.  Each comment stays before or after the entry
+next to which it was written.
 """
 
 from quartzrouter.config import syntax_tree
--- a/quartzrouter/config/patterns.py
+++ b/quartzrouter/config/patterns.py
@@ -135,8 +135,8 @@
         """Returns the text of each capture; the pattern must match the given text."""
         if not self.captures:
             return {}
-        found = self.expression.fullmatch(text)
-        return dict(zip(self.captures, found.groups(), strict=True)) if found else {}
+        match = self.expression.fullmatch(text)
+        return dict(zip(self.captures, match.groups(), strict=True)) if match else {}
 
     # -- the automaton: a state is a set of positions, one bit each ----------------------------------------
 
--- a/quartzrouter/config/quantity.py
+++ b/quartzrouter/config/quantity.py
@@ -100,10 +100,10 @@
 
 def parse_quantity(text: str) -> Quantity:
     """Returns the quantity that a text such as `250ms`, `64MiB`, `120/s` or `35%` stands for."""
-    found = LITERAL.fullmatch(text)
-    if not found:
+    match = LITERAL.fullmatch(text)
+    if not match:
         raise QuantityError(f"{text} isn't a quantity")
-    amount, unit = Fraction(found[1]), found[2]
+    amount, unit = Fraction(match[1]), match[2]
     if unit == "%":
         return Share(amount / 100)
     if unit.startswith("/"):
--- a/quartzrouter/config/request_sets.py
+++ b/quartzrouter/config/request_sets.py
@@ -83,8 +83,8 @@
     """Returns a text of the set, None for the absent value, or ``EMPTY`` if the set is empty."""
     if texts.allows_absent:
         return None
-    found = witness(texts.required, texts.excluded) if texts.allows_present else None
-    return EMPTY if found is None else found
+    text = witness(texts.required, texts.excluded) if texts.allows_present else None
+    return EMPTY if text is None else text
 
 
 @dataclass(frozen=True)
--- a/quartzrouter/config/shadowing.py
+++ b/quartzrouter/config/shadowing.py
@@ -82,8 +82,8 @@
     """
     for box in route.boxes:
         query = box.witness()
-        found = matcher.find(query) if query else None
-        if found and found.route is route:
+        match = matcher.find(query) if query else None
+        if match and match.route is route:
             return True
     return False
 
--- a/quartzrouter/fakes/caches.py
+++ b/quartzrouter/fakes/caches.py
@@ -19,9 +19,9 @@
 from quartzrouter.server.clock import wall_clock
 
 CONNECTION_LOST = (anyio.BrokenResourceError, anyio.ClosedResourceError, anyio.EndOfStream, OSError)
-SECOND = 1_000_000  # us
-MILLISECOND = 1_000  # us
-JOINED_FILL_TIMEOUT = 5.0  # s
+MICROSECONDS_PER_SECOND = 1_000_000
+MICROSECONDS_PER_MILLISECOND = 1_000
+JOINED_FILL_TIMEOUT_SECONDS = 5.0
 FORWARDED_HEADERS = ("x-fresh-ms", "x-path", "x-opts", "x-rank")  # from a cache to its fill source
 
 
@@ -140,11 +140,11 @@
         age_on_receipt = received_at - copy.made_at  # negative if it was made since
         response_headers = {
             "X-Tag": tag_of_target(target.encode()).decode(),
-            "X-Minted": str(copy.minted_at // MILLISECOND),
+            "X-Minted": str(copy.minted_at // MICROSECONDS_PER_MILLISECOND),
             "X-Tell": outcome,
             "Cache-Tag": copy.tags,
             "X-Purged-To": str(self.purged_up_to),
-            "X-Age-Ms": str(-(-age_on_receipt // MILLISECOND)),
+            "X-Age-Ms": str(-(-age_on_receipt // MICROSECONDS_PER_MILLISECOND)),
         }
         return _response(200, response_headers, copy.body)
 
@@ -154,7 +154,9 @@
         """Returns a copy, and the protocol's word for how it was found; None if the fill failed."""
         copy = self.copies.get(key)
         max_age_ms = headers.get("x-fresh-ms")
-        is_too_old = copy and max_age_ms and copy.age(wall_clock()) > int(max_age_ms) * MILLISECOND
+        is_too_old = (
+            copy and max_age_ms and copy.age(wall_clock()) > int(max_age_ms) * MICROSECONDS_PER_MILLISECOND
+        )
         if copy and not is_too_old:
             return copy, "cached"
         may_join = "ride" in headers.get("x-opts", "")
@@ -162,7 +164,7 @@
         if fill is None:
             return await self._fill(key, target, headers), "fetched"
         self.merged_requests += 1
-        with anyio.move_on_after(JOINED_FILL_TIMEOUT):
+        with anyio.move_on_after(JOINED_FILL_TIMEOUT_SECONDS):
             await fill.done.wait()
         return fill.copy, "merged"
 
@@ -208,10 +210,10 @@
             return None
         response_headers = _headers(header_lines)
         # The age was taken when the request arrived there, which was after it was sent here.
-        made_at = sent_at - int(response_headers.get("x-age-ms", "0")) * MILLISECOND
+        made_at = sent_at - int(response_headers.get("x-age-ms", "0")) * MICROSECONDS_PER_MILLISECOND
         return StoredCopy(
             body,
-            int(response_headers["x-minted"]) * MILLISECOND,
+            int(response_headers["x-minted"]) * MICROSECONDS_PER_MILLISECOND,
             made_at,
             response_headers["cache-tag"].lower(),
             key.vhost,
@@ -232,17 +234,17 @@
         self.highest_lease_token = lease_token
         kind = headers["x-purge-kind"]
         vhost = headers.get("x-purge-vhost", "")
-        min_age = int(headers["x-purge-older-ms"]) * MILLISECOND
+        min_age = int(headers["x-purge-older-ms"]) * MICROSECONDS_PER_MILLISECOND
         purge = _single_purge(kind, tuple(headers["x-purge-values"].split()), vhost)
         self._remove_copies(purge, min_age, now)
         self._mark_fills(purge, min_age, now)
-        is_of_everything = kind == "all" and not vhost
+        is_full_purge = kind == "all" and not vhost
         confirmed_up_to = int(headers.get("x-purge-done", "0"))
-        self._record_purge(int(headers["x-purge-number"]), is_of_everything, confirmed_up_to)
+        self._record_purge(int(headers["x-purge-number"]), is_full_purge, confirmed_up_to)
         return _response(200, {"X-Purged-To": str(self.purged_up_to)}, b"")
 
     def _count_purge(self, now: int) -> None:
-        last_second = [time for time in self.recent_purge_times if now - time < SECOND]
+        last_second = [time for time in self.recent_purge_times if now - time < MICROSECONDS_PER_SECOND]
         self.recent_purge_times = [*last_second, now]
         self.max_purges_per_second = max(self.max_purges_per_second, len(self.recent_purge_times))
 
@@ -261,9 +263,9 @@
             if is_named and now - fill.began_at >= min_age:
                 fill.is_purged = True
 
-    def _record_purge(self, sequence_number: int, is_of_everything: bool, confirmed_up_to: int) -> None:
+    def _record_purge(self, sequence_number: int, is_full_purge: bool, confirmed_up_to: int) -> None:
         self.purged_out_of_order.add(sequence_number)
-        if is_of_everything:
+        if is_full_purge:
             self.purged_up_to = max(self.purged_up_to, sequence_number)
         self.purged_up_to = max(self.purged_up_to, confirmed_up_to)
         while self.purged_up_to + 1 in self.purged_out_of_order:
--- a/quartzrouter/fakes/loopback.py
+++ b/quartzrouter/fakes/loopback.py
@@ -16,7 +16,7 @@
 OK_RESPONSE = b"HTTP/1.1 200 OK\r\n" + COPY_HEADERS + b"Content-Length: 5\r\n\r\nabcde"
 HEALTH_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 PORT_RANGE = 20_000, 32_000  # below the ephemeral ports that the system assigns to connections
-CLIENT_BUFFER_SIZE = 1 << 16  # bytes
+CLIENT_BUFFER_BYTES = 1 << 16
 MAX_STDIN_CONTENT = 60_000  # bytes in a record of a request's body
 
 
@@ -44,7 +44,7 @@
 
     def __init__(self, stream: anyio.abc.ByteStream):
         self.stream = stream
-        self._buffer = RingBuffer(CLIENT_BUFFER_SIZE)
+        self._buffer = RingBuffer(CLIENT_BUFFER_BYTES)
         self._records = fastcgi.RecordReader(self._buffer)
         self._partial_responses: dict[int, bytes] = {}  # by FastCGI id
 
--- a/quartzrouter/fault_harness/fault_injection.py
+++ b/quartzrouter/fault_harness/fault_injection.py
@@ -7,7 +7,7 @@
 from quartzrouter.fault_harness.processes import FleetProcess
 from quartzrouter.fault_harness.proxied_links import LinkDirection, ProxiedLink
 
-SECOND = 1_000_000  # us
+MICROSECONDS_PER_SECOND = 1_000_000
 
 
 class FaultInjectedFleet(Fleet):
@@ -69,6 +69,6 @@
         """Sets a process's wall clock ahead by `amount` seconds, and back again."""
         clock_page = self.process_named(fault.target).clock_page
         offset = clock_page.offset
-        clock_page.set_offset(offset + int(fault.amount * SECOND))
+        clock_page.set_offset(offset + int(fault.amount * MICROSECONDS_PER_SECOND))
         await anyio.sleep(fault.duration_ms / 1000)
         clock_page.set_offset(offset)
--- a/quartzrouter/fault_harness/fault_schedule.py
+++ b/quartzrouter/fault_harness/fault_schedule.py
@@ -42,8 +42,8 @@
         kind = chance.choice(list(kinds))
         targets, (shortest, longest), amounts = kinds[kind]
         duration = chance.randint(shortest, longest)
-        at = chance.randint(0, max(0, until - duration))
-        drawn.append(Fault(at, kind, chance.choice(list(targets)), duration, chance.choice(list(amounts))))
+        at_ms = chance.randint(0, max(0, until - duration))
+        drawn.append(Fault(at_ms, kind, chance.choice(list(targets)), duration, chance.choice(list(amounts))))
     return sorted(drawn, key=lambda fault: fault.at_ms)
 
 
--- a/quartzrouter/fault_harness/history_checks.py
+++ b/quartzrouter/fault_harness/history_checks.py
@@ -123,7 +123,7 @@
 
 def actions(history: History) -> list[Action]:
     """Returns all actions that the witness accepted, in their order."""
-    found: list[Action] = []
+    accepted: list[Action] = []
     current: dict[str, Action] = {}
     last_sent: dict[str, int] = {}
     for event in history.events_of("call", "begin", "finish"):
@@ -132,10 +132,10 @@
         elif event.kind == "begin":
             sent_at = last_sent.get(event.actor, event.time)
             current[event.actor] = Action(event.actor, event.details["number"], event.time, sent_at)
-            found.append(current[event.actor])
+            accepted.append(current[event.actor])
         elif (action := current.pop(event.actor, None)) and action.fencing_token == event.details["number"]:
             action.ended_at = event.time
-    return found
+    return accepted
 
 
 def overlapping_actions(history: History, max_duration: int) -> list[tuple[Action, Action]]:
@@ -150,7 +150,7 @@
     interruptions: dict[str, list[int]] = {}
     for event in history.events_of("stop", "kill"):
         interruptions.setdefault(event.actor, []).append(event.time)
-    found, unfinished = [], []
+    overlapping, unfinished = [], []
     for action in actions(history):
         unfinished = [each for each in unfinished if each.ended_at is None or each.ended_at > action.began_at]
         for each in unfinished:
@@ -163,21 +163,21 @@
                 and not is_interrupted
                 and action.began_at - each.sent_at <= max_duration
             ):
-                found.append((each, action))
+                overlapping.append((each, action))
         unfinished = [action]
-    return found
+    return overlapping
 
 
 def decreasing_tokens(history: History) -> list[tuple[Action, Action]]:
     """Returns each action with a lower fencing token than an earlier one, behind that earlier one."""
-    found: list[tuple[Action, Action]] = []
+    decreasing: list[tuple[Action, Action]] = []
     highest: Action | None = None
     for action in actions(history):
         if highest and action.fencing_token < highest.fencing_token:
-            found.append((highest, action))
+            decreasing.append((highest, action))
         elif highest is None or action.fencing_token > highest.fencing_token:
             highest = action
-    return found
+    return decreasing
 
 
 def idle_times(history: History, since: int, until: int) -> list[int]:
@@ -188,14 +188,14 @@
     :param since: us.
     :param until: us.
     """
-    found, last = [], since
+    times, last = [], since
     for action in actions(history):
         if action.began_at >= since:
             if last >= since and action.began_at <= until:
-                found.append(max(0, action.began_at - last))
+                times.append(max(0, action.began_at - last))
             last = max(last, action.ended_at or action.began_at)
-    found.append(max(0, until - last))
-    return found
+    times.append(max(0, until - last))
+    return times
 
 
 def max_window_excess(
--- a/quartzrouter/fault_harness/linearizability.py
+++ b/quartzrouter/fault_harness/linearizability.py
@@ -73,15 +73,15 @@
     The search stops at an operation that was called after another one ended: it ends later, as do all that
     follow it.
     """
-    found, earliest_end = [], None
+    candidates, earliest_end = [], None
     for n in range(first, len(ops)):
         if completed >> n & 1:
             continue
         if earliest_end is not None and ops[n].called_at > earliest_end:
             break
-        found.append(n)
+        candidates.append(n)
         earliest_end = ends[n] if earliest_end is None else min(earliest_end, ends[n])
-    return found
+    return candidates
 
 
 def fencing_spec(highest_token: int, arguments: tuple) -> tuple[int, tuple]:
@@ -92,18 +92,18 @@
 
 def operations_from_history(history: History) -> list[Operation]:
     """Returns the operations of claimants on the witness; each claimant has one at a time."""
-    found: list[Operation] = []
+    operations: list[Operation] = []
     in_progress: dict[str, tuple[int, tuple]] = {}
     for event in history.events_of("call", "back"):
         if event.kind == "call":
             if unanswered := in_progress.pop(event.actor, None):  # its connection ended without an answer
-                found.append(Operation(unanswered[0], None, unanswered[1], None))
+                operations.append(Operation(unanswered[0], None, unanswered[1], None))
             in_progress[event.actor] = (event.time, (event.details["number"],))
         elif event.actor in in_progress and event.details["answer"][0] != "fails":
             called_at, arguments = in_progress.pop(event.actor)
-            found.append(Operation(called_at, event.time, arguments, tuple(event.details["answer"])))
+            operations.append(Operation(called_at, event.time, arguments, tuple(event.details["answer"])))
         else:
             in_progress.pop(event.actor, None)  # a failed action has changed nothing
-    return found + [
+    return operations + [
         Operation(called_at, None, arguments, None) for called_at, arguments in in_progress.values()
     ]
--- a/quartzrouter/fault_harness/load_generator.py
+++ b/quartzrouter/fault_harness/load_generator.py
@@ -67,8 +67,8 @@
             response = "closed"
         except TimeoutError:
             return False
-        if found := RESPONSE.match(response):
-            self.history.add("end", self.path, path=path, status=found[1])
+        if match := RESPONSE.match(response):
+            self.history.add("end", self.path, path=path, status=match[1])
             return True
         self.history.add("cut", self.path, path=path)  # the router closed the connection
         return False
--- a/quartzrouter/fault_harness/proxied_links.py
+++ b/quartzrouter/fault_harness/proxied_links.py
@@ -9,8 +9,8 @@
 from quartzrouter.fakes.caches import CONNECTION_LOST
 from quartzrouter.purge_log.line_connection import read_lines
 
-BLOCKED_POLL_INTERVAL = 0.005  # s between checks of whether a blocked direction is open again
-RECEIVE_SIZE = 1 << 16  # bytes
+BLOCKED_POLL_INTERVAL = 0.005  # seconds between checks of whether a blocked direction is open again
+MAX_RECEIVE_BYTES = 1 << 16
 MAX_CHUNKS_IN_TRANSIT = 4_096  # per connection and direction
 
 
@@ -140,7 +140,7 @@
         """Yields what one side sends, with lines lost, doubled or swapped."""
         if not self.is_line_based:
             while True:
-                yield await source.receive(RECEIVE_SIZE)
+                yield await source.receive(MAX_RECEIVE_BYTES)
         swapped: bytes | None = None
         async for line in read_lines(source):
             lines = [line]
--- a/quartzrouter/fault_harness/witness.py
+++ b/quartzrouter/fault_harness/witness.py
@@ -22,9 +22,9 @@
 from quartzrouter.purge_log.line_connection import connect, read_lines
 from quartzrouter.server.rate_limited_log import RateLimitedLog
 
-CHECK_TO_ACTION_PAUSE = 0.006  # s, in which a process may be stopped between the check and the action
-ACTION_DURATION = 0.008  # s
-PAUSE_BETWEEN_ACTIONS = 0.004  # s
+CHECK_TO_ACTION_PAUSE = 0.006  # seconds in which a process may be stopped between check and action
+ACTION_DURATION_SECONDS = 0.008
+PAUSE_BETWEEN_ACTIONS_SECONDS = 0.004
 
 
 class Witness(Server):
@@ -113,14 +113,14 @@
                 with anyio.CancelScope(shield=True):
                     answer, token = await send("begin")
                     if answer == "yes":
-                        await anyio.sleep(ACTION_DURATION)
+                        await anyio.sleep(ACTION_DURATION_SECONDS)
                         await send("finish")
                 if answer == "fails":
                     raise ActionFailed("the witness answered that the action failed")
                 if answer == "no":
                     lease.handle_superseding_token(token)
                     return
-                await anyio.sleep(PAUSE_BETWEEN_ACTIONS)
+                await anyio.sleep(PAUSE_BETWEEN_ACTIONS_SECONDS)
 
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lease_client.run)
--- a/quartzrouter/fault_scenarios/leases.py
+++ b/quartzrouter/fault_scenarios/leases.py
@@ -299,8 +299,8 @@
         Fault(0, "holder", "stop", 2 * length),
     ]
     for n, fault in enumerate(severe_faults):
-        at = 1_000 + n * (end - 3_000) // len(severe_faults) + chance.randint(0, 1_000)
-        schedule.append(Fault(at, fault.kind, fault.target, fault.duration_ms, fault.amount))
+        at_ms = 1_000 + n * (end - 3_000) // len(severe_faults) + chance.randint(0, 1_000)
+        schedule.append(Fault(at_ms, fault.kind, fault.target, fault.duration_ms, fault.amount))
     return sorted(schedule, key=lambda fault: fault.at_ms)
 
 
--- a/quartzrouter/fault_scenarios/plan.py
+++ b/quartzrouter/fault_scenarios/plan.py
@@ -124,13 +124,15 @@
     for _ in range(SPOILT_PLANS):
         text, words = VALID_PLAN, re.findall(r"[\w-]+|[^\w-]", VALID_PLAN)
         if chance.random() < 0.5:  # puts a word into the place of another
-            at, other = chance.randrange(len(words)), chance.choice([w for w in words if w[0].isalnum()])
-            words[at] = other if words[at][0].isalnum() else words[at]
+            index, other = chance.randrange(len(words)), chance.choice([w for w in words if w[0].isalnum()])
+            words[index] = other if words[index][0].isalnum() else words[index]
             text = "".join(words)
         if text == VALID_PLAN or chance.random() < 0.2:
-            at, size = chance.randrange(len(text)), chance.randint(0, 12)
-            piece = chance.choice(["", text[at : at + size] * 2, chance.choice('{}[](),:;"$+/*\n\x00é0s%')])
-            text = text[:at] + piece + text[at + size :]
+            start, size = chance.randrange(len(text)), chance.randint(0, 12)
+            piece = chance.choice(
+                ["", text[start : start + size] * 2, chance.choice('{}[](),:;"$+/*\n\x00é0s%')]
+            )
+            text = text[:start] + piece + text[start + size :]
         try:
             loaded = load("main", _reader({"main": text}))
             outcomes["good" if loaded.plan else "faulty"] += 1
--- a/quartzrouter/fault_scenarios/quota_mutation_scenes.py
+++ b/quartzrouter/fault_scenarios/quota_mutation_scenes.py
@@ -30,12 +30,12 @@
 )
 
 
-def _demand_only_at(at: int, routers: str) -> Fault:
+def _demand_only_at(at_ms: int, routers: str) -> Fault:
     """Returns a fault that limits the demand for slots to these routers.
 
-    :param at: milliseconds after the start.
+    :param at_ms: milliseconds after the start.
     """
-    return Fault(at, "only", routers)
+    return Fault(at_ms, "only", routers)
 
 
 SCENES: dict[str, tuple[ScenarioSize, list[Fault]]] = {
--- a/quartzrouter/fault_scenarios/slow_start.py
+++ b/quartzrouter/fault_scenarios/slow_start.py
@@ -142,7 +142,7 @@
     started_at = listed_at(result)
     allowed = max_requests(started_at)
     ends = [started_at + (second + 1) * SECOND for second in range(REPORTED_SECONDS)]
-    by_second = [sum(end - SECOND <= at < end for at in times) for end in ends]
+    by_second = [sum(end - SECOND <= time < end for time in times) for end in ends]
     allowed_by_second = [int(allowed(end)) for end in ends]
     answers = history_checks.count_by_status(result.fleet.history, RATE_PATH, started_at, ends[-1])
     answered = answers.get("200", 0)
--- a/quartzrouter/leases/proposer.py
+++ b/quartzrouter/leases/proposer.py
@@ -16,7 +16,7 @@
 PREFERENCE_DIVISOR = 2  # other proposers leave a free task to the preferred ones for half a lease
 MAX_FAILURES = 6  # failures of the task after which the proposer's pause no longer doubles
 REFUSAL_PAUSE = 1_000_000  # microseconds that a proposer without the lease waits after a refusal
-NOTIFICATION_DIVISOR = 8  # other proposers request a released vote after this fraction of that half lease
+NOTIFICATION_DIVISOR = 8  # divides the preference delay once a vote is known to be available
 
 
 class SendToAcceptors(NamedTuple):
@@ -135,10 +135,12 @@
         """Chooses a fencing token for the next attempt to acquire the lease.
 
         Each attempt has its own token, so that a delayed release of an earlier attempt has no effect.  The
-        wall clock is a lower bound, in case all acceptors have lost their tokens.  An attempt repeats its
-        token in each round until votes are released or an acceptor has seen another proposer's token as high.
-        Guards against disks that need longer to store a token than the time between rounds: acceptors reply
-        at once if the token is stored already, but never in time if each round has a new one.
+        wall clock is a lower bound, in case all acceptors have lost their tokens.
+
+        Later rounds repeat the token until the proposer releases its votes or loses the lease, or an acceptor
+        has seen a higher token, or denies its vote and has seen one as high from another proposer.  A new
+        token in each round would fail if a disk takes longer to store a token than the time between rounds:
+        no reply would come in time.  An acceptor that has stored the token already replies at once.
         """
         candidate = max(self.highest_token_seen + 1, self.fencing_token + 1, wall_clock)
         self.fencing_token = min(MAX_FENCING_TOKEN, candidate)
--- a/quartzrouter/model_checking/crossing_fill_model.py
+++ b/quartzrouter/model_checking/crossing_fill_model.py
@@ -15,10 +15,10 @@
 from quartzrouter.purges.replica import ApplyPurges
 from quartzrouter.purges.settle_time import settle_time
 
-STEP = 1_000_000  # us
-START = 100 * STEP
-GRACE = STEP  # us within which a purge must hold
-CLIENT_TIMEOUT = 2 * STEP  # us that a fill may take
+STEP_MICROSECONDS = 1_000_000
+START = 100 * STEP_MICROSECONDS
+GRACE = STEP_MICROSECONDS  # microseconds within which a purge must hold
+CLIENT_TIMEOUT = 2 * STEP_MICROSECONDS  # microseconds that a fill may take
 SETTLE_TIME = settle_time(GRACE, [CLIENT_TIMEOUT])
 OBJECT = "rose"
 LOOKUP = PurgeLookup("page", OBJECT, "", f"/{OBJECT}")
@@ -106,11 +106,11 @@
         parents = [parent_queue] if self.bounds.waits_for_parents else []
         cache_queue = DeliveryQueue(CACHE, settle_time=self.bounds.settle_time, parents=parents)
         for queue in (parent_queue, cache_queue):
-            queue.record_purged_up_to(0, 0, START - STEP)
+            queue.record_purged_up_to(0, 0, START - STEP_MICROSECONDS)
             queue.record_head(0)
         parent = CacheState(parent_queue, fill=Fill(START, START))
         caches = {CACHE: CacheState(cache_queue), PARENT: parent}
-        fleet_purges = FleetPurges(GRACE, max(self.bounds.settle_time, STEP), 100, 10)
+        fleet_purges = FleetPurges(GRACE, max(self.bounds.settle_time, STEP_MICROSECONDS), 100, 10)
         return World(START, caches, fleet_purges, self.bounds.steps, self.bounds.fills)
 
     # -- possible actions ----------------------------------------------------------------------------------
@@ -164,7 +164,7 @@
 
     def _time(self, world: World) -> None:
         world.steps -= 1
-        world.now += STEP
+        world.now += STEP_MICROSECONDS
 
     def _purge(self, world: World) -> None:
         """The purge is accepted, and is added to the delivery queues."""
--- a/quartzrouter/model_checking/purge_world.py
+++ b/quartzrouter/model_checking/purge_world.py
@@ -9,10 +9,10 @@
 from quartzrouter.purges.registry import PurgeRegistry
 from quartzrouter.purges.replica import PurgeReplica
 
-GRACE = 80  # us within which a purge must hold
-STEP = lease_length(GRACE)  # us
-START = 1_000  # us, when the copy was made
-INDEX_LIFETIME = 1_000_000  # us: longer than any history
+GRACE = 80  # microseconds within which a purge must hold
+STEP = lease_length(GRACE)  # microseconds by which the clock advances at a time
+START = 1_000  # microseconds, the time at which the copy was made
+INDEX_LIFETIME = 1_000_000  # microseconds, longer than any history
 OBJECT = "rose"
 
 
--- a/quartzrouter/model_checking/quota_model.py
+++ b/quartzrouter/model_checking/quota_model.py
@@ -18,7 +18,7 @@
 BUDGET = Budget(
     "slots", slots=3, max_request_time=500_000, guaranteed_share=2 / 3, routers=2, grant_ttl=1_000_000
 )
-STEP = BUDGET.grant_ttl // 2  # microseconds
+STEP_MICROSECONDS = BUDGET.grant_ttl // 2
 START = 10 * BUDGET.grant_ttl  # guaranteed slots are open by then, and no allocator was there before
 RUNNING = -1  # in place of the time at which a stopped router has read its clock
 DIRECTIONS = ("to_allocator", "to_router")
@@ -178,7 +178,7 @@
     def _time(self, world: World) -> None:
         """A step of time passes, and requests end that have reached the maximum request time."""
         world.left["steps"] -= 1
-        world.now += STEP
+        world.now += STEP_MICROSECONDS
         over = [each for each in world.requests if world.now - each.began_at >= BUDGET.max_request_time]
         world.requests = [each for each in world.requests if each not in over]
         for request in over:
@@ -303,7 +303,10 @@
     def _router_key(world: World, router: Router) -> tuple:
         quota = router.quota
         last = quota.last_sequence_number
-        pending = tuple((last - number, world.now - at) for number, at in quota.pending_requests.items())
+        pending = tuple(
+            (last - number, world.now - requested_at)
+            for number, requested_at in quota.pending_requests.items()
+        )
         slots_end_in = max(0, quota.granted_slots_expire_at - world.now) if quota.granted_slots else 0
         requests = tuple(
             (each.process_token, last - each.sequence_number, each.slots_kept, each.slots_wanted)
--- a/quartzrouter/pool_routing/multi_pool_router.py
+++ b/quartzrouter/pool_routing/multi_pool_router.py
@@ -1,7 +1,8 @@
 """Applies a plan: has one router for each pool, and passes each request to its pool's router.  Does no I/O.
 
 A new plan applies at once.  Routers of pools whose names stay keep their state.  Routers of pools that are
-gone are kept until their last request has ended, and each request ends under the plan that it arrived under.
+gone are kept until their last request has ended.  A new plan doesn't change the route, policy and pool of
+requests that arrived before it.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -149,7 +150,11 @@
         return router
 
     def _share_budgets(self, pool_router: PoolRouter, pool_count: int) -> None:
-        """Divides slow-start budgets and fill limits by the numbers of routers and of pools at a router."""
+        """Sets how many pools, over all routers, share the slow-start budgets and the fill limits.
+
+        :param pool_count: the pools of this router, including those that drain; each other router is assumed
+            to have as many.
+        """
         all_routers = self.router_arguments["parent_slow_start"].routers
         for key, tier in (("cache_slow_start", Tier.CACHE), ("parent_slow_start", Tier.PARENT)):
             slow_start: SlowStart = self.router_arguments[key]
--- a/quartzrouter/server/discovery_protocol.py
+++ b/quartzrouter/server/discovery_protocol.py
@@ -34,9 +34,9 @@
 # milliseconds.
 ENDPOINT_RECORD = struct.Struct(">IIHBBBHIQ")
 CAPACITY_RATING_SCALE = 1_000
-OBJECT_KEY_SIZE = 8  # bytes
-TAG_SIZE = 2  # bytes
-PURGE_TIME_SIZE = 8  # bytes, milliseconds since the epoch
+OBJECT_KEY_SIZE = 8  # bytes of the object key in a purge notice
+TAG_SIZE = 2  # bytes of the tag in a purge notice
+PURGE_TIME_SIZE = 8  # bytes of the time of a purge, which is in milliseconds since the epoch
 
 RECEIVE_BUFFER_SIZE = 1 << 16  # bytes, enough for a snapshot of 2,400 endpoints
 MAX_FRAME_LENGTH = RECEIVE_BUFFER_SIZE - LENGTH_SIZE
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -30,7 +30,7 @@
     "with_tag_of_request",
 ]
 
-STEPS_TIMEOUT = 10  # s
+STEPS_TIMEOUT_SECONDS = 10
 
 
 class RouterHarness:
@@ -126,7 +126,7 @@
         self.discovery_frames = list(frames)
 
         async def run():
-            with anyio.fail_after(STEPS_TIMEOUT):
+            with anyio.fail_after(STEPS_TIMEOUT_SECONDS):
                 async with anyio.create_task_group() as tasks:
                     cache = await self.start_server(tasks, self.serve_cache)
                     discovery = await self.start_server(tasks, self.serve_discovery)
--- a/tests/test_large_objects.py
+++ b/tests/test_large_objects.py
@@ -14,7 +14,7 @@
 from quartzrouter.server import cache_responses, effects, events, responses, state_machine
 
 TRANSFER_RATE = 300  # KB/s
-LARGE, SMALL = 240_000, 5_000  # bytes
+LARGE_BYTES, SMALL_BYTES = 240_000, 5_000
 MIN_RELATIVE_SHARE = 2 / 3  # answered share of the largest requests, divided by that of all in their class
 
 
@@ -116,11 +116,11 @@
     caches, draw = PacedCaches(), random.Random(5)
     for request_id in range(400):
         caches.schedule_request(
-            10 * S + request_id * 100 * MS, request_id, LARGE if draw.random() < 0.1 else SMALL
+            10 * S + request_id * 100 * MS, request_id, LARGE_BYTES if draw.random() < 0.1 else SMALL_BYTES
         )
     caches.run_until(60 * S)
-    large_share = caches.answered_share(LARGE)
-    small_share = caches.answered_share(SMALL)
+    large_share = caches.answered_share(LARGE_BYTES)
+    small_share = caches.answered_share(SMALL_BYTES)
     print(f"answered: {large_share:.2f} of the large requests, {small_share:.2f} of the others")
     assert set(caches.responded_at) == set(caches.sizes)
     assert large_share >= MIN_RELATIVE_SHARE * len(caches.answered) / len(caches.sizes)
@@ -134,7 +134,9 @@
     caches, draw = PacedCaches(head_first=False, aim_us=100 * MS), random.Random(5)
     for request_id in range(400):
         caches.schedule_request(
-            10 * S + request_id * 100 * MS, request_id, int(SMALL * (LARGE / SMALL) ** draw.random())
+            10 * S + request_id * 100 * MS,
+            request_id,
+            int(SMALL_BYTES * (LARGE_BYTES / SMALL_BYTES) ** draw.random()),
         )
     caches.run_until(60 * S)
     largest = sorted(caches.sizes, key=caches.sizes.get)[-40:]
@@ -148,11 +150,11 @@
     """A large response that stops halfway is given up before its client's timeout."""
     caches = PacedCaches()
     for request_id in range(40):
-        caches.schedule_request(10 * S + request_id * 100 * MS, request_id, SMALL)
+        caches.schedule_request(10 * S + request_id * 100 * MS, request_id, SMALL_BYTES)
     caches.stuck.add(41)
-    caches.schedule_request(15 * S, 41, LARGE)
+    caches.schedule_request(15 * S, 41, LARGE_BYTES)
     caches.run_until(30 * S)
-    sending_time = LARGE / 1_000 / TRANSFER_RATE * S
+    sending_time = LARGE_BYTES / 1_000 / TRANSFER_RATE * S
     objective = 400 * MS + 2.0 * sending_time
     timeout = timeouts.OBJECTIVE_MULTIPLE * objective  # 3 s; the client waits for 5 s
     assert 15 * S + timeout <= caches.responded_at[41] <= 15 * S + timeout + 10 * MS
@@ -171,7 +173,7 @@
                 answered[id] = "200 OK" in await client.receive_response()
 
         for id in range(1, 97):
-            sizes[id] = LARGE if id % 8 == 0 else SMALL
+            sizes[id] = LARGE_BYTES if id % 8 == 0 else SMALL_BYTES
             head = OK_RESPONSE.replace(b"5\r\n\r\nabcde", b"%d\r\n\r\n" % sizes[id])
             harness.responses[id] = [head + bytes(sizes[id])]
         clients = [await connect() for _ in range(12)]
@@ -184,8 +186,9 @@
 
     harness.run_steps(run_clients, limits={"sockets": 128, "memory_mb": memory})
     counts = {
-        size: sum(good for id, good in answered.items() if sizes[id] == size) for size in (LARGE, SMALL)
+        size: sum(good for id, good in answered.items() if sizes[id] == size)
+        for size in (LARGE_BYTES, SMALL_BYTES)
     }
-    print(f"answered: {counts[LARGE]} of 12 large requests, {counts[SMALL]} of 84 others")
+    print(f"answered: {counts[LARGE_BYTES]} of 12 large requests, {counts[SMALL_BYTES]} of 84 others")
     assert len(answered) == 96
-    assert counts[LARGE] / 12 >= MIN_RELATIVE_SHARE * sum(counts.values()) / 96
+    assert counts[LARGE_BYTES] / 12 >= MIN_RELATIVE_SHARE * sum(counts.values()) / 96
